--- /dev/null
+++ b/src/test/java/magpiehub/core/DecisionScenario.java
@@ -0,0 +1,459 @@
+package magpiehub.core;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import magpiehub.core.Contract.Costs;
+import magpiehub.core.Contract.Effect;
+import magpiehub.core.Contract.Group;
+import magpiehub.core.Contract.Guarantees;
+import magpiehub.core.Contract.Limits;
+import magpiehub.core.Contract.ListKind;
+import magpiehub.core.Contract.Load;
+import magpiehub.core.Contract.Outcome;
+import magpiehub.core.Contract.Request;
+import magpiehub.core.Contract.RequestClass;
+import magpiehub.core.Contract.Server;
+import magpiehub.core.Contract.Settings;
+import magpiehub.core.Contract.State;
+import magpiehub.core.Contract.Tenant;
+import magpiehub.core.Contract.Weights;
+import magpiehub.site.Plan;
+import magpiehub.site.Sites;
+
+/**
+ * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the decision module
+ * with events and folds every action into one SHA-256 digest. Settings, traffic, faults, drains, restarts and
+ * reloads are all drawn, so that each mechanism of the module takes part. Times are in microseconds.
+ */
+final class DecisionScenario extends QuietActions {
+    private static final long SECOND = 1_000_000;
+    private static final int STEPS_AFTERWARDS = 400;
+
+    /** What a stretch of the scenario brings; {@link Phase#CALM} is drawn twice as often as the others. */
+    private enum Phase {
+        CALM, CALM_AGAIN, QUIET, OVERLOAD, ZONE_CUT, ERRORS, SLOW, HANG, RESETS, RELEASE, DRAIN, RELOAD
+    }
+
+    private static final class Engine {
+        final String id;
+        final int zone;
+        final int cell;
+        final double weight;
+        final double pace;
+        State state = State.LIVE;
+        long onlineSince;
+        int inFlight;
+
+        Engine(String id, int zone, int cell, double weight, double pace) {
+            this.id = id;
+            this.zone = zone;
+            this.cell = cell;
+            this.weight = weight;
+            this.pace = pace;
+        }
+    }
+
+    private static final class Attempt {
+        final Engine engine;
+        final long sentAt;
+        boolean ended;
+
+        Attempt(Engine engine, long sentAt) {
+            this.engine = engine;
+            this.sentAt = sentAt;
+        }
+    }
+
+    private static final class Call {
+        final Request request;
+        final List<Attempt> attempts = new ArrayList<>();
+        boolean settled;
+
+        Call(Request request) {
+            this.request = request;
+        }
+    }
+
+    /** Something that happens at a time; of two at one time the one that was planned first comes first. */
+    private record Planned(long at, long order, Runnable event) {
+    }
+
+    private final Random random;
+    private final Rules module;
+    private final MessageDigest digest = sha256();
+    private final PriorityQueue<Planned> agenda = new PriorityQueue<>((a, b) -> a.at != b.at
+            ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final Map<String, Call> calls = new HashMap<>();
+    private final List<String> openIds = new ArrayList<>();
+    private final Map<String, Engine> engines = new HashMap<>();
+    private final List<Engine> listed = new ArrayList<>();
+    private Settings settings;
+    private final double meanGap;
+    private final boolean reportsLoad;
+    private Phase phase = Phase.CALM;
+    private int target;
+    private long now = SECOND;
+    private long order;
+    private int requests;
+    private int engineCount;
+    private int events;
+
+    DecisionScenario(long seed) {
+        random = new Random(seed);
+        settings = drawSettings();
+        meanGap = 2_000 + random.nextInt(60_000);
+        reportsLoad = random.nextBoolean();
+        Zones zones = seed % 3 == 0 && settings.zones() > 1 ? plannedZones(seed) : new Zones.Plain();
+        module = new Rules(settings, seed, this, now, zones);
+        int fleet = 4 + random.nextInt(28);
+        for (int i = 0; i < fleet; i++) { addEngine(random.nextInt(6) == 0 ? now : 0); }
+        listAll(ListKind.SAVED);
+        nextArrival();
+    }
+
+    /** Runs until so many events have been given, then some seconds of quiet and requests for known keys. */
+    String digestAfter(int wanted) {
+        while (events < wanted) {
+            if (events % 500 == 0) { drawPhase(); }
+            step();
+        }
+        phase = Phase.CALM;
+        for (int i = 0; i < STEPS_AFTERWARDS; i++) { step(); }
+        record("known", module.known());
+        return HexFormat.of().formatHex(digest.digest(), 0, 16);
+    }
+
+    private void step() {
+        Planned next = agenda.poll();
+        now = Math.max(now, next.at);
+        events++;
+        next.event.run();
+        if (events % 16 == 0 && !openIds.isEmpty()) {
+            String id = openIds.get(random.nextInt(openIds.size()));
+            record("may refuse", id, module.mayRefuse(id));
+        }
+    }
+
+    private void plan(long delay, Runnable event) { agenda.add(new Planned(now + Math.max(0, delay), order++, event)); }
+
+    private void record(Object... parts) {
+        digest.update((now + " " + Arrays.toString(parts) + "\n").getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    // ---- Settings and the fleet -------------------------------------------------------------------------
+    private Zones plannedZones(long seed) {
+        List<String> names = new ArrayList<>();
+        for (int i = 0; i < settings.zones(); i++) { names.add("zone" + i); }
+        return new Plan(Sites.Settings.USUAL, names, settings.myZone(), seed,
+                new ModuleActor.Journal() {
+                    @Override
+                    public void count(String name) { record("count", name); }
+
+                    @Override
+                    public void log(String what, String... namesAndValues) {
+                        record(what, String.join(" ", namesAndValues));
+                    }
+                });
+    }
+
+    private Settings drawSettings() {
+        int zones = 1 + random.nextInt(4);
+        List<RequestClass> classes = new ArrayList<>();
+        for (int i = 1 + random.nextInt(4); i > 0; i--) { classes.add(drawClass("class" + i)); }
+        List<Tenant> tenants = random.nextBoolean() ? List.of()
+                : List.of(new Tenant("first", 0.5, 1 + random.nextInt(20)), new Tenant("second", 0.5, 0));
+        int instances = 1 + random.nextInt(random.nextBoolean() ? 4 : 60);
+        boolean priced = random.nextInt(4) == 0;
+        return new Settings(random.nextInt(instances), instances, random.nextInt(zones), zones,
+                random.nextBoolean(), false, Weights.values()[random.nextInt(Weights.values().length)],
+                random.nextDouble(), classes, tenants, drawLimits(),
+                new Guarantees(20_000, (2 + random.nextInt(10)) * SECOND, (5 + random.nextInt(20)) * SECOND,
+                        (1 + random.nextInt(3)) * SECOND, 1 + 3 * random.nextDouble(),
+                        0.1 + 0.5 * random.nextDouble(), SECOND / 2),
+                new Costs(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, priced ? 0.01 : 0, 0));
+    }
+
+    private RequestClass drawClass(String name) {
+        return new RequestClass(name, Effect.values()[random.nextInt(3)], Group.values()[random.nextInt(3)],
+                random.nextInt(3_000_000), true, 100_000 + random.nextInt(900_000), random.nextInt(60_000), 0,
+                4 * SECOND, 60_000, 1 + random.nextInt(5), random.nextDouble());
+    }
+
+    private Limits drawLimits() {
+        return new Limits(random.nextInt(4) > 0, random.nextInt(4) > 0, false, random.nextBoolean(), true,
+                1 + random.nextInt(6), 1000, 2 * SECOND, SECOND / 4);
+    }
+
+    private void addEngine(long onlineSince) {
+        int number = engineCount++;
+        Engine engine = new Engine("10.0." + number / 200 + "." + number % 200 + ":9000",
+                random.nextInt(settings.zones()), random.nextInt(4), 0.5 + random.nextInt(4),
+                0.7 + 0.6 * random.nextDouble());
+        engine.onlineSince = onlineSince;
+        engines.put(engine.id, engine);
+        listed.add(engine);
+    }
+
+    private Server entry(Engine engine) {
+        double load = settings.weights() == Weights.LIVE ? random.nextDouble() : 1;
+        return new Server(engine.id, engine.zone, 0, engine.cell, engine.state, engine.weight * load,
+                engine.onlineSince);
+    }
+
+    private void listAll(ListKind kind) { module.list(now, kind, listed.stream().map(this::entry).toList()); }
+
+    private void listOne(Engine engine) {
+        if (random.nextInt(8) == 0) {
+            listAll(ListKind.COMPLETE);
+        } else {
+            module.list(now, ListKind.CHANGES, List.of(entry(engine)));
+        }
+    }
+
+    private Engine anyListed() { return listed.get(random.nextInt(listed.size())); }
+
+    private void drawPhase() {
+        phase = Phase.values()[random.nextInt(Phase.values().length)];
+        target = random.nextInt(64);
+        switch (phase) {
+            case RELEASE -> {
+                for (int i = 0; i < listed.size() / 2; i++) { plan(i * 150_000L, this::replaceOne); }
+            }
+            case DRAIN -> plan(200_000, this::drainOne);
+            case RELOAD -> plan(200_000, this::reload);
+            default -> { }
+        }
+    }
+
+    private void replaceOne() {
+        Engine gone = anyListed();
+        if (random.nextBoolean()) {
+            gone.onlineSince = now;
+            gone.state = State.LIVE;
+            listOne(gone);
+            return;
+        }
+        gone.state = State.DRAINING;
+        listOne(gone);
+        addEngine(now);
+        listOne(listed.get(listed.size() - 1));
+        plan(SECOND, () -> remove(gone));
+    }
+
+    private void drainOne() {
+        Engine engine = anyListed();
+        engine.state = State.DRAINING;
+        listOne(engine);
+        plan(2 * SECOND, () -> {
+            engine.state = State.LIVE;
+            engine.onlineSince = random.nextBoolean() ? now : 0;
+            listOne(engine);
+        });
+    }
+
+    private void remove(Engine engine) {
+        if (listed.size() < 4 || !listed.remove(engine)) { return; }
+        engine.state = State.DEAD;
+        if (random.nextBoolean()) {
+            module.list(now, ListKind.CHANGES, List.of(entry(engine)));
+        } else {
+            listAll(ListKind.COMPLETE);
+        }
+    }
+
+    /** Classes and tenants keep their places, limits and costs change, a class may come behind. */
+    private void reload() {
+        Settings other = drawSettings();
+        List<RequestClass> classes = new ArrayList<>(settings.classes());
+        if (classes.size() < 6) { classes.add(drawClass("class" + classes.size())); }
+        settings = new Settings(settings.me(), other.instances(), settings.myZone(), settings.zones(),
+                settings.subscribe(), settings.resume(), settings.weights(), other.overShareWorth(), classes,
+                settings.tenants().isEmpty() ? other.tenants() : settings.tenants(), other.limits(),
+                other.guarantees(), other.costs());
+        module.settings(now, settings);
+    }
+
+    // ---- Traffic ----------------------------------------------------------------------------------------
+    private void nextArrival() {
+        double gap = phase == Phase.OVERLOAD ? meanGap / 2 : phase == Phase.QUIET ? 25 * meanGap : meanGap;
+        plan((long) (-Math.log(1 - random.nextDouble()) * gap), this::arrive);
+    }
+
+    private void arrive() {
+        nextArrival();
+        String id = "request" + requests++;
+        long prefix = random.nextInt(3) == 0 ? 0 : 1 + (long) (Math.pow(random.nextDouble(), 3) * 40);
+        long session = random.nextInt(4) == 0 ? 0 : 1 + (long) (Math.pow(random.nextDouble(), 2) * 400);
+        long timeLeft = random.nextInt(50) == 0 ? 0 : 300_000 + random.nextInt(4_000_000);
+        int requestClass = random.nextInt(200) == 0 ? 99 : random.nextInt(settings.classes().size());
+        double prompt = 200 + random.nextInt(9_000);
+        Call call = new Call(new Request(id, requestClass, random.nextInt(3), session, prefix, now + timeLeft, 0,
+                prompt, prompt * 0.6, 100, false, false, random.nextInt(20) == 0));
+        calls.put(id, call);
+        openIds.add(id);
+        plan(timeLeft, () -> expire(call));
+        if (random.nextInt(40) == 0) { plan(random.nextInt(1_000_000), () -> leave(call)); }
+        module.request(now, call.request);
+        if (random.nextInt(200) == 0) { module.request(now - 10, call.request); }
+    }
+
+    private void expire(Call call) {
+        for (int i = 0; i < call.attempts.size() && !call.settled; i++) { end(call, i, Outcome.TIMEOUT, false); }
+        openIds.remove(call.request.id());
+    }
+
+    private void leave(Call call) {
+        if (call.settled) { return; }
+        call.settled = true;
+        module.abandoned(now, call.request.id());
+    }
+
+    @Override
+    public void send(String id, String server, long timeout) {
+        record("send", id, server, timeout);
+        Call call = calls.get(id);
+        Engine engine = engines.get(server);
+        int number = call.attempts.size();
+        call.attempts.add(new Attempt(engine, now));
+        engine.inFlight++;
+        Outcome outcome = drawOutcome(engine);
+        long first = (long) (engine.pace * (30_000 + random.nextInt(40_000)) * slowness(engine));
+        switch (outcome) {
+            case OK, RESET, SPOILT -> {
+                if (outcome == Outcome.OK || random.nextInt(3) == 0) { plan(first, () -> begin(call, number)); }
+                plan(first + random.nextInt(600_000), () -> end(call, number, outcome, outcome == Outcome.OK));
+            }
+            case TIMEOUT -> plan(2 * SECOND, () -> end(call, number, outcome, false));
+            default -> plan(random.nextInt(80_000), () -> end(call, number, outcome, false));
+        }
+    }
+
+    private boolean isTarget(Engine engine) { return (engine.id.hashCode() & 7) == (target & 7); }
+
+    private double slowness(Engine engine) {
+        double cold = now - engine.onlineSince < 5 * SECOND ? 2.5 : 1;
+        double busy = 1 + engine.inFlight / 8.0;
+        return cold * busy * (phase == Phase.OVERLOAD ? 6 + random.nextInt(12)
+                : phase == Phase.SLOW && isTarget(engine) ? 12 : 1);
+    }
+
+    private Outcome drawOutcome(Engine engine) {
+        int percent = random.nextInt(100);
+        if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zones()) { return Outcome.CONNECT_FAILED; }
+        if (phase == Phase.HANG && isTarget(engine)) { return Outcome.TIMEOUT; }
+        if (phase == Phase.ERRORS && percent < (isTarget(engine) ? 80 : 50)) { return Outcome.ERROR; }
+        if (phase == Phase.RESETS && percent < 30) { return percent < 20 ? Outcome.RESET : Outcome.SPOILT; }
+        if (engine.inFlight > 12 || phase == Phase.OVERLOAD && percent < 30) { return Outcome.FULL; }
+        if (percent < 4) { return Outcome.values()[random.nextInt(Outcome.values().length)]; }
+        return Outcome.OK;
+    }
+
+    private void begin(Call call, int number) {
+        Attempt attempt = call.attempts.get(number);
+        if (!attempt.ended && !call.settled) {
+            module.begun(now, call.request.id(), number, now - attempt.sentAt);
+        }
+    }
+
+    private void end(Call call, int number, Outcome outcome, boolean served) {
+        Attempt attempt = call.attempts.get(number);
+        if (attempt.ended) { return; }
+        attempt.ended = true;
+        attempt.engine.inFlight--;
+        Outcome seen = call.settled && outcome == Outcome.OK ? Outcome.CANCELLED : outcome;
+        call.settled |= served;
+        long kept = random.nextInt(5) == 0 ? -1
+                : phase == Phase.RELEASE ? 0 : (long) (call.request.promptTokens() * random.nextDouble());
+        module.outcome(now, call.request.id(), number, seen, now - attempt.sentAt, call.settled, kept,
+                drawLoad(attempt.engine));
+    }
+
+    private Load drawLoad(Engine engine) {
+        if (!reportsLoad || random.nextInt(3) == 0) { return null; }
+        return new Load(engine.inFlight, Math.max(0, engine.inFlight - 10), Double.NaN,
+                50 * engine.pace * slowness(engine), Double.NaN, 0, Double.NaN, Double.NaN);
+    }
+
+    // ---- The module's other actions ---------------------------------------------------------------------
+    @Override
+    public void cancel(String id, int attempt) {
+        record("cancel", id, attempt);
+        plan(1_000, () -> end(calls.get(id), attempt, Outcome.CANCELLED, false));
+    }
+
+    @Override
+    public void refuse(String id, long retryAfter) {
+        record("refuse", id, retryAfter);
+        calls.get(id).settled = true;
+    }
+
+    @Override
+    public void fail(String id) {
+        record("fail", id);
+        calls.get(id).settled = true;
+    }
+
+    @Override
+    public void watch() {
+        record("watch");
+        plan(random.nextInt(1_500_000), () -> {
+            if (random.nextInt(3) == 0) {
+                module.list(now, ListKind.ERROR, List.of());
+            } else {
+                listOne(anyListed());
+            }
+        });
+        plan(4 * SECOND, () -> module.list(now, ListKind.ERROR, List.of()));
+    }
+
+    @Override
+    public void timer(long at, long token) {
+        record("timer", at, token);
+        plan(at - now, () -> module.timer(now, token));
+    }
+
+    @Override
+    public void probe(String server) {
+        record("probe", server);
+        Engine engine = engines.get(server);
+        Outcome outcome = drawOutcome(engine);
+        Outcome seen = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.TIMEOUT ? outcome : Outcome.OK;
+        long took = 2_000 + random.nextInt(20_000);
+        plan(took, () -> module.probed(now, server, seen, took, drawLoad(engine)));
+    }
+
+    @Override
+    public void move(String id) { record("move", id); }
+
+    @Override
+    public void fetch() { record("fetch"); }
+
+    @Override
+    public void unwatch() { record("unwatch"); }
+
+    @Override
+    public void close(String server) { record("close", server); }
+
+    @Override
+    public void tell(int peer, byte[] payload) { record("tell", peer, payload.length); }
+
+    @Override
+    public void log(String text) { record("log", text); }
+}
