--- a/lab/src/main/java/magpiehub/lab/Clients.java
+++ b/lab/src/main/java/magpiehub/lab/Clients.java
@@ -29,10 +29,16 @@
     /** How a request ended for its client. */
     enum End {
         /** All of one engine's stream, the first token before the aim, or later. */
-        SERVED, LATE,
+        SERVED,
+        LATE,
         /** 429 or 503; another status; the stream broke off; nothing in time; a connection ended with no
          *  answer; nobody there. */
-        REFUSED, FAILED, BROKEN, SILENT, NONE, NOWHERE,
+        REFUSED,
+        FAILED,
+        BROKEN,
+        SILENT,
+        NONE,
+        NOWHERE,
         /** More or other than one engine's stream. */
         SPOILT
     }
@@ -40,8 +46,20 @@
     /** One request, from when it was due (us, the machine's clock). {@code first} is its first token's time
      *  after that, {@code router} the last that it went to, {@code again} how often it came again,
      *  {@code talk} its conversation. */
-    record Result(String call, int site, int router, int kind, long due, long sent, long first, long end,
-            End how, int again, double gain, boolean excused, String talk) {
+    record Result(
+            String call,
+            int site,
+            int router,
+            int kind,
+            long due,
+            long sent,
+            long first,
+            long end,
+            End how,
+            int again,
+            double gain,
+            boolean excused,
+            String talk) {
         /** Whether a running router left it with no answer, or with a wrong one. */
         boolean unanswered() {
             return !excused && (how == End.NONE || how == End.SILENT || how == End.SPOILT);
@@ -49,8 +67,7 @@
     }
 
     /** A router as a front sees it. */
-    record Target(int router, int site, String name) {
-    }
+    record Target(int router, int site, String name) {}
 
     /** What the rig knows of a router, for judging it. */
     interface Truth {
@@ -123,8 +140,9 @@
                 try (Socket s = new Socket()) {
                     s.connect(address.of(site, router), CONNECT_MS);
                     s.setSoTimeout(CONNECT_MS);
-                    s.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-                            .getBytes(StandardCharsets.US_ASCII));
+                    s.getOutputStream()
+                            .write("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                                    .getBytes(StandardCharsets.US_ASCII));
                     Http.Input in = new Http.Input(s.getInputStream(), EngineSite::micros);
                     well = in.await() && in.head(false).status() == 200;
                 } catch (IOException e) {
@@ -250,9 +268,11 @@
             } else {
                 int kind = kind(q, random.nextDouble());
                 Scenario.Kind k = q.classes().get(kind);
-                t = new Talk(hex(random.nextLong()), q.prefixes() > 0 ? hex(rank(q, random.nextDouble()))
-                        : null,
-                        kind, k.prompt()[0] + random.nextInt(k.prompt()[1] - k.prompt()[0] + 1));
+                t = new Talk(
+                        hex(random.nextLong()),
+                        q.prefixes() > 0 ? hex(rank(q, random.nextDouble())) : null,
+                        kind,
+                        k.prompt()[0] + random.nextInt(k.prompt()[1] - k.prompt()[0] + 1));
                 talks.add(t);
                 if (talks.size() > 40) {
                     talks.remove(random.nextInt(talks.size()));
@@ -333,8 +353,7 @@
             int router = f.pick(not);
             long sent = EngineSite.micros();
             if (router < 0) {
-                r = new Result(id, f.site, -1, t.kind, due, sent, -1, sent, End.NOWHERE, again, k.gain(),
-                        true, t.hash);
+                r = new Result(id, f.site, -1, t.kind, due, sent, -1, sent, End.NOWHERE, again, k.gain(), true, t.hash);
                 break;
             }
             long[] times = {-1, 0};
@@ -349,8 +368,7 @@
             if (whole && (how == End.SILENT || how == End.NONE)) {
                 truth.unanswered(router, id);
             }
-            r = new Result(id, f.site, router, t.kind, due, sent, times[0], now, how, again, k.gain(),
-                    !whole, t.hash);
+            r = new Result(id, f.site, router, t.kind, due, sent, times[0], now, how, again, k.gain(), !whole, t.hash);
             if (how == End.NOWHERE && now < deadline && not < 0) {
                 not = router; // The front tries one other.
                 continue;
@@ -372,11 +390,21 @@
         }
     }
 
-    private End exchange(Front f, int router, String id, Talk t, int prompt, int max, String tenant,
+    private End exchange(
+            Front f,
+            int router,
+            String id,
+            Talk t,
+            int prompt,
+            int max,
+            String tenant,
             long deadline,
-            Scenario.Kind k, boolean again, long due, long[] times) throws IOException {
-        byte[] request = request(id, t, prompt, max, tenant, (deadline - EngineSite.micros()) / 1000, k,
-                again);
+            Scenario.Kind k,
+            boolean again,
+            long due,
+            long[] times)
+            throws IOException {
+        byte[] request = request(id, t, prompt, max, tenant, (deadline - EngineSite.micros()) / 1000, k, again);
         Connection c = f.idle(router);
         while (true) {
             if (c == null) {
@@ -408,8 +436,8 @@
         }
     }
 
-    private End answer(Front f, int router, Connection c, String id, int max, Scenario.Kind k, long due,
-            long[] times) throws IOException {
+    private End answer(Front f, int router, Connection c, String id, int max, Scenario.Kind k, long due, long[] times)
+            throws IOException {
         try {
             Http.Head h = c.in.head(false);
             if (h.status() != 200) {
@@ -478,20 +506,22 @@
         return b.toString();
     }
 
-    private byte[] request(String id, Talk t, int prompt, int max, String tenant, long budgetMs,
-            Scenario.Kind k,
-            boolean again) {
+    private byte[] request(
+            String id, Talk t, int prompt, int max, String tenant, long budgetMs, Scenario.Kind k, boolean again) {
         String text = text(t, prompt);
         byte[] body = ("{\"model\":\"m\",\"stream\":true,\"max_tokens\":" + max
-                + ",\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}]}")
+                        + ",\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}]}")
                 .getBytes(StandardCharsets.US_ASCII);
         byte[] head = ("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: " + id
-                + "\r\nX-Call-Class: " + k.name() + "\r\nX-Caller: " + tenant + "\r\nX-Route-Hash: " + t.hash
-                + "\r\nX-Budget-Ms: " + Math.max(1, budgetMs) + "\r\nX-Call-Info: "
-                + (t.prefix == null ? "" : "prefix=" + t.prefix + ",prefix_len="
-                + Math.min(prompt, scenario.requests.prefixTokens()) + ",") + "prompt_len=" + prompt
-                + ",max_out=" + max + "\r\n" + (again ? "X-Again: 1\r\n" : "")
-                + "Content-Type: application/json\r\nContent-Length: " + body.length + "\r\n\r\n")
+                        + "\r\nX-Call-Class: " + k.name() + "\r\nX-Caller: " + tenant + "\r\nX-Route-Hash: " + t.hash
+                        + "\r\nX-Budget-Ms: " + Math.max(1, budgetMs) + "\r\nX-Call-Info: "
+                        + (t.prefix == null
+                                ? ""
+                                : "prefix=" + t.prefix + ",prefix_len="
+                                        + Math.min(prompt, scenario.requests.prefixTokens()) + ",")
+                        + "prompt_len=" + prompt
+                        + ",max_out=" + max + "\r\n" + (again ? "X-Again: 1\r\n" : "")
+                        + "Content-Type: application/json\r\nContent-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
         byte[] all = java.util.Arrays.copyOf(head, head.length + body.length);
         System.arraycopy(body, 0, all, head.length, body.length);
--- a/lab/src/main/java/magpiehub/lab/Discovery.java
+++ b/lab/src/main/java/magpiehub/lab/Discovery.java
@@ -24,8 +24,7 @@
     private static final long HEARTBEAT = 2_000_000;
 
     /** One engine as listed. */
-    record Member(String id, int site, int number, String phase, long upSinceMs, long revision) {
-    }
+    record Member(String id, int site, int number, String phase, long upSinceMs, long revision) {}
 
     private final List<String> sites;
     private final Map<String, Member> members = new LinkedHashMap<>();
@@ -35,6 +34,7 @@
     private final Map<String, Long> told = new HashMap<>();
     /** Changes that are there and not yet told: revision and time of telling (us). */
     private final List<long[]> changes = new ArrayList<>();
+
     private long revision = 1;
     private long lateUs;
     private boolean torn;
@@ -61,22 +61,24 @@
         server.bind(at, 512);
         servers.add(server);
         Mailbox.thread("discovery-" + sites.get(site), () -> {
-            while (true) {
-                try {
-                    Socket s = server.accept();
-                    synchronized (this) {
-                        if (down) {
-                            Relay.abort(s);
-                            continue;
+                    while (true) {
+                        try {
+                            Socket s = server.accept();
+                            synchronized (this) {
+                                if (down) {
+                                    Relay.abort(s);
+                                    continue;
+                                }
+                                open.add(s);
+                            }
+                            Mailbox.thread("discovery-call", () -> call(router, site, s))
+                                    .start();
+                        } catch (IOException e) {
+                            return;
                         }
-                        open.add(s);
                     }
-                    Mailbox.thread("discovery-call", () -> call(router, site, s)).start();
-                } catch (IOException e) {
-                    return;
-                }
-            }
-        }).start();
+                })
+                .start();
     }
 
     /** What the list says of an engine from now on, true or not. */
@@ -168,8 +170,10 @@
                         long upTo = tellable(EngineSite.micros(), new long[1]);
                         b = list(router, site, 0, upTo, true).getBytes();
                     }
-                    s.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                            + "Content-Length: " + b.length + "\r\n\r\n").getBytes());
+                    s.getOutputStream()
+                            .write(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" + "Content-Length: "
+                                            + b.length + "\r\n\r\n")
+                                    .getBytes());
                     s.getOutputStream().write(b);
                 }
             }
@@ -189,8 +193,7 @@
     }
 
     private void follow(int router, int site, OutputStream to, long since) throws IOException {
-        to.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-                .getBytes());
+        to.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
         long sent = since;
         boolean first = true;
         boolean whole = true;
@@ -227,7 +230,9 @@
     /** The entries that changed after a revision, or all. Called with the lock held; notes what it tells. */
     private String list(int router, int site, long after, long upTo, boolean whole) {
         StringBuilder l = new StringBuilder("{\"revision\":")
-                .append(upTo).append(",\"complete\":").append(whole)
+                .append(upTo)
+                .append(",\"complete\":")
+                .append(whole)
                 .append(",\"members\":[");
         int n = 0;
         for (Member newest : members.values()) {
--- a/lab/src/main/java/magpiehub/lab/Engine.java
+++ b/lab/src/main/java/magpiehub/lab/Engine.java
@@ -29,9 +29,18 @@
      * @param fallMs work of so long a time makes a cold engine fall
      * @param factor if it is more than so many times what the engine can do meanwhile
      */
-    record Build(int slots, int queue, double stepMs, double promptUs, int chunk, int event, int kept,
-            long coldMs, double start, long fallMs, double factor) {
-    }
+    record Build(
+            int slots,
+            int queue,
+            double stepMs,
+            double promptUs,
+            int chunk,
+            int event,
+            int kept,
+            long coldMs,
+            double start,
+            long fallMs,
+            double factor) {}
 
     /** What becomes of a sequence, told from within {@link #step}. */
     interface Caller {
@@ -41,6 +50,7 @@
 
     /** Tokens a block of a prompt that is kept, and characters a token. */
     static final int BLOCK = 16;
+
     private static final int CHARACTERS = 4;
 
     /** One request at the engine. */
@@ -50,6 +60,7 @@
         final Caller caller;
         /** Each whole block of the prompt, named by all text up to its end. */
         private final long[] blocks;
+
         private int toRead;
         private int cached;
         private int given;
@@ -80,6 +91,7 @@
     private final Map<Long, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);
     /** Work that came, with its time, within the last {@code fallMs}. */
     private final ArrayDeque<double[]> came = new ArrayDeque<>();
+
     private double cameSum;
     private double slow = 1;
     private boolean fallen;
--- a/lab/src/main/java/magpiehub/lab/EngineSite.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSite.java
@@ -132,7 +132,8 @@
             StringBuilder prompt = new StringBuilder();
             asked.path("messages").forEach(m -> prompt.append(m.path("content").asText()));
             Stream to = new Stream(s, call, prompt.length() / 4);
-            Engine.Sequence q = new Engine.Sequence(prompt.toString(), asked.path("max_tokens").asInt(), to);
+            Engine.Sequence q = new Engine.Sequence(
+                    prompt.toString(), asked.path("max_tokens").asInt(), to);
             boolean fell = false;
             boolean taken;
             synchronized (this) {
@@ -198,8 +199,8 @@
             event("{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + call + " " + from + " " + until
                     + ";\"},\"finish_reason\":" + (last ? "\"stop\"" : "null") + "}]}");
             if (last) {
-                event("{\"choices\":[],\"usage\":{\"prompt_tokens\":" + prompt + ",\"completion_tokens\":"
-                        + until + ",\"prompt_tokens_details\":{\"cached_tokens\":" + cached + "}}}");
+                event("{\"choices\":[],\"usage\":{\"prompt_tokens\":" + prompt + ",\"completion_tokens\":" + until
+                        + ",\"prompt_tokens_details\":{\"cached_tokens\":" + cached + "}}}");
                 event("[DONE]");
                 out.lastChunk();
             }
@@ -230,8 +231,9 @@
     }
 
     private static void answer(Socket s, int status, String headers) throws IOException {
-        s.getOutputStream().write(("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: 0\r\n\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1));
+        s.getOutputStream()
+                .write(("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: 0\r\n\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** The machine's monotonic clock: the same in each process. */
@@ -262,9 +264,22 @@
 
     private void command(String[] w) throws IOException {
         if (w[0].equals("build")) {
-            double[] v = java.util.Arrays.stream(w).skip(1).mapToDouble(Double::parseDouble).toArray();
-            build = new Engine.Build((int) v[0], (int) v[1], v[2], v[3], (int) v[4], (int) v[5], (int) v[6],
-                    (long) v[7], v[8], (long) v[9], v[10]);
+            double[] v = java.util.Arrays.stream(w)
+                    .skip(1)
+                    .mapToDouble(Double::parseDouble)
+                    .toArray();
+            build = new Engine.Build(
+                    (int) v[0],
+                    (int) v[1],
+                    v[2],
+                    v[3],
+                    (int) v[4],
+                    (int) v[5],
+                    (int) v[6],
+                    (long) v[7],
+                    v[8],
+                    (long) v[9],
+                    v[10]);
             return;
         }
         if (w[0].equals("add")) {
@@ -294,9 +309,10 @@
 
     /** Until standard input ends, which the laboratory's own end brings about. */
     static void main() throws IOException {
-        EngineSite site = new EngineSite(new PrintStream(new java.io.BufferedOutputStream(
-                new java.io.FileOutputStream(java.io.FileDescriptor.out), 1 << 16), false,
-                        StandardCharsets.UTF_8));
+        EngineSite site = new EngineSite(new PrintStream(
+                new java.io.BufferedOutputStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), 1 << 16),
+                false,
+                StandardCharsets.UTF_8));
         Mailbox.thread("reports", site::reports).start();
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String l = in.readLine(); l != null; l = in.readLine()) {
@@ -317,8 +333,8 @@
                 for (Served e : engines.values()) {
                     synchronized (e) {
                         long now = micros();
-                        say("l " + now + " " + e.id + " " + e.engine.running() + " " + e.engine.waiting()
-                                + " " + Math.round(1000 * e.engine.speed(now)));
+                        say("l " + now + " " + e.id + " " + e.engine.running() + " " + e.engine.waiting() + " "
+                                + Math.round(1000 * e.engine.speed(now)));
                     }
                 }
             }
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -14,11 +14,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import magpiehub.core.Mailbox;
 import magpiehub.net.Http;
 
@@ -33,7 +33,8 @@
     private static final int CONSOLE = 8001;
     private static final long SAMPLE = 500_000;
     /** A router's file: name, addresses, seed, limits, list, its place, classes, figures of the engines. */
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
             {"name":"%s","listen":"%s","discovery":"%s","seed":"%016x",
              "limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,"settings":{
              "instances":%d,"me":%d,"myZone":%d,"zones":[%s],"machineTypes":["m"],
@@ -51,27 +52,35 @@
     private static final long START = 60_000_000;
 
     /** An attempt as seen at the router's end of the path: from which site, at which engine. */
-    record Attempt(String call, int site, String engine, long began, long over) {
-    }
+    record Attempt(String call, int site, String engine, long began, long over) {}
 
     /** A router's word on a site, as its log has it. */
-    record Stand(long at, int router, String site, String from, String to, String cause) {
-    }
+    record Stand(long at, int router, String site, String from, String to, String cause) {}
 
     /** What the engines of a site had in hand. */
-    record Load(long at, int site, int running, int waiting, double speed) {
-    }
+    record Load(long at, int site, int running, int waiting, double speed) {}
 
     /** A fault as it was carried out. */
-    record Done(long at, String text) {
-    }
+    record Done(long at, String text) {}
 
     /** All that a play left. Times in us of the machine's clock, {@code from} is the first request's. */
-    record Outcome(Scenario scenario, long from, List<Clients.Result> results, List<Attempt> attempts,
-            List<Load> loads, List<Done> faults, List<Processes.Sample> samples, List<String> fell,
-            List<String> toDrained, int twice, int open, int crashes, long late, List<String> failures,
-            List<Stand> stands, Map<String, String> counters) {
-    }
+    record Outcome(
+            Scenario scenario,
+            long from,
+            List<Clients.Result> results,
+            List<Attempt> attempts,
+            List<Load> loads,
+            List<Done> faults,
+            List<Processes.Sample> samples,
+            List<String> fell,
+            List<String> toDrained,
+            int twice,
+            int open,
+            int crashes,
+            long late,
+            List<String> failures,
+            List<Stand> stands,
+            Map<String, String> counters) {}
 
     private final Scenario s;
     private final Path jar;
@@ -97,8 +106,8 @@
     private final List<String> fell = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
     private final List<Stand> stands = new ArrayList<>();
-    private static final Pattern SITE = Pattern.compile(
-            " site \\[\\S+ name=\"(\\S+)\" from=\"(\\S+)\" to=\"(\\S+)\" cause=\"(\\S+)\"\\]");
+    private static final Pattern SITE =
+            Pattern.compile(" site \\[\\S+ name=\"(\\S+)\" from=\"(\\S+)\" to=\"(\\S+)\" cause=\"(\\S+)\"\\]");
     private final Set<Integer> asked = new HashSet<>();
     private final SplittableRandom seeds;
     private volatile boolean over;
@@ -114,7 +123,8 @@
         this.net = net;
         this.progress = progress;
         this.seeds = new SplittableRandom(s.seed ^ 0x9e3779b97f4a7c15L);
-        this.discovery = new Discovery(s.sites.stream().map(Scenario.Site::name).toList(),
+        this.discovery = new Discovery(
+                s.sites.stream().map(Scenario.Site::name).toList(),
                 (from, m) -> text(relayed(from, m.site(), m.number())));
         Files.createDirectories(out);
         for (int i = 0; i < s.sites.size(); i++) {
@@ -122,8 +132,8 @@
                 targets.add(new Clients.Target(targets.size(), i, s.sites.get(i).name() + "-" + (j + 1)));
             }
         }
-        this.clients = new Clients(s, targets, (from, r) -> at(170 + 8 * from + targets.get(r).site(), 1 + r),
-                new Clients.Truth() {
+        this.clients = new Clients(
+                s, targets, (from, r) -> at(170 + 8 * from + targets.get(r).site(), 1 + r), new Clients.Truth() {
                     @Override
                     public boolean whole(int from, int r, long since) {
                         return routers.get(r).whole(since)
@@ -175,8 +185,7 @@
     }
 
     private long delay(Relay.Path p) {
-        return Math.round(1000 * (s.paths.delayMs() + (p.from == p.to || p.to < 0 ? 0
-                : s.paths.crossDelayMs())));
+        return Math.round(1000 * (s.paths.delayMs() + (p.from == p.to || p.to < 0 ? 0 : s.paths.crossDelayMs())));
     }
 
     private long jitter() {
@@ -203,19 +212,19 @@
         for (Clients.Target t : targets) {
             discovery.serve(t.router(), t.site(), at(1, 1 + t.router()));
             List<Relay> mine = new ArrayList<>();
-            mine.add(new Relay(path("discovery", t.site(), -1), at(2, 1 + t.router()), at(1, 1 + t.router()),
-                    null));
+            mine.add(new Relay(path("discovery", t.site(), -1), at(2, 1 + t.router()), at(1, 1 + t.router()), null));
             for (int from = 0; from < n; from++) {
-                mine.add(new Relay(path("clients", from, t.site()), at(170 + 8 * from + t.site(), 1
-                        + t.router()),
-                        at(10, 1 + t.router()), null));
+                mine.add(new Relay(
+                        path("clients", from, t.site()),
+                        at(170 + 8 * from + t.site(), 1 + t.router()),
+                        at(10, 1 + t.router()),
+                        null));
             }
             routerRelays.add(mine);
             routers.add(startRouter(t, null));
         }
         if (!clients.ready(START)) {
-            throw new IOException("the routers did not all answer their health checks; see "
-                    + out.resolve("logs"));
+            throw new IOException("the routers did not all answer their health checks; see " + out.resolve("logs"));
         }
         discovery.late(s.listLateMs * 1000);
         long from = EngineSite.micros() + Clients.WARM + 300_000;
@@ -237,7 +246,10 @@
                 Thread.currentThread().interrupt();
             }
         }
-        long longest = s.requests.classes().stream().mapToLong(Scenario.Kind::deadlineMs).max().orElse(0);
+        long longest = s.requests.classes().stream()
+                .mapToLong(Scenario.Kind::deadlineMs)
+                .max()
+                .orElse(0);
         List<Clients.Result> results = clients.finish((longest + 5_000) * 1000);
         over = true;
         processes.sample();
@@ -270,14 +282,34 @@
     private void startEngines(int site, boolean cold) throws IOException {
         Scenario.Site at = s.sites.get(site);
         Engine.Build b = s.engine;
-        Processes.Proc p = processes.start("engines-" + at.name(), List.of(
-                ProcessHandle.current().info().command().orElse("java"), "-XX:+UseSerialGC", "-Xmx192m",
+        Processes.Proc p = processes.start(
+                "engines-" + at.name(),
+                List.of(
+                        ProcessHandle.current().info().command().orElse("java"),
+                        "-XX:+UseSerialGC",
+                        "-Xmx192m",
                         "-cp",
-                System.getProperty("java.class.path"), Lab.class.getName(), "engines"), Map.of(), null,
-                l -> engineSaid(site, l), engines.get(site));
+                        System.getProperty("java.class.path"),
+                        Lab.class.getName(),
+                        "engines"),
+                Map.of(),
+                null,
+                l -> engineSaid(site, l),
+                engines.get(site));
         engines.set(site, p);
-        p.say(String.format(Locale.ROOT, "build %d %d %s %s %d %d %d %d %s %d %s", b.slots(), b.queue(),
-                b.stepMs(), b.promptUs(), b.chunk(), b.event(), b.kept(), b.coldMs(), b.start(), b.fallMs(),
+        p.say(String.format(
+                Locale.ROOT,
+                "build %d %d %s %s %d %d %d %d %s %d %s",
+                b.slots(),
+                b.queue(),
+                b.stepMs(),
+                b.promptUs(),
+                b.chunk(),
+                b.event(),
+                b.kept(),
+                b.coldMs(),
+                b.start(),
+                b.fallMs(),
                 b.factor()));
         addEngines(site, cold);
     }
@@ -305,14 +337,18 @@
                 EngineSite.pause(up, 100_000);
             }
             if (!ids.stream().allMatch(up::containsKey)) {
-                throw new IOException("the engines of " + at.name() + " did not start; see "
-                        + out.resolve("logs"));
+                throw new IOException("the engines of " + at.name() + " did not start; see " + out.resolve("logs"));
             }
         }
         for (int i = 0; i < ids.size(); i++) {
             for (int from = 0; from < s.sites.size(); from++) {
-                engineRelays.put(ids.get(i) + "@" + from, new Relay(path("engines", from, site),
-                        relayed(from, site, first + i), at(20 + site, first + i), watch(from, ids.get(i))));
+                engineRelays.put(
+                        ids.get(i) + "@" + from,
+                        new Relay(
+                                path("engines", from, site),
+                                relayed(from, site, first + i),
+                                at(20 + site, first + i),
+                                watch(from, ids.get(i))));
             }
             discovery.put(ids.get(i), site, first + i, "Ready", since);
         }
@@ -355,10 +391,13 @@
             }
             case "l" -> {
                 synchronized (loads) {
-                    loads.computeIfAbsent(Long.parseLong(w[1]) / 200_000, k ->
-                            new ArrayList<>()).add(new Load(
-                            Long.parseLong(w[1]), site, Integer.parseInt(w[3]), Integer.parseInt(w[4]),
-                            Double.parseDouble(w[5]) / 1000));
+                    loads.computeIfAbsent(Long.parseLong(w[1]) / 200_000, k -> new ArrayList<>())
+                            .add(new Load(
+                                    Long.parseLong(w[1]),
+                                    site,
+                                    Integer.parseInt(w[3]),
+                                    Integer.parseInt(w[4]),
+                                    Double.parseDouble(w[5]) / 1000));
                 }
             }
             case "a" -> {
@@ -372,8 +411,7 @@
         Matcher m = SITE.matcher(line);
         if (m.find()) {
             synchronized (stands) {
-                stands.add(new Stand(EngineSite.micros(), t.router(), m.group(1), m.group(2), m.group(3),
-                        m.group(4)));
+                stands.add(new Stand(EngineSite.micros(), t.router(), m.group(1), m.group(2), m.group(3), m.group(4)));
             }
         }
         log(t.name(), line);
@@ -382,8 +420,10 @@
     private synchronized void log(String name, String line) {
         try {
             Files.createDirectories(out.resolve("logs"));
-            try (BufferedWriter w = Files.newBufferedWriter(out.resolve("logs").resolve(name + ".log"),
-                    java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
+            try (BufferedWriter w = Files.newBufferedWriter(
+                    out.resolve("logs").resolve(name + ".log"),
+                    java.nio.file.StandardOpenOption.CREATE,
+                    java.nio.file.StandardOpenOption.APPEND)) {
                 w.write(line + "\n");
             }
         } catch (IOException e) {
@@ -403,14 +443,23 @@
         Path config = home.resolve("config.json");
         Files.writeString(config, config(t));
         String run = Files.readAllLines(root().resolve("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = ")).findFirst().orElseThrow();
+                .filter(l -> l.startsWith("run = "))
+                .findFirst()
+                .orElseThrow();
         run = run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'))
                 .replace("target/magpiehub.jar", jar.toString())
                 .replace("target/magpiehub.jsa", jar.toString().replaceAll("\\.jar$", ".jsa"));
-        Map<String, String> env = new HashMap<>(Map.of("ROUTER_NAME", t.name(),
-                "ROUTER_CONFIG", config.toAbsolutePath().toString(), "ROUTER_LISTEN", text(at(10, 1
-                        + t.router())),
-                "ROUTER_DISCOVERY", text(at(2, 1 + t.router())), "TMPDIR", tmp.toAbsolutePath().toString()));
+        Map<String, String> env = new HashMap<>(Map.of(
+                "ROUTER_NAME",
+                t.name(),
+                "ROUTER_CONFIG",
+                config.toAbsolutePath().toString(),
+                "ROUTER_LISTEN",
+                text(at(10, 1 + t.router())),
+                "ROUTER_DISCOVERY",
+                text(at(2, 1 + t.router())),
+                "TMPDIR",
+                tmp.toAbsolutePath().toString()));
         if (s.faults.stream().anyMatch(f -> f.kind().equals("say"))) {
             env.put("ROUTER_CONSOLE", at(10, 1 + t.router()).getAddress().getHostAddress() + ":" + CONSOLE);
         }
@@ -431,27 +480,55 @@
         StringBuilder classes = new StringBuilder();
         StringBuilder tokenAims = new StringBuilder();
         for (Scenario.Kind k : s.requests.classes()) {
-            classes.append(classes.length() == 0 ? "" : ",").append(String.format(Locale.ROOT,
-                    "{\"name\":\"%s\",\"aimMs\":%d,\"deadlineMs\":%d,\"effect\":\"pure\",\"gain\":%s,"
-                    + "\"group\":\"all\",\"lateShare\":0.0,\"stream\":true,\"windowMs\":5000}", k.name(),
+            classes.append(classes.length() == 0 ? "" : ",")
+                    .append(String.format(
+                            Locale.ROOT,
+                            "{\"name\":\"%s\",\"aimMs\":%d,\"deadlineMs\":%d,\"effect\":\"pure\",\"gain\":%s,"
+                                    + "\"group\":\"all\",\"lateShare\":0.0,\"stream\":true,\"windowMs\":5000}",
+                            k.name(),
                             k.aimMs(),
-                    k.deadlineMs(), k.gain()));
+                            k.deadlineMs(),
+                            k.gain()));
             tokenAims.append(tokenAims.length() == 0 ? "50" : ",50");
         }
         double rate = s.sites.stream().mapToDouble(Scenario.Site::rate).sum();
         StringBuilder accounts = new StringBuilder();
         for (Scenario.Tenant a : s.requests.tenants()) {
-            accounts.append(accounts.length() == 0 ? "" : ",").append(String.format(Locale.ROOT,
-                    "{\"name\":\"%s\",\"share\":%s,\"allowancePerS\":%s}", a.name(), a.share(),
-                    1.5 * rate * a.share()));
+            accounts.append(accounts.length() == 0 ? "" : ",")
+                    .append(String.format(
+                            Locale.ROOT,
+                            "{\"name\":\"%s\",\"share\":%s,\"allowancePerS\":%s}",
+                            a.name(),
+                            a.share(),
+                            1.5 * rate * a.share()));
         }
         StringBuilder zones = new StringBuilder();
-        s.sites.forEach(z -> zones.append(zones.length() == 0 ? "\"" : ",\"").append(z.name()).append('"'));
+        s.sites.forEach(z -> zones.append(zones.length() == 0 ? "\"" : ",\"")
+                .append(z.name())
+                .append('"'));
         Engine.Build b = s.engine;
-        return String.format(Locale.ROOT, CONFIG, t.name(), text(at(10, 1 + t.router())),
-                text(at(2, 1 + t.router())), seeds.nextLong(), s.routers.memoryMb(), s.routers.sockets(),
-                discovery.known(t.router(), t.site()), targets.size(), t.router(), t.site(), zones, tokenAims,
-                classes, accounts, s.routers.probes(), b.coldMs(), b.fallMs(), b.factor(), b.start());
+        return String.format(
+                Locale.ROOT,
+                CONFIG,
+                t.name(),
+                text(at(10, 1 + t.router())),
+                text(at(2, 1 + t.router())),
+                seeds.nextLong(),
+                s.routers.memoryMb(),
+                s.routers.sockets(),
+                discovery.known(t.router(), t.site()),
+                targets.size(),
+                t.router(),
+                t.site(),
+                zones,
+                tokenAims,
+                classes,
+                accounts,
+                s.routers.probes(),
+                b.coldMs(),
+                b.fallMs(),
+                b.factor(),
+                b.start());
     }
 
     // ---- Faults ---------------------------------------------------------------------------------------
@@ -465,8 +542,8 @@
             }
         }
         for (int i = 0; i < engines.size(); i++) {
-            if ((f.site() < 0 || i == f.site()) && (f.target().equals("site")
-                    || f.target().equals("engines"))) {
+            if ((f.site() < 0 || i == f.site())
+                    && (f.target().equals("site") || f.target().equals("engines"))) {
                 to.add(engines.get(i));
             }
         }
@@ -474,11 +551,13 @@
     }
 
     private List<Relay.Path> along(Scenario.Fault f) {
-        return paths.stream().filter(p -> f.paths().equals("all") || p.name.startsWith(f.paths()))
-                .filter(p -> f.site() < 0 || p.from == f.site() && (f.to() < 0 ? p.to != p.from
-                        : p.to == f.to())
+        return paths.stream()
+                .filter(p -> f.paths().equals("all") || p.name.startsWith(f.paths()))
+                .filter(p -> f.site() < 0
+                        || p.from == f.site() && (f.to() < 0 ? p.to != p.from : p.to == f.to())
                         || f.to() < 0 && p.to == f.site() && p.from != p.to
-                        || f.to() >= 0 && p.to == f.site() && p.from == f.to()).toList();
+                        || f.to() >= 0 && p.to == f.site() && p.from == f.to())
+                .toList();
     }
 
     private void note(String text) {
@@ -498,7 +577,8 @@
                 for (Relay.Path p : along(f)) {
                     // "forth" is what leaves the site that is named.
                     boolean leaves = f.site() < 0 || p.from == f.site();
-                    p.cut(f.way().equals("both") || f.way().equals("forth") == leaves,
+                    p.cut(
+                            f.way().equals("both") || f.way().equals("forth") == leaves,
                             f.way().equals("both") || f.way().equals("back") == leaves);
                 }
             }
@@ -564,8 +644,9 @@
         try (Socket s = new Socket()) {
             s.connect(at(10, 1 + t.router()), 1_000);
             s.setSoTimeout(2_000);
-            s.getOutputStream().write("GET /counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write("GET /counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+                            .getBytes(StandardCharsets.US_ASCII));
             Http.Input in = new Http.Input(s.getInputStream(), EngineSite::micros);
             return in.await() ? new String(in.body(in.head(false)), StandardCharsets.UTF_8) : "";
         } catch (IOException e) {
@@ -581,9 +662,14 @@
 
     /** The engines that are meant: one by its id, or all that a site (or the fleet) has now. */
     private List<Discovery.Member> aimedEngines(Scenario.Fault f) {
-        return discovery.members().stream().filter(m -> f.target() != null ? m.id().equals(f.target())
-                : (f.site() < 0 || m.site() == f.site())
-                && m.number() >= numbers.get(m.site()) - s.sites.get(m.site()).engines()).toList();
+        return discovery.members().stream()
+                .filter(m -> f.target() != null
+                        ? m.id().equals(f.target())
+                        : (f.site() < 0 || m.site() == f.site())
+                                && m.number()
+                                        >= numbers.get(m.site())
+                                                - s.sites.get(m.site()).engines())
+                .toList();
     }
 
     private void kill(Scenario.Fault f) throws IOException {
@@ -635,7 +721,8 @@
     /** A release of a site's engines at once: new ones, cold, and the old ones drain. */
     private void replace(int site) throws IOException {
         List<Discovery.Member> old = discovery.members().stream()
-                .filter(m -> m.site() == site && m.phase().equals("Ready")).toList();
+                .filter(m -> m.site() == site && m.phase().equals("Ready"))
+                .toList();
         addEngines(site, true);
         for (Discovery.Member m : old) {
             discovery.put(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
@@ -667,10 +754,11 @@
             for (Clients.Target t : targets) {
                 told = t.site() == a.site ? Math.max(told, discovery.told(a.engine, t.router())) : told;
             }
-            if (told > 0 && told < Long.MAX_VALUE && a.began > told + 2_050_000
+            if (told > 0
+                    && told < Long.MAX_VALUE
+                    && a.began > told + 2_050_000
                     && !path("discovery", Math.max(0, a.site), -1).faulted(told)) {
-                late.add(a.engine + " got " + a.call + " " + (a.began - told) / 1000
-                        + " ms after it was told");
+                late.add(a.engine + " got " + a.call + " " + (a.began - told) / 1000 + " ms after it was told");
             }
         }
         List<Load> sums = new ArrayList<>();
@@ -680,7 +768,10 @@
                     int site = i;
                     List<Load> of = l.stream().filter(x -> x.site == site).toList();
                     if (!of.isEmpty()) {
-                        sums.add(new Load(k * 200_000, site, of.stream().mapToInt(Load::running).sum(),
+                        sums.add(new Load(
+                                k * 200_000,
+                                site,
+                                of.stream().mapToInt(Load::running).sum(),
                                 of.stream().mapToInt(Load::waiting).sum(),
                                 of.stream().mapToDouble(Load::speed).sum()));
                     }
@@ -691,10 +782,23 @@
         synchronized (stands) {
             words = List.copyOf(stands);
         }
-        return new Outcome(s, from, results, all, sums, List.copyOf(done), processes.samples(),
+        return new Outcome(
+                s,
+                from,
+                results,
+                all,
+                sums,
+                List.copyOf(done),
+                processes.samples(),
                 List.copyOf(fell),
-                late, clients.twice(), clients.open(), processes.crashes(), clients.late(),
-                List.copyOf(failures), words, counters);
+                late,
+                clients.twice(),
+                clients.open(),
+                processes.crashes(),
+                clients.late(),
+                List.copyOf(failures),
+                words,
+                counters);
     }
 
     @Override
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -17,17 +17,24 @@
 /** The laboratory's commands. It owns the options and the exit codes: 0 all held, 1 a bound failed, 2 the
  *  call
  *  or the file is wrong, 3 the play could not be made. */
-@Command(name = "lab", mixinStandardHelpOptions = true, version = "magpiehub-lab 0.1.0",
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        version = "magpiehub-lab 0.1.0",
         description = "Plays fleets of real routers with faults between them.",
-        subcommands = {Lab.Run.class, Lab.Compare.class, Lab.Check.class, Lab.ProofSite.class,
-                Lab.Drive.class,
-                Lab.Engines.class})
+        subcommands = {
+            Lab.Run.class,
+            Lab.Compare.class,
+            Lab.Check.class,
+            Lab.ProofSite.class,
+            Lab.Drive.class,
+            Lab.Engines.class
+        })
 public final class Lab {
     /** How late the rig itself may be, by 99 of 100 requests, for its figures to say something (us). */
     private static final long MOST_LATE = 50_000;
 
-    private Lab() {
-    }
+    private Lab() {}
 
     /** Starts the program. */
     public static void main(String[] args) {
@@ -49,10 +56,13 @@
     static final class Play {
         @Option(names = "--jar", description = "the router's jar (target/magpiehub.jar)")
         Path jar;
+
         @Option(names = "--base", description = "an older jar, played side by side")
         Path base;
+
         @Option(names = "--site", description = "what deploy/site.json holds for --jar; {} for its defaults")
         String site;
+
         @Option(names = "--out", description = "folder for reports and logs (target/lab/NAME-SEED)")
         Path out;
 
@@ -91,8 +101,8 @@
             return List.of(mine, both[0]);
         }
 
-        private static Fleet.Outcome one(Scenario s, Path jar, Path out, int net, Map<String, String> files,
-                String mark) throws IOException {
+        private static Fleet.Outcome one(
+                Scenario s, Path jar, Path out, int net, Map<String, String> files, String mark) throws IOException {
             long from = System.nanoTime();
             if (Files.exists(out.resolve("logs"))) {
                 try (var old = Files.list(out.resolve("logs"))) {
@@ -101,8 +111,13 @@
                     }
                 }
             }
-            try (Fleet f = new Fleet(s, jar, out, net, files, l -> System.err.printf("%6.1f s  %s%s%n",
-                    (System.nanoTime() - from) / 1e9, mark, l))) {
+            try (Fleet f = new Fleet(
+                    s,
+                    jar,
+                    out,
+                    net,
+                    files,
+                    l -> System.err.printf("%6.1f s  %s%s%n", (System.nanoTime() - from) / 1e9, mark, l))) {
                 return f.play();
             }
         }
@@ -118,7 +133,10 @@
                     bounds.forEach(System.out::println);
                     holds = bounds.stream().allMatch(Verdict.Bound::holds);
                 }
-                json.add(Report.write(o, bounds, i == 0 ? out : out.resolve("base"),
+                json.add(Report.write(
+                        o,
+                        bounds,
+                        i == 0 ? out : out.resolve("base"),
                         (i == 0 ? jar : base).getFileName().toString()));
             }
             if (json.size() > 1) {
@@ -127,8 +145,8 @@
             }
             long late = plays.stream().mapToLong(Fleet.Outcome::late).max().orElse(0);
             if (late > MOST_LATE) {
-                System.out.printf("this machine was too busy: requests left up to %d ms late (99 of 100)%n",
-                        late / 1000);
+                System.out.printf(
+                        "this machine was too busy: requests left up to %d ms late (99 of 100)%n", late / 1000);
             }
             System.out.println("report: " + out.resolve("report.html"));
             return late > MOST_LATE ? 3 : holds ? 0 : 1;
@@ -136,8 +154,8 @@
 
         /** Losses are said from the first request on; the machine's clock is meant from here. */
         private static List<Verdict.Loss> shifted(List<Verdict.Loss> l, long from) {
-            return l.stream().map(x -> new Verdict.Loss(x.site(), x.from() + from, x.until() + from,
-                    x.refused()))
+            return l.stream()
+                    .map(x -> new Verdict.Loss(x.site(), x.from() + from, x.until() + from, x.refused()))
                     .toList();
         }
     }
@@ -147,8 +165,10 @@
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         Path file;
+
         @Option(names = "--seed", defaultValue = "1")
         long seed;
+
         @CommandLine.Mixin
         Play play = new Play();
 
@@ -163,8 +183,10 @@
     static final class Compare implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A")
         Path a;
+
         @Parameters(index = "1", paramLabel = "B")
         Path b;
+
         @Option(names = "--html", description = "a page with the plots of both over each other")
         Path html;
 
@@ -181,11 +203,11 @@
     }
 
     /** Reads a scenario file and says what a seed makes of it. */
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Reads a scenario file, plays nothing.")
+    @Command(name = "check", mixinStandardHelpOptions = true, description = "Reads a scenario file, plays nothing.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         Path file;
+
         @Option(names = "--seed", defaultValue = "1")
         long seed;
 
@@ -193,7 +215,8 @@
         public Integer call() throws IOException {
             Scenario s = Scenario.read(file, seed);
             for (int i = 0; i < s.sites.size(); i++) {
-                System.out.printf("%s: %.0f %% of its engines' time asked for by its own clients%n",
+                System.out.printf(
+                        "%s: %.0f %% of its engines' time asked for by its own clients%n",
                         s.sites.get(i).name(), 100 * s.demand(i) / Math.max(1, s.capacity(i)));
             }
             s.faults.forEach(f -> System.out.printf("%7.3f s  %s%n", f.at() / 1000.0, f.text(s.sites)));
@@ -202,13 +225,17 @@
     }
 
     /** The proof of the loss of a site. */
-    @Command(name = "proof-site", mixinStandardHelpOptions = true,
+    @Command(
+            name = "proof-site",
+            mixinStandardHelpOptions = true,
             description = "Nine routers, three sites, a loss drawn from the seed, and its bounds.")
     static final class ProofSite implements Callable<Integer> {
         @Parameters(paramLabel = "SEED")
         long seed;
+
         @Option(names = "--case", description = "a case of SiteProof instead of the seed's")
         String kind;
+
         @CommandLine.Mixin
         Play play = new Play();
 
@@ -221,13 +248,17 @@
     }
 
     /** The machines that routers judge sites by, alone, in virtual time. */
-    @Command(name = "drive", mixinStandardHelpOptions = true,
+    @Command(
+            name = "drive",
+            mixinStandardHelpOptions = true,
             description = "Drawn losses of sites against the machines of 100 routers, in virtual time.")
     static final class Drive implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "SEED")
         long seed;
+
         @Parameters(index = "1", paramLabel = "SCENARIOS", defaultValue = "2000")
         int scenarios;
+
         @Option(names = "--threads", description = "the result is the same for any number")
         int threads = Runtime.getRuntime().availableProcessors();
 
--- a/lab/src/main/java/magpiehub/lab/Processes.java
+++ b/lab/src/main/java/magpiehub/lab/Processes.java
@@ -23,8 +23,7 @@
     private static final long TICKS = 100;
 
     /** What one process took at a time: resident memory (KB), CPU since its start (ms), threads, files. */
-    record Sample(long at, String name, long rssKb, long cpuMs, int threads, int files) {
-    }
+    record Sample(long at, String name, long rssKb, long cpuMs, int threads, int files) {}
 
     /** One process; {@code since} is when it last started, {@code hit} when something was last done to it. */
     static final class Proc {
@@ -62,15 +61,17 @@
     private int crashes;
 
     Processes() throws IOException {
-        shell = new ProcessBuilder("sh").redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        shell = new ProcessBuilder("sh")
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start();
         orders = shell.getOutputStream();
         Runtime.getRuntime().addShutdownHook(new Thread(this::killAll));
     }
 
     /** Starts a process, its output line by line to a reader; {@code was} is started again, or null. */
-    Proc start(String name, List<String> command, Map<String, String> env, Path folder, Consumer<String> line,
-            Proc was) throws IOException {
+    Proc start(String name, List<String> command, Map<String, String> env, Path folder, Consumer<String> line, Proc was)
+            throws IOException {
         Proc p = was == null ? new Proc(name) : was;
         ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
         if (folder != null) {
@@ -92,14 +93,15 @@
             }
         }
         Mailbox.thread("log-" + name, () -> {
-            try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8)) {
-                for (String l = in.readLine(); l != null; l = in.readLine()) {
-                    line.accept(l);
-                }
-            } catch (IOException e) {
-                return; // Its end.
-            }
-        }).start();
+                    try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8)) {
+                        for (String l = in.readLine(); l != null; l = in.readLine()) {
+                            line.accept(l);
+                        }
+                    } catch (IOException e) {
+                        return; // Its end.
+                    }
+                })
+                .start();
         process.onExit().thenAccept(x -> {
             synchronized (p) {
                 if (!over && p.process == process && !p.dead) {
@@ -168,9 +170,12 @@
                 try (var l = Files.list(at.resolve("fd"))) {
                     files = (int) l.count();
                 }
-                Sample s = new Sample(EngineSite.micros(), p.name, Long.parseLong(f[21]) * 4,
+                Sample s = new Sample(
+                        EngineSite.micros(),
+                        p.name,
+                        Long.parseLong(f[21]) * 4,
                         (Long.parseLong(f[11]) + Long.parseLong(f[12])) * 1000 / TICKS,
-                                Integer.parseInt(f[17]),
+                        Integer.parseInt(f[17]),
                         files);
                 synchronized (samples) {
                     samples.add(s);
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -25,6 +25,7 @@
 final class Relay implements AutoCloseable {
     /** Bytes that wait in one direction of a connection, as the buffers of a machine would hold them. */
     private static final int ROOM = 512 * 1024;
+
     private static final int BACKLOG = 512;
     private static final int READ = 16 * 1024;
     /** How often a direction that holds something back looks at its path again (us). */
@@ -47,6 +48,7 @@
         private final Set<Relay> relays = new HashSet<>();
         /** When a fault last began and last ended on it (us): what is judged looks at it. */
         private long faultSince = Long.MAX_VALUE;
+
         private long faultUntil = Long.MIN_VALUE;
 
         Path(String name, int from, int to, long delayUs, long jitterUs, long seed) {
@@ -182,7 +184,11 @@
     }
 
     /** How a relay meets whoever opens a connection: takes it, drops its first packet, or refuses it. */
-    private enum Door { OPEN, DROPS, REFUSES }
+    private enum Door {
+        OPEN,
+        DROPS,
+        REFUSES
+    }
 
     /** Stands as the path and the process behind it say. */
     private synchronized void apply() throws IOException {
@@ -240,29 +246,30 @@
             apply();
         }
         Mailbox.thread("relay-knock", () -> {
-            while (true) {
-                EngineSite.sleep(KNOCK);
-                try (Socket s = new Socket()) {
-                    s.connect(to, 1_000);
-                } catch (IOException e) {
-                    synchronized (this) {
-                        if (closed) {
-                            return;
+                    while (true) {
+                        EngineSite.sleep(KNOCK);
+                        try (Socket s = new Socket()) {
+                            s.connect(to, 1_000);
+                        } catch (IOException e) {
+                            synchronized (this) {
+                                if (closed) {
+                                    return;
+                                }
+                            }
+                            continue;
                         }
+                        try {
+                            synchronized (this) {
+                                down = false;
+                                apply();
+                            }
+                        } catch (IOException e) {
+                            throw new java.io.UncheckedIOException(e);
+                        }
+                        return;
                     }
-                    continue;
-                }
-                try {
-                    synchronized (this) {
-                        down = false;
-                        apply();
-                    }
-                } catch (IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-                return;
-            }
-        }).start();
+                })
+                .start();
     }
 
     private void accept(ServerSocket from) {
@@ -381,8 +388,7 @@
                         freeAt = rate == 0 ? 0 : now + head.bytes.length * 1_000_000L / rate;
                         continue;
                     }
-                    long wait = head == null ? 0 : open ? Math.max(1, Math.max(head.due, freeAt) - now)
-                            : LOOK;
+                    long wait = head == null ? 0 : open ? Math.max(1, Math.max(head.due, freeAt) - now) : LOOK;
                     if (over || held >= ROOM) {
                         EngineSite.sleep(wait);
                         continue;
@@ -400,8 +406,7 @@
         }
 
         /** Null if nothing came in this time. */
-        private Piece read(InputStream in, Socket from, byte[] buf, long wait, int direction)
-                throws IOException {
+        private Piece read(InputStream in, Socket from, byte[] buf, long wait, int direction) throws IOException {
             int n;
             boolean reset = false;
             try {
@@ -443,8 +448,7 @@
         }
     }
 
-    private record Piece(long due, byte[] bytes, boolean reset) {
-    }
+    private record Piece(long due, byte[] bytes, boolean reset) {}
 
     /** Ends a connection with a reset. */
     static void abort(Socket s) {
@@ -469,6 +473,7 @@
         /** Bytes of the chunk in hand that are to come, with its line end; the line in hand; whether the last
          *  chunk's size has come. Chunks are counted: what one holds may look like the last. */
         private long left;
+
         private final StringBuilder line = new StringBuilder();
         private boolean last;
 
@@ -481,7 +486,8 @@
                 return; // The rest of its body.
             }
             String s = new String(b, 0, n, StandardCharsets.ISO_8859_1);
-            int id = s.startsWith("POST ") ? s.toLowerCase(java.util.Locale.ROOT).indexOf("x-call-id: ") : -1;
+            int id =
+                    s.startsWith("POST ") ? s.toLowerCase(java.util.Locale.ROOT).indexOf("x-call-id: ") : -1;
             if (id >= 0) {
                 out = s.substring(id + 11, s.indexOf('\r', id)).strip();
                 head.setLength(0);
@@ -508,8 +514,10 @@
                 from = end + 4 - before;
                 head.setLength(end + 4);
                 int at2 = head.toString().toLowerCase(java.util.Locale.ROOT).indexOf("content-length:");
-                length = at2 < 0 ? -1 : Long.parseLong(head.substring(at2 + 15, head.indexOf("\r",
-                        at2)).strip());
+                length = at2 < 0
+                        ? -1
+                        : Long.parseLong(head.substring(at2 + 15, head.indexOf("\r", at2))
+                                .strip());
             }
             if (length >= 0) {
                 length -= b.length - from;
--- a/lab/src/main/java/magpiehub/lab/Report.java
+++ b/lab/src/main/java/magpiehub/lab/Report.java
@@ -37,22 +37,22 @@
 final class Report {
     private static final long BUCKET = 250_000;
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String HEAD = """
+    private static final String HEAD =
+            """
             <!doctype html><html lang="en"><meta charset="utf-8"><title>%s</title>
             <style>body{font:14px sans-serif;max-width:60em;margin:1em auto;padding:0 1em}
             table{border-collapse:collapse}td,th{padding:2px 8px;text-align:left;border-bottom:1px solid #ccc}
             .no{color:#b00020;font-weight:bold}svg{max-width:100%%;height:auto}</style><body>
             """;
 
-    private Report() {
-    }
+    private Report() {}
 
     /** Writes report.json and report.html; returns the first. */
-    static ObjectNode write(Fleet.Outcome o, List<Verdict.Bound> bounds, Path folder, String jar)
-            throws IOException {
+    static ObjectNode write(Fleet.Outcome o, List<Verdict.Bound> bounds, Path folder, String jar) throws IOException {
         ObjectNode j = json(o, bounds, jar);
         Files.createDirectories(folder);
-        Files.writeString(folder.resolve("report.json"),
+        Files.writeString(
+                folder.resolve("report.json"),
                 JSON.writerWithDefaultPrettyPrinter().writeValueAsString(j) + "\n");
         Files.writeString(folder.resolve("report.html"), html(List.of(j)));
         return j;
@@ -70,8 +70,10 @@
         ArrayNode sites = j.putArray("sites");
         o.scenario().sites.forEach(s -> sites.add(s.name()));
         ArrayNode b = j.putArray("bounds");
-        bounds.forEach(x -> b.addObject().put("name", x.name()).put("seen", x.seen()).put("allowed",
-                x.allowed())
+        bounds.forEach(x -> b.addObject()
+                .put("name", x.name())
+                .put("seen", x.seen())
+                .put("allowed", x.allowed())
                 .put("holds", x.holds()));
         ObjectNode totals = j.putObject("totals");
         Verdict v = new Verdict(o);
@@ -98,12 +100,16 @@
         ObjectNode counters = j.putObject("counters");
         o.counters().forEach((router, lines) -> {
             ObjectNode c = counters.putObject(router);
-            lines.lines().map(l -> l.split(" ", 2)).filter(w -> w.length == 2).forEach(w -> c.put(w[0],
-                    w[1]));
+            lines.lines().map(l -> l.split(" ", 2)).filter(w -> w.length == 2).forEach(w -> c.put(w[0], w[1]));
         });
         ArrayNode said = j.putArray("stands");
-        o.stands().forEach(x -> said.addObject().put("s", seconds(o, x.at())).put("router", x.router())
-                .put("site", x.site()).put("from", x.from()).put("to", x.to()).put("cause", x.cause()));
+        o.stands().forEach(x -> said.addObject()
+                .put("s", seconds(o, x.at()))
+                .put("router", x.router())
+                .put("site", x.site())
+                .put("from", x.from())
+                .put("to", x.to())
+                .put("cause", x.cause()));
         ArrayNode faults = j.putArray("faults");
         o.faults().forEach(f -> faults.addObject().put("s", seconds(o, f.at())).put("what", f.text()));
         ArrayNode wrong = j.putArray("violations");
@@ -111,7 +117,9 @@
         o.toDrained().forEach(x -> wrong.add("drained: " + x));
         o.fell().forEach(x -> wrong.add("fell: " + x));
         o.failures().forEach(x -> wrong.add("fault: " + x));
-        o.results().stream().filter(Clients.Result::unanswered).limit(50)
+        o.results().stream()
+                .filter(Clients.Result::unanswered)
+                .limit(50)
                 .forEach(r -> wrong.add(r.how() + ": " + r.call() + " router " + r.router() + " due at "
                         + seconds(o, r.due()) + " s, ended at " + seconds(o, r.end()) + " s"));
         j.set("series", series(o));
@@ -131,14 +139,18 @@
     /** Conversations whose next turn went to another site than the one before, by the second. */
     private static void moves(Fleet.Outcome o, ObjectNode s) {
         Map<String, String> at = new HashMap<>();
-        o.attempts().forEach(a -> at.put(a.call(), a.engine().substring(0, a.engine().lastIndexOf("-e"))));
+        o.attempts()
+                .forEach(
+                        a -> at.put(a.call(), a.engine().substring(0, a.engine().lastIndexOf("-e"))));
         Map<String, String> last = new HashMap<>();
         int[] moved = new int[(int) (o.scenario().lengthMs / 1000) + 1];
-        o.results().stream().sorted(Comparator.comparingLong(Clients.Result::due)).forEach(r -> {
-            String site = at.get(r.call());
-            String before = site == null ? null : last.put(r.talk(), site);
-            moved[(int) ((r.due() - o.from()) / 1_000_000)] += before == null || before.equals(site) ? 0 : 1;
-        });
+        o.results().stream()
+                .sorted(Comparator.comparingLong(Clients.Result::due))
+                .forEach(r -> {
+                    String site = at.get(r.call());
+                    String before = site == null ? null : last.put(r.talk(), site);
+                    moved[(int) ((r.due() - o.from()) / 1_000_000)] += before == null || before.equals(site) ? 0 : 1;
+                });
         for (int i = 0; i < moved.length; i++) {
             point(s, "Conversations that changed their site, a second", "all", i, moved[i]);
         }
@@ -171,14 +183,21 @@
             }
             for (int k = 0; k < n; k++) {
                 if (due[k] > 0) {
-                    point(s, "Served of what was due, by the clients' site",
-                            o.scenario().sites.get(k).name(), x,
+                    point(
+                            s,
+                            "Served of what was due, by the clients' site",
+                            o.scenario().sites.get(k).name(),
+                            x,
                             served[k] / due[k]);
                 }
             }
             for (Clients.End e : Clients.End.values()) {
                 if (o.results().stream().anyMatch(r -> r.how() == e)) {
-                    point(s, "Worth a second by end", e.name().toLowerCase(Locale.ROOT), x,
+                    point(
+                            s,
+                            "Worth a second by end",
+                            e.name().toLowerCase(Locale.ROOT),
+                            x,
                             by.getOrDefault(e, 0.0) * 1e6 / BUCKET);
                 }
             }
@@ -191,10 +210,8 @@
         for (Fleet.Load l : o.loads()) {
             String name = o.scenario().sites.get(l.site()).name();
             if (l.at() >= o.from()) {
-                point(s, "Requests at the engines, by site", name + " running", seconds(o, l.at()),
-                        l.running());
-                point(s, "Requests at the engines, by site", name + " waiting", seconds(o, l.at()),
-                        l.waiting());
+                point(s, "Requests at the engines, by site", name + " running", seconds(o, l.at()), l.running());
+                point(s, "Requests at the engines, by site", name + " waiting", seconds(o, l.at()), l.waiting());
             }
         }
         Map<String, Processes.Sample> before = new LinkedHashMap<>();
@@ -203,7 +220,11 @@
             point(s, "Resident memory of each process (MB)", p.name(), x, p.rssKb() / 1024.0);
             Processes.Sample b = before.put(p.name(), p);
             if (b != null && p.at() > b.at() && p.cpuMs() >= b.cpuMs()) {
-                point(s, "CPU of each process (cores)", p.name(), x,
+                point(
+                        s,
+                        "CPU of each process (cores)",
+                        p.name(),
+                        x,
                         (p.cpuMs() - b.cpuMs()) * 1000.0 / (p.at() - b.at()));
             }
         }
@@ -213,31 +234,49 @@
     // ---- The page -------------------------------------------------------------------------------------
     /** One page of one play, or of two over each other. */
     static String html(List<? extends JsonNode> plays) {
-        StringBuilder h = new StringBuilder(HEAD.formatted(escape(plays.get(0).path("scenario").asText())));
+        StringBuilder h = new StringBuilder(
+                HEAD.formatted(escape(plays.get(0).path("scenario").asText())));
         for (int i = 0; i < plays.size(); i++) {
             JsonNode p = plays.get(i);
-            h.append("<h1>").append(escape(p.path("scenario").asText())).append(", seed ")
-                    .append(p.path("seed").asLong()).append(plays.size() > 1 ? i == 0 ? " (A)" : " (B)" : "")
-                    .append("</h1><p>").append(escape(p.path("jar").asText()))
+            h.append("<h1>")
+                    .append(escape(p.path("scenario").asText()))
+                    .append(", seed ")
+                    .append(p.path("seed").asLong())
+                    .append(plays.size() > 1 ? i == 0 ? " (A)" : " (B)" : "")
+                    .append("</h1><p>")
+                    .append(escape(p.path("jar").asText()))
                     .append("</p><table><tr><th>Bound<th>Seen<th>Allowed</tr>");
             for (JsonNode b : p.path("bounds")) {
-                h.append("<tr").append(b.path("holds").asBoolean() ? "" : " class=\"no\"").append("><td>")
-                        .append(escape(b.path("name").asText())).append("<td>")
-                        .append(escape(b.path("seen").asText())).append("<td>")
-                        .append(escape(b.path("allowed").asText())).append("</tr>");
+                h.append("<tr")
+                        .append(b.path("holds").asBoolean() ? "" : " class=\"no\"")
+                        .append("><td>")
+                        .append(escape(b.path("name").asText()))
+                        .append("<td>")
+                        .append(escape(b.path("seen").asText()))
+                        .append("<td>")
+                        .append(escape(b.path("allowed").asText()))
+                        .append("</tr>");
             }
             h.append("</table><h2>Faults</h2><table>");
             for (JsonNode f : p.path("faults")) {
-                h.append("<tr><td>").append(f.path("s").asText()).append(" s<td>")
-                        .append(escape(f.path("what").asText())).append("</tr>");
+                h.append("<tr><td>")
+                        .append(f.path("s").asText())
+                        .append(" s<td>")
+                        .append(escape(f.path("what").asText()))
+                        .append("</tr>");
             }
             h.append("</table><h2>How requests ended</h2>")
                     .append("<table><tr><th>Site<th>Class<th>End<th>Requests</tr>");
             for (JsonNode e : p.path("ends")) {
-                h.append("<tr><td>").append(escape(e.path("site").asText())).append("<td>")
-                        .append(escape(e.path("class").asText())).append("<td>")
-                        .append(escape(e.path("how").asText())).append("<td>")
-                        .append(e.path("requests").asInt()).append("</tr>");
+                h.append("<tr><td>")
+                        .append(escape(e.path("site").asText()))
+                        .append("<td>")
+                        .append(escape(e.path("class").asText()))
+                        .append("<td>")
+                        .append(escape(e.path("how").asText()))
+                        .append("<td>")
+                        .append(e.path("requests").asInt())
+                        .append("</tr>");
             }
             h.append("</table>");
             for (JsonNode w : p.path("violations")) {
@@ -267,9 +306,8 @@
                 data.addSeries(x);
             });
         }
-        JFreeChart c = ChartFactory.createXYLineChart(name, "s", null, data, PlotOrientation.VERTICAL, true,
-                false,
-                false);
+        JFreeChart c =
+                ChartFactory.createXYLineChart(name, "s", null, data, PlotOrientation.VERTICAL, true, false, false);
         XYPlot plot = c.getXYPlot();
         plot.setBackgroundPaint(Color.WHITE);
         plot.setDomainGridlinePaint(Color.LIGHT_GRAY);
@@ -297,26 +335,38 @@
         List<String> lines = new ArrayList<>();
         lines.add(String.format(Locale.ROOT, "%-66s %14s %14s", "", "A", "B"));
         if (!a.path("scenario").equals(b.path("scenario")) || !a.path("seed").equals(b.path("seed"))) {
-            lines.add("these are plays of different scenarios or seeds: " + a.path("scenario").asText() + " "
+            lines.add("these are plays of different scenarios or seeds: "
+                    + a.path("scenario").asText() + " "
                     + a.path("seed").asLong() + ", " + b.path("scenario").asText() + " "
-                            + b.path("seed").asLong());
+                    + b.path("seed").asLong());
         }
-        a.path("totals").fields().forEachRemaining(f -> lines.add(String.format(Locale.ROOT,
-                "%-66s %14s %14s",
-                f.getKey(), f.getValue().asText(), b.path("totals").path(f.getKey()).asText("-"))));
+        a.path("totals")
+                .fields()
+                .forEachRemaining(f -> lines.add(String.format(
+                        Locale.ROOT,
+                        "%-66s %14s %14s",
+                        f.getKey(),
+                        f.getValue().asText(),
+                        b.path("totals").path(f.getKey()).asText("-"))));
         for (JsonNode x : a.path("bounds")) {
             String other = "-";
             for (JsonNode y : b.path("bounds")) {
                 other = y.path("name").equals(x.path("name"))
-                        ? y.path("seen").asText() + (y.path("holds").asBoolean() ? "" : " !") : other;
+                        ? y.path("seen").asText() + (y.path("holds").asBoolean() ? "" : " !")
+                        : other;
             }
-            lines.add(String.format(Locale.ROOT, "%-66s %14s %14s", x.path("name").asText(),
-                    x.path("seen").asText() + (x.path("holds").asBoolean() ? "" : " !"), other));
+            lines.add(String.format(
+                    Locale.ROOT,
+                    "%-66s %14s %14s",
+                    x.path("name").asText(),
+                    x.path("seen").asText() + (x.path("holds").asBoolean() ? "" : " !"),
+                    other));
         }
         return lines;
     }
 
     static JsonNode read(Path file) throws IOException {
-        return JSON.readTree(Files.isDirectory(file) ? file.resolve("report.json").toFile() : file.toFile());
+        return JSON.readTree(
+                Files.isDirectory(file) ? file.resolve("report.json").toFile() : file.toFile());
     }
 }
--- a/lab/src/main/java/magpiehub/lab/Scenario.java
+++ b/lab/src/main/java/magpiehub/lab/Scenario.java
@@ -32,60 +32,87 @@
     }
 
     /** A failure domain: so many routers and engines, and requests a second of its own clients. */
-    record Site(String name, int routers, int engines, double rate) {
-    }
+    record Site(String name, int routers, int engines, double rate) {}
 
     /** A class of requests; times in ms, prompt and output in tokens, both ends drawn. */
-    record Kind(String name, double part, long aimMs, long deadlineMs, double gain, int[] prompt,
-            int[] output) {
-    }
+    record Kind(String name, double part, long aimMs, long deadlineMs, double gain, int[] prompt, int[] output) {}
 
     /** A tenant with its share of the requests and of the service. */
-    record Tenant(String name, double share) {
-    }
+    record Tenant(String name, double share) {}
 
     /** {@code turns} is how many a conversation has in the mean; {@code prefixes} are shared openings, their
      *  popularity falling as 1/rank to the power {@code zipf}; {@code retries} is how often a client comes
      *  again after a refusal. */
-    record Requests(List<Kind> classes, List<Tenant> tenants, double turns, int prefixes, int prefixTokens,
-            double zipf, int retries) {
-    }
+    record Requests(
+            List<Kind> classes,
+            List<Tenant> tenants,
+            double turns,
+            int prefixes,
+            int prefixTokens,
+            double zipf,
+            int retries) {}
 
     /** One way of each path: within a site and between two. */
-    record Paths(double delayMs, double jitterMs, double crossDelayMs) {
-    }
+    record Paths(double delayMs, double jitterMs, double crossDelayMs) {}
 
     /** What a router may use, as its configuration says it; {@code probes} is whether it may ask engines. */
-    record Routers(int memoryMb, int sockets, boolean probes) {
-    }
+    record Routers(int memoryMb, int sockets, boolean probes) {}
 
     /** One fault with what it needs; see docs/ops/lab.md for the list. Times from the first request (ms). */
-    record Fault(long at, String kind, int site, int to, String way, String paths, String target,
-            double value) {
+    record Fault(long at, String kind, int site, int to, String way, String paths, String target, double value) {
         /** As a line for people. */
         String text(List<Site> sites) {
-            return kind + (target == null ? "" : " " + target) + (site < 0 ? "" : " "
-                    + sites.get(site).name())
+            return kind
+                    + (target == null ? "" : " " + target)
+                    + (site < 0 ? "" : " " + sites.get(site).name())
                     + (to < 0 ? "" : " to " + sites.get(to).name())
-                    + (way == null ? "" : " " + way) + (paths == null ? "" : " (" + paths + ")")
+                    + (way == null ? "" : " " + way)
+                    + (paths == null ? "" : " (" + paths + ")")
                     + (value == 0 ? "" : " " + value);
         }
     }
 
-    private record File(String name, double seconds, List<Site> sites, Engine.Build engine, Requests requests,
-            Paths paths, Routers routers, @JsonProperty("listLateMs") double listLateMs,
-            @JsonProperty("noticeMs") double noticeMs, List<JsonNode> faults) {
-    }
+    private record File(
+            String name,
+            double seconds,
+            List<Site> sites,
+            Engine.Build engine,
+            Requests requests,
+            Paths paths,
+            Routers routers,
+            @JsonProperty("listLateMs") double listLateMs,
+            @JsonProperty("noticeMs") double noticeMs,
+            List<JsonNode> faults) {}
 
-    private static final Set<String> FIELDS = Set.of("at", "do", "site", "to", "way", "paths", "target",
-            "value");
+    private static final Set<String> FIELDS = Set.of("at", "do", "site", "to", "way", "paths", "target", "value");
     /** Each fault: whether it needs a site, another one, a target, a value. */
-    private static final List<String> KINDS = List.of("kill", "stop", "continue", "term", "start", "cut",
-            "blackhole", "reset", "slow", "throttle", "heal", "engine-slow", "engine-errors", "engine-silent",
-            "engine-heard", "drain", "list-late", "list-torn", "list-down", "list-up", "list-gone",
-            "list-ready", "replace", "say");
-    private static final Set<String> VALUED = Set.of("slow", "throttle", "engine-slow", "engine-errors",
-            "list-late");
+    private static final List<String> KINDS = List.of(
+            "kill",
+            "stop",
+            "continue",
+            "term",
+            "start",
+            "cut",
+            "blackhole",
+            "reset",
+            "slow",
+            "throttle",
+            "heal",
+            "engine-slow",
+            "engine-errors",
+            "engine-silent",
+            "engine-heard",
+            "drain",
+            "list-late",
+            "list-torn",
+            "list-down",
+            "list-up",
+            "list-gone",
+            "list-ready",
+            "replace",
+            "say");
+
+    private static final Set<String> VALUED = Set.of("slow", "throttle", "engine-slow", "engine-errors", "list-late");
     private static final ObjectMapper JSON = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
@@ -102,6 +129,7 @@
     final long listLateMs;
     /** How long a front sends to a router that has died without a word (ms). */
     final long noticeMs;
+
     final List<Fault> faults;
     private final int drawn;
     private final int other;
@@ -120,8 +148,7 @@
         check();
         SplittableRandom random = new SplittableRandom(seed);
         drawn = random.nextInt(sites.size());
-        other = sites.size() == 1 ? drawn
-                : (drawn + 1 + random.nextInt(sites.size() - 1)) % sites.size();
+        other = sites.size() == 1 ? drawn : (drawn + 1 + random.nextInt(sites.size() - 1)) % sites.size();
         List<Fault> all = new ArrayList<>();
         for (int i = 0; i < f.faults.size(); i++) {
             all.add(fault(f.faults.get(i), "faults[" + i + "]", random.split()));
@@ -139,8 +166,10 @@
         try {
             return new Scenario(JSON.readValue(json, File.class), seed);
         } catch (JsonProcessingException e) {
-            throw new Wrong(e.getOriginalMessage() + (e.getLocation() == null ? ""
-                    : " (line " + e.getLocation().getLineNr() + ")"));
+            throw new Wrong(e.getOriginalMessage()
+                    + (e.getLocation() == null
+                            ? ""
+                            : " (line " + e.getLocation().getLineNr() + ")"));
         }
     }
 
@@ -148,19 +177,32 @@
         need(lengthMs >= 1_000 && lengthMs <= 600_000, "seconds must be 1 to 600");
         need(!sites.isEmpty() && sites.size() <= 8, "sites must be 1 to 8");
         for (Site s : sites) {
-            need(s.routers >= 0 && s.routers <= 60 && s.engines >= 0 && s.engines <= 100 && s.rate >= 0,
+            need(
+                    s.routers >= 0 && s.routers <= 60 && s.engines >= 0 && s.engines <= 100 && s.rate >= 0,
                     "sites: " + s.name + " must have at most 60 routers and 100 engines");
         }
         need(sites.stream().map(Site::name).distinct().count() == sites.size(), "sites have one name twice");
         need(!requests.classes.isEmpty(), "requests.classes is empty");
         for (Kind k : requests.classes) {
-            need(k.deadlineMs > 0 && k.aimMs > 0 && k.prompt.length == 2 && k.output.length == 2
-                    && k.prompt[0] > 0 && k.output[0] > 0 && k.prompt[1] >= k.prompt[0]
-                    && k.output[1] >= k.output[0], "requests.classes: " + k.name
-                    + " needs deadlineMs, aimMs, prompt [from, to] and output [from, to] above 0");
+            need(
+                    k.deadlineMs > 0
+                            && k.aimMs > 0
+                            && k.prompt.length == 2
+                            && k.output.length == 2
+                            && k.prompt[0] > 0
+                            && k.output[0] > 0
+                            && k.prompt[1] >= k.prompt[0]
+                            && k.output[1] >= k.output[0],
+                    "requests.classes: " + k.name
+                            + " needs deadlineMs, aimMs, prompt [from, to] and output [from, to] above 0");
         }
-        need(engine.slots() > 0 && engine.stepMs() > 0 && engine.coldMs() > 0 && engine.start() > 0
-                && engine.chunk() > 0, "engine: slots, stepMs, chunk, coldMs and start must be above 0");
+        need(
+                engine.slots() > 0
+                        && engine.stepMs() > 0
+                        && engine.coldMs() > 0
+                        && engine.start() > 0
+                        && engine.chunk() > 0,
+                "engine: slots, stepMs, chunk, coldMs and start must be above 0");
     }
 
     private static void need(boolean holds, String otherwise) {
@@ -178,17 +220,26 @@
         String way = n.path("way").asText("both");
         need(Set.of("both", "forth", "back").contains(way), at + ".way must be both, forth or back");
         String paths = n.path("paths").asText("all");
-        need(Set.of("all", "engines", "clients", "discovery").contains(paths),
+        need(
+                Set.of("all", "engines", "clients", "discovery").contains(paths),
                 at + ".paths must be all, engines, clients or discovery");
-        boolean path = Set.of("cut", "blackhole", "reset", "slow", "throttle", "heal").contains(kind);
+        boolean path =
+                Set.of("cut", "blackhole", "reset", "slow", "throttle", "heal").contains(kind);
         String target = n.path("target").asText(null);
-        need(!Set.of("kill", "stop", "continue", "term", "start").contains(kind) || target != null,
+        need(
+                !Set.of("kill", "stop", "continue", "term", "start").contains(kind) || target != null,
                 at + ".target is missing: site, engines, routers or a router as NAME-1");
         need(!kind.equals("say") || target != null, at + ".target is missing: the line for the console");
         double when = number(n.get("at"), at + ".at", random);
         need(when >= 0 && when * 1000 <= lengthMs, at + ".at is outside the play");
-        return new Fault(Math.round(when * 1000), kind, site(n, "site", at), site(n, "to", at),
-                kind.equals("cut") ? way : null, path ? paths : null, target,
+        return new Fault(
+                Math.round(when * 1000),
+                kind,
+                site(n, "site", at),
+                site(n, "to", at),
+                kind.equals("cut") ? way : null,
+                path ? paths : null,
+                target,
                 n.has("value") ? number(n.get("value"), at + ".value", random) : 0);
     }
 
@@ -216,9 +267,13 @@
         if (n.isNumber()) {
             return n.asDouble();
         }
-        if (n.isArray() && n.size() == 2 && n.get(0).isNumber() && n.get(1).isNumber()
+        if (n.isArray()
+                && n.size() == 2
+                && n.get(0).isNumber()
+                && n.get(1).isNumber()
                 && n.get(0).asDouble() <= n.get(1).asDouble()) {
-            return n.get(0).asDouble() + random.nextDouble() * (n.get(1).asDouble() - n.get(0).asDouble());
+            return n.get(0).asDouble()
+                    + random.nextDouble() * (n.get(1).asDouble() - n.get(0).asDouble());
         }
         throw new Wrong(at + " must be a number or [from, to]");
     }
@@ -226,8 +281,10 @@
     /** Work that comes from one site's clients, and what its engines can do (both in engines' time, us/s). */
     double demand(int site) {
         double parts = requests.classes.stream().mapToDouble(Kind::part).sum();
-        double mean = requests.classes.stream().mapToDouble(k -> k.part() / parts
-                * Engine.work(engine, (k.prompt[0] + k.prompt[1]) / 2, (k.output[0] + k.output[1]) / 2))
+        double mean = requests.classes.stream()
+                .mapToDouble(k -> k.part()
+                        / parts
+                        * Engine.work(engine, (k.prompt[0] + k.prompt[1]) / 2, (k.output[0] + k.output[1]) / 2))
                 .sum();
         return sites.get(site).rate() * mean;
     }
--- a/lab/src/main/java/magpiehub/lab/SiteProof.java
+++ b/lab/src/main/java/magpiehub/lab/SiteProof.java
@@ -12,40 +12,75 @@
  */
 record SiteProof(String kind, Scenario scenario, List<Verdict.Loss> losses) {
     /** Each: its faults with %1$s from, %2$s until (s), and whether connections fail at once; 0 no loss. */
-    private record Case(String name, int refused, String... faults) {
-    }
+    private record Case(String name, int refused, String... faults) {}
 
     private static final int NO_LOSS = 0;
     private static final int REFUSED = 1;
     private static final int SILENT = 2;
 
     private static final List<Case> CASES = List.of(
-            new Case("killed", REFUSED, "'at':%1$s,'do':'kill','target':'site','site':'any'",
+            new Case(
+                    "killed",
+                    REFUSED,
+                    "'at':%1$s,'do':'kill','target':'site','site':'any'",
                     "'at':%2$s,'do':'start','target':'site','site':'any'"),
-            new Case("engines-killed", REFUSED, "'at':%1$s,'do':'kill','target':'engines','site':'any'",
+            new Case(
+                    "engines-killed",
+                    REFUSED,
+                    "'at':%1$s,'do':'kill','target':'engines','site':'any'",
                     "'at':%2$s,'do':'start','target':'engines','site':'any'"),
-            new Case("stopped", SILENT, "'at':%1$s,'do':'stop','target':'site','site':'any'",
+            new Case(
+                    "stopped",
+                    SILENT,
+                    "'at':%1$s,'do':'stop','target':'site','site':'any'",
                     "'at':%2$s,'do':'continue','target':'site','site':'any'"),
-            new Case("cut-off", SILENT, "'at':%1$s,'do':'cut','site':'any','way':'both'",
+            new Case(
+                    "cut-off",
+                    SILENT,
+                    "'at':%1$s,'do':'cut','site':'any','way':'both'",
                     "'at':%2$s,'do':'heal','site':'any'"),
-            new Case("cut-forth", SILENT, "'at':%1$s,'do':'cut','site':'any','way':'forth','paths':'engines'",
+            new Case(
+                    "cut-forth",
+                    SILENT,
+                    "'at':%1$s,'do':'cut','site':'any','way':'forth','paths':'engines'",
                     "'at':%2$s,'do':'heal','site':'any','paths':'engines'"),
-            new Case("cut-back", SILENT, "'at':%1$s,'do':'cut','site':'any','way':'back','paths':'engines'",
+            new Case(
+                    "cut-back",
+                    SILENT,
+                    "'at':%1$s,'do':'cut','site':'any','way':'back','paths':'engines'",
                     "'at':%2$s,'do':'heal','site':'any','paths':'engines'"),
-            new Case("slow-path", NO_LOSS, "'at':%1$s,'do':'slow','site':'any','paths':'engines','value':30",
+            new Case(
+                    "slow-path",
+                    NO_LOSS,
+                    "'at':%1$s,'do':'slow','site':'any','paths':'engines','value':30",
                     "'at':%2$s,'do':'heal','site':'any','paths':'engines'"),
-            new Case("list-wrong", NO_LOSS, "'at':%1$s,'do':'list-gone','site':'any'",
+            new Case(
+                    "list-wrong",
+                    NO_LOSS,
+                    "'at':%1$s,'do':'list-gone','site':'any'",
                     "'at':%2$s,'do':'list-ready','site':'any'"),
-            new Case("list-lost-too", REFUSED, "'at':%1$s,'do':'list-down'",
+            new Case(
+                    "list-lost-too",
+                    REFUSED,
+                    "'at':%1$s,'do':'list-down'",
                     "'at':%1$s,'do':'kill','target':'engines','site':'any'",
-                    "'at':%2$s,'do':'list-up'", "'at':%2$s,'do':'start','target':'engines','site':'any'"),
-            new Case("all-slow", NO_LOSS, "'at':%1$s,'do':'engine-slow','value':1.8",
+                    "'at':%2$s,'do':'list-up'",
+                    "'at':%2$s,'do':'start','target':'engines','site':'any'"),
+            new Case(
+                    "all-slow",
+                    NO_LOSS,
+                    "'at':%1$s,'do':'engine-slow','value':1.8",
                     "'at':%2$s,'do':'engine-slow','value':1"),
-            new Case("survivor-restarts", REFUSED, "'at':%1$s,'do':'kill','target':'site','site':'any'",
-                    "'at':%3$s,'do':'kill','target':'%4$s-1'", "'at':%5$s,'do':'start','target':'%4$s-1'",
+            new Case(
+                    "survivor-restarts",
+                    REFUSED,
+                    "'at':%1$s,'do':'kill','target':'site','site':'any'",
+                    "'at':%3$s,'do':'kill','target':'%4$s-1'",
+                    "'at':%5$s,'do':'start','target':'%4$s-1'",
                     "'at':%2$s,'do':'start','target':'site','site':'any'"));
 
-    private static final String BASE = """
+    private static final String BASE =
+            """
             {"name": "site-%s", "seconds": %s,
              "sites": [{"name": "a", "routers": 3, "engines": 8, "rate": 40},
                        {"name": "b", "routers": 3, "engines": 8, "rate": 40},
@@ -73,8 +108,12 @@
     static SiteProof drawn(long seed, String kind) throws IOException {
         SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L);
         int drawn = random.nextInt(CASES.size());
-        Case c = kind == null ? CASES.get(drawn) : CASES.stream().filter(x -> x.name.equals(kind)).findFirst()
-                .orElseThrow(() -> new Scenario.Wrong("no case " + kind + ": one of " + kinds()));
+        Case c = kind == null
+                ? CASES.get(drawn)
+                : CASES.stream()
+                        .filter(x -> x.name.equals(kind))
+                        .findFirst()
+                        .orElseThrow(() -> new Scenario.Wrong("no case " + kind + ": one of " + kinds()));
         double from = 6 + random.nextDouble() * 2;
         double lasts = 5 + random.nextDouble() * 3;
         double late = random.nextDouble() * 3000;
@@ -82,25 +121,39 @@
         String other = otherThanDrawn(seed);
         StringBuilder faults = new StringBuilder();
         for (String f : c.faults) {
-            faults.append(faults.length() == 0 ? "" : ",").append('{').append(String.format(Locale.ROOT,
-                    f.replace('\'',
-                            '"'), text(from), text(from + lasts), text(second), other, text(second + 1)))
+            faults.append(faults.length() == 0 ? "" : ",")
+                    .append('{')
+                    .append(String.format(
+                            Locale.ROOT,
+                            f.replace('\'', '"'),
+                            text(from),
+                            text(from + lasts),
+                            text(second),
+                            other,
+                            text(second + 1)))
                     .append('}');
         }
-        Scenario s = Scenario.read(String.format(Locale.ROOT, BASE, c.name, text(from + lasts + 7),
-                text(late),
-                faults), seed);
-        List<Verdict.Loss> losses = c.refused == NO_LOSS ? List.of()
-                : List.of(new Verdict.Loss(s.faults.stream()
-                .mapToInt(Scenario.Fault::site).filter(x -> x >= 0).findFirst().orElseThrow(),
-                Math.round(from * 1e6), Math.round((from + lasts) * 1e6), c.refused == REFUSED));
+        Scenario s = Scenario.read(
+                String.format(Locale.ROOT, BASE, c.name, text(from + lasts + 7), text(late), faults), seed);
+        List<Verdict.Loss> losses = c.refused == NO_LOSS
+                ? List.of()
+                : List.of(new Verdict.Loss(
+                        s.faults.stream()
+                                .mapToInt(Scenario.Fault::site)
+                                .filter(x -> x >= 0)
+                                .findFirst()
+                                .orElseThrow(),
+                        Math.round(from * 1e6),
+                        Math.round((from + lasts) * 1e6),
+                        c.refused == REFUSED));
         return new SiteProof(c.name, s, losses);
     }
 
     /** The site that a scenario of this seed calls "other", by its name. */
     private static String otherThanDrawn(long seed) throws IOException {
-        Scenario s = Scenario.read(String.format(Locale.ROOT, BASE, "x", "10", "0",
-                "{\"at\":1,\"do\":\"reset\",\"site\":\"other\"}"), seed);
+        Scenario s = Scenario.read(
+                String.format(Locale.ROOT, BASE, "x", "10", "0", "{\"at\":1,\"do\":\"reset\",\"site\":\"other\"}"),
+                seed);
         return s.sites.get(s.faults.get(0).site()).name();
     }
 
--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -19,7 +19,14 @@
  */
 final class SitesDrive {
     /** What happens to the site. */
-    enum Fault { KILLED, SILENT, CUT, SLOW, ALL_SLOW, NONE }
+    enum Fault {
+        KILLED,
+        SILENT,
+        CUT,
+        SLOW,
+        ALL_SLOW,
+        NONE
+    }
 
     private static final Sites.Settings S = Sites.Settings.USUAL;
     private static final int ROUTERS = 100;
@@ -52,8 +59,7 @@
         }
     }
 
-    private record Due(long at, long sent, int site, String engine, Sign sign, double ratio) {
-    }
+    private record Due(long at, long sent, int site, String engine, Sign sign, double ratio) {}
 
     /** One scenario as all routers see it; drawn from a seed alone. */
     private static final class Scenario {
@@ -86,16 +92,16 @@
 
         /** Whether a router of a site can't get through to another. */
         boolean fails(int router, int to, long t) {
-            return down(t) && switch (fault) {
-                case KILLED, SILENT -> to == site;
-                case CUT -> (router == site) != (to == site);
-                default -> false;
-            };
+            return down(t)
+                    && switch (fault) {
+                        case KILLED, SILENT -> to == site;
+                        case CUT -> (router == site) != (to == site);
+                        default -> false;
+                    };
         }
     }
 
-    private SitesDrive() {
-    }
+    private SitesDrive() {}
 
     private static Result play(long seed) {
         SplittableRandom r = new SplittableRandom(seed);
@@ -136,8 +142,7 @@
             }
             for (Due d : due) {
                 // Until a request has gone there nobody can know.
-                touched = touched < 0 && d.site == c.site && d.sent >= c.from && d.sent < c.until ? d.sent
-                        : touched;
+                touched = touched < 0 && d.site == c.site && d.sent >= c.from && d.sent < c.until ? d.sent : touched;
             }
             if (now % 1_000_000 == 0) {
                 gone = truth && c.down(t - c.listLate);
@@ -152,11 +157,16 @@
             m.tick(t);
             for (Sites.Change ch : m.changes()) {
                 // By values: a constant's own hash is another one in each process.
-                result.digest = result.digest * 31 + java.util.Objects.hash(ch.site(),
-                        ch.from().ordinal(), ch.to().ordinal(), ch.cause().ordinal(), ch.at());
+                result.digest = result.digest * 31
+                        + java.util.Objects.hash(
+                                ch.site(),
+                                ch.from().ordinal(),
+                                ch.to().ordinal(),
+                                ch.cause().ordinal(),
+                                ch.at());
                 changes[ch.site()]++;
-                boolean right = truth && ch.site() == c.site || c.fault == Fault.CUT && ch.site() == c.site
-                        && own != c.site;
+                boolean right =
+                        truth && ch.site() == c.site || c.fault == Fault.CUT && ch.site() == c.site && own != c.site;
                 result.lostWrongly += ch.to() == State.LOST && !right ? 1 : 0;
             }
             boolean hit = truth ? true : c.fault == Fault.CUT && own != c.site;
@@ -180,14 +190,14 @@
         String id = to + "." + engine;
         if (c.fails(own, to, t)) {
             boolean silent = c.fault == Fault.SILENT;
-            due.add(new Due(t + (silent ? SILENCE : CONNECT), t, to, id, silent ? Sign.SILENCE
-                    : Sign.NO_CONNECTION, 0));
+            due.add(new Due(
+                    t + (silent ? SILENCE : CONNECT), t, to, id, silent ? Sign.SILENCE : Sign.NO_CONNECTION, 0));
         } else if (engine < c.badPart * ENGINES / c.sites) {
             due.add(new Due(t + 20_000, t, to, id, Sign.ERROR, 0));
         } else {
             boolean slow = c.down(t) && (c.fault == Fault.ALL_SLOW || c.fault == Fault.SLOW && to == c.site);
-            double ratio = slow ? 2.9 * (0.5 + r.nextDouble()) * (c.fault == Fault.SLOW ? 10 : 1)
-                    : 0.5 + r.nextDouble();
+            double ratio =
+                    slow ? 2.9 * (0.5 + r.nextDouble()) * (c.fault == Fault.SLOW ? 10 : 1) : 0.5 + r.nextDouble();
             due.add(new Due(t + (long) (100_000 * ratio), t, to, id, Sign.ANSWERED, ratio));
         }
     }
@@ -212,9 +222,20 @@
     }
 
     static String line(long seed, int scenarios, Result r) {
-        return String.format(Locale.ROOT, "drive sites seed=%d scenarios=%d routers=%d lost_wrongly=%d "
-                + "seen=%d not_seen=%d shut_after_ms=%d/%d/%d most_changes=%d digest=%016x", seed, scenarios,
-                ROUTERS, r.lostWrongly, r.seen, r.notSeen, r.at(0.5) / 1000, r.at(0.99) / 1000,
-                r.at(1) / 1000, r.mostChanges, r.digest);
+        return String.format(
+                Locale.ROOT,
+                "drive sites seed=%d scenarios=%d routers=%d lost_wrongly=%d "
+                        + "seen=%d not_seen=%d shut_after_ms=%d/%d/%d most_changes=%d digest=%016x",
+                seed,
+                scenarios,
+                ROUTERS,
+                r.lostWrongly,
+                r.seen,
+                r.notSeen,
+                r.at(0.5) / 1000,
+                r.at(0.99) / 1000,
+                r.at(1) / 1000,
+                r.mostChanges,
+                r.digest);
     }
 }
--- a/lab/src/main/java/magpiehub/lab/Verdict.java
+++ b/lab/src/main/java/magpiehub/lab/Verdict.java
@@ -20,6 +20,7 @@
     private static final long WINDOW = 500_000;
     /** A list that comes late may be believed so long after a return (us). */
     private static final long LATE_WORD = 4_000_000;
+
     static final int CHANGES = 4;
     static final double SERVED = 0.90;
     static final double BACK = 1.5;
@@ -30,15 +31,13 @@
     record Bound(String name, String seen, String allowed, boolean holds) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "%-4s %-62s %12s  (%s)", holds ? "ok" : "FAIL", name, seen,
-                    allowed);
+            return String.format(Locale.ROOT, "%-4s %-62s %12s  (%s)", holds ? "ok" : "FAIL", name, seen, allowed);
         }
     }
 
     /** A loss as the scenario made it: which site, from when until when it was there again (us), and whether
      *  its connections fail at once. */
-    record Loss(int site, long from, long until, boolean refused) {
-    }
+    record Loss(int site, long from, long until, boolean refused) {}
 
     private final Fleet.Outcome o;
 
@@ -103,13 +102,15 @@
     /** Requests of which two attempts were out together. */
     List<String> together() {
         Map<String, List<Fleet.Attempt>> by = new HashMap<>();
-        o.attempts().forEach(a -> by.computeIfAbsent(a.call(), k -> new ArrayList<>()).add(a));
+        o.attempts().forEach(a -> by.computeIfAbsent(a.call(), k -> new ArrayList<>())
+                .add(a));
         List<String> all = new ArrayList<>();
         by.forEach((call, l) -> {
             l.sort(Comparator.comparingLong(Fleet.Attempt::began));
             for (int i = 1; i < l.size(); i++) {
                 if (l.get(i - 1).over() - l.get(i).began() > TOGETHER) {
-                    all.add(call + " at " + l.get(i - 1).engine() + " and " + l.get(i).engine());
+                    all.add(call + " at " + l.get(i - 1).engine() + " and "
+                            + l.get(i).engine());
                     return;
                 }
             }
@@ -119,21 +120,29 @@
 
     /** The most resident memory of a router (KB). */
     long memory() {
-        return o.samples().stream().filter(s -> !s.name().startsWith("engines-"))
-                .mapToLong(Processes.Sample::rssKb).max().orElse(0);
+        return o.samples().stream()
+                .filter(s -> !s.name().startsWith("engines-"))
+                .mapToLong(Processes.Sample::rssKb)
+                .max()
+                .orElse(0);
     }
 
     /** Sites that a router called lost while the rig had not touched them, nor its own. */
     long lostWrongly(List<Loss> losses) {
-        return o.stands().stream().filter(s -> s.to().equals("lost")).filter(s -> losses.stream().noneMatch(
-                l -> o.scenario().sites.get(l.site()).name().equals(s.site()) && s.at() >= l.from()
-                        && s.at() <= l.until() + LATE_WORD)).count();
+        return o.stands().stream()
+                .filter(s -> s.to().equals("lost"))
+                .filter(s -> losses.stream()
+                        .noneMatch(l -> o.scenario().sites.get(l.site()).name().equals(s.site())
+                                && s.at() >= l.from()
+                                && s.at() <= l.until() + LATE_WORD))
+                .count();
     }
 
     /** The most often that one router changed its word on one site. */
     long changes() {
         Map<String, Long> by = new HashMap<>();
-        o.stands().stream().filter(s -> s.at() >= o.from())
+        o.stands().stream()
+                .filter(s -> s.at() >= o.from())
                 .forEach(s -> by.merge(s.router() + s.site(), 1L, Long::sum));
         return by.values().stream().mapToLong(Long::longValue).max().orElse(0);
     }
@@ -143,13 +152,17 @@
         List<Bound> b = new ArrayList<>();
         b.add(none("requests with none or two final answers of a running router", unanswered()));
         b.add(none("requests with two attempts out at once", together().size()));
-        b.add(none("new work to an engine 2 s after a router was told it takes none", o.toDrained().size()));
+        b.add(none(
+                "new work to an engine 2 s after a router was told it takes none",
+                o.toDrained().size()));
         b.add(none("engines that fell over", o.fell().size()));
         b.add(none("processes that ended by themselves", o.crashes()));
         b.add(none("faults that could not be carried out", o.failures().size()));
         long most = o.scenario().routers.memoryMb() * 1024L;
-        b.add(new Bound("most memory of a router (MB)", Long.toString(memory() / 1024), "at most "
-                + most / 1024,
+        b.add(new Bound(
+                "most memory of a router (MB)",
+                Long.toString(memory() / 1024),
+                "at most " + most / 1024,
                 memory() <= most));
         return b;
     }
@@ -163,24 +176,35 @@
         List<Bound> b = rules();
         b.add(none("sites called lost without a loss", lostWrongly(losses)));
         int events = Math.max(1, 2 * losses.size());
-        b.add(new Bound("changes of a router's word on a site, for each event",
-                String.format(Locale.ROOT, "%.1f", (double) changes() / events), "at most " + CHANGES,
+        b.add(new Bound(
+                "changes of a router's word on a site, for each event",
+                String.format(Locale.ROOT, "%.1f", (double) changes() / events),
+                "at most " + CHANGES,
                 changes() <= CHANGES * events));
         for (Loss l : losses) {
             String name = o.scenario().sites.get(l.site).name();
             double share = served(l.from, l.until, l.site);
             double part = share < 0 ? 1 : share / allowed(l.site);
-            b.add(new Bound("served while " + name + " is lost, of what the others can carry",
-                    String.format(Locale.ROOT, "%.3f", part), "at least " + SERVED, part >= SERVED));
+            b.add(new Bound(
+                    "served while " + name + " is lost, of what the others can carry",
+                    String.format(Locale.ROOT, "%.3f", part),
+                    "at least " + SERVED,
+                    part >= SERVED));
             long takes = takes(l);
             long most = l.refused ? TAKES_REFUSED : TAKES_SILENT;
-            b.add(new Bound("from the loss of " + name + " until nine tenths of that (ms)",
-                    Long.toString(takes / 1000), "at most " + most / 1000, takes <= most));
+            b.add(new Bound(
+                    "from the loss of " + name + " until nine tenths of that (ms)",
+                    Long.toString(takes / 1000),
+                    "at most " + most / 1000,
+                    takes <= most));
             double before = firsts(o.from(), l.from).getValueAtPercentile(99);
             double after = firsts(l.until, l.until + 5_000_000).getValueAtPercentile(99);
             double ratio = before == 0 ? 1 : after / before;
-            b.add(new Bound("p99 of first tokens in the 5 s from its return, against before",
-                    String.format(Locale.ROOT, "%.2f", ratio), "at most " + BACK, ratio <= BACK));
+            b.add(new Bound(
+                    "p99 of first tokens in the 5 s from its return, against before",
+                    String.format(Locale.ROOT, "%.2f", ratio),
+                    "at most " + BACK,
+                    ratio <= BACK));
         }
         return b;
     }
--- a/lab/src/test/java/magpiehub/lab/ClientsTest.java
+++ b/lab/src/test/java/magpiehub/lab/ClientsTest.java
@@ -25,8 +25,10 @@
  *  it. This is how each bound on answers was seen to fail. */
 public class ClientsTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
     @Rule
     public final Timeout patience = Timeout.seconds(60);
+
     private Clients clients;
 
     /** What a router says to a request: its id, and how many tokens are asked for. */
@@ -56,8 +58,8 @@
                 String body = new String(in.body(h), StandardCharsets.UTF_8);
                 String say = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
                 if (h.start[0].equals("POST")) {
-                    say = answer.to(h.get("X-Call-Id"), Integer.parseInt(
-                            body.replaceAll(".*\"max_tokens\":(\\d+).*", "$1")));
+                    say = answer.to(
+                            h.get("X-Call-Id"), Integer.parseInt(body.replaceAll(".*\"max_tokens\":(\\d+).*", "$1")));
                 }
                 if (say == null) {
                     return;
@@ -75,30 +77,34 @@
     private Set<Clients.End> ends(Answer answer) throws Exception {
         String json = Files.readString(Path.of("scenarios/zone-cut.json"))
                 .replaceFirst("\"seconds\": \\d+", "\"seconds\": 1")
-                .replaceFirst("(?s)\"sites\": \\[.*?\\],", "\"sites\": [{\"name\": \"north\", \"routers\": 1,"
-                        + " \"engines\": 1, \"rate\": 30}],")
+                .replaceFirst(
+                        "(?s)\"sites\": \\[.*?\\],",
+                        "\"sites\": [{\"name\": \"north\", \"routers\": 1," + " \"engines\": 1, \"rate\": 30}],")
                 .replaceFirst("(?s)\"faults\": \\[.*", "\"faults\": []}");
         try (ServerSocket router = new ServerSocket(0, 128, InetAddress.getLoopbackAddress())) {
             Mailbox.thread("router", () -> {
-                while (true) {
-                    try {
-                        Socket s = router.accept();
-                        Mailbox.thread("call", () -> serve(s, answer)).start();
-                    } catch (IOException e) {
-                        return;
-                    }
-                }
-            }).start();
-            clients = new Clients(Scenario.read(json, 1), List.of(new Clients.Target(0, 0, "north-1")),
-                    (from, r) -> (InetSocketAddress) router.getLocalSocketAddress(), new Clients.Truth() {
+                        while (true) {
+                            try {
+                                Socket s = router.accept();
+                                Mailbox.thread("call", () -> serve(s, answer)).start();
+                            } catch (IOException e) {
+                                return;
+                            }
+                        }
+                    })
+                    .start();
+            clients = new Clients(
+                    Scenario.read(json, 1),
+                    List.of(new Clients.Target(0, 0, "north-1")),
+                    (from, r) -> (InetSocketAddress) router.getLocalSocketAddress(),
+                    new Clients.Truth() {
                         @Override
                         public boolean whole(int site, int r, long since) {
                             return true;
                         }
 
                         @Override
-                        public void unanswered(int r, String call) {
-                        }
+                        public void unanswered(int r, String call) {}
                     });
             assertTrue(clients.ready(30_000_000));
             for (Thread t : clients.send(EngineSite.micros())) {
@@ -107,7 +113,10 @@
             List<Clients.Result> all = clients.finish(30_000_000);
             assertEquals(0, clients.open());
             assertTrue(all.size() > 5);
-            assertEquals("none is excused", 0, all.stream().filter(Clients.Result::excused).count());
+            assertEquals(
+                    "none is excused",
+                    0,
+                    all.stream().filter(Clients.Result::excused).count());
             return all.stream().map(Clients.Result::how).collect(Collectors.toSet());
         }
     }
@@ -131,10 +140,13 @@
 
     @Test
     public void aStreamThatLacksTokensOrHasAnothersIsSpoilt() throws Exception {
-        assertEquals(Set.of(Clients.End.SPOILT), ends((call, n) -> HEAD + tokens(call, 0, 1)
-                + tokens(call, 2, n) + event("[DONE]") + "0\r\n\r\n"));
+        assertEquals(
+                Set.of(Clients.End.SPOILT),
+                ends((call, n) -> HEAD + tokens(call, 0, 1) + tokens(call, 2, n) + event("[DONE]") + "0\r\n\r\n"));
         assertEquals(Set.of(Clients.End.SPOILT), ends((call, n) -> whole("0" + call.substring(1) + "x", n)));
-        assertEquals("an end in order that is none", Set.of(Clients.End.SPOILT),
+        assertEquals(
+                "an end in order that is none",
+                Set.of(Clients.End.SPOILT),
                 ends((call, n) -> HEAD + tokens(call, 0, n) + "0\r\n\r\n"));
     }
 
@@ -145,9 +157,9 @@
 
     @Test
     public void refusedAndFailedAreToldApart() throws Exception {
-        assertEquals(Set.of(Clients.End.REFUSED), ends((call, n) ->
-                "HTTP/1.1 503 x\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n"));
-        assertEquals(Set.of(Clients.End.FAILED), ends((call, n) ->
-                "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
+        assertEquals(
+                Set.of(Clients.End.REFUSED),
+                ends((call, n) -> "HTTP/1.1 503 x\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n"));
+        assertEquals(Set.of(Clients.End.FAILED), ends((call, n) -> "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/DiscoveryTest.java
+++ b/lab/src/test/java/magpiehub/lab/DiscoveryTest.java
@@ -22,8 +22,9 @@
 public class DiscoveryTest {
     @Rule
     public final Timeout patience = Timeout.seconds(60);
-    private final Discovery discovery = new Discovery(List.of("north", "south"),
-            (from, m) -> "10.0." + from + "." + m.number() + ":80");
+
+    private final Discovery discovery =
+            new Discovery(List.of("north", "south"), (from, m) -> "10.0." + from + "." + m.number() + ":80");
     private InetSocketAddress at;
 
     @Before
@@ -44,8 +45,8 @@
     private BufferedReader ask(String target) throws IOException {
         Socket s = new Socket(at.getAddress(), at.getPort());
         s.setSoTimeout(30_000);
-        s.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n")
-                .getBytes(StandardCharsets.US_ASCII));
+        s.getOutputStream()
+                .write(("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
         return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
     }
 
@@ -82,10 +83,13 @@
         discovery.late(200_000);
         long from = EngineSite.micros();
         discovery.put("b", 1, 2, "Gone", 0);
-        assertTrue("a router that starts now knows no more", discovery.known(4, 1).contains("\"id\":\"b\"")
-                || EngineSite.micros() - from >= 200_000);
-        assertTrue("a list asked for meanwhile is as late", told(ask("/discovery/hosts?follow=1"))
-                .contains("\"id\":\"b\"") || EngineSite.micros() - from >= 200_000);
+        assertTrue(
+                "a router that starts now knows no more",
+                discovery.known(4, 1).contains("\"id\":\"b\"") || EngineSite.micros() - from >= 200_000);
+        assertTrue(
+                "a list asked for meanwhile is as late",
+                told(ask("/discovery/hosts?follow=1")).contains("\"id\":\"b\"")
+                        || EngineSite.micros() - from >= 200_000);
         assertTrue(told(watch).contains("Gone"));
         assertTrue(EngineSite.micros() - from >= 200_000);
     }
--- a/lab/src/test/java/magpiehub/lab/EngineTest.java
+++ b/lab/src/test/java/magpiehub/lab/EngineTest.java
@@ -15,8 +15,11 @@
     private final List<String> told = new ArrayList<>();
 
     private Engine.Sequence sequence(String name, String text, int out) {
-        return new Engine.Sequence(text, out, (from, to, last, cached) ->
-                told.add(name + " " + from + "-" + to + (last ? " last" : "") + " cached " + cached));
+        return new Engine.Sequence(
+                text,
+                out,
+                (from, to, last, cached) ->
+                        told.add(name + " " + from + "-" + to + (last ? " last" : "") + " cached " + cached));
     }
 
     /** Steps until nothing is left; returns how long that took (us). */
--- a/lab/src/test/java/magpiehub/lab/PlayTest.java
+++ b/lab/src/test/java/magpiehub/lab/PlayTest.java
@@ -22,6 +22,7 @@
     /** Guards against a play that does not come to its end. */
     @Rule
     public final Timeout patience = Timeout.seconds(300);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
@@ -31,32 +32,39 @@
         return play(net, seed, faults, Map.of());
     }
 
-    private Fleet.Outcome play(int net, long seed, String faults, Map<String, String> files)
-            throws IOException {
+    private Fleet.Outcome play(int net, long seed, String faults, Map<String, String> files) throws IOException {
         String json = Files.readString(Path.of("scenarios/zone-cut.json"))
-                .replaceFirst("\"seconds\": \\d+", "\"seconds\": 5").replace("\"routers\": 2",
-                        "\"routers\": 1")
-                .replace("\"engines\": 6", "\"engines\": 3").replace("\"rate\": 25", "\"rate\": 8")
+                .replaceFirst("\"seconds\": \\d+", "\"seconds\": 5")
+                .replace("\"routers\": 2", "\"routers\": 1")
+                .replace("\"engines\": 6", "\"engines\": 3")
+                .replace("\"rate\": 25", "\"rate\": 8")
                 .replaceFirst("(?s)\"faults\": \\[.*", "\"faults\": [" + faults.replace('\'', '"') + "]}");
         Path jar = Fleet.root().resolve("target/magpiehub.jar");
-        try (Fleet f = new Fleet(Scenario.read(json, seed), jar, folder.getRoot().toPath(), net,
-                files, l -> { })) {
+        try (Fleet f =
+                new Fleet(Scenario.read(json, seed), jar, folder.getRoot().toPath(), net, files, l -> {})) {
             return f.play();
         }
     }
 
     private static void rulesHold(Fleet.Outcome o) {
-        List<Verdict.Bound> broken = new Verdict(o).rules().stream().filter(b -> !b.holds()).toList();
-        assertEquals(broken + " " + o.failures() + new Verdict(o).together() + o.toDrained(), 0,
-                broken.size());
-        assertTrue("requests went through", o.results().stream().filter(r -> r.how() == Clients.End.SERVED
-                || r.how() == Clients.End.LATE).count() > o.results().size() / 2);
+        List<Verdict.Bound> broken =
+                new Verdict(o).rules().stream().filter(b -> !b.holds()).toList();
+        assertEquals(broken + " " + o.failures() + new Verdict(o).together() + o.toDrained(), 0, broken.size());
+        assertTrue(
+                "requests went through",
+                o.results().stream()
+                                .filter(r -> r.how() == Clients.End.SERVED || r.how() == Clients.End.LATE)
+                                .count()
+                        > o.results().size() / 2);
     }
 
     @Test
     public void aSiteIsKilledAndComesBackColdUnderNewIds() throws IOException {
-        Fleet.Outcome o = play(240, 1, "{'at':1.5,'do':'kill','target':'site','site':'any'},"
-                + "{'at':3,'do':'start','target':'site','site':'any'}");
+        Fleet.Outcome o = play(
+                240,
+                1,
+                "{'at':1.5,'do':'kill','target':'site','site':'any'},"
+                        + "{'at':3,'do':'start','target':'site','site':'any'}");
         rulesHold(o);
         Set<String> at = o.attempts().stream().map(Fleet.Attempt::engine).collect(Collectors.toSet());
         String lost = o.scenario().sites.get(o.scenario().faults.get(0).site()).name();
@@ -65,60 +73,87 @@
 
     @Test
     public void aSiteIsStoppedAndContinued() throws IOException {
-        rulesHold(play(241, 2, "{'at':1.5,'do':'stop','target':'engines','site':'any'},"
-                + "{'at':3.5,'do':'continue','target':'engines','site':'any'}"));
+        rulesHold(play(
+                241,
+                2,
+                "{'at':1.5,'do':'stop','target':'engines','site':'any'},"
+                        + "{'at':3.5,'do':'continue','target':'engines','site':'any'}"));
     }
 
     @Test
     public void aSiteIsCutOffAndServesItsOwnClients() throws IOException {
-        Fleet.Outcome o = play(242, 3,
-                "{'at':1.5,'do':'cut','site':'any'},{'at':4.5,'do':'heal','site':'any'}");
+        Fleet.Outcome o = play(242, 3, "{'at':1.5,'do':'cut','site':'any'},{'at':4.5,'do':'heal','site':'any'}");
         rulesHold(o);
         int site = o.scenario().faults.get(0).site();
         long cut = o.faults().get(0).at();
-        assertTrue("its own engines serve its clients", o.results().stream().anyMatch(r -> r.site() == site
-                && r.due() > cut + 200_000 && r.due() < cut + 2_800_000 && r.how() == Clients.End.SERVED));
+        assertTrue(
+                "its own engines serve its clients",
+                o.results().stream()
+                        .anyMatch(r -> r.site() == site
+                                && r.due() > cut + 200_000
+                                && r.due() < cut + 2_800_000
+                                && r.how() == Clients.End.SERVED));
     }
 
     @Test
     public void enginesDrainWhileTheListIsTornAndARouterIsKilled() throws IOException {
-        rulesHold(play(243, 4, "{'at':1,'do':'list-torn'},{'at':1.2,'do':'drain','target':'north-e1'},"
-                + "{'at':2,'do':'kill','target':'south-1'},"
-                + "{'at':2.5,'do':'reset','site':'any','paths':'engines'},"
-                + "{'at':3,'do':'start','target':'south-1'}"));
+        rulesHold(play(
+                243,
+                4,
+                "{'at':1,'do':'list-torn'},{'at':1.2,'do':'drain','target':'north-e1'},"
+                        + "{'at':2,'do':'kill','target':'south-1'},"
+                        + "{'at':2.5,'do':'reset','site':'any','paths':'engines'},"
+                        + "{'at':3,'do':'start','target':'south-1'}"));
     }
 
     /** With the plan for the loss of a site: routers say what became of it, of the right one, and it is
      *  back. */
     @Test
     public void aSilentSiteIsDoubtedByItsNameWhereThatIsPlannedFor() throws IOException {
-        Fleet.Outcome o = play(244, 5, "{'at':1.5,'do':'stop','target':'engines','site':'any'},"
-                + "{'at':4.5,'do':'continue','target':'engines','site':'any'}", PLANNED);
+        Fleet.Outcome o = play(
+                244,
+                5,
+                "{'at':1.5,'do':'stop','target':'engines','site':'any'},"
+                        + "{'at':4.5,'do':'continue','target':'engines','site':'any'}",
+                PLANNED);
         rulesHold(o);
         String lost = o.scenario().sites.get(o.scenario().faults.get(0).site()).name();
-        assertTrue(o.stands().toString(), o.stands().stream().anyMatch(s -> s.site().equals(lost)
-                && s.from().equals("whole") && s.to().equals("doubted")));
-        assertEquals("none else is called lost", 0, o.stands().stream().filter(s -> s.to().equals("lost")
-                && !s.site().equals(lost)).count());
+        assertTrue(
+                o.stands().toString(),
+                o.stands().stream()
+                        .anyMatch(s -> s.site().equals(lost) && s.from().equals("whole") && s.to().equals("doubted")));
+        assertEquals(
+                "none else is called lost",
+                0,
+                o.stands().stream()
+                        .filter(s -> s.to().equals("lost") && !s.site().equals(lost))
+                        .count());
     }
 
     /** An operator gives one site up and takes it back, while another is lost. */
     @Test
     public void anOperatorsWordHoldsDuringTheLossOfAnotherSite() throws IOException {
-        Fleet.Outcome o = play(245, 6, "{'at':0.2,'do':'say','target':'site-out north'},"
-                + "{'at':1.5,'do':'kill','target':'engines','site':'south'},"
-                + "{'at':3.5,'do':'say','target':'site-in north'},"
-                + "{'at':3.6,'do':'say','target':'site-status'},"
-                + "{'at':4,'do':'start','target':'engines','site':'south'}", PLANNED);
+        Fleet.Outcome o = play(
+                245,
+                6,
+                "{'at':0.2,'do':'say','target':'site-out north'},"
+                        + "{'at':1.5,'do':'kill','target':'engines','site':'south'},"
+                        + "{'at':3.5,'do':'say','target':'site-in north'},"
+                        + "{'at':3.6,'do':'say','target':'site-status'},"
+                        + "{'at':4,'do':'start','target':'engines','site':'south'}",
+                PLANNED);
         rulesHold(o);
         long in = o.faults().get(2).at();
         long out = o.faults().get(0).at();
-        List<Fleet.Attempt> then = o.attempts().stream().filter(a -> a.began() > out + 2_000_000
-                && a.began() < in).toList();
+        List<Fleet.Attempt> then = o.attempts().stream()
+                .filter(a -> a.began() > out + 2_000_000 && a.began() < in)
+                .toList();
         long there = then.stream().filter(a -> a.engine().startsWith("north-")).count();
-        assertTrue("once its part has fallen to nothing, the last resort of few, until it is taken back: "
-                + there
-                + " of " + then.size(), then.size() > 5 && there * 5 < then.size());
+        assertTrue(
+                "once its part has fallen to nothing, the last resort of few, until it is taken back: "
+                        + there
+                        + " of " + then.size(),
+                then.size() > 5 && there * 5 < then.size());
         assertTrue(o.stands().stream().anyMatch(s -> s.site().equals("north") && s.to().equals("returning")));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/RelayTest.java
+++ b/lab/src/test/java/magpiehub/lab/RelayTest.java
@@ -24,6 +24,7 @@
 public class RelayTest {
     @Rule
     public final Timeout patience = Timeout.seconds(60);
+
     private final List<String> seen = new ArrayList<>();
     private ServerSocket target;
     private Relay relay;
@@ -85,7 +86,8 @@
 
     @Test
     public void whatACutPathHoldsBackComesOnceItIsHealedAndNoneIsLost() throws Exception {
-        try (Socket c = client(); Socket t = target.accept()) {
+        try (Socket c = client();
+                Socket t = target.accept()) {
             say(c, "one");
             assertEquals("one", hear(t, 3));
             path.cut(true, false);
@@ -111,7 +113,8 @@
             }
         });
         path.heal(0, 0);
-        try (Socket c = client(); Socket t = target.accept()) {
+        try (Socket c = client();
+                Socket t = target.accept()) {
             say(c, "x");
             assertEquals("x", hear(t, 1));
         }
@@ -120,7 +123,8 @@
     @Test
     public void aBlackHoleTakesConnectionsAndSaysNothing() throws Exception {
         path.blackHole();
-        try (Socket c = client(); Socket t = target.accept()) {
+        try (Socket c = client();
+                Socket t = target.accept()) {
             say(c, "x");
             t.setSoTimeout(50);
             assertThrows(SocketTimeoutException.class, () -> t.getInputStream().read());
@@ -132,7 +136,8 @@
 
     @Test
     public void aResetEndsWhatIsOpenAtBothSides() throws Exception {
-        try (Socket c = client(); Socket t = target.accept()) {
+        try (Socket c = client();
+                Socket t = target.accept()) {
             say(c, "x");
             assertEquals("x", hear(t, 1));
             path.reset();
@@ -152,7 +157,8 @@
         target.bind(was, 16);
         target.accept().close(); // The relay's own look.
         while (true) {
-            try (Socket c = client(); Socket t = target.accept()) {
+            try (Socket c = client();
+                    Socket t = target.accept()) {
                 say(c, "x");
                 assertEquals("x", hear(t, 1));
                 return;
@@ -165,7 +171,8 @@
     @Test
     public void aSlowPathTakesItsTimeAndKeepsTheOrder() throws Exception {
         path.slow(30_000, 0, 0);
-        try (Socket c = client(); Socket t = target.accept()) {
+        try (Socket c = client();
+                Socket t = target.accept()) {
             long from = EngineSite.micros();
             for (int i = 0; i < 50; i++) {
                 say(c, i % 10 + "");
@@ -177,7 +184,8 @@
 
     @Test
     public void aRequestIsSeenFromItsFirstByteToTheLastChunkOfItsAnswer() throws Exception {
-        try (Socket c = client(); Socket t = target.accept()) {
+        try (Socket c = client();
+                Socket t = target.accept()) {
             say(c, "POST /x HTTP/1.1\r\nX-Call-Id: 7\r\nContent-Length: 2\r\n\r\n{}");
             hear(t, 20);
             await("began 7");
--- a/lab/src/test/java/magpiehub/lab/ScenarioTest.java
+++ b/lab/src/test/java/magpiehub/lab/ScenarioTest.java
@@ -19,6 +19,7 @@
 public class ScenarioTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private static final Path FILE = Path.of("scenarios/zone-cut.json");
 
     private static String wrong(String json) {
@@ -30,7 +31,8 @@
         assertEquals(Scenario.read(FILE, 3).faults, Scenario.read(FILE, 3).faults);
         assertNotEquals(Scenario.read(FILE, 3).faults, Scenario.read(FILE, 4).faults);
         List<Scenario.Fault> f = Scenario.read(FILE, 5).faults;
-        assertEquals("any is one site for the whole play", f.get(0).site(), f.get(1).site());
+        assertEquals(
+                "any is one site for the whole play", f.get(0).site(), f.get(1).site());
         for (long seed = 0; seed < 50; seed++) {
             SiteProof p = SiteProof.drawn(seed, null);
             assertTrue(p.scenario().lengthMs <= 24_000);
@@ -43,16 +45,14 @@
     @Test
     public void aFileThatSaysSomethingUnknownIsTurnedDownWithThePlace() throws IOException {
         String good = Files.readString(FILE);
-        assertTrue(wrong(good.replace("\"cut\"", "\"cutt\""))
-                .contains("faults[0].do must be one of kill, stop"));
+        assertTrue(wrong(good.replace("\"cut\"", "\"cutt\"")).contains("faults[0].do must be one of kill, stop"));
         assertTrue(wrong(good.replace("\"way\"", "\"ways\"")).contains("faults[0] has no member ways"));
-        assertTrue(wrong(good.replace("\"both\"", "\"sideways\""))
-                .contains("way must be both, forth or back"));
+        assertTrue(wrong(good.replace("\"both\"", "\"sideways\"")).contains("way must be both, forth or back"));
         assertTrue(wrong(good.replaceFirst("\"any\"", "\"nowhere\"")).contains("names no site: nowhere"));
         assertTrue(wrong(good.replace("\"noticeMs\"", "\"notice\"")).contains("notice"));
         assertTrue(wrong(good.replaceFirst("\"listLateMs\": \\d+,", "")).contains("listLateMs"));
-        assertTrue(wrong(good.replaceFirst("\"seconds\": [0-9]+",
-                "\"seconds\": 0")).contains("seconds must be"));
+        assertTrue(wrong(good.replaceFirst("\"seconds\": [0-9]+", "\"seconds\": 0"))
+                .contains("seconds must be"));
         assertTrue(wrong(good.substring(0, good.length() / 2)).contains("line"));
     }
 
--- a/lab/src/test/java/magpiehub/lab/SiteProofTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteProofTest.java
@@ -20,24 +20,32 @@
     /** Guards against a play that does not come to its end. */
     @Rule
     public final Timeout patience = Timeout.seconds(300);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
     private void holds(int net, long seed, String kind) throws IOException {
         SiteProof p = SiteProof.drawn(seed, null);
         assertEquals("drawn from the seed", kind, p.kind());
-        try (Fleet f = new Fleet(p.scenario(), Fleet.root().resolve("target/magpiehub.jar"),
-                folder.getRoot().toPath(), net, Map.of("site.json", "{}"), l -> { })) {
+        try (Fleet f = new Fleet(
+                p.scenario(),
+                Fleet.root().resolve("target/magpiehub.jar"),
+                folder.getRoot().toPath(),
+                net,
+                Map.of("site.json", "{}"),
+                l -> {})) {
             Fleet.Outcome o = f.play();
-            List<Verdict.Bound> all = new Verdict(o).of(p.losses().stream().map(l ->
-                    new Verdict.Loss(l.site(),
-                    l.from() + o.from(), l.until() + o.from(), l.refused())).toList());
-            System.out.println("proof-site seed=" + seed + " case=" + kind + " rig late p99 ms="
-                    + o.late() / 1000);
+            List<Verdict.Bound> all = new Verdict(o)
+                    .of(p.losses().stream()
+                            .map(l ->
+                                    new Verdict.Loss(l.site(), l.from() + o.from(), l.until() + o.from(), l.refused()))
+                            .toList());
+            System.out.println("proof-site seed=" + seed + " case=" + kind + " rig late p99 ms=" + o.late() / 1000);
             all.forEach(System.out::println);
             Assume.assumeTrue("requests left " + o.late() / 1000 + " ms late", o.late() <= 50_000);
-            List<Verdict.Bound> broken = all.stream().filter(b -> !b.holds()
-                    && TIMES.stream().noneMatch(b.name()::contains)).toList();
+            List<Verdict.Bound> broken = all.stream()
+                    .filter(b -> !b.holds() && TIMES.stream().noneMatch(b.name()::contains))
+                    .toList();
             assertTrue(broken + " " + o.toDrained() + o.failures(), broken.isEmpty());
         }
     }
--- a/lab/src/test/java/magpiehub/lab/VerdictTest.java
+++ b/lab/src/test/java/magpiehub/lab/VerdictTest.java
@@ -16,8 +16,10 @@
 public class VerdictTest {
     private static final long S = 1_000_000;
     private static final Verdict.Loss LOSS = new Verdict.Loss(1, 10 * S, 14 * S, true);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private final List<Clients.Result> results = new ArrayList<>();
     private final List<Fleet.Attempt> attempts = new ArrayList<>();
     private final List<Processes.Sample> samples = new ArrayList<>();
@@ -38,20 +40,35 @@
     }
 
     private static Clients.Result result(int site, long due, Clients.End how, boolean excused) {
-        return new Clients.Result("c" + due + site, site, site, 0, due, due, 50_000, due + S, how, 0, 2,
-                excused, "t");
+        return new Clients.Result("c" + due + site, site, site, 0, due, due, 50_000, due + S, how, 0, 2, excused, "t");
     }
 
     private Fleet.Outcome outcome() throws IOException {
-        return new Fleet.Outcome(Scenario.read(Path.of("scenarios/zone-cut.json"), 1), 0, results, attempts,
+        return new Fleet.Outcome(
+                Scenario.read(Path.of("scenarios/zone-cut.json"), 1),
+                0,
+                results,
+                attempts,
                 List.of(),
-                List.of(new Fleet.Done(10 * S, "kill south")), samples, fell, drained, 0, 0, crashes,
-                0, failures, stands, java.util.Map.of());
+                List.of(new Fleet.Done(10 * S, "kill south")),
+                samples,
+                fell,
+                drained,
+                0,
+                0,
+                crashes,
+                0,
+                failures,
+                stands,
+                java.util.Map.of());
     }
 
     private void fails(String... names) throws IOException {
-        List<String> no = new Verdict(outcome()).of(List.of(LOSS)).stream().filter(b -> !b.holds())
-                .map(Verdict.Bound::name).toList();
+        List<String> no = new Verdict(outcome())
+                .of(List.of(LOSS)).stream()
+                        .filter(b -> !b.holds())
+                        .map(Verdict.Bound::name)
+                        .toList();
         assertEquals(names.length, no.size());
         for (int i = 0; i < names.length; i++) {
             assertTrue(no.get(i), no.get(i).contains(names[i]));
@@ -60,8 +77,8 @@
 
     /** How requests due within a time ended, at one site. */
     private void ended(int site, long from, long until, Clients.End how, boolean excused) {
-        results.replaceAll(r -> r.site() == site && r.due() >= from && r.due() < until
-                ? result(site, r.due(), how, excused) : r);
+        results.replaceAll(
+                r -> r.site() == site && r.due() >= from && r.due() < until ? result(site, r.due(), how, excused) : r);
     }
 
     @Test
@@ -100,8 +117,7 @@
         crashes = 1;
         samples.add(new Processes.Sample(S, "north-1", 200_000, 10, 30, 40));
         samples.add(new Processes.Sample(S, "engines-north", 400_000, 10, 30, 40));
-        fails("new work to an engine", "fell over", "ended by themselves", "could not be carried out",
-                "memory");
+        fails("new work to an engine", "fell over", "ended by themselves", "could not be carried out", "memory");
     }
 
     @Test
@@ -114,8 +130,22 @@
 
     @Test
     public void aReturnThatCostsTooMuchIsSeen() throws IOException {
-        results.replaceAll(r -> r.due() < 14 * S ? r : new Clients.Result(r.call(), r.site(), r.router(), 0,
-                r.due(), r.due(), 76_000, r.end(), r.how(), 0, 2, false, "t"));
+        results.replaceAll(r -> r.due() < 14 * S
+                ? r
+                : new Clients.Result(
+                        r.call(),
+                        r.site(),
+                        r.router(),
+                        0,
+                        r.due(),
+                        r.due(),
+                        76_000,
+                        r.end(),
+                        r.how(),
+                        0,
+                        2,
+                        false,
+                        "t"));
         fails("p99 of first tokens");
     }
 
@@ -146,11 +176,12 @@
         Fleet.Outcome other = outcome();
         Report.write(other, new Verdict(other).of(List.of(LOSS)), b, "b.jar");
         List<String> lines = Report.compare(Report.read(folder.getRoot().toPath()), Report.read(b));
-        assertTrue(lines.toString(), lines.stream().anyMatch(l ->
-                l.matches("served while south.* 1.000 +0.625 !")));
+        assertTrue(lines.toString(), lines.stream().anyMatch(l -> l.matches("served while south.* 1.000 +0.625 !")));
         Path page2 = folder.getRoot().toPath().resolve("both.html");
-        assertEquals(0, Lab.commands().execute("compare", folder.getRoot().toString(), b.toString(), "--html",
-                page2.toString()));
+        assertEquals(
+                0,
+                Lab.commands()
+                        .execute("compare", folder.getRoot().toString(), b.toString(), "--html", page2.toString()));
         assertTrue(Files.readString(page2).contains("b.jar"));
     }
 }
--- a/src/main/java/magpiehub/GracefulShutdown.java
+++ b/src/main/java/magpiehub/GracefulShutdown.java
@@ -40,6 +40,7 @@
         /** The process is killed no sooner than after the longest deadline, taken as so long where it is
          *  longer, and so much more. */
         private static final long LONGEST_DEADLINE_MS = 3_000;
+
         private static final long KILLED_AFTER_MS = 700;
         /** What the last answers may take. A stream that its client asks for again is read anew by an engine,
          *  so none is ended earlier than it must. */
@@ -48,8 +49,8 @@
         /** The phases for the deadlines (us) of these classes. Idle connections are kept for half of the
          *  time: another router may be down as well, and what comes on them last has the other half. */
         static Phases of(List<RequestClass> classes) {
-            long longest = classes.stream().mapToLong(c -> c.deadline() / 1000).max()
-                    .orElse(LONGEST_DEADLINE_MS);
+            long longest =
+                    classes.stream().mapToLong(c -> c.deadline() / 1000).max().orElse(LONGEST_DEADLINE_MS);
             long finish = Math.min(LONGEST_DEADLINE_MS, longest) + KILLED_AFTER_MS - LAST_ANSWERS_MS;
             return new Phases(ACCEPT_MS, Math.max(ACCEPT_MS, finish / 2), finish);
         }
@@ -66,8 +67,15 @@
 
     /** A shutdown that has not begun; {@code store}, what {@code announcer} gives, and {@code operators} may
      *  be null where an installation has none. */
-    GracefulShutdown(List<Clients> fronts, ModuleActor module, Supplier<Config.Site> site, Log log,
-            Store store, String name, Supplier<Announcer> announcer, Operators operators) {
+    GracefulShutdown(
+            List<Clients> fronts,
+            ModuleActor module,
+            Supplier<Config.Site> site,
+            Log log,
+            Store store,
+            String name,
+            Supplier<Announcer> announcer,
+            Operators operators) {
         this.fronts = fronts;
         this.module = module;
         this.site = site;
@@ -81,10 +89,10 @@
     @Override
     public void run() {
         try {
-            boolean succeeded = operators != null && operators.succeeded()
+            boolean succeeded = operators != null
+                    && operators.succeeded()
                     && fronts.stream().anyMatch(Clients::shared);
-            log.log("stopping", "held", Integer.toString(module.held()), "succeeded",
-                    Boolean.toString(succeeded));
+            log.log("stopping", "held", Integer.toString(module.held()), "succeeded", Boolean.toString(succeeded));
             Phases phases = Phases.of(site.get().settings().classes());
             if (succeeded) {
                 handOver(phases);
--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -52,16 +52,14 @@
     /** Connections for the messages front, where it is on. */
     private static final int MESSAGES_CLIENTS = 64;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs a command; exit status 0 on success, 1 on malformed input or configuration, 2 on wrong usage. */
     public static void main(String[] args) throws IOException {
         // Guards against the JVM's own answer to SIGHUP, which is to end: taken before anything else, read by
         // an actor once there is something to reload.
         Mailbox<Object> hangups = new Mailbox<>(Mailbox.Clock.SYSTEM, 1);
-        sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"),
-                s -> hangups.post(s));
+        sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"), s -> hangups.post(s));
         // A process that inherits an ignored SIGHUP, as from nohup, never gets one: the JVM leaves it so.
         boolean hangupsIgnored = before == sun.misc.SignalHandler.SIG_IGN;
         if (args.length == 1 && args[0].equals("adapter")) {
@@ -82,8 +80,7 @@
         }
     }
 
-    private static void serve(Config.Router r, Mailbox<Object> hangups, boolean hangupsIgnored)
-            throws IOException {
+    private static void serve(Config.Router r, Mailbox<Object> hangups, boolean hangupsIgnored) throws IOException {
         Log log = new Log(System.err, r.name(), ProcessHandle.current().pid());
         log.start();
         if (hangupsIgnored) {
@@ -95,8 +92,8 @@
         int forClients = Math.max(8, r.sockets() - OTHER_DESCRIPTORS - forEngines);
         Mailbox.Crew crew = new Mailbox.Crew();
         // A file of the operators' own, or today's values.
-        Allowances allowances = Allowances.read(STREAMS, r.site().settings().classes(),
-                Runtime.getRuntime().maxMemory());
+        Allowances allowances = Allowances.read(
+                STREAMS, r.site().settings().classes(), Runtime.getRuntime().maxMemory());
         AtomicReference<Config.Site> site = new AtomicReference<>(r.site());
         Streams streams = new Streams(allowances, r.site(), clock, log);
         Engines engines = new Engines(r.site(), forEngines, clock, log, crew, streams);
@@ -106,17 +103,18 @@
         if (registry == null && r.discovery() == null) {
             throw new Config.Malformed("ROUTER_DISCOVERY is not set and there is no " + REGISTRY);
         }
-        Source discovery = registry == null ? new Discovery(r.discovery(), site::get, engines, clock, log,
-                r.seed())
+        Source discovery = registry == null
+                ? new Discovery(r.discovery(), site::get, engines, clock, log, r.seed())
                 : new Registry(registry, site::get, engines, clock, log, r.seed());
         Sites.Settings planned = Plan.read(SITE);
-        Plan plan = planned == null ? null : new Plan(planned, r.site().zones(),
-                r.site().settings().myZone(), r.seed(), log);
-        ModuleActor module = new ModuleActor(r.site().settings(), r.seed(), clock, engines, discovery, log,
-                plan == null ? new Zones.Plain() : plan);
+        Plan plan = planned == null
+                ? null
+                : new Plan(planned, r.site().zones(), r.site().settings().myZone(), r.seed(), log);
+        ModuleActor module = new ModuleActor(
+                r.site().settings(), r.seed(), clock, engines, discovery, log, plan == null ? new Zones.Plain() : plan);
         engines.module(module);
-        Supplier<String> counters = () -> log.counters() + streams.figures() + discovery.figures()
-                + (plan == null ? "" : plan.figures());
+        Supplier<String> counters =
+                () -> log.counters() + streams.figures() + discovery.figures() + (plan == null ? "" : plan.figures());
         BooleanSupplier ready = discovery::known;
         PlatformFront platform = new PlatformFront(site::get);
         List<Clients> fronts = new CopyOnWriteArrayList<>();
@@ -125,8 +123,12 @@
         SettingsReload reload = new SettingsReload(r, hangups, discovery, REGISTRY, log, later -> {
             Config.Site next = site.get().followedBy(later);
             // The fronts go by it last: whatever they number is known by then.
-            streams.settings(Allowances.read(STREAMS, next.settings().classes(),
-                    Runtime.getRuntime().maxMemory()), next);
+            streams.settings(
+                    Allowances.read(
+                            STREAMS,
+                            next.settings().classes(),
+                            Runtime.getRuntime().maxMemory()),
+                    next);
             engines.settings(next);
             module.settings(next.settings());
             site.set(next);
@@ -138,24 +140,31 @@
         // Not before: a request that waits in the socket of a process that can't read it yet loses time that
         // nobody counts, for its deadline runs from when it was sent.
         Door door = r.inherited() ? Door.inherited() : Door.bind(Config.socketAddress(r.listen()));
-        Clients clients = new Clients(door, platform, module,
-                clock, log,
-                ready, counters, forClients * 15 / 16 - 4, crew, streams);
+        Clients clients = new Clients(
+                door, platform, module, clock, log, ready, counters, forClients * 15 / 16 - 4, crew, streams);
         fronts.add(clients);
         // The next two are off unless a file of the deployment's gives their address; the platform has none.
         MessagesFront.Options options = MessagesFront.Options.read(Path.of("deploy/messages.json"));
         Store store = ReplicatedStore.read(Path.of("deploy/store.json"), r.name(), clock, log);
         if (options != null) {
-            Clients messages = new Clients(Door.bind(Config.socketAddress(options.listen())),
-                    new MessagesFront(site::get, options, store), module, clock, log, ready, counters,
-                    MESSAGES_CLIENTS, crew, streams);
+            Clients messages = new Clients(
+                    Door.bind(Config.socketAddress(options.listen())),
+                    new MessagesFront(site::get, options, store),
+                    module,
+                    clock,
+                    log,
+                    ready,
+                    counters,
+                    MESSAGES_CLIENTS,
+                    crew,
+                    streams);
             fronts.add(messages);
             messages.start();
             log.log("messages-front", "listen", options.listen());
         }
         AtomicReference<Announcer> announcer = new AtomicReference<>();
-        GracefulShutdown shutdown = new GracefulShutdown(fronts, module, site::get, log, store, r.name(),
-                announcer::get, operators);
+        GracefulShutdown shutdown =
+                new GracefulShutdown(fronts, module, site::get, log, store, r.name(), announcer::get, operators);
         Runtime.getRuntime().addShutdownHook(new Thread(shutdown));
         if (operators != null) {
             operators.start();
@@ -189,8 +198,14 @@
     }
 
     /** What operators may do to this router; null where no address is given for their calls. */
-    private static Operators operators(Config.Router r, List<Clients> fronts, Source source,
-            BooleanSupplier ready, Plan plan, Mailbox.Clock clock, Log log) {
+    private static Operators operators(
+            Config.Router r,
+            List<Clients> fronts,
+            Source source,
+            BooleanSupplier ready,
+            Plan plan,
+            Mailbox.Clock clock,
+            Log log) {
         if (r.console() == null) {
             return null;
         }
@@ -226,8 +241,12 @@
                 fronts.forEach(c -> c.standby(on));
             }
         };
-        Operators operators = new Operators(Path.of(tmp == null || tmp.isEmpty()
-                ? System.getProperty("java.io.tmpdir") : tmp), r.name(), hands, clock, log);
+        Operators operators = new Operators(
+                Path.of(tmp == null || tmp.isEmpty() ? System.getProperty("java.io.tmpdir") : tmp),
+                r.name(),
+                hands,
+                clock,
+                log);
         source.told().listed(operators::listed);
         return operators;
     }
--- a/src/main/java/magpiehub/Rehearsal.java
+++ b/src/main/java/magpiehub/Rehearsal.java
@@ -21,10 +21,12 @@
  */
 final class Rehearsal {
     private static final int LONGEST_MS = 10_000;
-    private static final String LIST = """
+    private static final String LIST =
+            """
             {"revision":1,"complete":true,"members":[{"id":"e","host_port":"127.0.0.1:%d","locality":"a",\
             "flavor":"m","cell":0,"phase":"Ready","size":1.0,"up_since_ms":0}]}""";
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
             {"name":"rehearsal","listen":"127.0.0.1:%1$d","discovery":"127.0.0.1:%2$d","seed":"1",
             "limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%3$s,
             "settings":{"instances":2,"me":0,"myZone":0,"zones":["a","b"],"membershipMode":"subscribe",
@@ -38,8 +40,7 @@
     private static final String USAGE = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,"
             + "\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n";
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     /** What a router is to serve with; its peers answer until the process ends. */
     static Map<String, String> begin() throws IOException {
@@ -54,15 +55,16 @@
         file.toFile().deleteOnExit();
         Files.writeString(file, CONFIG.formatted(port, peers.getLocalPort(), list));
         Mailbox.thread("peers", () -> {
-            while (true) {
-                try {
-                    Socket s = peers.accept();
-                    Mailbox.thread("peer", () -> answer(s, list)).start();
-                } catch (IOException e) {
-                    return;
-                }
-            }
-        }).start();
+                    while (true) {
+                        try {
+                            Socket s = peers.accept();
+                            Mailbox.thread("peer", () -> answer(s, list)).start();
+                        } catch (IOException e) {
+                            return;
+                        }
+                    }
+                })
+                .start();
         Mailbox.thread("client", () -> ask(port)).start();
         return Map.of("ROUTER_CONFIG", file.toString());
     }
@@ -94,8 +96,9 @@
                     s.getInputStream().readNBytes(2);
                 }
                 String stream = chunk(EVENT) + chunk(EVENT) + chunk(USAGE) + chunk("data: [DONE]\n\n");
-                s.getOutputStream().write((ok + (watch ? chunk(list + "\n") : stream + "0\r\n\r\n"))
-                        .getBytes(StandardCharsets.US_ASCII));
+                s.getOutputStream()
+                        .write((ok + (watch ? chunk(list + "\n") : stream + "0\r\n\r\n"))
+                                .getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
             // The router has ended its side.
@@ -116,9 +119,9 @@
                     if (head(s.getInputStream()).startsWith("HTTP/1.1 200")) {
                         for (int i = 0; i < 3; i++) {
                             out.write(("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Call-Id: " + i
-                                    + "\r\nX-Call-Class: " + (i < 2 ? "c" : "none") + "\r\nX-Caller: t\r\n"
-                                    + "X-Route-Hash: 7f\r\nX-Budget-Ms: 4000\r\nX-Call-Info: prefix=5c,"
-                                    + "prompt_len=9\r\nContent-Length: 2\r\n\r\n{}")
+                                            + "\r\nX-Call-Class: " + (i < 2 ? "c" : "none") + "\r\nX-Caller: t\r\n"
+                                            + "X-Route-Hash: 7f\r\nX-Budget-Ms: 4000\r\nX-Call-Info: prefix=5c,"
+                                            + "prompt_len=9\r\nContent-Length: 2\r\n\r\n{}")
                                     .getBytes(StandardCharsets.US_ASCII));
                             head(s.getInputStream());
                             if (i < 2) {
--- a/src/main/java/magpiehub/SettingsReload.java
+++ b/src/main/java/magpiehub/SettingsReload.java
@@ -40,8 +40,13 @@
      * @param hangups gets one message for each SIGHUP
      * @param registryFile where an installation may name a registry of its own
      */
-    SettingsReload(Config.Router started, Mailbox<Object> hangups, Source discovery, Path registryFile,
-            Log log, Target target) {
+    SettingsReload(
+            Config.Router started,
+            Mailbox<Object> hangups,
+            Source discovery,
+            Path registryFile,
+            Log log,
+            Target target) {
         this.started = started;
         this.inForce = started;
         this.hangups = hangups;
@@ -80,9 +85,14 @@
                 needRestart.add("registry");
             }
             log.count("reloads");
-            log.log("reloaded", "discovery", registry == null ? next.discovery()
-                    : String.join(" ", registry.endpoints()), "changed", String.join(" ", changed),
-                    "needs_restart", String.join(" ", needRestart));
+            log.log(
+                    "reloaded",
+                    "discovery",
+                    registry == null ? next.discovery() : String.join(" ", registry.endpoints()),
+                    "changed",
+                    String.join(" ", changed),
+                    "needs_restart",
+                    String.join(" ", needRestart));
         } catch (IOException | RuntimeException | StackOverflowError e) {
             log.count("reload_failures");
             log.log("reload-failed", "error", String.valueOf(e.getMessage()));
--- a/src/main/java/magpiehub/config/Config.java
+++ b/src/main/java/magpiehub/config/Config.java
@@ -45,14 +45,19 @@
 
     /** Engines' load reports: the fields of each, none where there are no reports, and whether answers carry
      *  them, or probes alone. */
-    public record Telemetry(List<String> fields, boolean answers) {
-    }
+    public record Telemetry(List<String> fields, boolean answers) {}
 
     /** The module's settings, and what the hosts need besides. Times in microseconds. Classes and tenants are
      *  known by their places in the settings; places whose names are not in the two maps have vanished, and
      *  are kept for what is under way. */
-    public record Site(Settings settings, List<String> zones, List<String> kinds, long idleClose,
-            Telemetry telemetry, Map<String, Integer> classes, Map<String, Integer> tenants) {
+    public record Site(
+            Settings settings,
+            List<String> zones,
+            List<String> kinds,
+            long idleClose,
+            Telemetry telemetry,
+            Map<String, Integer> classes,
+            Map<String, Integer> tenants) {
         /** A class's number by its name; -1 if there is none, and the module turns such a request away. */
         public int cls(String name) {
             return classes.getOrDefault(name, -1);
@@ -71,10 +76,27 @@
             Settings s = later.settings;
             Map<String, Integer> classNames = places(s.classes(), RequestClass::name, cs);
             Map<String, Integer> tenantNames = places(s.tenants(), Tenant::name, ts);
-            return new Site(new Settings(s.me(), s.instances(), s.myZone(), s.zones(), s.subscribe(),
-                    s.resume(), s.weights(), s.overShareWorth(), List.copyOf(cs), List.copyOf(ts),
-                    s.limits(), s.guarantees(), s.costs()), later.zones, later.kinds, later.idleClose,
-                    later.telemetry, classNames, tenantNames);
+            return new Site(
+                    new Settings(
+                            s.me(),
+                            s.instances(),
+                            s.myZone(),
+                            s.zones(),
+                            s.subscribe(),
+                            s.resume(),
+                            s.weights(),
+                            s.overShareWorth(),
+                            List.copyOf(cs),
+                            List.copyOf(ts),
+                            s.limits(),
+                            s.guarantees(),
+                            s.costs()),
+                    later.zones,
+                    later.kinds,
+                    later.idleClose,
+                    later.telemetry,
+                    classNames,
+                    tenantNames);
         }
     }
 
@@ -95,9 +117,18 @@
     /** A router's own configuration. {@code known} is the list as JSON, in discovery's form; {@code file} is
      *  what the file said, for comparing it with a later one. {@code console} is where operators call, null
      *  if nowhere; {@code inherited} says that the clients' listening socket is descriptor 0. */
-    public record Router(String name, String listen, String console, boolean inherited, String discovery,
-            long seed, int memoryMb, int sockets,
-            byte[] known, Site site, Map<String, Object> file) {
+    public record Router(
+            String name,
+            String listen,
+            String console,
+            boolean inherited,
+            String discovery,
+            long seed,
+            int memoryMb,
+            int sockets,
+            byte[] known,
+            Site site,
+            Map<String, Object> file) {
         /** The members of the file in which a later file differs, settings by their own names. The list and
          *  the seed belong to a start, and discovery's address is followed by itself: these don't count. */
         public List<String> changes(Router later) {
@@ -153,8 +184,7 @@
         for (Object k : keys) {
             Object x = a.get(k);
             Object y = b.get(k);
-            if (path.isEmpty() && x instanceof Map<?, ?> m && y instanceof Map<?, ?> n
-                    && !k.equals("known")) {
+            if (path.isEmpty() && x instanceof Map<?, ?> m && y instanceof Map<?, ?> n && !k.equals("known")) {
                 differences(m, n, k + ".", names);
             } else if (!java.util.Objects.equals(x, y)) {
                 names.add(path + k);
@@ -162,8 +192,7 @@
         }
     }
 
-    private Config() {
-    }
+    private Config() {}
 
     // ---- JSON -----------------------------------------------------------------------------------------
     /** The object that the parser stands at, as maps, lists, numbers, texts and flags. */
@@ -217,8 +246,7 @@
         void positive(String key, double unit) {
             Double v = get(key, Double.class);
             if (v == null || !(v >= unit) || v.isInfinite()) {
-                throw new Malformed(path + "." + key + (v == null ? " is missing"
-                        : " must be a number above 0"));
+                throw new Malformed(path + "." + key + (v == null ? " is missing" : " must be a number above 0"));
             }
         }
 
@@ -288,20 +316,29 @@
         List<RequestClass> classes = new ArrayList<>();
         for (Facts c : f.objects("classes")) {
             int i = classes.size();
-            classes.add(new RequestClass(c.text("name", ""), switch (c.text("effect", "pure")) {
-                case "pure" -> Effect.PURE;
-                case "token" -> Effect.TOKEN;
-                case "side_effect" -> Effect.SIDE_EFFECT;
-                default -> throw new Malformed("classes.effect is no effect: " + c.text("effect", ""));
-            }, switch (c.text("group", "all")) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                case "cell" -> Group.CELL;
-                default -> throw new Malformed("classes.group is no group: " + c.text("group", ""));
-            }, c.micros("windowMs", 0), c.flag("stream", false), c.micros("aimMs", 0),
-                    i < perToken.size() ? perToken.get(i).longValue() : 0, c.number("aimStretch", 0),
-                    c.micros("deadlineMs", 0), i < tokenAim.size() ? micros(tokenAim.get(i)) : 0,
-                    c.number("gain", 1), c.number("lateShare", 0)));
+            classes.add(new RequestClass(
+                    c.text("name", ""),
+                    switch (c.text("effect", "pure")) {
+                        case "pure" -> Effect.PURE;
+                        case "token" -> Effect.TOKEN;
+                        case "side_effect" -> Effect.SIDE_EFFECT;
+                        default -> throw new Malformed("classes.effect is no effect: " + c.text("effect", ""));
+                    },
+                    switch (c.text("group", "all")) {
+                        case "all" -> Group.ALL;
+                        case "zone" -> Group.ZONE;
+                        case "cell" -> Group.CELL;
+                        default -> throw new Malformed("classes.group is no group: " + c.text("group", ""));
+                    },
+                    c.micros("windowMs", 0),
+                    c.flag("stream", false),
+                    c.micros("aimMs", 0),
+                    i < perToken.size() ? perToken.get(i).longValue() : 0,
+                    c.number("aimStretch", 0),
+                    c.micros("deadlineMs", 0),
+                    i < tokenAim.size() ? micros(tokenAim.get(i)) : 0,
+                    c.number("gain", 1),
+                    c.number("lateShare", 0)));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (Facts t : f.objects("accounts")) {
@@ -310,27 +347,52 @@
         Facts l = f.object("limits");
         Facts g = f.object("guarantees");
         Facts c = f.object("costs");
-        Settings s = new Settings((int) f.number("me", 0), Math.max(1, (int) f.number("instances", 1)),
+        Settings s = new Settings(
+                (int) f.number("me", 0),
+                Math.max(1, (int) f.number("instances", 1)),
                 (int) f.number("myZone", 0),
-                f.list("zones").size(), f.text("membershipMode", "automatic").equals("subscribe"),
-                f.object("familyInfo").flag("resume", false), switch (f.text("weights", "none")) {
+                f.list("zones").size(),
+                f.text("membershipMode", "automatic").equals("subscribe"),
+                f.object("familyInfo").flag("resume", false),
+                switch (f.text("weights", "none")) {
                     case "nominal" -> Weights.NOMINAL;
                     case "rough" -> Weights.ROUGH;
                     case "live" -> Weights.LIVE;
                     default -> Weights.NONE;
-                }, f.number("overShareWorth", 1), classes, tenants,
-                new Limits(l.flag("cancel", false), l.flag("probes", false), l.flag("peers", false),
-                        l.flag("parallelTries", false), l.flag("retryAfter", false),
+                },
+                f.number("overShareWorth", 1),
+                classes,
+                tenants,
+                new Limits(
+                        l.flag("cancel", false),
+                        l.flag("probes", false),
+                        l.flag("peers", false),
+                        l.flag("parallelTries", false),
+                        l.flag("retryAfter", false),
                         (int) l.number("mostTries", 1),
-                        (int) l.number("mostHeld", 1e6), l.micros("maxRetryAfterMs", 0),
+                        (int) l.number("mostHeld", 1e6),
+                        l.micros("maxRetryAfterMs", 0),
                         l.micros("connectTimeoutMs", 250)),
-                new Guarantees(g.micros("answerSlackMs", 0), g.micros("askWithinMs", 10_000),
+                new Guarantees(
+                        g.micros("answerSlackMs", 0),
+                        g.micros("askWithinMs", 10_000),
                         g.micros("coldMs", 0),
-                        g.micros("fallMs", 1000), g.number("overloadFactor", 2), g.number("startCapacity", 1),
+                        g.micros("fallMs", 1000),
+                        g.number("overloadFactor", 2),
+                        g.number("startCapacity", 1),
                         g.micros("stopSendingWithinMs", 0)),
-                new Costs(c.number("crossZone", 0), c.number("waste", 0), c.number("probe", 0),
-                        c.number("lateFail", 0), c.number("connection", 0), c.number("handshake", 0)));
-        return new Site(s, f.texts("zones"), f.texts("machineTypes"), l.micros("idleCloseMs", 30_000),
+                new Costs(
+                        c.number("crossZone", 0),
+                        c.number("waste", 0),
+                        c.number("probe", 0),
+                        c.number("lateFail", 0),
+                        c.number("connection", 0),
+                        c.number("handshake", 0)));
+        return new Site(
+                s,
+                f.texts("zones"),
+                f.texts("machineTypes"),
+                l.micros("idleCloseMs", 30_000),
                 telemetry(f.object("telemetry")),
                 places(classes, RequestClass::name, new ArrayList<>(classes)),
                 places(tenants, Tenant::name, new ArrayList<>(tenants)));
@@ -360,8 +422,7 @@
     }
 
     /** An entry of a list; {@code address} is null on wires where the id is the address. */
-    public record Entry(Server server, String address) {
-    }
+    public record Entry(Server server, String address) {}
 
     /** The entries of the array that the parser stands at. */
     public static List<Entry> entries(JsonParser p, Names names) throws IOException {
@@ -462,12 +523,18 @@
         }
         check(f.object("settings"));
         Object known = f.map().get("known");
-        return new Router(said(env, "ROUTER_NAME", f.text("name", null)),
+        return new Router(
+                said(env, "ROUTER_NAME", f.text("name", null)),
                 address(said(env, "ROUTER_LISTEN", f.text("listen", null))),
-                optional(env, "ROUTER_CONSOLE", f.text("console", null)), inherited(env.get("ROUTER_FD")),
-                optional(env, "ROUTER_DISCOVERY", f.text("discovery", null)), seed(f.map().get("seed")),
-                (int) limits.number("memory_mb", 192), (int) limits.number("sockets", 1024),
-                known == null ? null : write(known), site(f.object("settings")), f.map());
+                optional(env, "ROUTER_CONSOLE", f.text("console", null)),
+                inherited(env.get("ROUTER_FD")),
+                optional(env, "ROUTER_DISCOVERY", f.text("discovery", null)),
+                seed(f.map().get("seed")),
+                (int) limits.number("memory_mb", 192),
+                (int) limits.number("sockets", 1024),
+                known == null ? null : write(known),
+                site(f.object("settings")),
+                f.map());
     }
 
     /** The single object that a text holds. */
@@ -558,8 +625,7 @@
     /** What an {@link #address} names. */
     public static InetSocketAddress socketAddress(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
-        return new InetSocketAddress(hostPort.substring(0, colon),
-                Integer.parseInt(hostPort.substring(colon + 1)));
+        return new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
     }
 
     private static long seed(Object v) {
--- a/src/main/java/magpiehub/core/Asking.java
+++ b/src/main/java/magpiehub/core/Asking.java
@@ -11,6 +11,7 @@
      *  nearly as much by chance: a fleet that lost discovery together is to come back spread out. The
      *  longest, with a second in vain for a connection, leaves half of the 6 s for an answer that waits. */
     private static final long FIRST = 1_000_000;
+
     private static final long AGAIN = 2_000_000;
     private static final double LEAST = 0.5;
     private static final double CHANCE = 0.45;
@@ -18,10 +19,13 @@
     private boolean failed;
     /** Whether {@link #at} is the end of a wait, and not of a call's time. */
     private boolean waits;
+
     private long at;
 
     /** Nothing is known yet; the first call is due at a time. */
-    Asking(long first) { at = first; }
+    Asking(long first) {
+        at = first;
+    }
 
     /** Discovery has spoken: nothing is due until a call fails. */
     void told() {
--- a/src/main/java/magpiehub/core/Contract.java
+++ b/src/main/java/magpiehub/core/Contract.java
@@ -12,24 +12,37 @@
  */
 public final class Contract {
 
-    private Contract() {
-    }
+    private Contract() {}
 
     /** What a repeat of a request does. */
     public enum Effect {
-        /** Harmless to repeat. */ PURE,
-        /** Repeats are dropped by one group of servers, for a time. */ TOKEN,
-        /** Never safe to repeat unless it is known that it did not run. */ SIDE_EFFECT
+        /** Harmless to repeat. */
+        PURE,
+        /** Repeats are dropped by one group of servers, for a time. */
+        TOKEN,
+        /** Never safe to repeat unless it is known that it did not run. */
+        SIDE_EFFECT
     }
 
     /** Which servers drop repeats of a keyed request. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How one attempt ended. */
     public enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), MOOT(true),
-        /** An answer came that can't be read. */ SPOILT(false);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        MOOT(true),
+        /** An answer came that can't be read. */
+        SPOILT(false);
 
         /** True if the outcome proves that the attempt never ran. */
         public final boolean neverRan;
@@ -40,13 +53,27 @@
     }
 
     /** What a server list is. */
-    public enum ListKind { CHANGES, COMPLETE, SAVED, ERROR }
+    public enum ListKind {
+        CHANGES,
+        COMPLETE,
+        SAVED,
+        ERROR
+    }
 
     /** State of a server as the list has it. */
-    public enum State { LIVE, DRAINING, DEAD }
+    public enum State {
+        LIVE,
+        DRAINING,
+        DEAD
+    }
 
     /** What the list's weight means. */
-    public enum Weights { NONE, NOMINAL, ROUGH, LIVE }
+    public enum Weights {
+        NONE,
+        NOMINAL,
+        ROUGH,
+        LIVE
+    }
 
     /**
      * A class of requests.
@@ -54,51 +81,94 @@
      * @param aim wanted time to the first token; {@code aimPer1000} is added for each 1,000 prompt tokens
      * @param window how long servers remember a keyed request
      */
-    public record RequestClass(String name, Effect effect, Group group, long window, boolean stream,
-            long aim, long aimPer1000, double aimStretch, long deadline, long tokenAim, double worth,
-            double lateShare) {
-    }
+    public record RequestClass(
+            String name,
+            Effect effect,
+            Group group,
+            long window,
+            boolean stream,
+            long aim,
+            long aimPer1000,
+            double aimStretch,
+            long deadline,
+            long tokenAim,
+            double worth,
+            double lateShare) {}
 
     /** A tenant; {@code allowancePerS} is for all nodes together. */
-    public record Tenant(String name, double share, double allowancePerS) {
-    }
+    public record Tenant(String name, double share, double allowancePerS) {}
 
     /** What the site permits. */
-    public record Limits(boolean cancel, boolean probes, boolean peers, boolean parallel, boolean retryAfter,
-            int mostAttempts, int mostHeld, long maxRetryAfter, long connectTimeout) {
-    }
+    public record Limits(
+            boolean cancel,
+            boolean probes,
+            boolean peers,
+            boolean parallel,
+            boolean retryAfter,
+            int mostAttempts,
+            int mostHeld,
+            long maxRetryAfter,
+            long connectTimeout) {}
 
     /** Figures of the rules that every node must keep by itself. */
-    public record Guarantees(long answerSlack, long askWithin, long cold, long fall, double overloadFactor,
-            double startCapacity, long stopSendingWithin) {
-    }
+    public record Guarantees(
+            long answerSlack,
+            long askWithin,
+            long cold,
+            long fall,
+            double overloadFactor,
+            double startCapacity,
+            long stopSendingWithin) {}
 
     /** Prices of the things that cost service, as parts of it. */
-    public record Costs(double crossZone, double waste, double probe, double lateFail, double connection,
-            double handshake) {
-    }
+    public record Costs(
+            double crossZone, double waste, double probe, double lateFail, double connection, double handshake) {}
 
     /** Everything a node is told when it starts. */
-    public record Settings(int me, int instances, int myZone, int zones, boolean subscribe, boolean resume,
-            Weights weights, double overShareWorth, List<RequestClass> classes, List<Tenant> tenants,
-            Limits limits, Guarantees guarantees, Costs costs) {
-    }
+    public record Settings(
+            int me,
+            int instances,
+            int myZone,
+            int zones,
+            boolean subscribe,
+            boolean resume,
+            Weights weights,
+            double overShareWorth,
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            Limits limits,
+            Guarantees guarantees,
+            Costs costs) {}
 
     /** An entry of the server list. {@code onlineSince} is 0 if it started long ago. */
-    public record Server(String id, int zone, int kind, int cell, State state, double weight,
-            long onlineSince) {
-    }
+    public record Server(String id, int zone, int kind, int cell, State state, double weight, long onlineSince) {}
 
     /** A client's request. {@code session} and {@code prefix} are 0 when absent. */
-    public record Request(String id, int cls, int tenant, long session, long prefix, long deadline,
-            double work, double promptTokens, double prefixTokens, double maxOut, boolean retry,
-            boolean write, boolean again) {
-    }
+    public record Request(
+            String id,
+            int cls,
+            int tenant,
+            long session,
+            long prefix,
+            long deadline,
+            double work,
+            double promptTokens,
+            double prefixTokens,
+            double maxOut,
+            boolean retry,
+            boolean write,
+            boolean again) {}
 
     /** A server's own load report; NaN where the site or the report lacks a value. */
-    public record Load(double inflight, double queue, double util, double latencyMs, double qps, double eps,
-            double x0, double x1) {
-    }
+    public record Load(
+            double inflight,
+            double queue,
+            double util,
+            double latencyMs,
+            double qps,
+            double eps,
+            double x0,
+            double x1) {}
 
     /** What a node may be told. {@code load} is null where no report came. */
     public interface Events {
@@ -112,8 +182,8 @@
         void begun(long now, String id, int attempt, long took);
 
         /** An attempt has ended; {@code settled} if the request is over. {@code kept} is -1 if not told. */
-        void outcome(long now, String id, int attempt, Outcome outcome, long took, boolean settled,
-                long kept, Load load);
+        void outcome(
+                long now, String id, int attempt, Outcome outcome, long took, boolean settled, long kept, Load load);
 
         /** The client is gone; nothing more is owed. */
         void abandoned(long now, String id);
--- a/src/main/java/magpiehub/core/Mailbox.java
+++ b/src/main/java/magpiehub/core/Mailbox.java
@@ -39,11 +39,11 @@
     /** Bytes of a thread's stack. */
     private static final int STACK = 160 * 1024;
 
-    private record Entry<T>(T message, int bytes) {
-    }
+    private record Entry<T>(T message, int bytes) {}
 
     /** Also the monitor of all that follows: the owner waits on it for messages, a reader for room. */
     private final ArrayDeque<Entry<M>> queue = new ArrayDeque<>(4);
+
     private final Clock clock;
     private final long most;
     private long held;
@@ -63,6 +63,7 @@
         private static final int MANY = 1024;
         /** How long all may be at work before another comes, and how long one stays idle. */
         private static final long STUCK_NANOS = 20_000_000;
+
         private static final long STAY_NANOS = 2_000_000_000;
         /** A write that has lasted longer waits for its peer: its thread is not counted among the few. */
         private static final long WRITE_NANOS = 3_000_000;
@@ -79,6 +80,7 @@
 
         /** Also the monitor of all that follows; idle threads wait on it. */
         private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+
         private final ArrayList<Worker> workers = new ArrayList<>();
         private int idle;
         private long takenAt = System.nanoTime();
--- a/src/main/java/magpiehub/core/ModuleActor.java
+++ b/src/main/java/magpiehub/core/ModuleActor.java
@@ -49,12 +49,10 @@
     /** Before an attempt is handed over, and where that failed: there is nothing to close. */
     private static final Handle NOTHING = new Handle() {
         @Override
-        public void grant() {
-        }
+        public void grant() {}
 
         @Override
-        public void abort() {
-        }
+        public void abort() {}
     };
 
     /** The engines. Called from the module's thread only; must not block it. */
@@ -90,6 +88,7 @@
         public final String server;
         /** When the attempt ends unanswered (us): the engine is told how long is left. */
         public final long until;
+
         private final Open open;
         private final int number;
         private final long sentAt;
@@ -118,6 +117,7 @@
         final Request request;
         /** Both are let go of as soon as it is over: timers hold the rest of this until the deadline. */
         Client client;
+
         volatile Object work;
         final List<Attempt> attempts = new ArrayList<>(2);
         Attempt begun;
@@ -130,8 +130,7 @@
         }
     }
 
-    private record Due(long at, long order, Runnable what) {
-    }
+    private record Due(long at, long order, Runnable what) {}
 
     /** The bytes of waiting requests that the mailbox takes: more than this is shed by the fronts. */
     private static final long MAILBOX_BYTES = 8L << 20;
@@ -168,14 +167,19 @@
     private boolean shuttingDown;
 
     /** An actor over ports; it does nothing until {@link #turn} or {@link #run} is called. */
-    public ModuleActor(Settings settings, long seed, Mailbox.Clock clock, Fleet fleet, Roster roster,
-            Journal journal) {
+    public ModuleActor(Settings settings, long seed, Mailbox.Clock clock, Fleet fleet, Roster roster, Journal journal) {
         this(settings, seed, clock, fleet, roster, journal, new Zones.Plain());
     }
 
     /** The same with what is known of zones. */
-    public ModuleActor(Settings settings, long seed, Mailbox.Clock clock, Fleet fleet, Roster roster,
-            Journal journal, Zones zones) {
+    public ModuleActor(
+            Settings settings,
+            long seed,
+            Mailbox.Clock clock,
+            Fleet fleet,
+            Roster roster,
+            Journal journal,
+            Zones zones) {
         this.clock = clock;
         this.fleet = fleet;
         this.roster = roster;
@@ -224,8 +228,12 @@
             r.run();
         } catch (RuntimeException | StackOverflowError | OutOfMemoryError e) {
             journal.count("module_exceptions");
-            journal.log("module-exception", "error", e.toString(),
-                    "at", e.getStackTrace().length > 0 ? e.getStackTrace()[0].toString() : "?");
+            journal.log(
+                    "module-exception",
+                    "error",
+                    e.toString(),
+                    "at",
+                    e.getStackTrace().length > 0 ? e.getStackTrace()[0].toString() : "?");
         }
     }
 
@@ -385,8 +393,7 @@
         boolean settled = o.answered || o.begun == a || outcome == Outcome.OK;
         journal.count("attempt_" + outcome.name().toLowerCase(Locale.ROOT));
         if (settled && !o.answered) {
-            answer(o, outcome == Outcome.OK ? "served" : outcome == Outcome.CANCELLED ? "abandoned"
-                    : "broken");
+            answer(o, outcome == Outcome.OK ? "served" : outcome == Outcome.CANCELLED ? "abandoned" : "broken");
         }
         rules.outcome(now, o.request.id(), a.number, outcome, now - a.sentAt, settled, kept, load);
     }
@@ -439,8 +446,8 @@
             for (Attempt old : o.attempts) {
                 stop(old);
             }
-            long until = timeout == 0 ? o.request.deadline()
-                    : Math.min(o.request.deadline(), now + Math.max(0, timeout));
+            long until =
+                    timeout == 0 ? o.request.deadline() : Math.min(o.request.deadline(), now + Math.max(0, timeout));
             Attempt a = new Attempt(o, o.attempts.size(), server, now, until);
             o.attempts.add(a);
             if (o.client.gone()) {
