--- a/src/main/java/magpiehub/core/Rules.java
+++ b/src/main/java/magpiehub/core/Rules.java
@@ -34,9 +34,11 @@
     private static final double HOT_SESSION = 5;
     /** Warm keys that one replica holds, for all nodes together; each node counts its part, but not fewer. */
     private static final int WARM_KEYS = 512;
+
     private static final int LEAST_KEYS = 16;
     /** Mappings kept at most (memory), and how long an unused one is believed warm (us). */
     private static final int MOST_MAPPINGS = 20_000;
+
     private static final long MAPPING_IDLE = 30_000_000;
     /** Replicas that a node keeps to where connections have a price. */
     private static final int CONNECTED = 6;
@@ -45,12 +47,14 @@
     /** A replica is passed over while it holds more than so many times the mean of this node's requests, and
      *  so many more: work piles up where a replica is slow, whatever makes it slow. */
     private static final double HEAPED = 2;
+
     private static final double HEAPED_MORE = 1.5;
     /** A replica is passed over while a request of this node has waited there for so long (us) without a
      *  first token: some five times what one takes that finds its tokens. */
     private static final long WAITS = 400_000;
     /** Part of a prefix's tokens below which it was not kept, and the least gap of drops for it (us). */
     private static final double FEW_KEPT = 0.5;
+
     private static final long MISS_GAP = 1_000_000;
     /** Weight of the newest answer in the part of tokens found kept: twenty answers tell of a release. */
     private static final double KEPT_WEIGHT = 0.05;
@@ -62,10 +66,12 @@
     private static final double SLOW_RATIO = 4;
     /** Ejections: first length, longest (us), and the part of the fleet that may be out at once. */
     private static final long EJECT_FIRST = 2_000_000;
+
     private static final long EJECT_MOST = 16_000_000;
     private static final double MOST_EJECTED = 0.34;
     /** Broken attempts that eject; they count less with time (us) and with each answer served. */
     private static final double BREAKS = 1.5;
+
     private static final double BREAK_TAU = 4_000_000;
     private static final double BREAK_SERVED = 0.8;
     /** An answer that can't be read may come from any replica, and shows that this one is there. */
@@ -74,6 +80,7 @@
     private static final long FULL_PAUSE = 300_000;
     /** Retry budget: earned per request, most saved, and the cost of an error that came at once. */
     private static final double RETRY_EARN = 0.15;
+
     private static final double RETRY_SAVED = 10;
     private static final double QUICK_ERROR = 0.25;
     /** Attempts for one request at most, whatever the site allows. */
@@ -85,15 +92,18 @@
     /** Part of the keys that stay in the own zone where crossing has a price: the most, its steps up and
      *  down, and the ratios of first-token times, own to other zones, that move it. */
     private static final double STAY_MOST = 0.95;
+
     private static final double STAY_UP = 0.03;
     private static final double STAY_DOWN = 0.06;
     private static final double STAY_UP_BELOW = 1.1;
     private static final double STAY_DOWN_ABOVE = 1.3;
     /** Overload control: period (us), part of bad answers that begins it, and its steps up and down. */
     private static final long CONTROL = 500_000;
+
     private static final double SHED_AT = 0.3;
     /** Part of bad answers from which the fleet counts as short. */
     private static final double STRAINED_AT = 0.15;
+
     private static final double SHED_UP = 0.1;
     private static final double SHED_DOWN = 0.05;
     private static final double SHED_MOST = 0.8;
@@ -125,6 +135,7 @@
     private long rotation;
     /** This node's requests, decayed over {@link #SHARE_TAU}. */
     private double seen;
+
     private long seenAt;
     private double sent;
     private long sentAt;
@@ -139,6 +150,7 @@
     private boolean[] shutZones = new boolean[0];
     /** The place of the request in hand in its zones' work, 0 to 1: the same for a whole conversation. */
     private double standing;
+
     private long lastCheck;
     private int checkCursor;
     // Overload control; two places for each class, within and over the tenant's share.
@@ -149,6 +161,7 @@
     private double shed;
     /** Part of the prompts' tokens found kept, over all replicas; the mean until it is decayed. */
     private double keptPart = 1;
+
     private int keptSeen = 1;
     private long lastControl;
     private double[] allowance = {};
@@ -158,6 +171,7 @@
     private double warm;
     /** The same as a mean over {@link #SHARE_TAU}, as the work is that this node's traffic is taken from. */
     private double usual;
+
     private long warmAt = NEVER / 2;
 
     /** A node that has just started and knows nothing. */
@@ -182,8 +196,8 @@
         lastCheck = now;
         lastMiss = now;
         // Discovery serves callers in turn: first calls spread out.
-        asking = new Asking(now + (long) (random()
-                * Math.min(s.guarantees().askWithin() / 2, 250_000L * s.instances())));
+        asking = new Asking(
+                now + (long) (random() * Math.min(s.guarantees().askWithin() / 2, 250_000L * s.instances())));
         out.timer(now + SWEEP, 1);
     }
 
@@ -199,7 +213,9 @@
     }
 
     /** A clock that steps back is read as standing still. */
-    private void at(long time) { now = Math.max(now, time); }
+    private void at(long time) {
+        now = Math.max(now, time);
+    }
 
     @Override
     public void settings(long time, Settings settings) {
@@ -230,7 +246,9 @@
             asking.failed(now, s.guarantees().askWithin(), random());
             return;
         }
-        if (kind != ListKind.SAVED) { asking.told(); }
+        if (kind != ListKind.SAVED) {
+            asking.told();
+        }
         boolean changed = false;
         if (kind != ListKind.CHANGES) {
             Set<String> listed = new HashSet<>();
@@ -253,8 +271,9 @@
             }
             boolean restarted = r.entry == null || e.onlineSince() > r.entry.onlineSince();
             // A live weight falls with the load: the most seen is the replica's size.
-            double size = s.weights() == Weights.NONE ? 1 : s.weights() == Weights.LIVE
-                    ? Math.max(r.size, e.weight()) : e.weight();
+            double size = s.weights() == Weights.NONE
+                    ? 1
+                    : s.weights() == Weights.LIVE ? Math.max(r.size, e.weight()) : e.weight();
             boolean live = e.state() == Contract.State.LIVE;
             boolean resized = Math.abs(size - r.size) > 0.1 * r.size;
             changed |= r.entry == null || r.entry.zone() != e.zone() || r.ready != live || resized;
@@ -276,11 +295,15 @@
                 changed = true;
             }
         }
-        if (changed) { rebuild(); }
+        if (changed) {
+            rebuild();
+        }
     }
 
     /** Replicas remembered. */
-    int known() { return fleet.size(); }
+    int known() {
+        return fleet.size();
+    }
 
     /** A draining or missing replica gets nothing new from this moment; deques drop it when they meet it. */
     private void leave(Replica r) {
@@ -294,21 +317,29 @@
         List<Replica> near = new ArrayList<>();
         int[] inZone = new int[zoneCount];
         double sum = 0;
-        for (Replica r : fleet) { sum += r.size; }
+        for (Replica r : fleet) {
+            sum += r.size;
+        }
         for (Replica r : fleet) {
             r.part = sum <= 0 ? 1 : Math.max(0.2, Math.min(4, r.size * fleet.size() / sum));
             if (r.ready) {
                 ready.add(r);
                 inZone[zone(r.entry.zone())]++;
-                if (r.entry.zone() == s.myZone()) { near.add(r); }
+                if (r.entry.zone() == s.myZone()) {
+                    near.add(r);
+                }
             }
         }
         readyCount = ready.size();
-        for (int z = 0; z < zoneCount; z++) { zones.listed(now, z, inZone[z]); }
+        for (int z = 0; z < zoneCount; z++) {
+            zones.listed(now, z, inZone[z]);
+        }
         warmAt = NEVER / 2;
         // A zone with few replicas keeps fewer keys; what others spill lands there too.
         double mean = 0;
-        for (int n : inZone) { mean += Math.min(1, (double) n / Math.max(1, readyCount) * inZone.length); }
+        for (int n : inZone) {
+            mean += Math.min(1, (double) n / Math.max(1, readyCount) * inZone.length);
+        }
         mean /= inZone.length;
         stayMost = Math.min(STAY_MOST, mean * near.size() * inZone.length / Math.max(1, readyCount));
         stay = Math.min(stay, stayMost);
@@ -317,7 +348,9 @@
         own = near.isEmpty() ? wide : new Ring(priced() ? subset(near, s.me() / inZone.length) : near);
     }
 
-    private boolean priced() { return s.costs().connection() + s.costs().handshake() > 0; }
+    private boolean priced() {
+        return s.costs().connection() + s.costs().handshake() > 0;
+    }
 
     /** Where connections have a price a node keeps to a few replicas. Its number picks them from a shuffle
      *  that a round of nodes shares, so that each replica belongs to as many nodes as the next. */
@@ -342,7 +375,9 @@
     @Override
     public void request(long time, Request r) {
         at(time);
-        if (held.containsKey(r.id())) { return; }
+        if (held.containsKey(r.id())) {
+            return;
+        }
         Held h = new Held(r, s.limits(), now);
         held.put(r.id(), h);
         seen = seen * Math.exp((seenAt - now) / SHARE_TAU) + 1;
@@ -384,7 +419,9 @@
             m = mappings.row(r.session(), true, now);
             double need = need(m);
             // No conversation comes this often: a hot key, which would drown the one replica it lives on.
-            if (m.demand > HOT_SESSION) { most = width(need, m); }
+            if (m.demand > HOT_SESSION) {
+                most = width(need, m);
+            }
         }
         h.mapping = m;
         sendOrTurnAway(h, choose(h, most));
@@ -405,9 +442,13 @@
         long same = h.r.session() != 0 ? h.r.session() : h.r.id().hashCode();
         standing = (mix(same ^ 0x51ab3c7d90e2f614L) >>> 11) * 0x1.0p-53;
         Replica tried = trial(h);
-        if (tried != null) { return tried; }
+        if (tried != null) {
+            return tried;
+        }
         for (int i = m == null ? -1 : m.size - 1; i >= 0; i--) {
-            if (!m.deque[i].ready || i >= most) { m.drop(i); }
+            if (!m.deque[i].ready || i >= most) {
+                m.drop(i);
+            }
         }
         boolean known = m != null && m.size >= most;
         if (known || m != null && m.size > 0 && !h.attempts.isEmpty()) {
@@ -433,16 +474,24 @@
         long hash = m != null ? m.place() : mix(rotation++);
         Ring ring = ringFor(m);
         Replica c = walk(ring, hash, h, known);
-        if (c == null && ring != all) { c = walk(all, hash, h, known); }
+        if (c == null && ring != all) {
+            c = walk(all, hash, h, known);
+        }
         h.fallback = c == null || known || !h.attempts.isEmpty();
-        if (!h.fallback && m != null) { m.join(c, most); }
+        if (!h.fallback && m != null) {
+            m.join(c, most);
+        }
         return c != null ? c : busy != null ? busy : pressure(h);
     }
 
     /** A session's own order of replicas: one that joins or leaves a deque moves its own sessions only. */
-    private static long rank(Held h, Replica r) { return mix(h.r.session() ^ r.hash); }
+    private static long rank(Held h, Replica r) {
+        return mix(h.r.session() ^ r.hash);
+    }
 
-    private static boolean warm(Mapping m, Replica r) { return m != null && m.index(r) >= 0; }
+    private static boolean warm(Mapping m, Replica r) {
+        return m != null && m.index(r) >= 0;
+    }
 
     /** The next ready replica under capacity, in turn from the key's place on the ring. */
     private Replica walk(Ring ring, long hash, Held h, boolean known) {
@@ -480,7 +529,9 @@
         int from = (int) (random() * n);
         for (int i = 0; i < Math.min(n, 4 * WALK); i++) {
             Replica c = fleet.get((from + i) % n);
-            if (c.ready && allowed(h, c)) { return c; }
+            if (c.ready && allowed(h, c)) {
+                return c;
+            }
         }
         return null;
     }
@@ -488,7 +539,9 @@
     /** May this request go there at all? Effects, earlier tries, and the budget of a cold replica. */
     private boolean allowed(Held h, Replica r) {
         for (Attempt a : h.attempts) {
-            if (a.replica == r) { return false; }
+            if (a.replica == r) {
+                return false;
+            }
         }
         return maySend(h, r) && coldAllows(r);
     }
@@ -502,8 +555,12 @@
         double mean = r.part * inflight / Math.max(1, readyCount);
         // While the fleet is short a key stays: elsewhere its tokens would be read anew and push the next one
         // over. Where few are found anyway, as after a release, a short queue is worth more than the place.
-        return reachable(r) && (strained() && keptPart >= FEW_KEPT || !waits(r) && now >= r.busyUntil
-                && r.inflight < r.limit && r.inflight < HEAPED_MORE + HEAPED * mean);
+        return reachable(r)
+                && (strained() && keptPart >= FEW_KEPT
+                        || !waits(r)
+                                && now >= r.busyUntil
+                                && r.inflight < r.limit
+                                && r.inflight < HEAPED_MORE + HEAPED * mean);
     }
 
     /** Has this node asked it for something that should have begun by now? A first token tells of a slow
@@ -529,7 +586,9 @@
             r.trialOut = true;
             a.trial = true;
         }
-        if (r.coldSince != NEVER) { r.coldTokens--; }
+        if (r.coldSince != NEVER) {
+            r.coldTokens--;
+        }
         out.send(h.r.id(), r.id, 0);
     }
 
@@ -538,7 +597,9 @@
     public void begun(long time, String id, int n, long took) {
         at(time);
         Held h = held.get(id);
-        if (h == null || n < 0 || n >= h.attempts.size() || h.streaming) { return; }
+        if (h == null || n < 0 || n >= h.attempts.size() || h.streaming) {
+            return;
+        }
         h.attempts.get(n).begun = true;
         h.streaming = true;
         firstToken(h, h.attempts.get(n), took);
@@ -548,26 +609,33 @@
     private void cancelOthers(Held h) {
         for (int i = 0; i < h.attempts.size() && h.limits.cancel(); i++) {
             Attempt a = h.attempts.get(i);
-            if (!a.done && !a.begun) { out.cancel(h.r.id(), i); }
+            if (!a.done && !a.begun) {
+                out.cancel(h.r.id(), i);
+            }
         }
     }
 
     @Override
-    public void outcome(long time, String id, int n, Outcome o, long took, boolean settled, long kept,
-            Load load) {
+    public void outcome(long time, String id, int n, Outcome o, long took, boolean settled, long kept, Load load) {
         at(time);
         Held h = held.get(id);
-        if (h == null || n < 0 || n >= h.attempts.size() || h.attempts.get(n).done) { return; }
+        if (h == null || n < 0 || n >= h.attempts.size() || h.attempts.get(n).done) {
+            return;
+        }
         Attempt a = h.attempts.get(n);
         a.done = true;
         h.open--;
         a.replica.inflight--;
         inflight--;
-        if (a.trial) { a.replica.trialOut = false; }
+        if (a.trial) {
+            a.replica.trialOut = false;
+        }
         if (priced() && a.replica.inflight == 0 && !own.holds(a.replica) && !wide.holds(a.replica)) {
             out.close(a.replica.id);
         }
-        if (!o.neverRan && h.mayHaveRun == null) { h.mayHaveRun = a; }
+        if (!o.neverRan && h.mayHaveRun == null) {
+            h.mayHaveRun = a;
+        }
         judge(h, a, o, took);
         reported(a.replica, load);
         if (o == Outcome.OK && h.fallback && h.mapping != null && !h.mapping.session && a.replica.ready) {
@@ -575,10 +643,11 @@
             h.mapping.join(a.replica, Math.max(1, h.mapping.size));
         }
         if (o == Outcome.OK && kept >= 0 && h.r.promptTokens() > 0) {
-            keptPart += (Math.min(1, kept / h.r.promptTokens()) - keptPart)
-                    * Math.max(KEPT_WEIGHT, 1.0 / ++keptSeen);
+            keptPart += (Math.min(1, kept / h.r.promptTokens()) - keptPart) * Math.max(KEPT_WEIGHT, 1.0 / ++keptSeen);
+        }
+        if (o == Outcome.OK && kept >= 0 && warm(h.mapping, a.replica)) {
+            missed(h, a, kept);
         }
-        if (o == Outcome.OK && kept >= 0 && warm(h.mapping, a.replica)) { missed(h, a, kept); }
         if (settled || h.over) {
             end(h);
         } else if (h.open == 0) {
@@ -592,7 +661,9 @@
         Mapping m = h.mapping;
         if (m.settledAt == NEVER) {
             m.settledAt = now;
-        } else if (!m.session && a.sentAt >= m.settledAt && kept < FEW_KEPT * h.r.prefixTokens()
+        } else if (!m.session
+                && a.sentAt >= m.settledAt
+                && kept < FEW_KEPT * h.r.prefixTokens()
                 && now - lastMiss >= MISS_GAP) {
             lastMiss = now;
             m.drop(m.index(a.replica));
@@ -601,24 +672,34 @@
 
     private void end(Held h) {
         h.over = true;
-        if (h.open == 0) { held.remove(h.r.id()); }
+        if (h.open == 0) {
+            held.remove(h.r.id());
+        }
     }
 
     private boolean mayRetry(Held h, Attempt a, Outcome o, long took) {
-        if (h.streaming || o == Outcome.MOOT || o == Outcome.CANCELLED && !a.givenUp
+        if (h.streaming
+                || o == Outcome.MOOT
+                || o == Outcome.CANCELLED && !a.givenUp
                 || h.r.deadline() - now < SWEEP
                 || h.attempts.size() >= Math.min(MOST_TRIES, h.mostAttempts(s.limits()))) {
             return false;
         }
         RequestClass c = s.classes().get(h.r.cls());
-        if (now - h.arrived > aim(c, h.r) && c.lateShare() <= 0) { return false; }
+        if (now - h.arrived > aim(c, h.r) && c.lateShare() <= 0) {
+            return false;
+        }
         // While the fleet is short, a full replica's request waits with its client: its tokens are kept
         // there, and elsewhere it would be read anew and push the next replica over.
-        if (o == Outcome.FULL && strained()) { return false; }
+        if (o == Outcome.FULL && strained()) {
+            return false;
+        }
         // At a zone that is lost nothing runs: what is given up there costs nobody a second time.
-        double cost = o == Outcome.CONNECT_FAILED || a.givenUp ? 0
-                : o != Outcome.FULL && took < SWEEP ? QUICK_ERROR : 1;
-        if (retryBudget < cost) { return false; }
+        double cost =
+                o == Outcome.CONNECT_FAILED || a.givenUp ? 0 : o != Outcome.FULL && took < SWEEP ? QUICK_ERROR : 1;
+        if (retryBudget < cost) {
+            return false;
+        }
         retryBudget -= cost;
         return true;
     }
@@ -630,21 +711,32 @@
     /** Rule 2: what an earlier attempt did, or may still do, decides where another may go. */
     private boolean maySend(Held h, Replica to) {
         RequestClass c = s.classes().get(h.r.cls());
-        if (h.open > 0 && !h.limits.parallel()) { return false; }
-        if (c.effect() == Effect.PURE) { return true; }
+        if (h.open > 0 && !h.limits.parallel()) {
+            return false;
+        }
+        if (c.effect() == Effect.PURE) {
+            return true;
+        }
         Attempt first = h.mayHaveRun;
         for (Attempt a : h.attempts) {
             first = !a.done && (first == null || a.sentAt < first.sentAt) ? a : first;
         }
-        if (first == null) { return true; }
-        if (c.effect() == Effect.SIDE_EFFECT || now - first.sentAt >= c.window()) { return false; }
+        if (first == null) {
+            return true;
+        }
+        if (c.effect() == Effect.SIDE_EFFECT || now - first.sentAt >= c.window()) {
+            return false;
+        }
         Server was = first.replica.entry;
-        return c.group() == Group.ALL || c.group() == Group.ZONE && to.entry.zone() == was.zone()
+        return c.group() == Group.ALL
+                || c.group() == Group.ZONE && to.entry.zone() == was.zone()
                 || c.group() == Group.CELL && to.entry.cell() == was.cell();
     }
 
     /** Whether a request may be answered as refused now, whatever became of its attempts. */
-    boolean mayRefuse(String id) { return !held.containsKey(id) || mayRefuse(held.get(id)); }
+    boolean mayRefuse(String id) {
+        return !held.containsKey(id) || mayRefuse(held.get(id));
+    }
 
     private boolean mayRefuse(Held h) {
         if (h.r.cls() < 0 || h.r.cls() >= s.classes().size() || h.open == 0 && h.mayHaveRun == null) {
@@ -681,7 +773,8 @@
         meanFirst[c] = learnt(mean, took);
         a.replica.heard = now;
         // A late answer that still earns a part is bad by the rest only.
-        double worth = took <= aim(s.classes().get(c), h.r) ? 1 : s.classes().get(c).lateShare();
+        double worth =
+                took <= aim(s.classes().get(c), h.r) ? 1 : s.classes().get(c).lateShare();
         good += worth;
         bad += 1 - worth;
         double ratio = took / Math.max(20_000, mean);
@@ -692,24 +785,34 @@
         } else {
             otherPace += (Math.min(4, ratio) - otherPace) * 0.1;
         }
-        if (a.trial && a.replica.slow <= SLOW_RATIO) { release(a.replica); }
+        if (a.trial && a.replica.slow <= SLOW_RATIO) {
+            release(a.replica);
+        }
     }
 
     /** A mean with one more value, of which an outlier counts as four times the mean at most. */
-    private static double learnt(double m, double v) { return m + (Math.min(v, 4 * m) - m) * 0.05; }
+    private static double learnt(double m, double v) {
+        return m + (Math.min(v, 4 * m) - m) * 0.05;
+    }
 
     /** Relative slowness: what all replicas share cancels out, so a shared cause ejects none. */
     private void overdue(Replica r, double ratio) {
         r.slow += (Math.min(10, ratio) - r.slow) * 0.4;
-        if (r.slow > SLOW_RATIO) { eject(r, false); }
+        if (r.slow > SLOW_RATIO) {
+            eject(r, false);
+        }
     }
 
     /** A report is stale and noisy. One where requests wait is passed over for as long as a full one; its
      *  time of service counts against the fleet's like a first token's, unless it is cold and thus slow
      *  anyway. */
     private void reported(Replica r, Load l) {
-        if (l == null) { return; }
-        if (l.queue() >= 1) { r.busyUntil = Math.max(r.busyUntil, now + FULL_PAUSE); }
+        if (l == null) {
+            return;
+        }
+        if (l.queue() >= 1) {
+            r.busyUntil = Math.max(r.busyUntil, now + FULL_PAUSE);
+        }
         if (l.latencyMs() > 0 && r.coldSince == NEVER) {
             meanService = learnt(meanService == 0 ? l.latencyMs() : meanService, l.latencyMs());
             overdue(r, l.latencyMs() / meanService);
@@ -721,11 +824,15 @@
         switch (o) {
             case OK -> {
                 r.breaks *= BREAK_SERVED;
-                if (r.inflight + 1 >= r.limit) { r.limit += 1 / r.limit; }
+                if (r.inflight + 1 >= r.limit) {
+                    r.limit += 1 / r.limit;
+                }
                 double mean = meanWhole[h.r.cls()] == 0 ? took : meanWhole[h.r.cls()];
                 meanWhole[h.r.cls()] = learnt(mean, took);
                 // A stream that takes long tells of a slow replica too, but answers differ in length.
-                if (took > SLOW_RATIO * mean) { r.slow += (Math.min(10, took / mean) - r.slow) * 0.25; }
+                if (took > SLOW_RATIO * mean) {
+                    r.slow += (Math.min(10, took / mean) - r.slow) * 0.25;
+                }
             }
             case FULL -> {
                 bad++;
@@ -738,13 +845,17 @@
                 broken(r, 1);
             }
             case SPOILT -> broken(r, SPOILT_COUNTS);
-            case CONNECT_FAILED -> { if (r.ready) { unreachable(r, took); } }
+            case CONNECT_FAILED -> {
+                if (r.ready) {
+                    unreachable(r, took);
+                }
+            }
             case TIMEOUT -> {
                 bad++;
                 told(r, Sign.SILENCE, took, 1);
                 overdue(r, 10);
             }
-            default -> { }
+            default -> {}
         }
         if (o == Outcome.OK || o == Outcome.FULL || o == Outcome.ERROR) {
             r.heard = now;
@@ -757,7 +868,9 @@
     private void broken(Replica r, double counts) {
         r.breaks = r.breaks * Math.exp((r.brokeAt - now) / BREAK_TAU) + counts;
         r.brokeAt = now;
-        if (r.breaks >= BREAKS) { eject(r, false); }
+        if (r.breaks >= BREAKS) {
+            eject(r, false);
+        }
     }
 
     private void told(Replica r, Sign sign, long took, double ratio) {
@@ -769,15 +882,21 @@
         eject(r, true);
     }
 
-    private int zone(int z) { return z >= 0 && z < zoneCount ? z : 0; }
+    private int zone(int z) {
+        return z >= 0 && z < zoneCount ? z : 0;
+    }
 
-    private boolean takes(Replica r) { return zones.takes(now, zone(r.entry.zone()), standing); }
+    private boolean takes(Replica r) {
+        return zones.takes(now, zone(r.entry.zone()), standing);
+    }
 
     /** Where zones are planned for: silence is told while it lasts, what waits at a zone that gets nothing is
      *  given up early, and health checks ask what too few requests would tell late. */
     private void planZones() {
         zones.tick(now);
-        if (!zones.plans()) { return; }
+        if (!zones.plans()) {
+            return;
+        }
         double usual = Arrays.stream(meanFirst).max().orElse(0);
         long silent = Math.max(WAITS, (long) (SLOW_RATIO * usual));
         for (Replica r : fleet) {
@@ -792,8 +911,12 @@
             for (int n = 0; n < h.attempts.size(); n++) {
                 Attempt a = h.attempts.get(n);
                 long shut = zones.shutSince(zone(a.zone));
-                if (shut != Long.MAX_VALUE && !a.done && !a.givenUp && !h.streaming
-                        && (a.silent || a.sentAt < shut) && s.limits().cancel()) {
+                if (shut != Long.MAX_VALUE
+                        && !a.done
+                        && !a.givenUp
+                        && !h.streaming
+                        && (a.silent || a.sentAt < shut)
+                        && s.limits().cancel()) {
                     a.givenUp = true;
                     out.cancel(h.r.id(), n);
                 }
@@ -801,7 +924,9 @@
         }
         for (int z = 0; z < zoneCount; z++) {
             boolean shut = zones.shutSince(z) != Long.MAX_VALUE;
-            if (shutZones[z] && !shut) { backInReach(z); }
+            if (shutZones[z] && !shut) {
+                backInReach(z);
+            }
             shutZones[z] = shut;
             int checks = !s.limits().probes() ? 0 : zones.checks(z) + (zones.tries(now, z) ? 1 : 0);
             for (int i = 0; checks > 0 && i < fleet.size(); i++) {
@@ -817,7 +942,9 @@
     /** What was learnt of its replicas while nothing reached them says nothing now. */
     private void backInReach(int z) {
         for (Replica r : fleet) {
-            if (r.ready && zone(r.entry.zone()) == z) { release(r); }
+            if (r.ready && zone(r.entry.zone()) == z) {
+                release(r);
+            }
         }
     }
 
@@ -829,7 +956,9 @@
             for (int i = 0; zones.shutSince(z) != Long.MAX_VALUE && i < fleet.size(); i++) {
                 Replica r = fleet.get((from + i) % fleet.size());
                 if (r.ready && zone(r.entry.zone()) == z && allowed(h, r)) {
-                    if (zones.tries(now, z)) { return r; }
+                    if (zones.tries(now, z)) {
+                        return r;
+                    }
                     break;
                 }
             }
@@ -840,7 +969,8 @@
     /** Takes a replica out for a time that grows with its strikes; a part of the fleet at most, unless it
      *  can't be reached at all. When the time is over, one request is let through as a trial. */
     private void eject(Replica r, boolean always) {
-        if (!r.ready || r.ejected && now < r.ejectedUntil
+        if (!r.ready
+                || r.ejected && now < r.ejectedUntil
                 || !r.ejected && !always && ejectedCount + 1 > MOST_EJECTED * readyCount) {
             return;
         }
@@ -867,16 +997,21 @@
         if (r != null && o == Outcome.OK) {
             r.heard = now;
             reported(r, load);
-            if (zones.plans()) { told(r, Sign.ANSWERED, took, 1); }
+            if (zones.plans()) {
+                told(r, Sign.ANSWERED, took, 1);
+            }
+        }
+        if (r != null && (o == Outcome.CONNECT_FAILED || o == Outcome.RESET)) {
+            unreachable(r, took);
+        }
+        if (r != null && o == Outcome.TIMEOUT && zones.plans()) {
+            told(r, Sign.SILENCE, took, 1);
         }
-        if (r != null && (o == Outcome.CONNECT_FAILED || o == Outcome.RESET)) { unreachable(r, took); }
-        if (r != null && o == Outcome.TIMEOUT && zones.plans()) { told(r, Sign.SILENCE, took, 1); }
     }
 
     /** Probes only replicas unheard of for a period, so that gateways times replicas stays small. */
     private void healthCheck() {
-        if (!s.limits().probes() || fleet.isEmpty()
-                || now - lastCheck < CHECK_PERIOD * s.instances() / fleet.size()) {
+        if (!s.limits().probes() || fleet.isEmpty() || now - lastCheck < CHECK_PERIOD * s.instances() / fleet.size()) {
             return;
         }
         lastCheck = now;
@@ -913,7 +1048,9 @@
         if (now - warmAt >= SWEEP) {
             warmAt = now;
             warm = 0;
-            for (Replica r : fleet) { warm += r.ready ? warmth(r) : 0; }
+            for (Replica r : fleet) {
+                warm += r.ready ? warmth(r) : 0;
+            }
             usual = usual == 0 ? warm : usual + (warm - usual) * SWEEP / SHARE_TAU;
         }
         return Math.max(warm, 0.5 * readyCount);
@@ -925,7 +1062,9 @@
      *  one moment with a third of a request each, ten go. At first it counts as one that has sent for long.
      */
     private boolean coldAllows(Replica r) {
-        if (r.coldSince == NEVER) { return true; }
+        if (r.coldSince == NEVER) {
+            return true;
+        }
         double part = warmth(r);
         if (part >= 1) {
             r.coldSince = NEVER;
@@ -942,9 +1081,12 @@
         long window = (now - r.coldSince) / Math.max(1, s.guarantees().fall());
         double care = due * Math.min(Math.sqrt(window == 0 ? 1 / factor : factor), Math.sqrt(0.5) * factor);
         // A node that sees few spreads its keys by session: no key can lead all nodes to one replica.
-        double most = seen < ENOUGH_SEEN ? care * readyCount : factor * due * perTime * s.guarantees().fall();
-        r.coldTokens = Math.min(Math.min(1, most), r.coldAt == NEVER ? care * readyCount
-                : r.coldTokens + care * perTime * (now - r.coldAt));
+        double most = seen < ENOUGH_SEEN
+                ? care * readyCount
+                : factor * due * perTime * s.guarantees().fall();
+        r.coldTokens = Math.min(
+                Math.min(1, most),
+                r.coldAt == NEVER ? care * readyCount : r.coldTokens + care * perTime * (now - r.coldAt));
         r.coldAt = now;
         return r.coldTokens > (r.coldPlace + GOLDEN * window) % 1;
     }
@@ -971,20 +1113,30 @@
         return allowance[tenant] < 1 || allowance[tenant]-- < 1;
     }
 
-    private boolean strained() { return bad > STRAINED_AT * (good + bad) && bad > 2; }
+    private boolean strained() {
+        return bad > STRAINED_AT * (good + bad) && bad > 2;
+    }
 
     private double worth(int k) {
-        return s.classes().get(k / 2).worth() * (k % 2 == 1 ? s.overShareWorth() : 1)
+        return s.classes().get(k / 2).worth()
+                * (k % 2 == 1 ? s.overShareWorth() : 1)
                 / Math.max(50_000, meanWhole[k / 2]);
     }
 
     private void control() {
         double total = good + bad;
-        shed = total < 4 || bad <= SHED_AT * total ? Math.max(0, shed - SHED_DOWN)
+        shed = total < 4 || bad <= SHED_AT * total
+                ? Math.max(0, shed - SHED_DOWN)
                 : Math.min(SHED_MOST, shed + SHED_UP);
         if (s.costs().crossZone() > 0 && s.zones() > 1) {
-            stay = Math.max(0, Math.min(stayMost, stay + (ownPace > STAY_DOWN_ABOVE * otherPace ? -STAY_DOWN
-                    : ownPace < STAY_UP_BELOW * otherPace ? STAY_UP : 0)));
+            stay = Math.max(
+                    0,
+                    Math.min(
+                            stayMost,
+                            stay
+                                    + (ownPace > STAY_DOWN_ABOVE * otherPace
+                                            ? -STAY_DOWN
+                                            : ownPace < STAY_UP_BELOW * otherPace ? STAY_UP : 0)));
         }
         good *= 0.5;
         bad *= 0.5;
@@ -993,22 +1145,32 @@
         while (left > 0) {
             int least = -1;
             for (int k = 0; k < 2 * s.classes().size(); k++) {
-                if (shedPart[k] == 0 && (least < 0 || worth(k) < worth(least))) { least = k; }
+                if (shedPart[k] == 0 && (least < 0 || worth(k) < worth(least))) {
+                    least = k;
+                }
+            }
+            if (least < 0) {
+                break;
             }
-            if (least < 0) { break; }
             shedPart[least] = arrivals[least] <= 0 ? 1 : Math.min(1, left / arrivals[least]);
             left -= arrivals[least];
         }
-        for (int k = 0; k < arrivals.length; k++) { arrivals[k] *= 0.9; }
+        for (int k = 0; k < arrivals.length; k++) {
+            arrivals[k] *= 0.9;
+        }
     }
 
     // ---- The timer --------------------------------------------------------------------------------------
     @Override
     public void timer(long time, long token) {
         at(time);
-        if (token != 1) { return; }
+        if (token != 1) {
+            return;
+        }
         out.timer(now + SWEEP, 1);
-        if (s.subscribe() && asking.due(now, s.guarantees().askWithin())) { out.watch(); }
+        if (s.subscribe() && asking.due(now, s.guarantees().askWithin())) {
+            out.watch();
+        }
         warmth();
         planZones();
         healthCheck();
@@ -1019,5 +1181,7 @@
     }
 
     @Override
-    public void message(long time, int peer, byte[] payload) { at(time); }
+    public void message(long time, int peer, byte[] payload) {
+        at(time);
+    }
 }
--- a/src/main/java/magpiehub/core/State.java
+++ b/src/main/java/magpiehub/core/State.java
@@ -14,8 +14,7 @@
  * and the handling of a deque. */
 final class State {
 
-    private State() {
-    }
+    private State() {}
 
     /** A replica, as this node knows it. */
     static final class Replica {
@@ -24,6 +23,7 @@
         Server entry;
         /** Registered size, and the same over the fleet's mean. */
         double size;
+
         double part = 1;
         boolean ready;
         int inflight;
@@ -48,7 +48,9 @@
         Replica(String id) {
             this.id = id;
             long h = 0;
-            for (int i = 0; i < id.length(); i++) { h = Rules.mix(h * 31 + id.charAt(i) + 1); }
+            for (int i = 0; i < id.length(); i++) {
+                h = Rules.mix(h * 31 + id.charAt(i) + 1);
+            }
             hash = h;
         }
     }
@@ -57,6 +59,7 @@
     static final class Ring {
         /** Points for a replica of usual size: enough for even shares, few enough to rebuild fast. */
         private static final int POINTS = 24;
+
         final long[] points;
         final Replica[] at;
         final int replicas;
@@ -78,7 +81,9 @@
             }
         }
 
-        boolean holds(Replica r) { return Arrays.asList(at).contains(r); }
+        boolean holds(Replica r) {
+            return Arrays.asList(at).contains(r);
+        }
 
         int from(long hash) {
             int i = Arrays.binarySearch(points, hash);
@@ -97,6 +102,7 @@
         long used;
         /** When the newest entry was first served. */
         long settledAt = Rules.NEVER;
+
         Mapping newer;
         Mapping older;
 
@@ -223,6 +229,7 @@
         boolean trial;
         /** Its silence has been told; it was given up since its zone gets nothing any more. */
         boolean silent;
+
         boolean givenUp;
         /** The zone that it went to. */
         final int zone;
@@ -240,6 +247,7 @@
         final long arrived;
         /** Those in force when it came: a reload changes nothing for a request under way. */
         final Limits limits;
+
         final List<Attempt> attempts = new ArrayList<>(2);
         Mapping mapping;
         boolean fallback;
--- a/src/main/java/magpiehub/core/ThreadCache.java
+++ b/src/main/java/magpiehub/core/ThreadCache.java
@@ -54,6 +54,7 @@
     private final class Worker implements Runnable {
         /** Guards {@link #next}; the worker waits on it. */
         private final Object handOver = new Object();
+
         private Runnable next;
 
         Worker(Runnable first) {
--- a/src/main/java/magpiehub/core/Zones.java
+++ b/src/main/java/magpiehub/core/Zones.java
@@ -62,14 +62,14 @@
     }
 
     /** Time has passed. */
-    default void tick(long now) {
-    }
+    default void tick(long now) {}
 
     /** A cut is learnt once, not replica by replica. */
     final class Plain implements Zones {
         /** A zone is passed over for this long (us) once this many of its replicas could not be reached
          *  within twice that time, and none could. */
         private static final long PAUSE = 1_000_000;
+
         private static final int FAILURES = 3;
         private long[] failedAt = new long[0];
         private int[] failures = new int[0];
@@ -100,8 +100,7 @@
         }
 
         @Override
-        public void listed(long now, int zone, int live) {
-        }
+        public void listed(long now, int zone, int live) {}
 
         @Override
         public boolean takes(long now, int zone, double place) {
--- a/src/main/java/magpiehub/front/MessagesFront.java
+++ b/src/main/java/magpiehub/front/MessagesFront.java
@@ -46,7 +46,10 @@
             if (listen == null) {
                 throw new Config.Malformed(file.getFileName() + " gives no address in \"listen\"");
             }
-            return new Options(Config.address(listen), f.text("class", ""), f.text("tenant", ""),
+            return new Options(
+                    Config.address(listen),
+                    f.text("class", ""),
+                    f.text("tenant", ""),
                     f.object("models").map());
         }
     }
@@ -86,8 +89,11 @@
         }
         String system = text(f, "system");
         StringBuilder b = new StringBuilder(256 + system.length());
-        b.append("{\"model\":").append(quoted(model)).append(",\"stream\":true,\"stream_options\":")
-                .append("{\"include_usage\":true},\"max_tokens\":").append((long) most);
+        b.append("{\"model\":")
+                .append(quoted(model))
+                .append(",\"stream\":true,\"stream_options\":")
+                .append("{\"include_usage\":true},\"max_tokens\":")
+                .append((long) most);
         for (String name : List.of("temperature", "top_p")) {
             if (f.map().containsKey(name)) {
                 b.append(",\"").append(name).append("\":").append(f.number(name, 1));
@@ -111,7 +117,10 @@
             String content = text(m, "content");
             opening = opening == null ? content : opening;
             characters += content.length();
-            b.append("{\"role\":\"").append(role).append("\",\"content\":").append(quoted(content))
+            b.append("{\"role\":\"")
+                    .append(role)
+                    .append("\",\"content\":")
+                    .append(quoted(content))
                     .append("},");
         }
         b.setCharAt(b.length() - 1, ']');
@@ -126,17 +135,28 @@
         String id = head.get("X-Call-Id");
         String route = head.get("X-Route-Hash");
         String budget = head.get("X-Budget-Ms");
-        long wait = budget != null ? PlatformFront.budget(budget)
+        long wait = budget != null
+                ? PlatformFront.budget(budget)
                 : now.settings().classes().get(c).deadline();
         // A conversation is known by its opening: each turn brings all that went before.
-        long session = route != null ? PlatformFront.whole(route, 16, "X-Route-Hash")
+        long session = route != null
+                ? PlatformFront.whole(route, 16, "X-Route-Hash")
                 : hash(f.object("metadata").text("user_id", "") + '\n' + system + '\n' + opening);
-        Request r = new Request(id != null ? PlatformFront.id(id) : newId(), c,
-                now.tenant(tenant != null ? tenant : options.tenant), session,
-                system.isEmpty() ? 0 : hash(system), at + wait, 0, characters / CHARACTERS_A_TOKEN,
-                system.length() / CHARACTERS_A_TOKEN, most, false, false, false);
-        return new Translated(r, head.endToEnd(IDEMPOTENCY_KEY::equals), body, model,
-                f.flag("stream", false));
+        Request r = new Request(
+                id != null ? PlatformFront.id(id) : newId(),
+                c,
+                now.tenant(tenant != null ? tenant : options.tenant),
+                session,
+                system.isEmpty() ? 0 : hash(system),
+                at + wait,
+                0,
+                characters / CHARACTERS_A_TOKEN,
+                system.length() / CHARACTERS_A_TOKEN,
+                most,
+                false,
+                false,
+                false);
+        return new Translated(r, head.endToEnd(IDEMPOTENCY_KEY::equals), body, model, f.flag("stream", false));
     }
 
     /** The class of a model's requests: what the store says, else the file, else the file's own default. */
@@ -191,14 +211,15 @@
     }
 
     private static String error(int status, String why) {
-        String type = switch (status) {
-            case 400, 405, 408, 431 -> "invalid_request_error";
-            case 404 -> "not_found_error";
-            case 413 -> "request_too_large";
-            case 504 -> "timeout_error";
-            case 529 -> "overloaded_error";
-            default -> "api_error";
-        };
+        String type =
+                switch (status) {
+                    case 400, 405, 408, 431 -> "invalid_request_error";
+                    case 404 -> "not_found_error";
+                    case 413 -> "request_too_large";
+                    case 504 -> "timeout_error";
+                    case 529 -> "overloaded_error";
+                    default -> "api_error";
+                };
         return "{\"type\":\"error\",\"error\":{\"type\":\"" + type + "\",\"message\":" + quoted(why) + "}}";
     }
 
@@ -209,6 +230,7 @@
         private String stop = "end_turn";
         /** The engine has said why its text is over: what may still come is usage and framing. */
         private boolean finished;
+
         private long read;
         private long kept;
         private long made;
@@ -232,8 +254,8 @@
         }
 
         private String usage() {
-            return "{\"input_tokens\":" + (read - kept) + ",\"cache_read_input_tokens\":" + kept
-                    + ",\"output_tokens\":" + made + "}";
+            return "{\"input_tokens\":" + (read - kept) + ",\"cache_read_input_tokens\":" + kept + ",\"output_tokens\":"
+                    + made + "}";
         }
 
         @Override
@@ -242,8 +264,7 @@
                 read = (long) request.promptTokens();
                 Http.streamHead(out, close);
                 say(out, "message_start", ",\"message\":" + message("", "null"));
-                say(out, "content_block_start",
-                        ",\"index\":0,\"content_block\":{\"type\":\"text\",\"text\":\"\"}");
+                say(out, "content_block_start", ",\"index\":0,\"content_block\":{\"type\":\"text\",\"text\":\"\"}");
             }
         }
 
@@ -267,9 +288,10 @@
                         default -> stop;
                     };
                     if (!text.isEmpty() && stream) {
-                        say(out, "content_block_delta",
-                                ",\"index\":0,\"delta\":{\"type\":\"text_delta\",\"text\":"
-                                        + quoted(text) + "}");
+                        say(
+                                out,
+                                "content_block_delta",
+                                ",\"index\":0,\"delta\":{\"type\":\"text_delta\",\"text\":" + quoted(text) + "}");
                     } else {
                         whole.append(text);
                     }
@@ -277,8 +299,8 @@
                 Facts usage = f.object("usage");
                 read = (long) usage.number("prompt_tokens", read);
                 made = (long) usage.number("completion_tokens", made);
-                kept = Math.min(read, (long) usage
-                        .object("prompt_tokens_details").number("cached_tokens", kept));
+                kept = Math.min(
+                        read, (long) usage.object("prompt_tokens_details").number("cached_tokens", kept));
             } catch (IOException | Config.Malformed e) {
                 // An event that is none of ours says nothing in this dialect; the engines' side counts it.
                 return;
@@ -288,14 +310,20 @@
         @Override
         public void end(Http.Output out, boolean close) {
             if (!stream) {
-                Http.answer(out, 200, "application/json", message("{\"type\":\"text\",\"text\":"
-                        + quoted(whole.toString()) + "}", quoted(stop)).getBytes(StandardCharsets.UTF_8),
-                                close);
+                Http.answer(
+                        out,
+                        200,
+                        "application/json",
+                        message("{\"type\":\"text\",\"text\":" + quoted(whole.toString()) + "}", quoted(stop))
+                                .getBytes(StandardCharsets.UTF_8),
+                        close);
                 return;
             }
             say(out, "content_block_stop", ",\"index\":0");
-            say(out, "message_delta", ",\"delta\":{\"stop_reason\":" + quoted(stop)
-                    + ",\"stop_sequence\":null},\"usage\":" + usage());
+            say(
+                    out,
+                    "message_delta",
+                    ",\"delta\":{\"stop_reason\":" + quoted(stop) + ",\"stop_sequence\":null},\"usage\":" + usage());
             say(out, "message_stop", "");
             out.lastChunk();
         }
@@ -320,8 +348,7 @@
         public void broken(Http.Output out, byte[] error) {
             String why = error == null ? "the stream broke" : "the engine failed: " + reason(error);
             if (stream) {
-                out.chunk(("event: error\ndata: " + error(500, why)
-                        + "\n\n").getBytes(StandardCharsets.UTF_8));
+                out.chunk(("event: error\ndata: " + error(500, why) + "\n\n").getBytes(StandardCharsets.UTF_8));
             } else {
                 MessagesFront.this.error(out, 500, why, 0, true);
             }
--- a/src/main/java/magpiehub/front/PlatformFront.java
+++ b/src/main/java/magpiehub/front/PlatformFront.java
@@ -23,9 +23,18 @@
     /** What the router itself reads or says anew, and the codings that a client takes: the router reads the
      *  events that it passes on. Engines get everything else that a client says of its request, such as the
      *  key by which they drop repeats. In lower case. */
-    private static final Set<String> OWN_HEADERS = Set.of("accept-encoding", "content-type", "x-call-id",
-            "x-call-class", "x-caller", "x-route-hash", "x-budget-ms", "x-call-info", "x-call-cost",
+    private static final Set<String> OWN_HEADERS = Set.of(
+            "accept-encoding",
+            "content-type",
+            "x-call-id",
+            "x-call-class",
+            "x-caller",
+            "x-route-hash",
+            "x-budget-ms",
+            "x-call-info",
+            "x-call-cost",
             "x-again");
+
     static final String PATH = "/v1/chat/completions";
     private static final int WARM_ROUNDS = 60;
     private final Supplier<Config.Site> site;
@@ -38,8 +47,8 @@
     public Call read(Http.Head head, byte[] body, long at) throws Http.Bad {
         String target = posted(head, PATH);
         checkJson(body);
-        return new Passed(request(site.get(), head, at), target,
-                head.endToEnd(name -> !OWN_HEADERS.contains(name)), body);
+        return new Passed(
+                request(site.get(), head, at), target, head.endToEnd(name -> !OWN_HEADERS.contains(name)), body);
     }
 
     /** The target of a request that a front takes: a POST to its path, with a query or without. */
@@ -58,14 +67,14 @@
      *  to wait for that. Nothing of it is kept. */
     public void warm() throws IOException {
         byte[] request = ("POST " + PATH + " HTTP/1.1\r\nHost: warm\r\nX-Call-Id: 0\r\nX-Call-Class: "
-                + site.get().settings().classes().get(0).name() + "\r\n"
-                + "X-Caller: warm\r\nX-Route-Hash: 7f\r\nX-Budget-Ms: 1\r\n"
-                + "X-Call-Info: prefix=5c,prompt_len=9\r\n"
-                + "Content-Length: 8192\r\n\r\n{\"stream\":true,\"messages\":\"" + "x".repeat(8163) + "\"}")
+                        + site.get().settings().classes().get(0).name() + "\r\n"
+                        + "X-Caller: warm\r\nX-Route-Hash: 7f\r\nX-Budget-Ms: 1\r\n"
+                        + "X-Call-Info: prefix=5c,prompt_len=9\r\n"
+                        + "Content-Length: 8192\r\n\r\n{\"stream\":true,\"messages\":\"" + "x".repeat(8163) + "\"}")
                 .getBytes(StandardCharsets.UTF_8);
         String event = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
         byte[] answer = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + (Integer.toHexString(event.length()) + "\r\n" + event + "\r\n").repeat(20) + "0\r\n\r\n")
+                        + (Integer.toHexString(event.length()) + "\r\n" + event + "\r\n").repeat(20) + "0\r\n\r\n")
                 .getBytes(StandardCharsets.UTF_8);
         Http.Output out = new Http.Output();
         for (int i = 0; i < WARM_ROUNDS; i++) {
@@ -117,11 +126,20 @@
             }
         }
         String again = head.get("X-Again");
-        return new Request(id, cls(site, name(need(head, "X-Call-Class"))), tenant == null ? -1
-                : site.tenant(tenant),
-                route == null ? 0 : whole(route, 16, "X-Route-Hash"), prefix, at + budget,
+        return new Request(
+                id,
+                cls(site, name(need(head, "X-Call-Class"))),
+                tenant == null ? -1 : site.tenant(tenant),
+                route == null ? 0 : whole(route, 16, "X-Route-Hash"),
+                prefix,
+                at + budget,
                 cost(head.get("X-Call-Cost")),
-                lengths[0], lengths[1], lengths[2], "1".equals(again), false, "again".equals(again));
+                lengths[0],
+                lengths[1],
+                lengths[2],
+                "1".equals(again),
+                false,
+                "again".equals(again));
     }
 
     /** The client's estimate of the work, in milliseconds; 0 where there is none that can be read. */
@@ -146,8 +164,10 @@
             return value;
         }
         try {
-            return StandardCharsets.UTF_8.newDecoder()
-                    .decode(ByteBuffer.wrap(value.getBytes(StandardCharsets.ISO_8859_1))).toString();
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(value.getBytes(StandardCharsets.ISO_8859_1)))
+                    .toString();
         } catch (CharacterCodingException e) {
             return value;
         }
--- a/src/main/java/magpiehub/net/Clients.java
+++ b/src/main/java/magpiehub/net/Clients.java
@@ -38,12 +38,14 @@
     /** How long a connection that is being closed waits for its client's own end, so that the last answer
      *  is not destroyed by a reset (us). */
     private static final long LINGER = 1_000_000;
+
     private static final long LINGER_OF_MANY = 200_000;
     /** A client that has connected is to have sent its first request by then, whether it says nothing, a head
      *  without end or half a request (us): it is owed an error within 3 s. */
     private static final long FIRST_REQUEST = 2_500_000;
     /** How long a later request may take from its first byte, and between two reads of it (us). */
     private static final long REQUEST = 6_000_000;
+
     private static final int READ_MS = 3_000;
     /** A connection may be closed once it has been idle for so long (us). */
     private static final long IDLE = 2_000_000;
@@ -52,6 +54,7 @@
     /** When there are many, clients that have not sent a byte are let go after so long (us), and at the limit
      *  all that have not sent a request yet after so short a time. */
     private static final int GLANCE_MS = 5;
+
     private static final long SILENT = 1_000_000;
     private static final long SILENT_AT_LIMIT = 300_000;
     private static final int MOST_DISCARDED = 1 << 20;
@@ -67,6 +70,7 @@
      *  the idle ones are gone, the longest idle first and not all at once. What a client asks for then has
      *  two seconds before somebody looks whether all are gone. */
     private static final long LET_GO_AFTER = 250_000;
+
     private static final long EMPTY_AFTER = 1_600_000;
     private static final long SIGN = 1_000_000;
 
@@ -87,6 +91,7 @@
     private final LinkedBlockingQueue<Connection> arrivals = new LinkedBlockingQueue<>();
     /** Bytes of request bodies read or being read, and not yet answered or begun. */
     private final AtomicLong inHand = new AtomicLong();
+
     private volatile boolean closing;
     /** While clients are sent away: since when (us); 0 while they are taken. */
     private volatile long standbySince;
@@ -94,9 +99,17 @@
     private volatile long emptyBy;
 
     /** A listener that is bound but accepts nothing until {@link #start}. */
-    public Clients(Door door, Front front, ModuleActor module, Mailbox.Clock clock,
-            ModuleActor.Journal journal, BooleanSupplier ready, Supplier<String> counters, int most,
-            Mailbox.Crew crew, Streams streams) {
+    public Clients(
+            Door door,
+            Front front,
+            ModuleActor module,
+            Mailbox.Clock clock,
+            ModuleActor.Journal journal,
+            BooleanSupplier ready,
+            Supplier<String> counters,
+            int most,
+            Mailbox.Crew crew,
+            Streams streams) {
         this.door = door;
         this.crew = crew;
         this.streams = streams;
@@ -309,46 +322,34 @@
         return open.size();
     }
 
-    private record Arrived(Http.Head head, byte[] body, long at, int room) {
-    }
+    private record Arrived(Http.Head head, byte[] body, long at, int room) {}
 
-    private record Malformed(int status, String why) {
-    }
+    private record Malformed(int status, String why) {}
 
-    private record Left() {
-    }
+    private record Left() {}
 
     /** The client has closed its sending side, and may read on. */
-    private record HalfClosed() {
-    }
+    private record HalfClosed() {}
 
-    private record CloseIfIdle() {
-    }
+    private record CloseIfIdle() {}
 
-    private record Leave() {
-    }
+    private record Leave() {}
 
     /** The time that the connection has named has come. */
-    private record Due() {
-    }
+    private record Due() {}
 
     /** In place of the time since when a connection is quiet, while it has a request in hand. */
     private static final long BUSY = Long.MAX_VALUE;
 
-    private record Event(Exchange exchange, byte[] bytes) {
-    }
+    private record Event(Exchange exchange, byte[] bytes) {}
 
-    private record End(Exchange exchange) {
-    }
+    private record End(Exchange exchange) {}
 
-    private record Broken(Exchange exchange, byte[] error, Ending why) {
-    }
+    private record Broken(Exchange exchange, byte[] error, Ending why) {}
 
-    private record Refused(Exchange exchange, long retryAfter) {
-    }
+    private record Refused(Exchange exchange, long retryAfter) {}
 
-    private record Failed(Exchange exchange, String why) {
-    }
+    private record Failed(Exchange exchange, String why) {}
 
     /** One request of a connection, as the module and the engines' side know it. */
     private static final class Exchange implements ModuleActor.Client, Front.Sink {
@@ -414,6 +415,7 @@
         private Exchange current;
         /** The stream that {@link #out} holds bytes of or ends, how many, and its ending; until written. */
         private volatile Streams.Flow flow;
+
         private long inOut;
         private Ending ends;
         private boolean halfClosed;
@@ -422,6 +424,7 @@
         private int room;
         /** The last answer is written: only the client's own end is waited for. */
         private boolean lingering;
+
         private boolean ended;
         private final AtomicBoolean full = new AtomicBoolean();
         /** The client has asked for the connection to end with this answer. */
@@ -429,6 +432,7 @@
         /** Since when there is no request in hand; whether one has ever come whole; whether one is coming in;
          *  whether the connection has been told to leave. The accepting thread reads these. */
         private volatile long quietSince = clock.micros();
+
         private volatile boolean asked;
         private volatile boolean reading;
         private volatile boolean leaving;
@@ -437,6 +441,7 @@
         private volatile boolean left;
         /** When this connection is to be told that time has passed. */
         private volatile long due = quietSince + FIRST_REQUEST;
+
         private boolean gone;
 
         Connection(Socket socket, boolean shed) {
@@ -610,8 +615,7 @@
 
         private void answer(OutputStream to) throws IOException {
             for (Object m = mailbox.poll(); m != null && !ended; m = mailbox.poll()) {
-                for (; m != null && !ended; m = out.length() < 16 * 1024 && ends == null ? mailbox.poll()
-                        : null) {
+                for (; m != null && !ended; m = out.length() < 16 * 1024 && ends == null ? mailbox.poll() : null) {
                     handle(m);
                 }
                 Mailbox.Crew.mayBlock(true);
@@ -725,8 +729,7 @@
             } else if (m instanceof Broken b) {
                 if (b.exchange == current) {
                     ends = b.why;
-                    if (current.begun && b.why != Ending.MOVED && b.error == null
-                            && current.call.saved(out, last())) {
+                    if (current.begun && b.why != Ending.MOVED && b.error == null && current.call.saved(out, last())) {
                         ends = Ending.INCOMPLETE;
                         over(last());
                         return;
@@ -851,13 +854,15 @@
             String path = a.head.start[1];
             if (path.equals("/up") || path.equals("/counters")) {
                 boolean get = a.head.start[0].equals("GET") || a.head.start[0].equals("HEAD");
-                int status = !get ? 405 : path.equals("/up") && (standbySince != 0
-                        || !ready.getAsBoolean()) ? 503 : 200;
-                String text = path.equals("/counters") ? counters.get() : status == 200 ? "up\n"
-                        : "not ready\n";
-                Http.answer(out, status, "text/plain; charset=utf-8",
-                        a.head.start[0].equals("HEAD") ? new byte[0]
-                                : text.getBytes(StandardCharsets.UTF_8), close);
+                int status =
+                        !get ? 405 : path.equals("/up") && (standbySince != 0 || !ready.getAsBoolean()) ? 503 : 200;
+                String text = path.equals("/counters") ? counters.get() : status == 200 ? "up\n" : "not ready\n";
+                Http.answer(
+                        out,
+                        status,
+                        "text/plain; charset=utf-8",
+                        a.head.start[0].equals("HEAD") ? new byte[0] : text.getBytes(StandardCharsets.UTF_8),
+                        close);
                 over(close);
                 return;
             }
--- a/src/main/java/magpiehub/net/EngineEvent.java
+++ b/src/main/java/magpiehub/net/EngineEvent.java
@@ -12,8 +12,7 @@
     /** The most of an event that is logged (bytes). */
     private static final int MOST_LOGGED = 120;
 
-    private EngineEvent() {
-    }
+    private EngineEvent() {}
 
     private static boolean contains(byte[] b, String word) {
         int n = word.length();
@@ -35,13 +34,16 @@
             return false;
         }
         String text = new String(event, StandardCharsets.UTF_8);
-        return text.startsWith("event: error") || text.contains("\nevent: error")
+        return text.startsWith("event: error")
+                || text.contains("\nevent: error")
                 || Front.data(event).replace(" ", "").startsWith("{\"error\"");
     }
 
     /** An event of the engines' dialect, or a comment. */
     static boolean known(byte[] event) {
-        return event.length == 0 || event[0] == ':' || contains(event, "\"choices\"")
+        return event.length == 0
+                || event[0] == ':'
+                || contains(event, "\"choices\"")
                 || Front.data(event).equals("[DONE]");
     }
 
@@ -53,7 +55,8 @@
         try {
             return (long) Config.facts(Front.data(event).getBytes(StandardCharsets.UTF_8), "event")
                     .object("usage")
-                    .object("prompt_tokens_details").number("cached_tokens", -1);
+                    .object("prompt_tokens_details")
+                    .number("cached_tokens", -1);
         } catch (IOException | Config.Malformed e) {
             return -1; // An answer's text may hold the word too.
         }
--- a/src/main/java/magpiehub/net/Engines.java
+++ b/src/main/java/magpiehub/net/Engines.java
@@ -38,6 +38,7 @@
     /** Part of the engines' idle time after which a connection is retired: a request written later than the
      *  engine's own limit would end as a reset. */
     private static final double RETIRE_AT = 0.5;
+
     private static final int PROBE_TIMEOUT_MS = 1000;
     /** How long a connection rests between two requests (us): what an engine sends behind a whole answer has
      *  come by then, and can't be taken for the answer to the next one. */
@@ -50,8 +51,7 @@
     private static final long TICK = 50_000;
 
     /** Where an engine listens now, and whether it takes new work. */
-    private record Place(String hostPort, boolean takes) {
-    }
+    private record Place(String hostPort, boolean takes) {}
 
     private final Mailbox.Clock clock;
     private final ModuleActor.Journal journal;
@@ -70,8 +70,13 @@
     private ModuleActor module;
 
     /** Pools of at most so many connections together. */
-    public Engines(Config.Site site, int most, Mailbox.Clock clock,
-            ModuleActor.Journal journal, Mailbox.Crew crew, Streams streams) {
+    public Engines(
+            Config.Site site,
+            int most,
+            Mailbox.Clock clock,
+            ModuleActor.Journal journal,
+            Mailbox.Crew crew,
+            Streams streams) {
         this.crew = crew;
         this.streams = streams;
         this.clock = clock;
@@ -96,22 +101,23 @@
     /** Tells connections whose time has come, however many there are. */
     public void start() {
         Mailbox.thread("engine-times", () -> {
-            Mailbox<Object> nothing = new Mailbox<>(clock, 0);
-            long now = clock.micros();
-            try {
-                while (true) {
-                    nothing.take(now + TICK);
-                    now = clock.micros();
-                    for (Connection c : open) {
-                        if (c.due <= now) {
-                            c.mailbox.post(new Due());
+                    Mailbox<Object> nothing = new Mailbox<>(clock, 0);
+                    long now = clock.micros();
+                    try {
+                        while (true) {
+                            nothing.take(now + TICK);
+                            now = clock.micros();
+                            for (Connection c : open) {
+                                if (c.due <= now) {
+                                    c.mailbox.post(new Due());
+                                }
+                            }
                         }
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
                     }
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }).start();
+                })
+                .start();
     }
 
     /** Discovery's word on one engine, before the module hears of it. Any thread. */
@@ -122,9 +128,8 @@
             streams.gone(id);
             return;
         }
-        places.compute(id, (k, old) -> new Place(hostPort != null ? hostPort : old == null ? null
-                : old.hostPort,
-                takes));
+        places.compute(
+                id, (k, old) -> new Place(hostPort != null ? hostPort : old == null ? null : old.hostPort, takes));
     }
 
     /** Engines that a whole list does not name are gone. */
@@ -159,7 +164,7 @@
     /** The connection last used of those that have rested. */
     private Connection rested(ArrayDeque<Connection> pool) {
         long now = clock.micros();
-        for (Iterator<Connection> i = pool.descendingIterator(); i.hasNext();) {
+        for (Iterator<Connection> i = pool.descendingIterator(); i.hasNext(); ) {
             Connection c = i.next();
             if (now - c.freedAt >= REST) {
                 i.remove();
@@ -231,30 +236,33 @@
     public void probe(String server) {
         long sentAt = clock.micros();
         Mailbox.thread("probe", () -> {
-            Outcome o = Outcome.RESET;
-            boolean sent = false;
-            Load load = null;
-            Reports told = reports;
-            try (Socket s = new Socket()) {
-                connect(s, server);
-                s.setSoTimeout(PROBE_TIMEOUT_MS);
-                s.getOutputStream().write(("GET " + (told.inProbes() ? "/metrics/load" : "/alive")
-                        + " HTTP/1.1\r\nHost: " + places.get(server).hostPort
-                        + "\r\nConnection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-                sent = true;
-                Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
-                Http.Head h = in.await() ? in.head(false) : null;
-                o = h == null ? Outcome.RESET : h.status() == 200 ? Outcome.OK : Outcome.FULL;
-                if (o == Outcome.OK && told.inProbes()) {
-                    load = load(told, new String(in.body(h), StandardCharsets.UTF_8));
-                }
-            } catch (SocketTimeoutException e) {
-                o = sent ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED;
-            } catch (IOException | RuntimeException e) {
-                o = sent ? Outcome.RESET : Outcome.CONNECT_FAILED;
-            }
-            module.probed(server, o, sentAt, load);
-        }).start();
+                    Outcome o = Outcome.RESET;
+                    boolean sent = false;
+                    Load load = null;
+                    Reports told = reports;
+                    try (Socket s = new Socket()) {
+                        connect(s, server);
+                        s.setSoTimeout(PROBE_TIMEOUT_MS);
+                        s.getOutputStream()
+                                .write(("GET " + (told.inProbes() ? "/metrics/load" : "/alive")
+                                                + " HTTP/1.1\r\nHost: " + places.get(server).hostPort
+                                                + "\r\nConnection: close\r\n\r\n")
+                                        .getBytes(StandardCharsets.US_ASCII));
+                        sent = true;
+                        Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
+                        Http.Head h = in.await() ? in.head(false) : null;
+                        o = h == null ? Outcome.RESET : h.status() == 200 ? Outcome.OK : Outcome.FULL;
+                        if (o == Outcome.OK && told.inProbes()) {
+                            load = load(told, new String(in.body(h), StandardCharsets.UTF_8));
+                        }
+                    } catch (SocketTimeoutException e) {
+                        o = sent ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED;
+                    } catch (IOException | RuntimeException e) {
+                        o = sent ? Outcome.RESET : Outcome.CONNECT_FAILED;
+                    }
+                    module.probed(server, o, sentAt, load);
+                })
+                .start();
     }
 
     private Load load(Reports told, String text) {
@@ -317,49 +325,41 @@
         }
     }
 
-    private record Start(Lease lease) {
-    }
+    private record Start(Lease lease) {}
 
-    private record Grant(Lease lease) {
-    }
+    private record Grant(Lease lease) {}
 
-    private record Stop(Lease lease) {
-    }
+    private record Stop(Lease lease) {}
 
-    private record Exit() {
-    }
+    private record Exit() {}
 
     /** The time that the connection has named has come. */
-    private record Due() {
-    }
+    private record Due() {}
 
-    private record Connected(Socket from) {
-    }
+    private record Connected(Socket from) {}
 
     /** What a reader has to say, with the socket that it reads from. */
-    private record Answered(Socket from, int status, boolean rejected, boolean reusable, String report) {
-    }
+    private record Answered(Socket from, int status, boolean rejected, boolean reusable, String report) {}
 
     /** One event, counted as {@code flow}'s. */
-    private record Event(Socket from, byte[] bytes, Streams.Flow flow) {
-    }
+    private record Event(Socket from, byte[] bytes, Streams.Flow flow) {}
 
-    private record End(Socket from, boolean reusable, String report) {
-    }
+    private record End(Socket from, boolean reusable, String report) {}
 
-    private record Broken(Socket from, String why, boolean spoilt) {
-    }
+    private record Broken(Socket from, String why, boolean spoilt) {}
 
     private final class Connection {
         private final String server;
         private final Mailbox<Object> mailbox = new Mailbox<>(clock, MAILBOX_BYTES);
         /** The module's thread alone reads and writes these. */
         private boolean leased;
+
         private long freedAt;
         /** When this connection is to be told that time has passed. */
         private volatile long due = Long.MAX_VALUE;
         /** Requests written on the socket in hand: an answer without one is none. */
         private volatile int written;
+
         private boolean connecting;
         private boolean gone;
         private long idleSince;
@@ -372,17 +372,21 @@
         private final ArrayDeque<byte[]> pending = new ArrayDeque<>(2);
         /** How the attempt ended, kept back until the stream is granted or stopped. */
         private Outcome outcome;
+
         private byte[] error;
         private boolean reusable;
         private long kept;
         /** What the answer in hand says of its engine's load. */
         private String report;
+
         private byte[] lastEvent;
         /** When the last event or comment came, and when the last event. */
         private long heardAt;
+
         private long eventAt;
         /** The account of the request in hand; the reader counts what comes as its own. */
         private volatile Streams.Flow flow;
+
         private boolean silent;
 
         Connection(String server) {
@@ -405,10 +409,11 @@
                 }
                 long now = clock.micros();
                 handle(m, now);
-                due = lease == null ? socket == null ? Long.MAX_VALUE : idleSince + retireAfter
-                        : begun && outcome == null ? streams.silentUntil(flow, server, resume, heardAt,
-                        eventAt,
-                                now) : Long.MAX_VALUE;
+                due = lease == null
+                        ? socket == null ? Long.MAX_VALUE : idleSince + retireAfter
+                        : begun && outcome == null
+                                ? streams.silentUntil(flow, server, resume, heardAt, eventAt, now)
+                                : Long.MAX_VALUE;
             }
         }
 
@@ -418,7 +423,8 @@
             }
             if (lease == null) {
                 retire();
-            } else if (begun && outcome == null
+            } else if (begun
+                    && outcome == null
                     && now >= streams.silentUntil(flow, server, resume, heardAt, eventAt, now)) {
                 journal.count("silent_streams");
                 silent = true;
@@ -480,8 +486,7 @@
                 return;
             }
             sink = call.sink();
-            if (socket != null && places.get(server) != null
-                    && !connectedTo.equals(places.get(server).hostPort)) {
+            if (socket != null && places.get(server) != null && !connectedTo.equals(places.get(server).hostPort)) {
                 drop();
             }
             if (socket == null) {
@@ -560,10 +565,14 @@
         private byte[] request(Front.Call call, Attempt a) {
             // Connecting may have taken a while since this turn began: the engine is told what is left now.
             long left = Math.max(1, (a.until - clock.micros()) / 1000);
-            return new Http.Output().text("POST " + call.target + " HTTP/1.1\r\nHost: " + connectedTo
-                    + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body.length
-                    + "\r\nX-Call-Id: " + call.request.id() + "\r\nX-Budget-Ms: " + left + "\r\n")
-                    .bytes(call.headers).text("\r\n").bytes(call.body).take();
+            return new Http.Output()
+                    .text("POST " + call.target + " HTTP/1.1\r\nHost: " + connectedTo
+                            + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body.length
+                            + "\r\nX-Call-Id: " + call.request.id() + "\r\nX-Budget-Ms: " + left + "\r\n")
+                    .bytes(call.headers)
+                    .text("\r\n")
+                    .bytes(call.body)
+                    .take();
         }
 
         private void answered(Answered a) {
@@ -696,7 +705,8 @@
                 return;
             }
             Front.Sink client = sink;
-            Ledger.Ending ending = outcome == Outcome.ERROR ? Ledger.Ending.ENGINE_ERROR
+            Ledger.Ending ending = outcome == Outcome.ERROR
+                    ? Ledger.Ending.ENGINE_ERROR
                     : silent ? Ledger.Ending.ENGINE_STALLED : Ledger.Ending.ENGINE_BROKE;
             over(outcome);
             if (outcome == Outcome.OK) {
@@ -784,8 +794,12 @@
                         mailbox.post(new End(s, !h.closes() && in.empty(), reported(h)));
                     } else {
                         in.body(h);
-                        mailbox.post(new Answered(s, h.status(), "1".equals(h.get("X-Rejected")),
-                                !h.closes() && in.empty(), reported(h)));
+                        mailbox.post(new Answered(
+                                s,
+                                h.status(),
+                                "1".equals(h.get("X-Rejected")),
+                                !h.closes() && in.empty(),
+                                reported(h)));
                     }
                 }
             } catch (Http.Bad | SocketTimeoutException e) {
--- a/src/main/java/magpiehub/net/Front.java
+++ b/src/main/java/magpiehub/net/Front.java
@@ -29,6 +29,7 @@
         public final Request request;
         /** What engines are sent: the target, header lines of the client's own, and the body. */
         public final String target;
+
         public final byte[] headers;
         public final byte[] body;
         /** The stream that gets the events; set by the connection that took the request. */
@@ -105,8 +106,7 @@
         StringBuilder d = new StringBuilder();
         for (String line : new String(event, StandardCharsets.UTF_8).split("\r\n|\n|\r")) {
             if (line.startsWith("data:")) {
-                d.append(d.length() > 0 ? "\n" : "").append(line.substring(line.startsWith("data: ")
-                        ? 6 : 5));
+                d.append(d.length() > 0 ? "\n" : "").append(line.substring(line.startsWith("data: ") ? 6 : 5));
             }
         }
         return d.toString();
--- a/src/main/java/magpiehub/net/Http.java
+++ b/src/main/java/magpiehub/net/Http.java
@@ -19,18 +19,28 @@
 public final class Http {
     /** The largest head and the largest body that are read. */
     public static final int MOST_HEAD = 16 * 1024;
+
     public static final int MOST_BODY = 256 * 1024;
     private static final int MOST_HEADERS = 100;
     private static final int MOST_CHUNK_LINE = 256;
     private static final int MOST_CHUNK = 4 * MOST_BODY;
     /** Headers that speak of one connection or one message's framing (RFC 9110, 7.6.1), and of its
      *  receiver. */
-    private static final Set<String> HOP_BY_HOP = Set.of("connection", "content-length", "expect", "host",
-            "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer",
-            "transfer-encoding", "upgrade");
-
-    private Http() {
-    }
+    private static final Set<String> HOP_BY_HOP = Set.of(
+            "connection",
+            "content-length",
+            "expect",
+            "host",
+            "keep-alive",
+            "proxy-authenticate",
+            "proxy-authorization",
+            "proxy-connection",
+            "te",
+            "trailer",
+            "transfer-encoding",
+            "upgrade");
+
+    private Http() {}
 
     /** What can't be read: the status it is answered with, and the connection ends. */
     public static final class Bad extends IOException {
@@ -47,6 +57,7 @@
     public static final class Head {
         /** For a request method, target and version; for an answer version, status and reason. */
         public final String[] start;
+
         private final List<String> names = new ArrayList<>();
         private final List<String> values = new ArrayList<>();
 
@@ -101,7 +112,10 @@
             for (int i = 0; i < names.size(); i++) {
                 String name = names.get(i).toLowerCase(Locale.ROOT);
                 if (!HOP_BY_HOP.contains(name) && !has("Connection", name) && passes.test(name)) {
-                    lines.append(names.get(i)).append(": ").append(values.get(i)).append("\r\n");
+                    lines.append(names.get(i))
+                            .append(": ")
+                            .append(values.get(i))
+                            .append("\r\n");
                 }
             }
             return lines.toString().getBytes(StandardCharsets.ISO_8859_1);
@@ -110,8 +124,7 @@
         /** Whether the sender closes after this message. */
         public boolean closes() {
             String version = start[0].startsWith("HTTP/") ? start[0] : start[2];
-            return has("Connection", "close")
-                    || version.equals("HTTP/1.0") && !has("Connection", "keep-alive");
+            return has("Connection", "close") || version.equals("HTTP/1.0") && !has("Connection", "keep-alive");
         }
     }
 
@@ -246,12 +259,18 @@
             }
             room -= first.length();
             String[] start = request ? first.split(" ", -1) : first.split(" ", 3);
-            if (request && (start.length != 3 || !token(start[0]) || start[1].isEmpty()
-                    || !start[2].equals("HTTP/1.1") && !start[2].equals("HTTP/1.0"))) {
+            if (request
+                    && (start.length != 3
+                            || !token(start[0])
+                            || start[1].isEmpty()
+                            || !start[2].equals("HTTP/1.1") && !start[2].equals("HTTP/1.0"))) {
                 throw new Bad(400, "malformed request line");
             }
-            if (!request && (start.length < 2 || !start[0].startsWith("HTTP/1.")
-                    || start[1].length() != 3 || !digits(start[1]))) {
+            if (!request
+                    && (start.length < 2
+                            || !start[0].startsWith("HTTP/1.")
+                            || start[1].length() != 3
+                            || !digits(start[1]))) {
                 throw new Bad(502, "malformed status line");
             }
             Head h = new Head(start);
@@ -285,8 +304,7 @@
             String coding = h.get("Transfer-Encoding");
             String length = h.get("Content-Length");
             if (coding != null) {
-                if (length != null || h.count("Transfer-Encoding") > 1
-                        || !coding.equalsIgnoreCase("chunked")) {
+                if (length != null || h.count("Transfer-Encoding") > 1 || !coding.equalsIgnoreCase("chunked")) {
                     throw new Bad(400, "ambiguous framing");
                 }
                 return -1;
@@ -294,8 +312,7 @@
             if (length == null) {
                 return 0;
             }
-            if (h.count("Content-Length") > 1 || length.isEmpty() || length.length() > 15
-                    || !digits(length)) {
+            if (h.count("Content-Length") > 1 || length.isEmpty() || length.length() > 15 || !digits(length)) {
                 throw new Bad(400, "malformed Content-Length");
             }
             if (Long.parseLong(length) > most) {
@@ -503,7 +520,9 @@
     static boolean token(String s) {
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
-            if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+            if (!(c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || c >= '0' && c <= '9'
                     || "!#$%&'*+-.^_`|~".indexOf(c) >= 0)) {
                 return false;
             }
@@ -553,8 +572,9 @@
 
         /** One chunk of a chunked body; nothing for no bytes, which would end it. */
         public Output chunk(byte[] b) {
-            return b.length == 0 ? this : text(Integer.toHexString(b.length)).text("\r\n").bytes(b)
-                    .text("\r\n");
+            return b.length == 0
+                    ? this
+                    : text(Integer.toHexString(b.length)).text("\r\n").bytes(b).text("\r\n");
         }
 
         public Output lastChunk() {
@@ -592,8 +612,7 @@
     }
 
     /** A whole answer with a body. */
-    public static void answer(Output out, int status, String type, byte[] body, boolean close,
-            String... more) {
+    public static void answer(Output out, int status, String type, byte[] body, boolean close, String... more) {
         out.text("HTTP/1.1 " + status + " " + reason(status) + "\r\n");
         out.text("Content-Type: " + type + "\r\nContent-Length: " + body.length + "\r\n");
         for (int i = 0; i + 1 < more.length; i += 2) {
@@ -604,8 +623,7 @@
 
     /** An answer that says why there is no other, and when to come back if that is known. */
     public static void error(Output out, int status, String json, long retryAfter, boolean close) {
-        String[] more = retryAfter > 0 ? new String[] {"Retry-After", Front.seconds(retryAfter)}
-                : new String[0];
+        String[] more = retryAfter > 0 ? new String[] {"Retry-After", Front.seconds(retryAfter)} : new String[0];
         answer(out, status, "application/json", json.getBytes(StandardCharsets.UTF_8), close, more);
     }
 
--- a/src/main/java/magpiehub/net/Reports.java
+++ b/src/main/java/magpiehub/net/Reports.java
@@ -43,8 +43,15 @@
                     return null;
                 }
             }
-            return new Load(value(f, "inflight"), value(f, "queue"), value(f, "util"), value(f, "latency_ms"),
-                    value(f, "qps"), value(f, "eps"), value(f, "x0"), value(f, "x1"));
+            return new Load(
+                    value(f, "inflight"),
+                    value(f, "queue"),
+                    value(f, "util"),
+                    value(f, "latency_ms"),
+                    value(f, "qps"),
+                    value(f, "eps"),
+                    value(f, "x0"),
+                    value(f, "x1"));
         } catch (IOException | RuntimeException | StackOverflowError e) {
             return null;
         }
@@ -56,7 +63,7 @@
 
     /** The text of the report in the comment lines of an event; null if it has none. */
     static String comment(byte[] event) {
-        for (int line = 0; line < event.length;) {
+        for (int line = 0; line < event.length; ) {
             int end = line;
             while (end < event.length && event[end] != '\n' && event[end] != '\r') {
                 end++;
--- a/src/main/java/magpiehub/ops/Console.java
+++ b/src/main/java/magpiehub/ops/Console.java
@@ -23,9 +23,11 @@
 public final class Console {
     /** Connections at most, and bytes of a line. */
     static final int MOST = 24;
+
     static final int MOST_LINE = 512;
     /** How long a caller may take for its line, and then to close its side (ms). */
     private static final int PATIENCE_MS = 5_000;
+
     private static final int LINGER_MS = 500;
 
     private final ServerSocket server = new ServerSocket();
@@ -110,7 +112,7 @@
             // What the caller still sends is read, or a reset would destroy the answer on its way.
             byte[] rest = new byte[256];
             long until = System.nanoTime() + LINGER_MS * 1_000_000L;
-            for (int n = 0; n >= 0 && System.nanoTime() < until;) {
+            for (int n = 0; n >= 0 && System.nanoTime() < until; ) {
                 s.setSoTimeout(LINGER_MS);
                 n = s.getInputStream().read(rest);
             }
--- a/src/main/java/magpiehub/ops/Log.java
+++ b/src/main/java/magpiehub/ops/Log.java
@@ -22,10 +22,12 @@
 public final class Log implements ModuleActor.Journal {
     /** Facility local0. */
     private static final int FACILITY = 16;
+
     private static final int WARNING = 4;
     private static final int INFORMATIONAL = 6;
     /** The enterprise number that RFC 5612 sets aside for examples and documentation. */
     private static final String SD_ID = "magpiehub@32473";
+
     private static final int MAILBOX_BYTES = 256 * 1024;
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSSSSS'Z'").withZone(ZoneOffset.UTC);
@@ -48,14 +50,15 @@
     public void start() {
         started = true;
         Mailbox.thread("log", () -> {
-            try {
-                while (true) {
-                    write(lines.take(Long.MAX_VALUE));
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }).start();
+                    try {
+                        while (true) {
+                            write(lines.take(Long.MAX_VALUE));
+                        }
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                })
+                .start();
     }
 
     private void write(Object line) {
@@ -92,7 +95,8 @@
     /** All counters in the order of their names, one a line. */
     public String counters() {
         StringBuilder b = new StringBuilder();
-        new TreeMap<>(counters).forEach((k, v) -> b.append(k).append(' ').append(v.sum()).append('\n'));
+        new TreeMap<>(counters)
+                .forEach((k, v) -> b.append(k).append(' ').append(v.sum()).append('\n'));
         return b.toString();
     }
 
@@ -117,16 +121,29 @@
     }
 
     private static int severity(String what) {
-        return what.endsWith("exception") || what.contains("fail") || what.contains("unreadable")
-                || what.contains("broke") || what.contains("error") ? WARNING : INFORMATIONAL;
+        return what.endsWith("exception")
+                        || what.contains("fail")
+                        || what.contains("unreadable")
+                        || what.contains("broke")
+                        || what.contains("error")
+                ? WARNING
+                : INFORMATIONAL;
     }
 
     /** One message: header, structured data, no free text. */
     String line(Instant at, String what, String... namesAndValues) {
         StringBuilder b = new StringBuilder(160);
-        b.append('<').append(FACILITY * 8 + severity(what)).append(">1 ").append(TIME.format(at)).append(' ')
-                .append(host).append(" magpiehub ").append(pid).append(' ').append(name(what, 32))
-                        .append(' ');
+        b.append('<')
+                .append(FACILITY * 8 + severity(what))
+                .append(">1 ")
+                .append(TIME.format(at))
+                .append(' ')
+                .append(host)
+                .append(" magpiehub ")
+                .append(pid)
+                .append(' ')
+                .append(name(what, 32))
+                .append(' ');
         if (namesAndValues.length < 2) {
             return b.append("-\n").toString();
         }
--- a/src/main/java/magpiehub/ops/Maintenance.java
+++ b/src/main/java/magpiehub/ops/Maintenance.java
@@ -29,11 +29,16 @@
      * @param routers processes that serve, by id, the newest last
      * @param sites names of sites that are given up
      */
-    public record Held(long version, boolean standby, Set<String> banned, Map<String, Long> back,
-            Set<String> listed, Set<Long> routers, Set<String> sites) {
+    public record Held(
+            long version,
+            boolean standby,
+            Set<String> banned,
+            Map<String, Long> back,
+            Set<String> listed,
+            Set<Long> routers,
+            Set<String> sites) {
         /** Before anybody said anything. */
-        public static final Held NOTHING = new Held(0, false, Set.of(), Map.of(), Set.of(), Set.of(),
-                Set.of());
+        public static final Held NOTHING = new Held(0, false, Set.of(), Map.of(), Set.of(), Set.of(), Set.of());
 
         /** With more ids that are or were listed. */
         public Held listed(Collection<String> ids) {
@@ -42,7 +47,7 @@
             }
             Set<String> all = new LinkedHashSet<>(listed);
             all.addAll(ids);
-            for (var i = all.iterator(); all.size() > MOST_LISTED && i.hasNext();) {
+            for (var i = all.iterator(); all.size() > MOST_LISTED && i.hasNext(); ) {
                 if (!banned.contains(i.next())) {
                     i.remove();
                 }
@@ -62,8 +67,7 @@
         /** Without a process that has ended. */
         public Held without(long router) {
             Set<Long> all = new LinkedHashSet<>(routers);
-            return all.remove(router) ? new Held(version + 1, standby, banned, back, listed, all, sites)
-                    : this;
+            return all.remove(router) ? new Held(version + 1, standby, banned, back, listed, all, sites) : this;
         }
 
         private Held standby(boolean on) {
@@ -84,7 +88,8 @@
         private Held site(String name, boolean out) {
             Set<String> all = new LinkedHashSet<>(sites);
             return (out ? all.add(name) : all.remove(name))
-                    ? new Held(version + 1, standby, banned, back, listed, routers, all) : this;
+                    ? new Held(version + 1, standby, banned, back, listed, routers, all)
+                    : this;
         }
 
         private Held back(String id, long unixMs) {
@@ -108,11 +113,9 @@
      * @param said what is answered behind SUCCESS
      * @param asks true for a call that only asks
      */
-    public record Verdict(Held after, String refused, String said, boolean asks) {
-    }
+    public record Verdict(Held after, String refused, String said, boolean asks) {}
 
-    private Maintenance() {
-    }
+    private Maintenance() {}
 
     /** One call on what holds now. {@code ready} tells whether this process can serve. */
     public static Verdict call(Held h, String line, boolean ready, long unixMs) {
@@ -130,9 +133,13 @@
         boolean engine = verb.equals("maint-on") || verb.equals("maint-off");
         boolean known = engine || verb.equals("status") || verb.equals("standby") || verb.equals("active");
         if (!known) {
-            return no(h, verb.isEmpty() ? "no call" : "unknown call; status, maint-on ID, maint-off ID,"
-                    + (sites.isEmpty() ? "" : " site-out NAME, site-in NAME, site-status,")
-                    + " standby and active are known");
+            return no(
+                    h,
+                    verb.isEmpty()
+                            ? "no call"
+                            : "unknown call; status, maint-on ID, maint-off ID,"
+                                    + (sites.isEmpty() ? "" : " site-out NAME, site-in NAME, site-status,")
+                                    + " standby and active are known");
         }
         if (words.length != (engine ? 2 : 1)) {
             return no(h, engine ? verb + " takes one id" : verb + " takes nothing more");
@@ -141,9 +148,9 @@
             return no(h, "no engine of that id was ever listed");
         }
         return switch (verb) {
-            case "status" -> !ready ? no(h, "not ready")
-                    : new Verdict(h, null, (h.standby ? "standby" : "active") + " out=" + h.banned.size(),
-                            true);
+            case "status" -> !ready
+                    ? no(h, "not ready")
+                    : new Verdict(h, null, (h.standby ? "standby" : "active") + " out=" + h.banned.size(), true);
             case "standby" -> yes(h.standby(true), "standby");
             case "active" -> yes(h.standby(false), "active");
             case "maint-on" -> yes(h.banned(words[1]), "out " + words[1]);
@@ -156,13 +163,15 @@
         String name = words.length > 1 ? words[1] : null;
         if (words[0].equals("site-status") && words.length == 1) {
             StringBuilder all = new StringBuilder();
-            sites.forEach((n, how) -> all.append(all.length() == 0 ? "" : "; ").append(n).append(' ')
+            sites.forEach((n, how) -> all.append(all.length() == 0 ? "" : "; ")
+                    .append(n)
+                    .append(' ')
                     .append(how));
             return new Verdict(h, null, all.toString(), true);
         }
         if (words.length != 2) {
-            return no(h, words[0] + (words[0].equals("site-status") ? " takes one name or nothing"
-                    : " takes one name"));
+            return no(
+                    h, words[0] + (words[0].equals("site-status") ? " takes one name or nothing" : " takes one name"));
         }
         if (!sites.containsKey(name)) {
             return no(h, "no site of that name; there are " + String.join(", ", sites.keySet()));
@@ -171,8 +180,10 @@
             return new Verdict(h, null, name + " " + sites.get(name), true);
         }
         boolean out = words[0].equals("site-out");
-        if (out && !h.sites.contains(name) && h.sites.containsAll(sites.keySet().stream()
-                .filter(n -> !n.equals(name)).toList())) {
+        if (out
+                && !h.sites.contains(name)
+                && h.sites.containsAll(
+                        sites.keySet().stream().filter(n -> !n.equals(name)).toList())) {
             return no(h, "it is the last site that is not out");
         }
         return yes(h.site(name, out), (out ? "out " : "in ") + name);
--- a/src/main/java/magpiehub/ops/Operators.java
+++ b/src/main/java/magpiehub/ops/Operators.java
@@ -33,8 +33,7 @@
         }
 
         /** Gives these sites up, and takes all others back. */
-        default void sites(Set<String> out) {
-        }
+        default void sites(Set<String> out) {}
 
         /** Sends clients away, or takes them again. */
         void standby(boolean on);
@@ -45,6 +44,7 @@
     private static final long POLL = 100_000;
     /** How long a call waits for the module, and, during an upgrade, for the other process (ms). */
     private static final long PATIENCE_MS = 700;
+
     private static final long OTHER_MS = 2 * POLL / 1000;
 
     private final StateFile file;
@@ -57,8 +57,7 @@
     private volatile boolean fresh;
 
     /** Nothing is read, written or carried out until {@link #start}. */
-    public Operators(Path folder, String router, Hands hands, Mailbox.Clock clock,
-            ModuleActor.Journal journal) {
+    public Operators(Path folder, String router, Hands hands, Mailbox.Clock clock, ModuleActor.Journal journal) {
         this.file = new StateFile(folder, router, journal);
         this.hands = hands;
         this.clock = clock;
@@ -107,7 +106,9 @@
     /** Whether another process has begun to serve after this one. */
     public boolean succeeded() {
         Maintenance.Held h = file.read();
-        return h != null && !h.routers().isEmpty() && others(h)
+        return h != null
+                && !h.routers().isEmpty()
+                && others(h)
                 && h.routers().stream().reduce((a, b) -> b).orElse(self) != self;
     }
 
@@ -121,7 +122,7 @@
 
     private synchronized void keep(java.util.function.UnaryOperator<Maintenance.Held> how) {
         try {
-            take(file.change(held, how), () -> { });
+            take(file.change(held, how), () -> {});
         } catch (IOException | RuntimeException e) {
             unsaved(e);
         }
@@ -135,7 +136,7 @@
     private synchronized void follow() {
         Maintenance.Held h = file.read();
         if (h != null && h.version() > held.version()) {
-            take(h, () -> { });
+            take(h, () -> {});
         }
     }
 
@@ -183,8 +184,10 @@
             } else {
                 try {
                     long now = System.currentTimeMillis();
-                    take(file.change(held, h -> Maintenance.call(h.listed(listed), line, true, now, sites)
-                            .after()), done::countDown);
+                    take(
+                            file.change(held, h -> Maintenance.call(h.listed(listed), line, true, now, sites)
+                                    .after()),
+                            done::countDown);
                 } catch (IOException | RuntimeException e) {
                     // It is carried out all the same; that it won't outlast this process is said.
                     unsaved(e);
@@ -205,7 +208,8 @@
             Thread.currentThread().interrupt();
         }
         journal.log("console-call", "call", line, "answer", v.said());
-        return failure == null ? "SUCCESS " + v.said()
+        return failure == null
+                ? "SUCCESS " + v.said()
                 : "FAILURE " + v.said() + ", but not kept for an upgrade: " + failure.getMessage();
     }
 }
--- a/src/main/java/magpiehub/ops/StateFile.java
+++ b/src/main/java/magpiehub/ops/StateFile.java
@@ -38,7 +38,8 @@
     StateFile(Path folder, String router, ModuleActor.Journal journal) {
         String name = "magpiehub-" + router.replaceAll("[^A-Za-z0-9._-]", "_");
         this.file = folder.resolve(name + ".operators");
-        this.beside = folder.resolve(name + ".operators." + ProcessHandle.current().pid());
+        this.beside =
+                folder.resolve(name + ".operators." + ProcessHandle.current().pid());
         this.lock = folder.resolve(name + ".lock");
         this.journal = journal;
     }
@@ -62,8 +63,7 @@
             last = null;
         } catch (IOException | RuntimeException e) {
             journal.count("operators_file_unreadable");
-            journal.log("operators-file-unreadable", "file", file.toString(), "error",
-                    String.valueOf(e.getMessage()));
+            journal.log("operators-file-unreadable", "file", file.toString(), "error", String.valueOf(e.getMessage()));
         }
         return null;
     }
@@ -84,8 +84,7 @@
             Maintenance.Held now = how.apply(was == null ? known : was);
             if (!now.equals(was)) {
                 Files.write(beside, format(now));
-                Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE,
-                        StandardCopyOption.REPLACE_EXISTING);
+                Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
                 lastStamp = stamp();
                 last = now;
             }
@@ -104,9 +103,14 @@
         }
         Set<Long> routers = new LinkedHashSet<>();
         f.numbers("routers").forEach(d -> routers.add(d.longValue()));
-        return new Maintenance.Held((long) f.number("version", 0), f.flag("standby", false),
-                new LinkedHashSet<>(f.texts("banned")), back, new LinkedHashSet<>(f.texts("listed")),
-                routers, new LinkedHashSet<>(f.texts("sites")));
+        return new Maintenance.Held(
+                (long) f.number("version", 0),
+                f.flag("standby", false),
+                new LinkedHashSet<>(f.texts("banned")),
+                back,
+                new LinkedHashSet<>(f.texts("listed")),
+                routers,
+                new LinkedHashSet<>(f.texts("sites")));
     }
 
     static byte[] format(Maintenance.Held h) throws IOException {
--- a/src/main/java/magpiehub/registry/Announcement.java
+++ b/src/main/java/magpiehub/registry/Announcement.java
@@ -7,12 +7,19 @@
  */
 public final class Announcement {
     /** What is to be done. */
-    public enum Step { NONE, REGISTER, KEEP, DEREGISTER, DONE }
+    public enum Step {
+        NONE,
+        REGISTER,
+        KEEP,
+        DEREGISTER,
+        DONE
+    }
 
     private final long ttl;
     private boolean registered;
     /** A registration may have been made although its answer never came. */
     private boolean doubtful;
+
     private boolean stopping;
     private boolean done;
     private long at;
--- a/src/main/java/magpiehub/registry/Announcer.java
+++ b/src/main/java/magpiehub/registry/Announcer.java
@@ -37,8 +37,9 @@
     private long lease;
 
     /** An announcer for settings with {@code announce}; {@code address} is the router's own. */
-    public Announcer(Options options, String name, String address, Mailbox.Clock clock,
-            ModuleActor.Journal journal, long seed) throws IOException {
+    public Announcer(
+            Options options, String name, String address, Mailbox.Clock clock, ModuleActor.Journal journal, long seed)
+            throws IOException {
         Options.Announce a = options.announce();
         this.options = options;
         this.id = a.id().isEmpty() ? name : a.id();
@@ -49,8 +50,8 @@
         this.state = new Announcement(a.ttl(), clock.micros());
         this.endpoints = new Endpoints(options.endpoints().size(), options.waits(), seed);
         this.tls = options.tls() ? Wire.tls(options.authorities()) : null;
-        this.etcd = options.kind().equals("etcd") ? new Etcd(a.prefix(), 1, options.user(), options.secret(),
-                null) : null;
+        this.etcd =
+                options.kind().equals("etcd") ? new Etcd(a.prefix(), 1, options.user(), options.secret(), null) : null;
     }
 
     /** Starts its thread. */
@@ -128,10 +129,19 @@
                 wire.close();
             }
             journal.count("registry_announce_failures");
-            journal.log("registry-announce-failed", "step", step.toString(), "endpoint",
-                    options.endpoints().get(endpoint), "why", String.valueOf(e.getMessage()));
-            endpoints.failed(endpoint, now, e instanceof Wire.Refused ? Endpoints.Loss.ANSWER
-                    : Endpoints.Loss.LINK, e instanceof Wire.Refused r ? r.retryAfter : 0);
+            journal.log(
+                    "registry-announce-failed",
+                    "step",
+                    step.toString(),
+                    "endpoint",
+                    options.endpoints().get(endpoint),
+                    "why",
+                    String.valueOf(e.getMessage()));
+            endpoints.failed(
+                    endpoint,
+                    now,
+                    e instanceof Wire.Refused ? Endpoints.Loss.ANSWER : Endpoints.Loss.LINK,
+                    e instanceof Wire.Refused r ? r.retryAfter : 0);
             state.failed(now, Math.max(options.waits().base(), endpoints.readyAt() - now));
             if (step == Announcement.Step.DEREGISTER) {
                 state.deregistered(); // Once: the lease ends what is left.
@@ -172,8 +182,12 @@
             return ttl;
         }
         long[] granted = new long[2];
-        Etcd.read(w.content(etcd.call(w, "/v3/lease/grant", Etcd.json(g ->
-                g.writeStringField("TTL", Long.toString((ttl + 999_999) / 1_000_000))))), (p, name) -> {
+        Etcd.read(
+                w.content(etcd.call(
+                        w,
+                        "/v3/lease/grant",
+                        Etcd.json(g -> g.writeStringField("TTL", Long.toString((ttl + 999_999) / 1_000_000))))),
+                (p, name) -> {
                     switch (name) {
                         case "ID" -> granted[0] = Long.parseLong(p.getValueAsString());
                         case "TTL" -> granted[1] = Long.parseLong(p.getValueAsString());
@@ -182,8 +196,8 @@
                 });
         lease = granted[0];
         Consul.drain(w.content(etcd.call(w, "/v3/kv/put", Etcd.json(g -> {
-            g.writeBinaryField("key", (options.announce().prefix() + id)
-                    .getBytes(java.nio.charset.StandardCharsets.UTF_8));
+            g.writeBinaryField(
+                    "key", (options.announce().prefix() + id).getBytes(java.nio.charset.StandardCharsets.UTF_8));
             g.writeBinaryField("value", Etcd.json(v -> {
                 v.writeStringField("id", id);
                 v.writeStringField("host_port", address);
@@ -200,8 +214,8 @@
             return options.announce().ttl();
         }
         long[] ttl = new long[1];
-        Http.Head h = etcd.call(w, "/v3/lease/keepalive",
-                Etcd.json(g -> g.writeStringField("ID", Long.toString(lease))));
+        Http.Head h =
+                etcd.call(w, "/v3/lease/keepalive", Etcd.json(g -> g.writeStringField("ID", Long.toString(lease))));
         Etcd.read(w.content(h), (p, name) -> {
             if (name.equals("result")) {
                 Etcd.members(p, (q, field) -> {
@@ -228,8 +242,8 @@
             return;
         }
         try {
-            Consul.drain(w.content(etcd.call(w, "/v3/lease/revoke",
-                    Etcd.json(g -> g.writeStringField("ID", Long.toString(lease))))));
+            Consul.drain(w.content(
+                    etcd.call(w, "/v3/lease/revoke", Etcd.json(g -> g.writeStringField("ID", Long.toString(lease))))));
         } catch (Wire.Refused e) {
             if (e.status != 404) {
                 throw e;
--- a/src/main/java/magpiehub/registry/Consul.java
+++ b/src/main/java/magpiehub/registry/Consul.java
@@ -38,8 +38,8 @@
     private final String token;
     private final Entries entries;
 
-    private Consul(String target, String probe, boolean health, int prefixLength, long wait, String token,
-            Entries entries) {
+    private Consul(
+            String target, String probe, boolean health, int prefixLength, long wait, String token, Entries entries) {
         this.target = target;
         this.probe = probe;
         this.health = health;
@@ -53,16 +53,14 @@
     static Consul health(String service, long wait, String token, Entries entries) {
         String t = "/v1/health/service/" + escaped(service);
         // A filter that nothing passes: the answer is an empty list under the index of the whole one.
-        return new Consul(t + "?", t + "?filter=" + escaped("Service.ID == \"\""), true, 0, wait, token,
-                entries);
+        return new Consul(t + "?", t + "?filter=" + escaped("Service.ID == \"\""), true, 0, wait, token, entries);
     }
 
     /** The values under a prefix. */
     static Consul values(String prefix, long wait, String token, Entries entries) {
         String t = "/v1/kv/" + escaped(prefix).replace("%2F", "/");
         // Keys up to the first separator: a few bytes under the index of all that is below.
-        return new Consul(t + "?recurse&", t + "?keys&separator=%2F", false, prefix.length(), wait, token,
-                entries);
+        return new Consul(t + "?recurse&", t + "?keys&separator=%2F", false, prefix.length(), wait, token, entries);
     }
 
     static String escaped(String s) {
@@ -88,8 +86,12 @@
     @Override
     public void watch(Wire w, View.Position from, Sink to) throws IOException, InterruptedException {
         // By the documentation an index below 1 is to be taken for none: such a query would never block.
-        whole(w, from.number() < 1 ? target.substring(0, target.length() - 1)
-                : target + "index=" + from.number() + "&wait=" + wait / 1000 + "ms", to);
+        whole(
+                w,
+                from.number() < 1
+                        ? target.substring(0, target.length() - 1)
+                        : target + "index=" + from.number() + "&wait=" + wait / 1000 + "ms",
+                to);
     }
 
     @Override
@@ -171,9 +173,8 @@
         long mod = index(f[1]);
         try {
             byte[] json = Base64.getDecoder().decode(f[2] == null ? "" : f[2]);
-            return View.Item.read(key, mod, entries.read(json,
-                    key.length() > prefixLength ? key.substring(prefixLength)
-                    : null));
+            return View.Item.read(
+                    key, mod, entries.read(json, key.length() > prefixLength ? key.substring(prefixLength) : null));
         } catch (IOException | RuntimeException e) {
             return View.Item.unreadable(key, mod, Etcd.why(e));
         }
@@ -215,8 +216,7 @@
                     while (list && q.nextToken() != JsonToken.END_ARRAY) {
                         members(q, (r, field) -> {
                             String v = Entries.scalar(r);
-                            critical[0] |= field.equals("Status") && (v.equals("critical")
-                                    || v.equals("maintenance"));
+                            critical[0] |= field.equals("Status") && (v.equals("critical") || v.equals("maintenance"));
                         });
                     }
                 }
@@ -227,8 +227,9 @@
         String key = node.getOrDefault("Node", "") + "/" + id;
         long mod = index(service.getOrDefault("ModifyIndex", "0"));
         String host = service.getOrDefault("Address", "");
-        f.set("host_port", (host.isEmpty() ? node.getOrDefault("Address", "") : host) + ":"
-                + service.getOrDefault("Port", ""));
+        f.set(
+                "host_port",
+                (host.isEmpty() ? node.getOrDefault("Address", "") : host) + ":" + service.getOrDefault("Port", ""));
         try {
             Config.Entry e = f.entry(id);
             if (critical[0] && e.server().state() == State.LIVE) {
--- a/src/main/java/magpiehub/registry/Discovery.java
+++ b/src/main/java/magpiehub/registry/Discovery.java
@@ -36,28 +36,23 @@
     private static final int MOST_VALUE = 4 << 20;
     /** Causes of unreadable lists that are logged, each once. */
     private static final int MOST_CAUSES = 32;
+
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final int MAILBOX_BYTES = 8 << 20;
 
-    private record Ask(boolean watch) {
-    }
+    private record Ask(boolean watch) {}
 
-    private record Unwatch() {
-    }
+    private record Unwatch() {}
 
-    private record Move(String address) {
-    }
+    private record Move(String address) {}
 
     /** A list or a change as it was read. */
-    private record Word(long number, boolean complete, List<Config.Entry> entries) {
-    }
+    private record Word(long number, boolean complete, List<Config.Entry> entries) {}
 
     /** What a call has brought; {@code word} is null for a sign of life. */
-    private record Heard(Call from, Word word) {
-    }
+    private record Heard(Call from, Word word) {}
 
-    private record Ended(Call from, String why, boolean unreadable) {
-    }
+    private record Ended(Call from, String why, boolean unreadable) {}
 
     /** One call under way. */
     private static final class Call extends Watches.Call {
@@ -88,20 +83,32 @@
     private Call fetch;
     /** Whose numbers the view's position is one of. */
     private String toldBy;
+
     private volatile boolean known;
     /** Discovery has told a list since the start, or has failed to. */
     private volatile boolean heard;
 
     /** An actor for discovery at an address. */
-    public Discovery(String address, Supplier<Config.Site> site, Engines engines, Mailbox.Clock clock,
-            ModuleActor.Journal journal, long seed) {
-        this(address, site, engines, clock, journal, seed,
-                read -> Mailbox.thread("discovery-reader", read).start());
+    public Discovery(
+            String address,
+            Supplier<Config.Site> site,
+            Engines engines,
+            Mailbox.Clock clock,
+            ModuleActor.Journal journal,
+            long seed) {
+        this(address, site, engines, clock, journal, seed, read -> Mailbox.thread("discovery-reader", read)
+                .start());
     }
 
     /** The same with what begins to read each call's answer on a thread, or fails to have one. */
-    Discovery(String address, Supplier<Config.Site> site, Engines engines, Mailbox.Clock clock,
-            ModuleActor.Journal journal, long seed, Executor readers) {
+    Discovery(
+            String address,
+            Supplier<Config.Site> site,
+            Engines engines,
+            Mailbox.Clock clock,
+            ModuleActor.Journal journal,
+            long seed,
+            Executor readers) {
         this.watches = new Watches(address, new Carrier(), seed);
         this.toldBy = address;
         this.site = site;
@@ -271,9 +278,13 @@
 
     private void begin(Call c) {
         journal.count("discovery_calls");
-        String target = "/discovery/hosts" + (!c.watch ? ""
-                : "?follow=1" + (view.position().number() >= 0
-                        && toldBy.equals(c.address) ? "&since=" + view.position().number() : ""));
+        String target = "/discovery/hosts"
+                + (!c.watch
+                        ? ""
+                        : "?follow=1"
+                                + (view.position().number() >= 0 && toldBy.equals(c.address)
+                                        ? "&since=" + view.position().number()
+                                        : ""));
         try {
             readers.execute(() -> read(c, target));
         } catch (OutOfMemoryError e) {
@@ -366,8 +377,10 @@
         View.Position to = new View.Position("", 0, number);
         List<View.Item> items = new ArrayList<>(entries.size());
         for (Config.Entry e : entries) {
-            items.add(e.server().state() == State.DEAD ? View.Item.removed(e.server().id(), 0)
-                    : View.Item.of(e.server().id(), 0, e));
+            items.add(
+                    e.server().state() == State.DEAD
+                            ? View.Item.removed(e.server().id(), 0)
+                            : View.Item.of(e.server().id(), 0, e));
         }
         if (saved) {
             view.saved(items, to);
@@ -387,8 +400,14 @@
             r.delta().gone().forEach(id -> changed.add(Source.gone(id)));
             tell(ListKind.CHANGES, changed);
         }
-        journal.log("list", "revision", Long.toString(number), "complete", Boolean.toString(complete),
-                "entries", Integer.toString(entries.size()));
+        journal.log(
+                "list",
+                "revision",
+                Long.toString(number),
+                "complete",
+                Boolean.toString(complete),
+                "entries",
+                Integer.toString(entries.size()));
     }
 
     // ---- The reader -----------------------------------------------------------------------------------
@@ -398,9 +417,9 @@
         try (Socket s = c.socket) {
             s.setTcpNoDelay(true);
             s.connect(Config.socketAddress(c.address), CONNECT_TIMEOUT_MS);
-            s.getOutputStream().write(("GET " + target + " HTTP/1.1\r\nHost: " + c.address
-                    + "\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write(("GET " + target + " HTTP/1.1\r\nHost: " + c.address + "\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
             if (in.await()) {
                 Http.Head h = in.head(false);
--- a/src/main/java/magpiehub/registry/Driver.java
+++ b/src/main/java/magpiehub/registry/Driver.java
@@ -28,8 +28,7 @@
         void changes(View.Position to, List<View.Item> items) throws IOException, InterruptedException;
 
         /** Before a watch goes on: see {@link View#resumed}. */
-        void resumed(View.Position of, List<View.Item> last, long count)
-                throws IOException, InterruptedException;
+        void resumed(View.Position of, List<View.Item> last, long count) throws IOException, InterruptedException;
 
         /** The changes asked for are not to be had: compacted, or not there yet. */
         void compacted(String why) throws IOException, InterruptedException;
--- a/src/main/java/magpiehub/registry/Endpoints.java
+++ b/src/main/java/magpiehub/registry/Endpoints.java
@@ -13,15 +13,18 @@
 public final class Endpoints {
     /** Waits in microseconds: {@code base} and {@code cap} for endpoints that fail, {@code spread} for links
      *  that were lost. */
-    public record Options(long base, long cap, long spread) {
-    }
+    public record Options(long base, long cap, long spread) {}
 
     /** How an endpoint came to be lost. */
     public enum Loss {
-        /** A link in use broke, or none could be made: others have likely lost theirs just now. */ LINK,
-        /** The same, found late by a link that had been at rest: part of the spread has gone by. */ REST,
-        /** It stopped answering, which each router finds out at a time of its own. */ SILENCE,
-        /** It answered, with an error: the others are asked at once, and it alone is waited for. */ ANSWER
+        /** A link in use broke, or none could be made: others have likely lost theirs just now. */
+        LINK,
+        /** The same, found late by a link that had been at rest: part of the spread has gone by. */
+        REST,
+        /** It stopped answering, which each router finds out at a time of its own. */
+        SILENCE,
+        /** It answered, with an error: the others are asked at once, and it alone is waited for. */
+        ANSWER
     }
 
     private final Options options;
@@ -96,7 +99,8 @@
             // Likely for others too: every endpoint waits a part of the spread, or the next one is run over.
             // A second loss soon after waits less, or two would cost more than any single one may.
             worked[endpoint] = false;
-            long spread = now < spreadUntil ? options.spread / 5
+            long spread = now < spreadUntil
+                    ? options.spread / 5
                     : loss == Loss.REST ? options.spread * 2 / 3 : options.spread;
             long at = now + random(Math.max(1, spread));
             spreadUntil = now + 2 * options.spread;
@@ -107,8 +111,7 @@
             current = (endpoint + 1) % readyAt.length;
         } else {
             worked[endpoint] = false;
-            long most = Math.max(options.base + 1, Math.min(options.cap, 3 * Math.max(wait[endpoint],
-                    options.base)));
+            long most = Math.max(options.base + 1, Math.min(options.cap, 3 * Math.max(wait[endpoint], options.base)));
             wait[endpoint] = options.base + random(most - options.base);
             readyAt[endpoint] = now + wait[endpoint];
         }
--- a/src/main/java/magpiehub/registry/Entries.java
+++ b/src/main/java/magpiehub/registry/Entries.java
@@ -19,6 +19,7 @@
     private final Supplier<Config.Site> site;
     /** Monotonic time less Unix time (us), taken once: entries told twice must give the same start. */
     private final long offset;
+
     private final boolean strict;
 
     private Entries(Supplier<Config.Site> site, long offset, boolean strict) {
@@ -87,10 +88,16 @@
             if (!(size > 0) || size > 1e6) {
                 throw new Config.Malformed("size must be above 0");
             }
-            return new Config.Entry(new Server(id, place("locality", site.get().zones()), place("flavor",
-                    site.get().kinds()), (int) number("cell", 0), state(texts.getOrDefault("phase", "Ready")),
-                    size,
-                    since(number("up_since_ms", 0))), address);
+            return new Config.Entry(
+                    new Server(
+                            id,
+                            place("locality", site.get().zones()),
+                            place("flavor", site.get().kinds()),
+                            (int) number("cell", 0),
+                            state(texts.getOrDefault("phase", "Ready")),
+                            size,
+                            since(number("up_since_ms", 0))),
+                    address);
         }
 
         private double number(String field, double absent) {
--- a/src/main/java/magpiehub/registry/Etcd.java
+++ b/src/main/java/magpiehub/registry/Etcd.java
@@ -45,8 +45,7 @@
     /** Keys by which a past is known again. */
     private static final int COMPARED = 16;
 
-    private record Login(String user, String password) {
-    }
+    private record Login(String user, String password) {}
 
     private final byte[] from;
     private final byte[] to;
@@ -108,7 +107,7 @@
     /** Makes a call, with a login before it where one is due; a token that has expired is fetched anew once.
      *  */
     Http.Head call(Wire w, String path, byte[] body) throws IOException {
-        for (int i = 0;; i++) {
+        for (int i = 0; ; i++) {
             String t = token;
             if (login != null && t == null) {
                 t = authenticate(w);
@@ -117,7 +116,9 @@
                 return w.ask("POST", path, body, 0, "Authorization", t);
             } catch (Wire.Refused e) {
                 Failure f = failure(e);
-                if (login == null || i > 0 || w.closed()
+                if (login == null
+                        || i > 0
+                        || w.closed()
                         || e.status != 401 && (f == null || f.code != UNAUTHENTICATED)) {
                     throw f != null && f.code == OUT_OF_RANGE ? f : e;
                 }
@@ -127,10 +128,14 @@
     }
 
     private String authenticate(Wire w) throws IOException {
-        Http.Head h = w.ask("POST", "/v3/auth/authenticate", json(g -> {
-            g.writeStringField("name", login.user);
-            g.writeStringField("password", login.password);
-        }), 0);
+        Http.Head h = w.ask(
+                "POST",
+                "/v3/auth/authenticate",
+                json(g -> {
+                    g.writeStringField("name", login.user);
+                    g.writeStringField("password", login.password);
+                }),
+                0);
         String[] t = new String[1];
         read(w.content(h), (p, name) -> {
             if (name.equals("token")) {
@@ -202,7 +207,8 @@
 
     private static long number(JsonParser p) throws IOException {
         // Ids are unsigned: beyond 2^63 they come back negative, and are compared for being equal only.
-        return p.currentToken() == JsonToken.VALUE_STRING ? Long.parseUnsignedLong(p.getText())
+        return p.currentToken() == JsonToken.VALUE_STRING
+                ? Long.parseUnsignedLong(p.getText())
                 : p.getBigIntegerValue().longValue();
     }
 
@@ -254,7 +260,8 @@
     }
 
     static String why(Exception e) {
-        String m = e instanceof com.fasterxml.jackson.core.JsonProcessingException j ? j.getOriginalMessage()
+        String m = e instanceof com.fasterxml.jackson.core.JsonProcessingException j
+                ? j.getOriginalMessage()
                 : String.valueOf(e.getMessage());
         int source = m.indexOf(" (start marker"); // Where in Jackson's buffers: of no use to people.
         m = source < 0 ? m : m.substring(0, source);
@@ -287,7 +294,7 @@
 
     @Override
     public void list(Wire w, Sink sink) throws IOException, InterruptedException {
-        for (int restarts = 0;; restarts++) {
+        for (int restarts = 0; ; restarts++) {
             try {
                 listOnce(w, sink);
                 return;
@@ -413,8 +420,7 @@
                     case "result" -> members(q, (r, field) -> result(r, field, l));
                     case "error" -> {
                         Config.Facts f = new Config.Facts(Config.object(q), "error");
-                        l.error = new Failure((int) f.number("grpc_code", f.number("code", 0)),
-                                f.text("message", ""));
+                        l.error = new Failure((int) f.number("grpc_code", f.number("code", 0)), f.text("message", ""));
                     }
                     default -> q.skipChildren();
                 }
@@ -436,9 +442,10 @@
                 KeyValue[] kv = new KeyValue[1];
                 members(q, (r, name) -> {
                     switch (name) {
-                        // The gateway leaves PUT out, which is 0; a number is the enumeration's.
+                            // The gateway leaves PUT out, which is 0; a number is the enumeration's.
                         case "type" -> delete[0] = r.currentToken() == JsonToken.VALUE_STRING
-                                ? r.getText().equals("DELETE") : r.getIntValue() == 1;
+                                ? r.getText().equals("DELETE")
+                                : r.getIntValue() == 1;
                         case "kv" -> kv[0] = KeyValue.read(r);
                         default -> r.skipChildren();
                     }
--- a/src/main/java/magpiehub/registry/LastList.java
+++ b/src/main/java/magpiehub/registry/LastList.java
@@ -28,8 +28,7 @@
     private static final String MAGIC = "magpiehub-list";
 
     /** A list that was read: its entries, how old it is (us), and where in which history it was taken. */
-    record Kept(List<View.Item> items, long age, View.Position at) {
-    }
+    record Kept(List<View.Item> items, long age, View.Position at) {}
 
     /** Why a file was not taken; its text is for the log. */
     static final class Unusable extends IOException {
@@ -75,9 +74,12 @@
         byte[] head = (MAGIC + " 1 " + now + " " + json.length + " " + Long.toHexString(sum(json)) + "\n")
                 .getBytes(StandardCharsets.US_ASCII);
         Path beside = file.resolveSibling(file.getFileName() + ".new");
-        try (FileChannel c = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer b = ByteBuffer.allocate(head.length + json.length).put(head).put(json).flip();
+        try (FileChannel c = FileChannel.open(
+                beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            ByteBuffer b = ByteBuffer.allocate(head.length + json.length)
+                    .put(head)
+                    .put(json)
+                    .flip();
             while (b.hasRemaining()) {
                 c.write(b);
             }
@@ -157,8 +159,8 @@
                     default -> q.skipChildren();
                 }
             });
-            return new Kept(items, age, new View.Position(history[0], Long.parseLong(history[1]),
-                    Long.parseLong(history[2])));
+            return new Kept(
+                    items, age, new View.Position(history[0], Long.parseLong(history[1]), Long.parseLong(history[2])));
         } catch (RuntimeException e) {
             // Whole and not readable: zones or kinds have other names now.
             throw new Unusable(String.valueOf(e.getMessage()));
--- a/src/main/java/magpiehub/registry/Membership.java
+++ b/src/main/java/magpiehub/registry/Membership.java
@@ -36,24 +36,31 @@
      * @param longest no engine is suppressed for longer after its last going away
      * @param dampedShare at most this part of the fleet is suppressed at once (0 to 1)
      */
-    public record Options(double removalShare, int removalLeast, long confirmWithin, long halfLife,
-            double suppress, double reuse, long longest, double dampedShare) {
-    }
+    public record Options(
+            double removalShare,
+            int removalLeast,
+            long confirmWithin,
+            long halfLife,
+            double suppress,
+            double reuse,
+            long longest,
+            double dampedShare) {}
 
     private static final class Flap {
         double penalty;
         long at;
         /** When it is looked at next; other times queued for it are stale. */
         long due;
+
         boolean suppressed;
     }
 
-    private record Due(long at, String id) {
-    }
+    private record Due(long at, String id) {}
 
     private final Options options;
     /** The registry's word on each engine, with those held against a whole list. */
     private final Map<String, Config.Entry> members = new HashMap<>();
+
     private final Set<String> held = new HashSet<>();
     private final Map<String, Flap> flaps = new HashMap<>();
     private final PriorityQueue<Due> dues = new PriorityQueue<>(java.util.Comparator.comparingLong(Due::at));
@@ -113,7 +120,8 @@
             held.remove(e.server().id());
             place(e, now, out);
         }
-        boolean doubt = d.whole() && d.gone().size() > options.removalLeast
+        boolean doubt = d.whole()
+                && d.gone().size() > options.removalLeast
                 && d.gone().size() > options.removalShare * members.size();
         for (String id : d.gone()) {
             if (doubt) {
@@ -215,8 +223,8 @@
 
     private static Config.Entry with(Config.Entry e, State state) {
         Server s = e.server();
-        return new Config.Entry(new Server(s.id(), s.zone(), s.kind(), s.cell(), state, s.weight(),
-                s.onlineSince()), e.address());
+        return new Config.Entry(
+                new Server(s.id(), s.zone(), s.kind(), s.cell(), state, s.weight(), s.onlineSince()), e.address());
     }
 
     // ---- Damping --------------------------------------------------------------------------------------
@@ -257,7 +265,6 @@
 
     /** When a penalty will have fallen below a limit (us). */
     private long below(Flap f, double limit) {
-        return f.at + 1 + (long) Math.ceil(options.halfLife * Math.max(0, Math.log(f.penalty / limit)
-                / Math.log(2)));
+        return f.at + 1 + (long) Math.ceil(options.halfLife * Math.max(0, Math.log(f.penalty / limit) / Math.log(2)));
     }
 }
--- a/src/main/java/magpiehub/registry/Options.java
+++ b/src/main/java/magpiehub/registry/Options.java
@@ -24,10 +24,26 @@
  * @param announce null if this router does not announce itself
  * @param listFile where the last list is kept; null if nowhere
  */
-public record Options(String kind, List<String> endpoints, String prefix, String service, String user,
-        String secret, boolean tls, Path authorities, int page, long block, long least, long timeout,
-        long checkEvery, Endpoints.Options waits, Membership.Options membership, Announce announce,
-        Path listFile, long listAge, long listEvery) {
+public record Options(
+        String kind,
+        List<String> endpoints,
+        String prefix,
+        String service,
+        String user,
+        String secret,
+        boolean tls,
+        Path authorities,
+        int page,
+        long block,
+        long least,
+        long timeout,
+        long checkEvery,
+        Endpoints.Options waits,
+        Membership.Options membership,
+        Announce announce,
+        Path listFile,
+        long listAge,
+        long listEvery) {
     /**
      * A router's own entry.
      *
@@ -35,8 +51,7 @@
      * @param address empty for the address that it listens at
      * @param ttl how long the entry outlives a router that has fallen silent (us)
      */
-    public record Announce(String service, String prefix, String id, String address, long ttl) {
-    }
+    public record Announce(String service, String prefix, String id, String address, long ttl) {}
 
     private static final long MS = 1000;
 
@@ -47,7 +62,9 @@
         }
         String name = file.getFileName().toString();
         try {
-            return of(Config.facts(Files.readAllBytes(file), name), file.toAbsolutePath().getParent());
+            return of(
+                    Config.facts(Files.readAllBytes(file), name),
+                    file.toAbsolutePath().getParent());
         } catch (Config.Malformed e) {
             throw e.getMessage().startsWith(name) ? e : new Config.Malformed(name + ": " + e.getMessage());
         }
@@ -84,17 +101,28 @@
         }
         boolean tls = r.flag("tls");
         String authorities = r.text("ca_file", null);
-        Options o = new Options(kind, endpoints, prefix, service, user, secret, tls,
+        Options o = new Options(
+                kind,
+                endpoints,
+                prefix,
+                service,
+                user,
+                secret,
+                tls,
                 authorities == null ? null : folder.resolve(authorities),
                 (int) r.number("page", 1000, 1, 100_000),
-                r.micros("wait_ms", 30_000, 1000, 600_000), r.micros("least_interval_ms", 1000, 0, 60_000),
-                r.micros("timeout_ms", 700, 50, 60_000), r.micros("check_every_ms", 600, 50, 600_000),
-                new Endpoints.Options(r.micros("backoff_base_ms", 100, 1, 60_000),
+                r.micros("wait_ms", 30_000, 1000, 600_000),
+                r.micros("least_interval_ms", 1000, 0, 60_000),
+                r.micros("timeout_ms", 700, 50, 60_000),
+                r.micros("check_every_ms", 600, 50, 600_000),
+                new Endpoints.Options(
+                        r.micros("backoff_base_ms", 100, 1, 60_000),
                         r.micros("backoff_cap_ms", 1500, 1, 600_000),
                         r.micros("reconnect_spread_ms", 1500, 0, 60_000)),
-                membership(r.object("membership")), announce(r.object("announce"),
-                        f.map().containsKey("announce"), etcd),
-                r.path("list_file", folder), r.micros("list_most_age_ms", 86_400_000, 1000, 1e12),
+                membership(r.object("membership")),
+                announce(r.object("announce"), f.map().containsKey("announce"), etcd),
+                r.path("list_file", folder),
+                r.micros("list_most_age_ms", 86_400_000, 1000, 1e12),
                 r.micros("list_every_ms", 5000, 100, 3_600_000));
         r.end();
         if (o.waits.base() > o.waits.cap()) {
@@ -104,10 +132,14 @@
     }
 
     private static Membership.Options membership(Reading r) {
-        Membership.Options o = new Membership.Options(r.number("removal_share", 0.3, 0, 1),
-                (int) r.number("removal_least", 2, 0, 1e6), r.micros("confirm_within_ms", 1500, 10, 60_000),
-                r.micros("flap_half_life_ms", 15_000, 0, 3_600_000), r.number("flap_suppress", 4, 1, 100),
-                r.number("flap_reuse", 1.5, 0.1, 100), r.micros("flap_longest_ms", 60_000, 0, 3_600_000),
+        Membership.Options o = new Membership.Options(
+                r.number("removal_share", 0.3, 0, 1),
+                (int) r.number("removal_least", 2, 0, 1e6),
+                r.micros("confirm_within_ms", 1500, 10, 60_000),
+                r.micros("flap_half_life_ms", 15_000, 0, 3_600_000),
+                r.number("flap_suppress", 4, 1, 100),
+                r.number("flap_reuse", 1.5, 0.1, 100),
+                r.micros("flap_longest_ms", 60_000, 0, 3_600_000),
                 r.number("flap_share", 0.2, 0, 1));
         r.end();
         if (o.reuse() > o.suppress()) {
@@ -132,8 +164,8 @@
         if (!address.isEmpty()) {
             Config.address(address);
         }
-        Announce a = new Announce(service, prefix, r.text("id", ""), address,
-                r.micros("ttl_ms", 10_000, 1000, 3_600_000));
+        Announce a =
+                new Announce(service, prefix, r.text("id", ""), address, r.micros("ttl_ms", 10_000, 1000, 3_600_000));
         r.end();
         return a;
     }
@@ -169,8 +201,7 @@
             known.add(field);
             double v = f.number(field, absent);
             if (!(v >= least && v <= most)) {
-                throw wrong(field, "must be from " + plain(least) + " to " + plain(most) + ", not "
-                        + plain(v));
+                throw wrong(field, "must be from " + plain(least) + " to " + plain(most) + ", not " + plain(v));
             }
             return v;
         }
@@ -215,7 +246,9 @@
             }
             if (Files.getFileStore(p).supportsFileAttributeView("posix")) {
                 Set<PosixFilePermission> open = new TreeSet<>(Files.getPosixFilePermissions(p));
-                open.retainAll(Set.of(PosixFilePermission.OTHERS_READ, PosixFilePermission.OTHERS_WRITE,
+                open.retainAll(Set.of(
+                        PosixFilePermission.OTHERS_READ,
+                        PosixFilePermission.OTHERS_WRITE,
                         PosixFilePermission.GROUP_WRITE));
                 if (!open.isEmpty()) {
                     throw wrong(field, "names a file that others may read or write: chmod 600 " + p);
--- a/src/main/java/magpiehub/registry/Registry.java
+++ b/src/main/java/magpiehub/registry/Registry.java
@@ -29,9 +29,11 @@
     /** A list that keeps coming is waited for, but not for ever; and at first only for so long that another
      *  endpoint can tell its own within the 6 s after which what a registry has counts as told (us). */
     private static final long LONGEST_LIST = 30_000_000;
+
     private static final long LIST_IN_TIME = 3_000_000;
     /** After a check that saw more than the watch has told: how soon the next one decides (us). */
     private static final long SOON = 300_000;
+
     private static final long BETWEEN_LISTS = 250_000;
     /** How long an endpoint that told an older list is left alone while others can be asked for a second
      *  word: two words of one that lags are no restart (us). */
@@ -48,18 +50,20 @@
         }
     }
 
-    enum Kind { LIST, WATCH, CHECK }
+    enum Kind {
+        LIST,
+        WATCH,
+        CHECK
+    }
 
     /** Tells a test or a proof what the view has taken over, in the actor's thread. */
     interface Tap {
         void view(View view, View.Result result, boolean watched);
 
         /** A connection is made for a call, in its channel's thread. */
-        default void connects(Kind kind, String endpoint) {
-        }
+        default void connects(Kind kind, String endpoint) {}
 
-        default void began(Thread thread) {
-        }
+        default void began(Thread thread) {}
     }
 
     /** Where the list goes: in order, from this actor's thread. */
@@ -67,20 +71,15 @@
         void tell(ListKind kind, List<Config.Entry> entries);
     }
 
-    private record Ask() {
-    }
+    private record Ask() {}
 
-    private record Move(Options options) {
-    }
+    private record Move(Options options) {}
 
-    private record Stop() {
-    }
+    private record Stop() {}
 
-    private record Word(Call call, Runnable what) {
-    }
+    private record Word(Call call, Runnable what) {}
 
-    private record Ended(Call call, IOException failure) {
-    }
+    private record Ended(Call call, IOException failure) {}
 
     /** One call: what is asked, of whom, and from which position. */
     private static final class Call {
@@ -92,14 +91,17 @@
         final boolean confirms;
         /** Set by its channel; null until it is connected or connecting. */
         volatile Wire wire;
+
         volatile boolean cancelled;
         /** Its connection was lost between two calls. */
         volatile boolean atRest;
         /** Its list was older than what was known: the next one is asked for at once. */
         boolean behind;
+
         boolean opened;
         /** Whether no word has come yet; its channel writes it. */
         volatile boolean first = true;
+
         long lastWord;
         long until;
 
@@ -163,8 +165,10 @@
                 try {
                     exchange(c, endpoint);
                 } catch (IOException e) {
-                    if (!again || c.cancelled || c.first == false || !(e instanceof java.io.EOFException
-                            || e instanceof java.net.SocketException)) {
+                    if (!again
+                            || c.cancelled
+                            || c.first == false
+                            || !(e instanceof java.io.EOFException || e instanceof java.net.SocketException)) {
                         throw e;
                     }
                     // One that its server closed after a long rest says nothing of the server. Between two
@@ -239,8 +243,7 @@
         }
 
         @Override
-        public void changes(View.Position to, List<View.Item> items) throws IOException,
-                InterruptedException {
+        public void changes(View.Position to, List<View.Item> items) throws IOException, InterruptedException {
             post(() -> Registry.this.changes(call, to, items), 64 + 256 * items.size());
         }
 
@@ -252,17 +255,24 @@
 
         @Override
         public void compacted(String why) throws IOException, InterruptedException {
-            post(() -> {
-                journal.count("registry_compactions");
-                journal.log("registry-compacted", "endpoint", endpoint(call), "why", why, "position",
-                        Long.toString(view.position().number()));
-                view.compacted();
-            }, 64);
+            post(
+                    () -> {
+                        journal.count("registry_compactions");
+                        journal.log(
+                                "registry-compacted",
+                                "endpoint",
+                                endpoint(call),
+                                "why",
+                                why,
+                                "position",
+                                Long.toString(view.position().number()));
+                        view.compacted();
+                    },
+                    64);
         }
 
         @Override
-        public void checked(View.Position of, long newest, long count)
-                throws IOException, InterruptedException {
+        public void checked(View.Position of, long newest, long count) throws IOException, InterruptedException {
             post(() -> Registry.this.checked(call, of, newest, count), 64);
         }
     }
@@ -279,6 +289,7 @@
         Call side;
         /** Whether this registry has told a whole list. */
         boolean told;
+
         boolean down;
         boolean confirm;
         long mainAt;
@@ -330,24 +341,35 @@
     private long heardAt;
     /** This turn's time (us). */
     private long now;
+
     private Set<String> named = Set.of();
     private volatile boolean known;
     private volatile Figures figures;
     Tap tap;
 
     /** An actor for a registry that {@code options} describes. */
-    public Registry(Options options, Supplier<Config.Site> site, Engines engines, Mailbox.Clock clock,
-            ModuleActor.Journal journal, long seed) {
+    public Registry(
+            Options options,
+            Supplier<Config.Site> site,
+            Engines engines,
+            Mailbox.Clock clock,
+            ModuleActor.Journal journal,
+            long seed) {
         this(options, site, engines, null, clock, journal, seed);
     }
 
     /** {@code to} instead of engines and a module. */
-    Registry(Options options, Supplier<Config.Site> site, Engines engines, Out to, Mailbox.Clock clock,
-            ModuleActor.Journal journal, long seed) {
+    Registry(
+            Options options,
+            Supplier<Config.Site> site,
+            Engines engines,
+            Out to,
+            Mailbox.Clock clock,
+            ModuleActor.Journal journal,
+            long seed) {
         this.options = options;
         this.entries = Entries.strict(site, clock.micros());
-        this.out = to != null ? to : (kind, list) -> Source.tell(kind,
-                told.source(kind, list), engines, module);
+        this.out = to != null ? to : (kind, list) -> Source.tell(kind, told.source(kind, list), engines, module);
         this.engines = engines;
         this.clock = clock;
         this.journal = journal;
@@ -477,13 +499,24 @@
             }
             step(current);
             save();
-            figures = new Figures(view.position(), view.version(), view.size(), heardAt, view.repeats(),
-                    membership.held().size(), membership.suppressed(), membership.figures());
+            figures = new Figures(
+                    view.position(),
+                    view.version(),
+                    view.size(),
+                    heardAt,
+                    view.repeats(),
+                    membership.held().size(),
+                    membership.suppressed(),
+                    membership.figures());
         } catch (RuntimeException | OutOfMemoryError e) {
             // Ends what was being done; a call that came to nothing by it ends as silent.
             journal.count("registry_exceptions");
-            journal.log("registry-exception", "error", e.toString(),
-                    "at", e.getStackTrace().length > 0 ? e.getStackTrace()[0].toString() : "?");
+            journal.log(
+                    "registry-exception",
+                    "error",
+                    e.toString(),
+                    "at",
+                    e.getStackTrace().length > 0 ? e.getStackTrace()[0].toString() : "?");
         }
         return true;
     }
@@ -591,9 +624,18 @@
         heardAt = now;
         if (c.session.down) {
             c.session.down = false;
-            journal.log("registry-up", "kind", c.session.options.kind(), "endpoint", endpoint(c), "history",
+            journal.log(
+                    "registry-up",
+                    "kind",
+                    c.session.options.kind(),
+                    "endpoint",
+                    endpoint(c),
+                    "history",
                     view.position().history(),
-                    "position", Long.toString(view.position().number()), "lag_ms", lag);
+                    "position",
+                    Long.toString(view.position().number()),
+                    "lag_ms",
+                    lag);
         }
     }
 
@@ -613,8 +655,16 @@
         }
         Session s = c.session;
         journal.count("registry_rereads");
-        journal.log("registry-reread", "endpoint", endpoint(c), "why", r.why(), "history",
-                view.position().history(), "position", Long.toString(view.position().number()));
+        journal.log(
+                "registry-reread",
+                "endpoint",
+                endpoint(c),
+                "why",
+                r.why(),
+                "history",
+                view.position().history(),
+                "position",
+                Long.toString(view.position().number()));
         if (r.why().equals(View.MUTE) || r.why().equals(View.COUNT_DIFFERS)) {
             s.endpoints.suspect(c.endpoint, now, s.options.waits().base());
         }
@@ -659,8 +709,16 @@
             }
             if (r.delta().another() && wasHistory) {
                 journal.count("registry_histories");
-                journal.log("registry-history", "endpoint", endpoint(c), "history", to.history(), "term",
-                        Long.toString(to.term()), "position", Long.toString(to.number()));
+                journal.log(
+                        "registry-history",
+                        "endpoint",
+                        endpoint(c),
+                        "history",
+                        to.history(),
+                        "term",
+                        Long.toString(to.term()),
+                        "position",
+                        Long.toString(to.number()));
             }
             deliver(r.delta());
             journal.count("registry_lists");
@@ -748,13 +806,20 @@
         }
         String why = failure.getMessage() == null ? failure.toString() : failure.getMessage();
         journal.count("registry_failures");
-        journal.log("registry-failed", "call", c.kind.name().toLowerCase(java.util.Locale.ROOT), "endpoint",
-                endpoint(c), "why", why);
-        Endpoints.Loss loss = failure instanceof Silent ? Endpoints.Loss.SILENCE
-                : failure instanceof Driver.Answer ? Endpoints.Loss.ANSWER
-                : c.atRest ? Endpoints.Loss.REST : Endpoints.Loss.LINK;
-        s.endpoints.failed(c.endpoint, now, loss,
-                failure instanceof Wire.Refused r ? r.retryAfter : 0);
+        journal.log(
+                "registry-failed",
+                "call",
+                c.kind.name().toLowerCase(java.util.Locale.ROOT),
+                "endpoint",
+                endpoint(c),
+                "why",
+                why);
+        Endpoints.Loss loss = failure instanceof Silent
+                ? Endpoints.Loss.SILENCE
+                : failure instanceof Driver.Answer
+                        ? Endpoints.Loss.ANSWER
+                        : c.atRest ? Endpoints.Loss.REST : Endpoints.Loss.LINK;
+        s.endpoints.failed(c.endpoint, now, loss, failure instanceof Wire.Refused r ? r.retryAfter : 0);
         s.down = true;
         if (wasMain) {
             s.mainAt = Math.max(now, s.endpoints.readyAt());
@@ -796,7 +861,11 @@
         List<Config.Entry> changes = membership.apply(d, now);
         if (membership.confirm()) {
             journal.count("membership_doubts");
-            journal.log("membership-doubt", "held", Integer.toString(membership.held().size()), "engines",
+            journal.log(
+                    "membership-doubt",
+                    "held",
+                    Integer.toString(membership.held().size()),
+                    "engines",
                     Integer.toString(view.size()));
             current.confirm = true;
         }
@@ -808,9 +877,17 @@
             tell(changes);
         }
         if (d.whole()) {
-            journal.log("registry-list", "version", Long.toString(d.version()), "position",
-                    Long.toString(view.position().number()), "put",
-                    Integer.toString(d.put().size()), "gone", Integer.toString(d.gone().size()), "engines",
+            journal.log(
+                    "registry-list",
+                    "version",
+                    Long.toString(d.version()),
+                    "position",
+                    Long.toString(view.position().number()),
+                    "put",
+                    Integer.toString(d.put().size()),
+                    "gone",
+                    Integer.toString(d.gone().size()),
+                    "engines",
                     Integer.toString(view.size()));
         }
     }
@@ -832,28 +909,36 @@
     }
 
     /** What a turn left, formatted when it is asked for. */
-    private record Figures(View.Position at, long version, int engines, long heardAt, long repeats, int held,
-            int suppressed, long[] membership) {
-    }
+    private record Figures(
+            View.Position at,
+            long version,
+            int engines,
+            long heardAt,
+            long repeats,
+            int held,
+            int suppressed,
+            long[] membership) {}
 
     /** One figure a line; {@code registry_silence_ms} is how long no registry has answered, -1 before one
      *  has. */
     @Override
     public String figures() {
         Figures f = figures;
-        return f == null ? "" : "registry_version " + f.version + "\nregistry_position " + f.at.number()
-                + "\nregistry_term " + f.at.term() + "\nregistry_engines " + f.engines
-                + "\nregistry_silence_ms " + (f.heardAt == 0 ? -1 : (clock.micros() - f.heardAt) / 1000)
-                + "\nregistry_bytes_read " + bytes.get() + "\nregistry_repeats_dropped " + f.repeats
-                + "\nmembership_held " + f.held + "\nmembership_damped_now " + f.suppressed
-                + "\nmembership_damped " + f.membership[1] + "\nmembership_spared " + f.membership[2] + "\n";
+        return f == null
+                ? ""
+                : "registry_version " + f.version + "\nregistry_position " + f.at.number()
+                        + "\nregistry_term " + f.at.term() + "\nregistry_engines " + f.engines
+                        + "\nregistry_silence_ms " + (f.heardAt == 0 ? -1 : (clock.micros() - f.heardAt) / 1000)
+                        + "\nregistry_bytes_read " + bytes.get() + "\nregistry_repeats_dropped " + f.repeats
+                        + "\nmembership_held " + f.held + "\nmembership_damped_now " + f.suppressed
+                        + "\nmembership_damped " + f.membership[1] + "\nmembership_spared " + f.membership[2] + "\n";
     }
 
     // ---- The list on disk -----------------------------------------------------------------------------
     private void restore() {
         try {
-            LastList.Kept kept = new LastList(options.listFile(), entries).read(System.currentTimeMillis(),
-                    options.listAge());
+            LastList.Kept kept =
+                    new LastList(options.listFile(), entries).read(System.currentTimeMillis(), options.listAge());
             if (kept == null) {
                 return;
             }
@@ -865,19 +950,32 @@
             out.tell(ListKind.SAVED, membership.all());
             savedVersion = view.version();
             journal.count("registry_list_restored");
-            journal.log("registry-list-restored", "engines", Integer.toString(view.size()), "age_s",
-                    Long.toString(kept.age() / 1_000_000), "history", kept.at().history(), "position",
+            journal.log(
+                    "registry-list-restored",
+                    "engines",
+                    Integer.toString(view.size()),
+                    "age_s",
+                    Long.toString(kept.age() / 1_000_000),
+                    "history",
+                    kept.at().history(),
+                    "position",
                     Long.toString(kept.at().number()));
         } catch (IOException | RuntimeException e) {
             journal.count("registry_list_refused");
-            journal.log("registry-list-refused-failed", "file", options.listFile().toString(), "why",
+            journal.log(
+                    "registry-list-refused-failed",
+                    "file",
+                    options.listFile().toString(),
+                    "why",
                     String.valueOf(e.getMessage()));
         }
     }
 
     /** At most one list waits for the disk; the actor never does. */
     private void save() {
-        if (options.listFile() == null || !known || savedVersion == view.version()
+        if (options.listFile() == null
+                || !known
+                || savedVersion == view.version()
                 || now < lastSaved + options.listEvery()) {
             return;
         }
--- a/src/main/java/magpiehub/registry/Source.java
+++ b/src/main/java/magpiehub/registry/Source.java
@@ -38,7 +38,10 @@
             engines.only(ids);
         }
         for (Config.Entry e : entries) {
-            engines.place(e.server().id(), e.address(), e.server().state() == State.LIVE,
+            engines.place(
+                    e.server().id(),
+                    e.address(),
+                    e.server().state() == State.LIVE,
                     e.server().state() == State.DEAD);
         }
         module.list(kind, entries.stream().map(Config.Entry::server).toList());
--- a/src/main/java/magpiehub/registry/Told.java
+++ b/src/main/java/magpiehub/registry/Told.java
@@ -25,7 +25,8 @@
     private Set<String> out = Set.of();
     /** When each engine was called back, on the monotonic clock (us). */
     private Map<String, Long> back = Map.of();
-    private Consumer<Collection<String>> listed = ids -> { };
+
+    private Consumer<Collection<String>> listed = ids -> {};
 
     /** Hears of every id that is listed; set before the source starts. */
     public void listed(Consumer<Collection<String>> to) {
@@ -82,8 +83,15 @@
         if (!banned && since == null) {
             return e;
         }
-        return new Config.Entry(new Server(s.id(), s.zone(), s.kind(), s.cell(), banned ? State.DRAINING
-                : s.state(), s.weight(), since == null ? s.onlineSince() : Math.max(s.onlineSince(), since)),
+        return new Config.Entry(
+                new Server(
+                        s.id(),
+                        s.zone(),
+                        s.kind(),
+                        s.cell(),
+                        banned ? State.DRAINING : s.state(),
+                        s.weight(),
+                        since == null ? s.onlineSince() : Math.max(s.onlineSince(), since)),
                 e.address());
     }
 }
--- a/src/main/java/magpiehub/registry/View.java
+++ b/src/main/java/magpiehub/registry/View.java
@@ -59,19 +59,22 @@
         /** An entry as its value has it; a key whose engine is told to be gone is there, but not in the list.
          *  */
         public static Item read(String key, long mod, Config.Entry entry) {
-            return entry.server().state() == State.DEAD ? new Item(key, mod, null, "")
-                    : of(key, mod, entry);
+            return entry.server().state() == State.DEAD ? new Item(key, mod, null, "") : of(key, mod, entry);
         }
     }
 
     /** What came of a word. */
     public enum Verdict {
-        /** It is the list now; {@link Result#delta} says what changed, which may be nothing. */ APPLIED,
-        /** It told nothing new. */ OLD,
-        /** A whole list older than what came meanwhile: not applied, but true at its time. */ CROSSED,
+        /** It is the list now; {@link Result#delta} says what changed, which may be nothing. */
+        APPLIED,
+        /** It told nothing new. */
+        OLD,
+        /** A whole list older than what came meanwhile: not applied, but true at its time. */
+        CROSSED,
         /** A whole list older than what was known when it was asked for: a second read must say the same. */
         BEHIND,
-        /** It does not follow what is known: only a whole list helps. */ REREAD
+        /** It does not follow what is known: only a whole list helps. */
+        REREAD
     }
 
     /**
@@ -83,22 +86,20 @@
      * @param put engines that are new or have changed
      * @param gone ids of engines that are no longer there
      */
-    public record Delta(long version, boolean whole, boolean another, List<Config.Entry> put,
-            List<String> gone) {
+    public record Delta(long version, boolean whole, boolean another, List<Config.Entry> put, List<String> gone) {
         public boolean isEmpty() {
             return put.isEmpty() && gone.isEmpty();
         }
     }
 
     /** A verdict; {@code delta} is null unless it is APPLIED, {@code why} is a word for the log. */
-    public record Result(Verdict verdict, Delta delta, String why) {
-    }
+    public record Result(Verdict verdict, Delta delta, String why) {}
 
-    private record Held(Config.Entry entry, long mod) {
-    }
+    private record Held(Config.Entry entry, long mod) {}
 
     /** What {@link #checked} says of a watch whose endpoint is not the one to read the list from. */
     static final String MUTE = "the watch is mute";
+
     static final String COUNT_DIFFERS = "the count differs";
     /** Changes remembered to know a history again by; more than the keys that one burst removes. */
     private static final int RECENT = 256;
@@ -107,9 +108,11 @@
     private Map<String, Held> byKey = new HashMap<>();
     /** The key that counts for an id, and the others that claim it. */
     private Map<String, String> owner = new HashMap<>();
+
     private Map<String, Set<String>> rivals = new HashMap<>();
     /** Keys that are there and name no engine, with the reason. */
     private Map<String, Item> left = new LinkedHashMap<>();
+
     private Position at = Position.NONE;
     private long version;
     private long repeats;
@@ -118,6 +121,7 @@
     private int behind;
     /** What the last check saw, while it has not come by the watch. */
     private long owed = -1;
+
     private Position oddAt;
 
     /** Where this view stands in its source's history. */
@@ -273,8 +277,7 @@
             return no;
         }
         Item mine = standing();
-        boolean same = count == keys() && (last.isEmpty() ? count == 0 : mine != null
-                && mine.mod == last.get(0).mod);
+        boolean same = count == keys() && (last.isEmpty() ? count == 0 : mine != null && mine.mod == last.get(0).mod);
         for (Item i : last) {
             same &= stands(i);
         }
@@ -361,7 +364,8 @@
     /** An entry told without its address is at the one it had. */
     private static Item withAddress(Item i, Map<String, Held> known) {
         Held old = i.entry == null || i.entry.address() != null ? null : known.get(i.key);
-        return old == null || old.entry.address() == null ? i
+        return old == null || old.entry.address() == null
+                ? i
                 : Item.of(i.key, i.mod, new Config.Entry(i.entry.server(), old.entry.address()));
     }
 
@@ -369,7 +373,9 @@
     private void apply(Item change, Map<String, Config.Entry> before) {
         Item i = withAddress(change, byKey);
         Held old = byKey.get(i.key);
-        if (old != null && (i.entry == null || !i.entry.server().id().equals(old.entry.server().id()))) {
+        if (old != null
+                && (i.entry == null
+                        || !i.entry.server().id().equals(old.entry.server().id()))) {
             release(i.key, old.entry.server().id(), before);
         }
         if (i.unreadable != null) {
@@ -425,7 +431,8 @@
     private boolean stands(Item i) {
         Held h = byKey.get(i.key);
         Item l = left.get(i.key);
-        return h != null ? h.mod == i.mod && h.entry.equals(i.entry)
+        return h != null
+                ? h.mod == i.mod && h.entry.equals(i.entry)
                 : l != null && l.mod == i.mod && l.unreadable.equals(i.unreadable);
     }
 
@@ -438,8 +445,10 @@
         } else if (r == null) {
             owner.remove(id);
         } else {
-            String next = r.stream().max(java.util.Comparator.<String>comparingLong(k -> byKey.get(k).mod)
-                    .thenComparing(k -> k)).orElseThrow();
+            String next = r.stream()
+                    .max(java.util.Comparator.<String>comparingLong(k -> byKey.get(k).mod)
+                            .thenComparing(k -> k))
+                    .orElseThrow();
             owner.put(id, next);
             r.remove(next);
         }
--- a/src/main/java/magpiehub/registry/Watches.java
+++ b/src/main/java/magpiehub/registry/Watches.java
@@ -15,10 +15,12 @@
      *  followed by another, somewhere within the next 1.5 s, so that a fleet whose watches fall silent
      *  together does not ask in one moment (us). */
     private static final long LATE = 2_500_000;
+
     private static final long LATE_SPREAD = 1_500_000;
     /** A call that has not spoken is followed so soon by another one beside it. It goes on, for its answer
      *  may wait in discovery's queue, and its place there is not to be lost (us). */
     private static final long ANSWER = 2_000_000;
+
     private static final long ANSWER_SPREAD = 500_000;
     /** Calls that have not spoken at most: beyond, the oldest ends. It has then waited longer than discovery
      *  lets calls wait. */
@@ -31,6 +33,7 @@
         final String address;
         /** When it has failed, and when it is followed by another (us). */
         private long until;
+
         private long late;
 
         Call(String address) {
@@ -105,8 +108,7 @@
 
     /** Whether the watch in force is not one to rely on, and no other one can be hoped for. */
     boolean forsaken() {
-        return live != null && asked.isEmpty()
-                && (live.late == Long.MAX_VALUE || !live.address.equals(address));
+        return live != null && asked.isEmpty() && (live.late == Long.MAX_VALUE || !live.address.equals(address));
     }
 
     /** A call that counts has spoken. With its first word it is the watch in force, and all others end. */
--- a/src/main/java/magpiehub/registry/Wire.java
+++ b/src/main/java/magpiehub/registry/Wire.java
@@ -79,21 +79,19 @@
             KeyStore store = KeyStore.getInstance(KeyStore.getDefaultType());
             store.load(null, null);
             int n = 0;
-            for (var certificate : CertificateFactory.getInstance("X.509").generateCertificates(
-                    new ByteArrayInputStream(Files.readAllBytes(authorities)))) {
+            for (var certificate : CertificateFactory.getInstance("X.509")
+                    .generateCertificates(new ByteArrayInputStream(Files.readAllBytes(authorities)))) {
                 store.setCertificateEntry("ca" + n++, certificate);
             }
             if (n == 0) {
                 throw new Config.Malformed(authorities + " holds no certificate");
             }
-            TrustManagerFactory f =
-                    TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
+            TrustManagerFactory f = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
             f.init(store);
             c.init(null, f.getTrustManagers(), null);
             return c;
         } catch (GeneralSecurityException e) {
-            throw new Config.Malformed((authorities == null ? "TLS" : authorities.toString()) + ": "
-                    + e.getMessage());
+            throw new Config.Malformed((authorities == null ? "TLS" : authorities.toString()) + ": " + e.getMessage());
         }
     }
 
@@ -103,8 +101,8 @@
         if (tls != null) {
             SSLSocketFactory f = tls.getSocketFactory();
             int colon = endpoint.lastIndexOf(':');
-            SSLSocket s = (SSLSocket) f.createSocket(plain, endpoint.substring(0, colon),
-                    Integer.parseInt(endpoint.substring(colon + 1)), true);
+            SSLSocket s = (SSLSocket) f.createSocket(
+                    plain, endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1)), true);
             SSLParameters p = s.getSSLParameters();
             p.setEndpointIdentificationAlgorithm("HTTPS");
             s.setSSLParameters(p);
@@ -112,17 +110,19 @@
             s.startHandshake();
         }
         heard = clock.micros();
-        in = new Http.Input(new FilterInputStream(socket.getInputStream()) {
-            @Override
-            public int read(byte[] b, int from, int count) throws IOException {
-                int n = super.read(b, from, count);
-                if (n > 0) {
-                    heard = clock.micros();
-                    bytes.addAndGet(n);
-                }
-                return n;
-            }
-        }, clock::micros);
+        in = new Http.Input(
+                new FilterInputStream(socket.getInputStream()) {
+                    @Override
+                    public int read(byte[] b, int from, int count) throws IOException {
+                        int n = super.read(b, from, count);
+                        if (n > 0) {
+                            heard = clock.micros();
+                            bytes.addAndGet(n);
+                        }
+                        return n;
+                    }
+                },
+                clock::micros);
         in.mostChunk(MOST_BYTES);
     }
 
@@ -181,7 +181,9 @@
             while (body.read(new byte[4096]) >= 0) {
                 continue;
             }
-            return new String(b, StandardCharsets.UTF_8).replaceAll("[\\x00-\\x1f]+", " ").strip();
+            return new String(b, StandardCharsets.UTF_8)
+                    .replaceAll("[\\x00-\\x1f]+", " ")
+                    .strip();
         } catch (IOException e) {
             close();
             return "";
--- a/src/main/java/magpiehub/sim/Drill.java
+++ b/src/main/java/magpiehub/sim/Drill.java
@@ -100,8 +100,7 @@
 
     private int complain(String what) {
         String at = message + (field.isEmpty() ? "" : "." + field);
-        err.println("drill: line " + p.currentLocation().getLineNr() + (at.isEmpty() ? "" : ": " + at)
-                + ": " + what);
+        err.println("drill: line " + p.currentLocation().getLineNr() + (at.isEmpty() ? "" : ": " + at) + ": " + what);
         err.flush();
         return 1;
     }
@@ -152,8 +151,8 @@
         if (message.equals("PROVISION")) {
             field = "facts";
             check(facts != null, "is missing");
-            nodes.put(who, new Rules(Config.site(new Config.Facts(facts, "facts")).settings(), seed,
-                    new Sink(who), now));
+            nodes.put(
+                    who, new Rules(Config.site(new Config.Facts(facts, "facts")).settings(), seed, new Sink(who), now));
             return;
         }
         if (message.equals("EXIT")) {
@@ -167,16 +166,29 @@
                 need(job, "job");
                 field = "dropDeadMs";
                 check(!Double.isNaN(dropDead), "is missing");
-                node.request(now, new Request(job, type, customer, pathKey, sharedPrefix, micros(dropDead),
-                        predicted, prompt, prefixLen, maxOut, retry, write, again));
+                node.request(
+                        now,
+                        new Request(
+                                job,
+                                type,
+                                customer,
+                                pathKey,
+                                sharedPrefix,
+                                micros(dropDead),
+                                predicted,
+                                prompt,
+                                prefixLen,
+                                maxOut,
+                                retry,
+                                write,
+                                again));
             }
             case "BEGUN" -> node.begun(now, need(job, "job"), attempt, micros(took));
-            case "ANSWER" -> node.outcome(now, need(job, "job"), attempt, outcome(reason), micros(took),
-                    settled, detail, load);
+            case "ANSWER" -> node.outcome(
+                    now, need(job, "job"), attempt, outcome(reason), micros(took), settled, detail, load);
             case "ABANDONED" -> node.abandoned(now, need(job, "job"));
             case "TICK_DUE" -> node.timer(now, nonce);
-            case "STATUS_BACK" ->
-                node.probed(now, need(engine, "engine"), outcome(reason), micros(took), load);
+            case "STATUS_BACK" -> node.probed(now, need(engine, "engine"), outcome(reason), micros(took), load);
             case "MESSAGE" -> node.message(now, peer, payload);
             case "PEERS_KNOWN" -> node.list(now, listKind(need(kind, "kind")), servers);
             default -> throw new Malformed("is no message of this wire");
@@ -245,8 +257,9 @@
                 case "serverStats" -> load = readLoad();
                 case "payload" -> payload = base64(text());
                 case "facts" -> facts = Config.object(p);
-                case "nodesList" -> servers =
-                    Config.entries(p, NAMES).stream().map(Config.Entry::server).toList();
+                case "nodesList" -> servers = Config.entries(p, NAMES).stream()
+                        .map(Config.Entry::server)
+                        .toList();
                 default -> p.skipChildren();
             }
         }
@@ -259,17 +272,18 @@
         double[] v = new double[8];
         java.util.Arrays.fill(v, Double.NaN);
         while (p.nextToken() == JsonToken.FIELD_NAME) {
-            int at = switch (p.currentName()) {
-                case "inflight" -> 0;
-                case "queue" -> 1;
-                case "util" -> 2;
-                case "latency_ms" -> 3;
-                case "qps" -> 4;
-                case "eps" -> 5;
-                case "x0" -> 6;
-                case "x1" -> 7;
-                default -> -1;
-            };
+            int at =
+                    switch (p.currentName()) {
+                        case "inflight" -> 0;
+                        case "queue" -> 1;
+                        case "util" -> 2;
+                        case "latency_ms" -> 3;
+                        case "qps" -> 4;
+                        case "eps" -> 5;
+                        case "x0" -> 6;
+                        case "x1" -> 7;
+                        default -> -1;
+                    };
             p.nextToken();
             if (at < 0) {
                 p.skipChildren();
@@ -438,7 +452,10 @@
 
         @Override
         public void timer(long at, long token) {
-            reply.open("SCHEDULE", node).millis("alarmTimeMs", at).number("nonce", token).close();
+            reply.open("SCHEDULE", node)
+                    .millis("alarmTimeMs", at)
+                    .number("nonce", token)
+                    .close();
         }
 
         @Override
--- a/src/main/java/magpiehub/sim/WarmUp.java
+++ b/src/main/java/magpiehub/sim/WarmUp.java
@@ -13,11 +13,11 @@
 public final class WarmUp {
     /** Rounds for the adapter, whose CPU time is measured, and for a router, whose clients wait for it. */
     public static final int MANY = 2500;
+
     public static final int FEW = 100;
     private static final int SERVERS = 24;
 
-    private WarmUp() {
-    }
+    private WarmUp() {}
 
     /** Plays it. */
     public static void run(int rounds) throws IOException {
@@ -28,7 +28,8 @@
 
     private static byte[] script(int rounds) {
         StringBuilder b = new StringBuilder(1 << 20);
-        b.append("""
+        b.append(
+                """
                 {"ROUND":{"atTimeMs":1}}
                 {"PROVISION":{"who":0,"initSeed":1,"facts":{"instances":2,"me":0,"myZone":0,
                 "zones":["a","b"],"membershipMode":"automatic","classes":[{"aimMs":1000,"deadlineMs":4000,
@@ -36,14 +37,18 @@
                 "parallelTries":true},"guarantees":{"coldMs":9000}}}}
                 {"PEERS_KNOWN":{"who":0,"kind":"Persisted","revision":1,"nodesList":[""");
         for (int i = 0; i < SERVERS; i++) {
-            b.append(i == 0 ? "" : ",").append("""
+            b.append(i == 0 ? "" : ",")
+                    .append(
+                            """
                     {"engine":"10.0.0.%d:9000","failureDomain":%d,"familyType":0,"pod":0,"state":"live",
-                    "powerHint":1.25}""".formatted(i, i % 2));
+                    "powerHint":1.25}"""
+                                    .formatted(i, i % 2));
         }
         b.append("]}}\n{\"EOB\":{}}\n");
         for (int i = 0; i < rounds; i++) {
             int now = 10 + 20 * i;
-            b.append("""
+            b.append(
+                    """
                     {"ROUND":{"atTimeMs":%1$d}}
                     {"INGRESS":{"who":0,"job":"%2$016x","type":0,"customer":0,"pathKey":%3$d,
                     "dropDeadMs":%4$d.25,"predictedMs":12.5,"sharedPrefix":%5$d,
@@ -57,8 +62,14 @@
                     {"ANSWER":{"who":0,"job":"%2$016x","n":0,"engine":"10.0.0.1:9000","reason":%6$d,
                     "tookMs":16.5,"settled":true,"detail":1200,"serverStats":{"util":0.5}}}
                     {"EOB":{}}
-                    """.formatted(now, i * 0x9e3779b9L, 1_000_000_007L * (i % 97), now + 4000,
-                    2_000_000_011L * (i % 13 + 1), i % 31 == 0 ? 8 : 0));
+                    """
+                            .formatted(
+                                    now,
+                                    i * 0x9e3779b9L,
+                                    1_000_000_007L * (i % 97),
+                                    now + 4000,
+                                    2_000_000_011L * (i % 13 + 1),
+                                    i % 31 == 0 ? 8 : 0));
         }
         return b.toString().getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/magpiehub/site/Plan.java
+++ b/src/main/java/magpiehub/site/Plan.java
@@ -21,9 +21,8 @@
  */
 public final class Plan implements Zones {
     /** What a file may set; all of it has a default. */
-    private static final Set<String> KEYS = Set.of("windowMs", "engines", "slow", "trialMs", "longestMs",
-            "stepMs",
-            "gentleMs", "memoryMs", "freshMs");
+    private static final Set<String> KEYS =
+            Set.of("windowMs", "engines", "slow", "trialMs", "longestMs", "stepMs", "gentleMs", "memoryMs", "freshMs");
 
     private final Sites.Settings settings;
     private final long seed;
@@ -34,11 +33,11 @@
     private long[] shutSince;
     /** Sites that operators have given up, by name; and how each stands, for whoever asks. */
     private final Set<String> out = ConcurrentHashMap.newKeySet();
+
     private final Map<String, String> standing = new ConcurrentHashMap<>();
 
     /** {@code names} are the zones of the list in their order, {@code own} this router's. */
-    public Plan(Sites.Settings settings, List<String> names, int own, long seed,
-            ModuleActor.Journal journal) {
+    public Plan(Sites.Settings settings, List<String> names, int own, long seed, ModuleActor.Journal journal) {
         this.settings = settings;
         this.names = List.copyOf(names);
         names.forEach(n -> standing.put(n, word(Sites.State.WHOLE)));
@@ -52,16 +51,23 @@
         if (!Files.exists(file)) {
             return null;
         }
-        Config.Facts f = Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+        Config.Facts f =
+                Config.facts(Files.readAllBytes(file), file.getFileName().toString());
         for (String k : f.map().keySet()) {
             if (!KEYS.contains(k)) {
                 throw new Config.Malformed(f.path() + "." + k + " is not known");
             }
         }
         Sites.Settings u = Sites.Settings.USUAL;
-        return new Sites.Settings(time(f, "windowMs", u.window()), (int) above(f, "engines", u.engines()),
-                above(f, "slow", u.slow()), time(f, "trialMs", u.trial()), time(f, "longestMs", u.longest()),
-                time(f, "stepMs", u.step()), time(f, "gentleMs", u.gentle()), time(f, "memoryMs", u.memory()),
+        return new Sites.Settings(
+                time(f, "windowMs", u.window()),
+                (int) above(f, "engines", u.engines()),
+                above(f, "slow", u.slow()),
+                time(f, "trialMs", u.trial()),
+                time(f, "longestMs", u.longest()),
+                time(f, "stepMs", u.step()),
+                time(f, "gentleMs", u.gentle()),
+                time(f, "memoryMs", u.memory()),
                 time(f, "freshMs", u.fresh()));
     }
 
@@ -101,8 +107,7 @@
     }
 
     @Override
-    public void fresh(String replica) {
-    }
+    public void fresh(String replica) {}
 
     @Override
     public void listed(long now, int zone, int live) {
@@ -157,8 +162,16 @@
         for (Sites.Change c : sites.changes()) {
             String name = name(c.site());
             journal.count("site_" + c.to().name().toLowerCase(Locale.ROOT));
-            journal.log("site", "name", name, "from", word(c.from()), "to", word(c.to()),
-                    "cause", c.cause().name().toLowerCase(Locale.ROOT));
+            journal.log(
+                    "site",
+                    "name",
+                    name,
+                    "from",
+                    word(c.from()),
+                    "to",
+                    word(c.to()),
+                    "cause",
+                    c.cause().name().toLowerCase(Locale.ROOT));
         }
         for (int i = 0; i < shutSince.length; i++) {
             shutSince[i] = sites.share(i, now) > 0 ? Long.MAX_VALUE : Math.min(shutSince[i], now);
@@ -167,8 +180,11 @@
 
     private String standing(int i, long now) {
         Sites.State s = sites.state(i);
-        return word(s) + (s == Sites.State.WHOLE ? "" : " share=" + Math.round(100 * sites.share(i, now))
-                + "% cause=" + sites.cause(i).name().toLowerCase(Locale.ROOT));
+        return word(s)
+                + (s == Sites.State.WHOLE
+                        ? ""
+                        : " share=" + Math.round(100 * sites.share(i, now)) + "% cause="
+                                + sites.cause(i).name().toLowerCase(Locale.ROOT));
     }
 
     private static String word(Sites.State s) {
--- a/src/main/java/magpiehub/site/Sites.java
+++ b/src/main/java/magpiehub/site/Sites.java
@@ -19,16 +19,30 @@
  */
 public final class Sites {
     /** How a site stands. */
-    public enum State { WHOLE, DOUBTED, LOST, RETURNING, OUT }
+    public enum State {
+        WHOLE,
+        DOUBTED,
+        LOST,
+        RETURNING,
+        OUT
+    }
 
     /** Why a state changed. */
     public enum Cause {
-        NO_CONNECTION, SILENCE, ERRORS, SLOW, LIST, CUT_OFF, PASSED, ANSWERED, RAMPED, OPERATOR
+        NO_CONNECTION,
+        SILENCE,
+        ERRORS,
+        SLOW,
+        LIST,
+        CUT_OFF,
+        PASSED,
+        ANSWERED,
+        RAMPED,
+        OPERATOR
     }
 
     /** One change of a state. */
-    public record Change(int site, State from, State to, Cause cause, long at) {
-    }
+    public record Change(int site, State from, State to, Cause cause, long at) {}
 
     /**
      * Times in microseconds.
@@ -44,11 +58,19 @@
      * @param memory how long a site must be whole until its losses are forgotten
      * @param fresh the age from which a list says nothing of a loss
      */
-    public record Settings(long window, int engines, double slow, long trial, long longest, long step,
-            long gentle, long memory, long fresh) {
+    public record Settings(
+            long window,
+            int engines,
+            double slow,
+            long trial,
+            long longest,
+            long step,
+            long gentle,
+            long memory,
+            long fresh) {
         /** What holds where a deployment says nothing: connections fail within 250 ms there. */
-        public static final Settings USUAL = new Settings(2_000_000, 5, 4, 500_000, 16_000_000, 1_000_000,
-                3_000_000, 60_000_000, 10_000_000);
+        public static final Settings USUAL =
+                new Settings(2_000_000, 5, 4, 500_000, 16_000_000, 1_000_000, 3_000_000, 60_000_000, 10_000_000);
     }
 
     /** The parts of its usual work that a returning site gets, one step after the other. */
@@ -62,6 +84,7 @@
     private static final double DOUBTED_SHARE = 0.5;
     /** Part of the answers of a step that may be slow or failed. */
     private static final double TROUBLED = 0.25;
+
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private static final class Site {
@@ -69,19 +92,23 @@
         Cause cause = Cause.PASSED;
         /** Engines that failed since the last answer, and how; when the first and the last was told. */
         final Map<String, Sign> failed = new LinkedHashMap<>();
+
         long firstFailure = NEVER;
         long lastFailure = NEVER;
         /** When the first and the last of those attempts were sent. */
         long firstSent = NEVER;
+
         long lastSent = NEVER;
         /** The last answer: when it came, and when its attempt was sent; the same of the last at the usual
          *  pace. */
         long answered = NEVER;
+
         long answeredSent = NEVER;
         long brisk = NEVER;
         long briskSent = NEVER;
         /** The witness for which one more failure was asked for, and when its attempt was sent. */
         long confirmed = NEVER;
+
         long failedAgain = NEVER;
         int slowInRow;
         int live = -1;
@@ -90,6 +117,7 @@
         boolean shut;
         /** Health checks asked for since the site began to fail. */
         int checks;
+
         long since = NEVER;
         long nextTrial;
         int trials;
@@ -181,8 +209,9 @@
         } else if (x.state != State.OUT && site != own && x.failed.isEmpty()) {
             for (Site y : sites) {
                 // Nobody but a third site can tell a loss from this router's own.
-                due = y != x && y.shut && y.state == State.DOUBTED && x.answered < y.firstFailure
-                        && x.checks == 0 ? 1 : due;
+                due = y != x && y.shut && y.state == State.DOUBTED && x.answered < y.firstFailure && x.checks == 0
+                        ? 1
+                        : due;
             }
         }
         x.checks += Math.max(0, due);
@@ -303,7 +332,8 @@
         int[] n = new int[Sign.values().length];
         x.failed.values().forEach(k -> n[k.ordinal()]++);
         return n[Sign.NO_CONNECTION.ordinal()] >= n[Sign.SILENCE.ordinal()]
-                && n[Sign.NO_CONNECTION.ordinal()] >= n[Sign.ERROR.ordinal()] ? Cause.NO_CONNECTION
+                        && n[Sign.NO_CONNECTION.ordinal()] >= n[Sign.ERROR.ordinal()]
+                ? Cause.NO_CONNECTION
                 : n[Sign.SILENCE.ordinal()] >= n[Sign.ERROR.ordinal()] ? Cause.SILENCE : Cause.ERRORS;
     }
 
@@ -419,11 +449,15 @@
                 change(now, site, State.DOUBTED, why);
             }
             x.cause = why;
-        } else if (x.state == State.WHOLE && (unlisted
-                || failed >= (kind(x) == Cause.ERRORS ? DOUBT_ERRORS : DOUBT)
-                || x.slowInRow >= s.engines && !sharedSlowness(site, now))) {
+        } else if (x.state == State.WHOLE
+                && (unlisted
+                        || failed >= (kind(x) == Cause.ERRORS ? DOUBT_ERRORS : DOUBT)
+                        || x.slowInRow >= s.engines && !sharedSlowness(site, now))) {
             change(now, site, State.DOUBTED, unlisted ? Cause.LIST : failed > 0 ? kind(x) : Cause.SLOW);
-        } else if (x.state == State.DOUBTED && !x.shut && !unlisted && failed == 0
+        } else if (x.state == State.DOUBTED
+                && !x.shut
+                && !unlisted
+                && failed == 0
                 && (x.cause != Cause.SLOW || x.slowInRow == 0 || sharedSlowness(site, now))) {
             change(now, site, State.WHOLE, Cause.PASSED);
         } else if (x.state == State.RETURNING) {
--- a/src/main/java/magpiehub/store/ReplicatedStore.java
+++ b/src/main/java/magpiehub/store/ReplicatedStore.java
@@ -46,6 +46,7 @@
         final String peer;
         /** Null while there is no link: the next one begins with everything. */
         private volatile Mailbox<byte[]> lines;
+
         private volatile Socket socket;
 
         Link(String peer) {
@@ -117,8 +118,8 @@
     private volatile boolean closed;
 
     /** A replica of a name of its own that listens at an address and knows its peers' addresses. */
-    public ReplicatedStore(String name, InetSocketAddress listen, Mailbox.Clock clock,
-            ModuleActor.Journal journal) throws IOException {
+    public ReplicatedStore(String name, InetSocketAddress listen, Mailbox.Clock clock, ModuleActor.Journal journal)
+            throws IOException {
         this.name = name;
         this.clock = clock;
         this.journal = journal;
@@ -134,18 +135,18 @@
 
     /** A replica as a file of the deployment's describes it; null if there is none, and then the store is
      * off. */
-    public static ReplicatedStore read(Path file, String name, Mailbox.Clock clock,
-            ModuleActor.Journal journal) throws IOException {
+    public static ReplicatedStore read(Path file, String name, Mailbox.Clock clock, ModuleActor.Journal journal)
+            throws IOException {
         if (!Files.exists(file)) {
             return null;
         }
-        Config.Facts f = Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+        Config.Facts f =
+                Config.facts(Files.readAllBytes(file), file.getFileName().toString());
         String listen = f.text("listen", null);
         if (listen == null) {
             throw new Config.Malformed(file.getFileName() + " gives no address in \"listen\"");
         }
-        ReplicatedStore s = new ReplicatedStore(name, Config.socketAddress(Config.address(listen)),
-                clock, journal);
+        ReplicatedStore s = new ReplicatedStore(name, Config.socketAddress(Config.address(listen)), clock, journal);
         f.texts("peers").forEach(s::join);
         return s;
     }
--- a/src/main/java/magpiehub/stream/Allowances.java
+++ b/src/main/java/magpiehub/stream/Allowances.java
@@ -23,8 +23,8 @@
  * @param logAll whether whole streams get a line in the log, too
  * @param classes a class's own, by its number in the settings
  */
-public record Allowances(long budget, int sendBuffer, boolean halfClose, boolean logAll, Pace.Options pace,
-        List<PerClass> classes) {
+public record Allowances(
+        long budget, int sendBuffer, boolean halfClose, boolean logAll, Pace.Options pace, List<PerClass> classes) {
     /**
      * What one class of requests may take.
      *
@@ -33,13 +33,13 @@
      * @param hold how long a silent engine is waited for where clients don't ask for the rest (us)
      * @param comments how long an engine may send comments and no event (us)
      */
-    public record PerClass(long buffer, long pause, long hold, long comments) {
-    }
+    public record PerClass(long buffer, long pause, long hold, long comments) {}
 
     private static final long MS = 1000;
     private static final long KB = 1024;
     /** What holds without a file. */
     private static final long BUFFER_KB = 512;
+
     private static final long PAUSE_MS = 30_000;
     private static final long SILENCE_MS = 2_000;
     private static final long FOR_EVER_MS = 86_400_000;
@@ -71,8 +71,7 @@
         long ceiling = r.number("silence_ms", SILENCE_MS, 100, FOR_EVER_MS) * MS;
         long floor = Math.min(ceiling, r.number("stall_least_ms", ceiling / MS, 100, FOR_EVER_MS) * MS);
         double factor = r.number("stall_factor", 8, 2, 1000);
-        PerClass all = perClass(r, new PerClass(BUFFER_KB * KB, PAUSE_MS * MS, FOR_EVER_MS * MS,
-                FOR_EVER_MS * MS));
+        PerClass all = perClass(r, new PerClass(BUFFER_KB * KB, PAUSE_MS * MS, FOR_EVER_MS * MS, FOR_EVER_MS * MS));
         Map<String, PerClass> own = new LinkedHashMap<>();
         Config.Facts named = f.object("classes");
         for (String c : named.map().keySet()) {
@@ -88,12 +87,18 @@
         for (RequestClass c : classes) {
             byNumber.add(own.getOrDefault(c.name(), all));
         }
-        return new Allowances(budget, (int) sendBuffer, halfClose, logAll, new Pace.Options(floor, ceiling,
-                factor), List.copyOf(byNumber));
+        return new Allowances(
+                budget,
+                (int) sendBuffer,
+                halfClose,
+                logAll,
+                new Pace.Options(floor, ceiling, factor),
+                List.copyOf(byNumber));
     }
 
     private static PerClass perClass(Reading r, PerClass or) {
-        return new PerClass(r.number("buffer_kb", or.buffer / KB, 64, 65_536) * KB,
+        return new PerClass(
+                r.number("buffer_kb", or.buffer / KB, 64, 65_536) * KB,
                 r.number("pause_ms", or.pause / MS, 100, FOR_EVER_MS) * MS,
                 r.number("hold_ms", or.hold / MS, 100, FOR_EVER_MS) * MS,
                 r.number("comments_ms", or.comments / MS, 100, FOR_EVER_MS) * MS);
@@ -114,8 +119,7 @@
             known.add(name);
             double v = facts.number(name, or);
             if (v != Math.rint(v) || v < least || v > most) {
-                throw new Config.Malformed(path + name + " must be a whole number from " + least + " to "
-                        + most);
+                throw new Config.Malformed(path + name + " must be a whole number from " + least + " to " + most);
             }
             return (long) v;
         }
--- a/src/main/java/magpiehub/stream/Budget.java
+++ b/src/main/java/magpiehub/stream/Budget.java
@@ -20,18 +20,21 @@
     public static final long GRACE = 500_000;
     /** What is kept back for each stream (bytes). */
     static final int PLEDGE = 8 * 1024;
+
     private static final long NEVER = Long.MAX_VALUE;
 
     /** One stream's part. */
     public static final class Account {
         /** Whose part it is. */
         final Object owner;
+
         private final long allowance;
         private long held;
         private long passed;
         private long came;
         /** When the client's socket last took bytes, or the first of those that wait came (us). */
         private long movedAt;
+
         private long behindSince = NEVER;
         private boolean closed;
 
--- a/src/main/java/magpiehub/stream/Ledger.java
+++ b/src/main/java/magpiehub/stream/Ledger.java
@@ -12,17 +12,28 @@
 public final class Ledger {
     /** Why a stream ended. */
     public enum Ending {
-        /** The client's socket has taken all of a whole stream. */ WHOLE,
-        /** It was not whole, and was ended in order in its dialect's own words. */ INCOMPLETE,
-        /** The engine told an error inside it. */ ENGINE_ERROR,
-        /** The engine's connection broke, or what came can't be read. */ ENGINE_BROKE,
-        /** The engine fell silent for longer than its pace allows. */ ENGINE_STALLED,
-        /** The client closed its connection, or reset it. */ READER_LEFT,
-        /** The client's socket took nothing for longer than its class allows. */ READER_STUCK,
-        /** Bytes were short, and this client was furthest behind for longest. */ READER_BEHIND,
-        /** The decision module ended it so that the rest is asked for elsewhere. */ MOVED,
-        /** The router stopped. */ STOPPED,
-        /** The router itself failed on it. */ FAULT;
+        /** The client's socket has taken all of a whole stream. */
+        WHOLE,
+        /** It was not whole, and was ended in order in its dialect's own words. */
+        INCOMPLETE,
+        /** The engine told an error inside it. */
+        ENGINE_ERROR,
+        /** The engine's connection broke, or what came can't be read. */
+        ENGINE_BROKE,
+        /** The engine fell silent for longer than its pace allows. */
+        ENGINE_STALLED,
+        /** The client closed its connection, or reset it. */
+        READER_LEFT,
+        /** The client's socket took nothing for longer than its class allows. */
+        READER_STUCK,
+        /** Bytes were short, and this client was furthest behind for longest. */
+        READER_BEHIND,
+        /** The decision module ended it so that the rest is asked for elsewhere. */
+        MOVED,
+        /** The router stopped. */
+        STOPPED,
+        /** The router itself failed on it. */
+        FAULT;
 
         /** Its counter's name. */
         public String counter() {
--- a/src/main/java/magpiehub/stream/Pace.java
+++ b/src/main/java/magpiehub/stream/Pace.java
@@ -26,11 +26,13 @@
 
     /** Gaps shorter than this came in one burst and say nothing of the engine (us). */
     private static final long BURST = 500;
+
     private static final int CLASSES = 80;
     private static final int LEAST = 40;
     private static final int HALVED_AT = 2048;
     /** The fleet's gaps of now are forgotten after so many, its usual ones much later. */
     private static final int NOW_AT = 512;
+
     private static final int USUAL_AT = 65_536;
     private static final double SLOWEST_SHARED = 4;
 
@@ -79,6 +81,7 @@
         final Gaps gaps = new Gaps(HALVED_AT);
         /** When this engine last said anything on any stream, and how many streams it has under way. */
         long heardAt;
+
         int streams;
     }
 
