--- a/src/main/java/magpiehub/stream/Streams.java
+++ b/src/main/java/magpiehub/stream/Streams.java
@@ -37,6 +37,7 @@
         private Ending ending;
         /** Over before it became a stream: a grant that crosses the end begins none. */
         private boolean over;
+
         private volatile long lastEventAt;
         /** Its engine's reader waits for room: the engine is not silent, it is not listened to. */
         private volatile boolean waits;
@@ -58,6 +59,7 @@
 
     /** Guards all of the below; readers wait on it for room. */
     private final Object lock = new Object();
+
     private volatile Allowances allowances;
     private volatile List<RequestClass> classes;
     private volatile List<Tenant> tenants;
@@ -69,8 +71,7 @@
     private int waiting;
 
     /** For a site's classes and tenants. */
-    public Streams(Allowances allowances, Config.Site site, Mailbox.Clock clock,
-            ModuleActor.Journal journal) {
+    public Streams(Allowances allowances, Config.Site site, Mailbox.Clock clock, ModuleActor.Journal journal) {
         settings(allowances, site);
         this.clock = clock;
         this.journal = journal;
@@ -96,7 +97,10 @@
 
     /** The most that one client may leave untaken, over all classes (bytes). */
     public long largestBuffer() {
-        return allowances.classes().stream().mapToLong(Allowances.PerClass::buffer).max().orElse(0);
+        return allowances.classes().stream()
+                .mapToLong(Allowances.PerClass::buffer)
+                .max()
+                .orElse(0);
     }
 
     // ---- The client's side ----------------------------------------------------------------------------
@@ -125,7 +129,8 @@
      *  (us) where that is shorter. Then the stream is to be cut, and {@code why} is noted for its ending. */
     public boolean stuck(Flow f, long now, long least, Ending why) {
         synchronized (lock) {
-            boolean stuck = f.ending == null && f.account.stuckFor(now) > Math.min(least, of(f.cls).pause());
+            boolean stuck = f.ending == null
+                    && f.account.stuckFor(now) > Math.min(least, of(f.cls).pause());
             if (stuck) {
                 f.cutFor(why);
             }
@@ -159,11 +164,23 @@
         }
         journal.count(e.counter());
         if (e != Ending.WHOLE || allowances.logAll()) {
-            journal.log("stream-ended", "why", e.name().toLowerCase(java.util.Locale.ROOT), "id",
-                    f.id, "engine",
-                    f.engine, "class", classes.get(f.cls).name(), "tenant", f.tenant < 0 ? ""
-                            : tenants.get(f.tenant).name(), "bytes_passed", Long.toString(f.account.passed()),
-                    "bytes_left", Long.toString(f.account.held()), "last_event_ms_ago",
+            journal.log(
+                    "stream-ended",
+                    "why",
+                    e.name().toLowerCase(java.util.Locale.ROOT),
+                    "id",
+                    f.id,
+                    "engine",
+                    f.engine,
+                    "class",
+                    classes.get(f.cls).name(),
+                    "tenant",
+                    f.tenant < 0 ? "" : tenants.get(f.tenant).name(),
+                    "bytes_passed",
+                    Long.toString(f.account.passed()),
+                    "bytes_left",
+                    Long.toString(f.account.held()),
+                    "last_event_ms_ago",
                     Long.toString(f.lastEventAt == 0 ? -1 : (now - f.lastEventAt) / 1000));
         }
     }
@@ -266,8 +283,7 @@
         }
         Allowances.PerClass own = of(f.cls);
         long silence = resume ? limit : Math.max(limit, own.hold());
-        return Math.min(Math.max(heardAt, f.waitedUntil) + silence,
-                Math.max(eventAt, f.waitedUntil) + own.comments());
+        return Math.min(Math.max(heardAt, f.waitedUntil) + silence, Math.max(eventAt, f.waitedUntil) + own.comments());
     }
 
     /** The engine is no longer listed. */
--- a/src/test/java/magpiehub/EventDelayTest.java
+++ b/src/test/java/magpiehub/EventDelayTest.java
@@ -33,32 +33,38 @@
     private static final int LARGE_EVENT = 32 * 1024;
     private static final int SMALL_BUFFER = 4 * 1024;
     /** Stops a process for three quarters of each tenth of a second; says how long each stop took (ms). */
-    private static final String QUARTER_OF_A_CORE = """
+    private static final String QUARTER_OF_A_CORE =
+            """
             use Time::HiRes qw(time sleep); $| = 1;
             while (1) {
               my $from = time; kill('STOP', $ARGV[0]) or last;
               sleep 0.075; kill('CONT', $ARGV[0]); printf("%d\n", 1000 * (time - $from)); sleep 0.025;
             }
             """;
+
     private static final long STOP_MS = 75;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final Pattern WRITTEN_AT = Pattern.compile("\"content\":\"(\\d+)\"");
 
     @Rule
     public final Timeout patience = Timeout.seconds(120);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private final LongAccumulator longestDelay = new LongAccumulator(Math::max, 0);
     /** How late this machine wakes a thread of the test itself, as it does the router's. */
     private final LongAccumulator longestOversleep = new LongAccumulator(Math::max, 0);
+
     private final AtomicBoolean over = new AtomicBoolean();
 
     @Test
     public void eventsArePassedOnInTimeOnAQuarterOfACore() throws Exception {
         play();
         long most = MOST_DELAY_NANOS + longestOversleep.get();
-        assertTrue("an event took " + longestDelay.get() / 1_000_000 + " ms, "
-                + longestOversleep.get() / 1_000_000 + " ms of lateness of the machine's own",
+        assertTrue(
+                "an event took " + longestDelay.get() / 1_000_000 + " ms, " + longestOversleep.get() / 1_000_000
+                        + " ms of lateness of the machine's own",
                 longestDelay.get() <= most);
     }
 
@@ -75,8 +81,12 @@
                         ServeTest.until(answer, "200 OK");
                         answers.add(answer);
                     }
-                    Process throttle = new ProcessBuilder("perl", "-e", QUARTER_OF_A_CORE,
-                            Long.toString(router.process().pid())).start();
+                    Process throttle = new ProcessBuilder(
+                                    "perl",
+                                    "-e",
+                                    QUARTER_OF_A_CORE,
+                                    Long.toString(router.process().pid()))
+                            .start();
                     try {
                         router.threads.execute(this::oversleep);
                         router.threads.execute(() -> stops(throttle));
@@ -117,7 +127,8 @@
 
     /** What a stop takes longer than it should, it adds to the lateness of the machine. */
     private void stops(Process throttle) {
-        throttle.inputReader().lines()
+        throttle.inputReader()
+                .lines()
                 .forEach(ms -> longestOversleep.accumulate((Long.parseLong(ms) - STOP_MS) * 1_000_000));
     }
 
@@ -168,8 +179,10 @@
 
     private static void event(Socket connection, String content) throws IOException {
         byte[] event = ("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + content
-                + "\"},\"finish_reason\":null}]}\n\n").getBytes(StandardCharsets.UTF_8);
-        ServeTest.say(connection, Integer.toHexString(event.length) + "\r\n"
-                + new String(event, StandardCharsets.UTF_8) + "\r\n");
+                        + "\"},\"finish_reason\":null}]}\n\n")
+                .getBytes(StandardCharsets.UTF_8);
+        ServeTest.say(
+                connection,
+                Integer.toHexString(event.length) + "\r\n" + new String(event, StandardCharsets.UTF_8) + "\r\n");
     }
 }
--- a/src/test/java/magpiehub/FloodTest.java
+++ b/src/test/java/magpiehub/FloodTest.java
@@ -25,32 +25,34 @@
     private static final int REQUESTS = 60;
     /** An attempt that begins so long after its client's close is a fault; the platform allows two a day. */
     private static final long GONE_NANOS = 100_000_000;
+
     private static final int ATTEMPTS_ALLOWED = 2;
     /** The id of the request whose answer never ends. */
     private static final String SPOILT = "spoilt";
-    private static final String WHOLE_ANSWER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
+
+    private static final String WHOLE_ANSWER =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
 
     /** What an engine says first, and what it then says again and again. */
-    private record Endless(String first, String again) {
-    }
+    private record Endless(String first, String again) {}
 
     private static final List<Endless> ENDLESS_ANSWERS = List.of(
             new Endless("HTTP/1.1 200 OK\r\n", "X-Filling: " + "x".repeat(1000) + "\r\n"),
             new Endless("HTTP/1.1 200 OK\r\nX-Filling: ", "x".repeat(1000)),
             new Endless("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "0".repeat(1000)),
-            new Endless("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n",
-                    "3e8\r\n" + "x".repeat(1000) + "\r\n"),
+            new Endless("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n", "3e8\r\n" + "x".repeat(1000) + "\r\n"),
             new Endless("", "HTTP/1.1 100 Continue\r\n\r\n"));
 
     @Rule
     public final Timeout patience = Timeout.seconds(120);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
     /** When the client of each request closed its connection (ns). */
     private final Map<String, Long> closedAt = new ConcurrentHashMap<>();
     /** When each request reached the engine (ns). */
     private final Map<String, Long> attemptAt = new ConcurrentHashMap<>();
+
     private final LongAccumulator longestOversleep = new LongAccumulator(Math::max, 0);
 
     /** Many requests in one write, and a reset right after it: next to nothing of it is sent on once they
@@ -140,7 +142,8 @@
 
     // ---- The engine -----------------------------------------------------------------------------------
     private void answer(Socket connection) {
-        try (connection; BufferedReader requests = ServeTest.reader(connection)) {
+        try (connection;
+                BufferedReader requests = ServeTest.reader(connection)) {
             while (true) {
                 attemptAt.put(RouterProcess.request(requests), System.nanoTime());
                 ServeTest.say(connection, WHOLE_ANSWER);
@@ -152,7 +155,8 @@
 
     /** Answers one request without end, until the router closes the connection, and all others at once. */
     private void spoil(Socket connection, Endless endless) {
-        try (connection; BufferedReader requests = ServeTest.reader(connection)) {
+        try (connection;
+                BufferedReader requests = ServeTest.reader(connection)) {
             while (!RouterProcess.request(requests).equals(SPOILT)) {
                 ServeTest.say(connection, WHOLE_ANSWER);
             }
--- a/src/test/java/magpiehub/FullHouseTest.java
+++ b/src/test/java/magpiehub/FullHouseTest.java
@@ -28,22 +28,31 @@
 
     /** How discovery fails while a router starts. */
     private enum Fails {
-        REFUSES, NEVER_ANSWERS, SAYS_503, CUTS, SLOW
+        REFUSES,
+        NEVER_ANSWERS,
+        SAYS_503,
+        CUTS,
+        SLOW
     }
 
     @Rule
     public final Timeout patience = Timeout.seconds(120);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
     private Process start(String name, int sockets, int discovery, String known) throws IOException {
         Path config = folder.newFile().toPath();
-        Files.writeString(config, "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\","
-                + "\"discovery\":\"127.0.0.1:" + discovery + "\",\"seed\":\"7\","
-                + "\"limits\":{\"sockets\":" + sockets + "},\"settings\":"
-                + Files.readString(Path.of("src/test/resources/site.json")) + known + "}");
-        ProcessBuilder b = new ProcessBuilder("sh", "-c", "ulimit -n " + sockets
-                + " && exec \"$0\" -Xmx64m -Xss512k -cp \"$1\" magpiehub.Main serve",
+        Files.writeString(
+                config,
+                "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\","
+                        + "\"discovery\":\"127.0.0.1:" + discovery + "\",\"seed\":\"7\","
+                        + "\"limits\":{\"sockets\":" + sockets + "},\"settings\":"
+                        + Files.readString(Path.of("src/test/resources/site.json")) + known + "}");
+        ProcessBuilder b = new ProcessBuilder(
+                "sh",
+                "-c",
+                "ulimit -n " + sockets + " && exec \"$0\" -Xmx64m -Xss512k -cp \"$1\" magpiehub.Main serve",
                 ProcessHandle.current().info().command().orElse("java"),
                 System.getProperty("java.class.path"));
         b.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY"));
@@ -61,8 +70,7 @@
     }
 
     private static int port(BufferedReader log) throws IOException {
-        return Integer.parseInt(ServeTest.until(log, " started ")
-                .replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+        return Integer.parseInt(ServeTest.until(log, " started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
     /** Nothing that a test does not wait for may fill a pipe. */
@@ -81,9 +89,11 @@
     }
 
     private static void ask(Socket s, String id) throws IOException {
-        ServeTest.say(s, "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
-                + "\r\nX-Call-Class: chat\r\nX-Budget-Ms: 20000\r\nContent-Length: " + CONTENT.length()
-                + "\r\n\r\n" + CONTENT);
+        ServeTest.say(
+                s,
+                "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
+                        + "\r\nX-Call-Class: chat\r\nX-Budget-Ms: 20000\r\nContent-Length: " + CONTENT.length()
+                        + "\r\n\r\n" + CONTENT);
     }
 
     /** An engine that answers each request at once. */
@@ -105,12 +115,15 @@
     }
 
     private static void answer(Socket s) {
-        try (s; BufferedReader in = ServeTest.reader(s)) {
+        try (s;
+                BufferedReader in = ServeTest.reader(s)) {
             for (String l = in.readLine(); l != null; l = in.readLine()) {
                 if (l.isEmpty()) {
                     in.read(new char[CONTENT.length()]);
-                    ServeTest.say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                            + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
+                    ServeTest.say(
+                            s,
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                    + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
                 }
             }
         } catch (IOException e) {
@@ -127,7 +140,8 @@
         StringBuffer seen = new StringBuffer();
         ServerSocket discovery = new ServerSocket(0, 8, HERE);
         int at = discovery.getLocalPort();
-        try (ServerSocket engine = new ServerSocket(0, 512, HERE); Socket served = new Socket()) {
+        try (ServerSocket engine = new ServerSocket(0, 512, HERE);
+                Socket served = new Socket()) {
             serve(engine);
             Process p = start("full", sockets, at, known(engine));
             try (BufferedReader log = p.inputReader()) {
@@ -217,7 +231,8 @@
                 for (int i = 0; !up.contains(" 200 "); i++) {
                     assertTrue(f + ": not ready in time", System.nanoTime() - begun < 10_000_000_000L);
                     // Clients knock already.
-                    try (Socket early = new Socket(HERE, port); Socket s = new Socket(HERE, port)) {
+                    try (Socket early = new Socket(HERE, port);
+                            Socket s = new Socket(HERE, port)) {
                         ask(early, "early" + i);
                         ServeTest.say(s, "GET /up HTTP/1.1\r\n\r\n");
                         up = answered(s);
@@ -251,13 +266,15 @@
                     if (how == Fails.SAYS_503) {
                         ServeTest.say(s, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
                     } else if (how == Fails.CUTS) {
-                        ServeTest.say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                + "20\r\n{\"revision\":3,");
+                        ServeTest.say(
+                                s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "20\r\n{\"revision\":3,");
                         s.close();
                     } else if (how == Fails.SLOW) {
                         Thread.sleep(3_000);
-                        ServeTest.say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
+                        ServeTest.say(
+                                s,
+                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                        + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
                     }
                 } catch (IOException | InterruptedException e) {
                     // The next one.
--- a/src/test/java/magpiehub/KnownRedTest.java
+++ b/src/test/java/magpiehub/KnownRedTest.java
@@ -22,6 +22,7 @@
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private String said;
 
     private int run(String what, String list) throws Exception {
@@ -31,7 +32,8 @@
         write(root.resolve("lab/src/test/java/b/BTest.java"), "void each() {}\n");
         write(root.resolve("lab/target/surefire-reports/TEST-a.ATest.xml"), REPORT);
         Process p = new ProcessBuilder("bash", ".ci/known-red", what, root.toString())
-                .redirectErrorStream(true).start();
+                .redirectErrorStream(true)
+                .start();
         said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return p.waitFor();
     }
@@ -54,8 +56,14 @@
 
     @Test
     public void aLineThatNamesNoTestOrNoCauseFails() throws Exception {
-        for (String bad : new String[] {"a.ATest#none; cause; 1", "c.ATest#bad; cause; 1",
-            "a.ATest; cause; 1", "a.ATest#bad; cause", "a.ATest#bad; ; 1", "a.ATest#bad"}) {
+        for (String bad : new String[] {
+            "a.ATest#none; cause; 1",
+            "c.ATest#bad; cause; 1",
+            "a.ATest; cause; 1",
+            "a.ATest#bad; cause",
+            "a.ATest#bad; ; 1",
+            "a.ATest#bad"
+        }) {
             assertEquals(bad, 1, run("check", bad + "\n"));
         }
     }
@@ -71,7 +79,9 @@
 
     @Test
     public void theProjectsOwnListIsInOrder() throws Exception {
-        Process p = new ProcessBuilder("bash", ".ci/known-red", "check").redirectErrorStream(true).start();
+        Process p = new ProcessBuilder("bash", ".ci/known-red", "check")
+                .redirectErrorStream(true)
+                .start();
         said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(said, 0, p.waitFor());
     }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -134,6 +134,7 @@
     private int asked;
     /** What each answered request came to, in the order of the file. */
     final List<String> results = new ArrayList<>();
+
     private String known = "";
 
     /** Plays a file; returns what the requests that it asked came to. */
@@ -148,8 +149,10 @@
                 try {
                     p.step(line);
                 } catch (Exception | AssertionError e) {
-                    throw new AssertionError(file.getFileName() + ":" + number + ": " + line + "\n" + e
-                            + "\n" + p.log.counters() + p.logged, e);
+                    throw new AssertionError(
+                            file.getFileName() + ":" + number + ": " + line + "\n" + e + "\n" + p.log.counters()
+                                    + p.logged,
+                            e);
                 }
             }
             return p.results;
@@ -166,20 +169,24 @@
         Peer d = peers.computeIfAbsent("d", k -> new Peer());
         d.server = new ServerSocket(0, 8, any.getAddress());
         Mailbox.Crew crew = new Mailbox.Crew();
-        streams = new Streams(Allowances.of(Config.facts(allowances.getBytes(), "streams.json"),
-                site.settings().classes(), 64 << 20), site, clock,
+        streams = new Streams(
+                Allowances.of(
+                        Config.facts(allowances.getBytes(), "streams.json"),
+                        site.settings().classes(),
+                        64 << 20),
+                site,
+                clock,
                 log);
         Engines engines = new Engines(site, 64, clock, log, crew, streams);
         engines.start();
-        discovery = new Discovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock,
-                log, 7);
+        discovery = new Discovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock, log, 7);
         actor = new ModuleActor(site.settings(), 7, clock, engines, discovery, log);
         engines.module(actor);
-        Front front = messages ? new MessagesFront(() -> site, new MessagesFront.Options("", "chat", "",
-                Map.of()), null)
+        Front front = messages
+                ? new MessagesFront(() -> site, new MessagesFront.Options("", "chat", "", Map.of()), null)
                 : new PlatformFront(() -> site);
-        clients = new Clients(Door.bind(any), front, actor, clock, log, discovery::known, log::counters, most,
-                crew, streams);
+        clients = new Clients(
+                Door.bind(any), front, actor, clock, log, discovery::known, log::counters, most, crew, streams);
         clients.start();
         log.start();
         discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes());
@@ -219,11 +226,13 @@
             case "counter" -> counter(rest);
             case "passes" -> { // Time, so much at once, until a counter has come.
                 String[] p = rest.split(" ", 2);
-                await(() -> {
-                    boolean there = has(p[1]);
-                    clock.now.addAndGet(there ? 0 : Long.parseLong(p[0]) * 1000);
-                    return there;
-                }, "the counter never came to " + p[1]);
+                await(
+                        () -> {
+                            boolean there = has(p[1]);
+                            clock.now.addAndGet(there ? 0 : Long.parseLong(p[0]) * 1000);
+                            return there;
+                        },
+                        "the counter never came to " + p[1]);
             }
             case "hold" -> {
                 held = new CountDownLatch(1);
@@ -239,8 +248,8 @@
             case "release" -> held.countDown();
             case "stop" -> clients.stopAccepting();
             case "closing" -> clients.closeIdle();
-            case "logged" -> await(() -> glob(".*" + quote(rest) + ".*",
-                    logged.toString(StandardCharsets.UTF_8)),
+            case "logged" -> await(
+                    () -> glob(".*" + quote(rest) + ".*", logged.toString(StandardCharsets.UTF_8)),
                     "no log line has " + rest);
             default -> {
                 int i = 0;
@@ -253,7 +262,8 @@
     }
 
     private String member(String name, String phase) {
-        return "{\"id\":\"" + name + "\",\"host_port\":\"127.0.0.1:" + peers.get(name).server.getLocalPort()
+        return "{\"id\":\"" + name + "\",\"host_port\":\"127.0.0.1:"
+                + peers.get(name).server.getLocalPort()
                 + "\",\"locality\":\"a\",\"flavor\":\"m\",\"cell\":0,\"phase\":\"" + phase
                 + "\",\"size\":1.0,\"up_since_ms\":0}";
     }
@@ -297,7 +307,9 @@
                 p.flush();
             }
             case "<" -> expect(rest, p.line());
-            case "<<" -> expect(rest, escape(p.bytes(rest.startsWith("@") ? 0 : unescape(rest).length())));
+            case "<<" -> expect(
+                    rest,
+                    escape(p.bytes(rest.startsWith("@") ? 0 : unescape(rest).length())));
             case "<~" -> {
                 String got = p.bytes(Integer.parseInt(p.line(), 16));
                 assertEquals("", p.line());
@@ -322,8 +334,7 @@
                 } else {
                     int length = 0;
                     for (String l = p.line(); !l.isEmpty(); l = p.line()) {
-                        length = l.startsWith("Content-Length: ") ? Integer.parseInt(l.substring(16))
-                                : length;
+                        length = l.startsWith("Content-Length: ") ? Integer.parseInt(l.substring(16)) : length;
                     }
                     expect("{*\"stream\":true*}", p.bytes(length));
                 }
@@ -364,19 +375,24 @@
         String most = messages ? "\"max_tokens\":9," : "";
         String body = "{\"model\":\"m\"," + most + "\"stream\":true,\"messages\":["
                 + "{\"role\":\"user\",\"content\":\"" + text + "\"}]}";
-        p.socket.getOutputStream().write(("POST /v1/" + (messages ? "messages" : "chat/completions")
-                + " HTTP/1.1\r\nX-Call-Id: " + name + asked++ + "\r\nX-Call-Class: chat\r\nX-Route-Hash: "
-                + Integer.toHexString(text.hashCode()) + "\r\nX-Budget-Ms: 4000\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.UTF_8));
+        p.socket
+                .getOutputStream()
+                .write(("POST /v1/" + (messages ? "messages" : "chat/completions")
+                                + " HTTP/1.1\r\nX-Call-Id: " + name + asked++
+                                + "\r\nX-Call-Class: chat\r\nX-Route-Hash: "
+                                + Integer.toHexString(text.hashCode()) + "\r\nX-Budget-Ms: 4000\r\nContent-Length: "
+                                + body.length() + "\r\n\r\n" + body)
+                        .getBytes(StandardCharsets.UTF_8));
         p.begun = new CompletableFuture<>();
         p.outcome = new CompletableFuture<>();
         Mailbox.thread("answer", () -> {
-            try {
-                p.outcome.complete(answer(p) + " at " + at());
-            } catch (IOException | RuntimeException | AssertionError e) {
-                p.outcome.completeExceptionally(e);
-            }
-        }).start();
+                    try {
+                        p.outcome.complete(answer(p) + " at " + at());
+                    } catch (IOException | RuntimeException | AssertionError e) {
+                        p.outcome.completeExceptionally(e);
+                    }
+                })
+                .start();
     }
 
     private String at() {
@@ -423,7 +439,9 @@
         String t = s.replace("\\n", "\n").replace("\\r", "\r");
         for (Map.Entry<String, Peer> e : peers.entrySet()) {
             if (e.getValue().server != null) {
-                t = t.replace("@" + e.getKey() + "@", "127.0.0.1:" + e.getValue().server.getLocalPort());
+                t = t.replace(
+                        "@" + e.getKey() + "@",
+                        "127.0.0.1:" + e.getValue().server.getLocalPort());
             }
         }
         return t;
@@ -438,8 +456,7 @@
     }
 
     private void counter(String rest) throws Exception {
-        await(() -> has(rest), "the counter never came to "
-                + rest);
+        await(() -> has(rest), "the counter never came to " + rest);
     }
 
     /** Waits for something that the program does by itself; the limit is for failing only. */
--- a/src/test/java/magpiehub/RouterProcess.java
+++ b/src/test/java/magpiehub/RouterProcess.java
@@ -21,9 +21,17 @@
     /** The command that starts a router from the classes under test, with what the platform's command says of
      *  compilation and memory: another JVM's own work would show in how long things take. */
     static final List<String> COMMAND = List.of(
-            ProcessHandle.current().info().command().orElse("java"), "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-Xms64m", "-Xmx64m", "-Xmn24m", "-cp",
-            System.getProperty("java.class.path"), "magpiehub.Main", "serve");
+            ProcessHandle.current().info().command().orElse("java"),
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-Xms64m",
+            "-Xmx64m",
+            "-Xmn24m",
+            "-cp",
+            System.getProperty("java.class.path"),
+            "magpiehub.Main",
+            "serve");
+
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final int PATIENCE_MS = 30_000;
     private static final int BACKLOG = 64;
@@ -39,6 +47,7 @@
         thread.setDaemon(true);
         return thread;
     });
+
     private Process process;
     private BufferedReader log;
 
@@ -59,8 +68,8 @@
 
     /** A client's request; the time that it waits is in milliseconds. */
     static String ask(String id, String budgetMs) {
-        return "POST /v1/chat/completions HTTP/1.1\r\n" + ID + id + "\r\nX-Call-Class: chat\r\n"
-                + "X-Budget-Ms: " + budgetMs + "\r\n" + LENGTH + "2\r\n\r\n{}";
+        return "POST /v1/chat/completions HTTP/1.1\r\n" + ID + id + "\r\nX-Call-Class: chat\r\n" + "X-Budget-Ms: "
+                + budgetMs + "\r\n" + LENGTH + "2\r\n\r\n{}";
     }
 
     /** Reads one request as an engine does, head and body; returns its id. */
--- a/src/test/java/magpiehub/ServeTest.java
+++ b/src/test/java/magpiehub/ServeTest.java
@@ -28,6 +28,7 @@
     /** Guards against a word that never comes, as where SIGHUP is ignored from the start: it fails then. */
     @Rule
     public final Timeout patience = Timeout.seconds(120);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
@@ -53,16 +54,22 @@
     }
 
     static void write(Path config, ServerSocket discovery, ServerSocket engine) throws IOException {
-        Files.writeString(config, "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-                + discovery.getLocalPort() + "\",\"seed\":\"7\",\"settings\":"
-                + Files.readString(Path.of("src/test/resources/site.json"))
-                + ",\"known\":{\"revision\":1,\"complete\":true,\"members\":["
-                + "{\"id\":\"e\",\"host_port\":\"127.0.0.1:"
-                + engine.getLocalPort() + "\",\"phase\":\"Ready\"}]}}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+                        + discovery.getLocalPort() + "\",\"seed\":\"7\",\"settings\":"
+                        + Files.readString(Path.of("src/test/resources/site.json"))
+                        + ",\"known\":{\"revision\":1,\"complete\":true,\"members\":["
+                        + "{\"id\":\"e\",\"host_port\":\"127.0.0.1:"
+                        + engine.getLocalPort() + "\",\"phase\":\"Ready\"}]}}");
     }
 
     public static void hangUp(Process p) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(p.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private RouterProcess router() throws IOException {
@@ -71,7 +78,8 @@
 
     @Test
     public void aNewFileIsTakenOnSighupAndABadOneChangesNothing() throws Exception {
-        try (RouterProcess router = router(); ServerSocket second = RouterProcess.listen()) {
+        try (RouterProcess router = router();
+                ServerSocket second = RouterProcess.listen()) {
             router.start();
             try (Socket watch = router.watched()) {
                 router.logged(" started ");
@@ -100,15 +108,19 @@
             router.start();
             try (Socket watch = router.watched()) {
                 int port = router.port();
-                try (Socket before = connect(port); Socket after = connect(port)) {
+                try (Socket before = connect(port);
+                        Socket after = connect(port)) {
                     say(before, ASK);
                     try (Socket at = router.engine.accept()) {
                         until(reader(at), "X-Budget-Ms");
                         Files.writeString(router.config, fresh);
                         router.hangUp();
                         assertTrue(router.logged(" reloaded ").contains("changed=\"settings.classes\""));
-                        for (String bad : List.of("", old.substring(0, old.length() - 1),
-                                old.replace("\"mostTries\":3,", ""), old.replace("\"aimMs\":1000,", ""),
+                        for (String bad : List.of(
+                                "",
+                                old.substring(0, old.length() - 1),
+                                old.replace("\"mostTries\":3,", ""),
+                                old.replace("\"aimMs\":1000,", ""),
                                 old.replace("\"mostTries\":3", "\"mostTries\":0"),
                                 old.replace("\"deadlineMs\":4000", "\"deadlineMs\":\"soon\""),
                                 old.replace("\"deadlineMs\":4000", "\"deadlineMs\":-1"))) {
@@ -117,8 +129,10 @@
                             router.logged(" reload-failed ");
                         }
                         // Under way since before: it has its class still.
-                        say(at, "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                + "9\r\ndata: x\n\n\r\n0\r\n\r\n");
+                        say(
+                                at,
+                                "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                        + "9\r\ndata: x\n\n\r\n0\r\n\r\n");
                         assertEquals("HTTP/1.1 200 OK", reader(before).readLine());
                     }
                     BufferedReader answer = reader(after);
@@ -126,8 +140,7 @@
                     assertEquals("the class has vanished", "HTTP/1.1 400 Bad Request", answer.readLine());
                 }
                 try (Socket client = connect(port)) {
-                    say(client, ASK.replace("Call-Id: 1", "Call-Id: 3")
-                            .replace("Class: chat", "Class: talk"));
+                    say(client, ASK.replace("Call-Id: 1", "Call-Id: 3").replace("Class: chat", "Class: talk"));
                     try (Socket at = router.engine.accept()) {
                         until(reader(at), "X-Call-Id: 3");
                     }
@@ -167,8 +180,8 @@
             long listens = listens(port, router.process());
             router.logged(" started ");
             long started = System.nanoTime();
-            assertTrue("listens at " + (listens - begun) / 1_000_000 + " ms of "
-                    + (started - begun) / 1_000_000,
+            assertTrue(
+                    "listens at " + (listens - begun) / 1_000_000 + " ms of " + (started - begun) / 1_000_000,
                     started - listens < (started - begun) / 5);
         }
     }
@@ -199,9 +212,14 @@
 
     @Test
     public void aRehearsalServesAndEnds() throws Exception {
-        Process p = new ProcessBuilder(ProcessHandle.current().info().command().orElse("java"), "-cp",
-                System.getProperty("java.class.path"), "magpiehub.Main", "rehearse")
-                .redirectErrorStream(true).start();
+        Process p = new ProcessBuilder(
+                        ProcessHandle.current().info().command().orElse("java"),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "magpiehub.Main",
+                        "rehearse")
+                .redirectErrorStream(true)
+                .start();
         try (BufferedReader log = p.inputReader()) {
             assertTrue(until(log, " counters ").contains("answered_served=\"2\""));
             assertTrue(p.waitFor(30, TimeUnit.SECONDS));
@@ -242,8 +260,10 @@
                             say(kept, ASK.replace("Id: 1", "Id: 2"));
                             try (Socket other = router.engine.accept()) {
                                 until(reader(other), "X-Budget-Ms");
-                                say(other, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                        + "9\r\ndata: y\n\n\r\n0\r\n\r\n");
+                                say(
+                                        other,
+                                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                                + "9\r\ndata: y\n\n\r\n0\r\n\r\n");
                                 until(answers, "200 OK");
                                 until(answers, "data: y");
                                 // Who leaves before the end has come may be counted as one who has left.
@@ -253,13 +273,17 @@
                             }
                         }
                         if (served) {
-                            say(at, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                    + "9\r\ndata: x\n\n\r\n0\r\n\r\n");
+                            say(
+                                    at,
+                                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                            + "9\r\ndata: x\n\n\r\n0\r\n\r\n");
                         }
                         BufferedReader answer = reader(client);
-                        assertEquals(served ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 Service Unavailable",
-                                answer.readLine());
-                        assertEquals("the last chunk", served ? 1 : 0,
+                        assertEquals(
+                                served ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 Service Unavailable", answer.readLine());
+                        assertEquals(
+                                "the last chunk",
+                                served ? 1 : 0,
                                 answer.lines().filter(l -> l.equals("0")).count());
                     }
                 }
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -41,6 +41,7 @@
     private static final long MOST_MS = 1_000;
     /** A thread that spends a larger part of its time in the kernel makes system calls. */
     private static final double MOST_SYSTEM = 0.2;
+
     private static final int ENGINES = 8;
     private static final int SAMPLE_MS = 50;
     /** The kernel's clock ticks, which /proc counts CPU time in (Hz). */
@@ -72,8 +73,7 @@
 
     /** The program with a wait of the kind that is looked for: started in place of its own main class. */
     public static final class Planted {
-        private Planted() {
-        }
+        private Planted() {}
 
         public static void main(String[] args) throws IOException {
             AtomicBoolean told = new AtomicBoolean();
@@ -88,13 +88,14 @@
 
         private static void after(long us, String name, Runnable then) {
             Mailbox.thread(name, () -> {
-                try {
-                    new Mailbox<>(Mailbox.Clock.SYSTEM, 1).take(Mailbox.Clock.SYSTEM.micros() + us);
-                    then.run();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }).start();
+                        try {
+                            new Mailbox<>(Mailbox.Clock.SYSTEM, 1).take(Mailbox.Clock.SYSTEM.micros() + us);
+                            then.run();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                    })
+                    .start();
         }
     }
 
@@ -127,22 +128,24 @@
         ServerSocket server = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
         servers.add(server);
         Mailbox.thread("accept", () -> {
-            while (!server.isClosed()) {
-                try {
-                    Socket s = server.accept();
-                    s.setTcpNoDelay(true);
-                    Mailbox.thread("peer", () -> {
-                        try (s) {
-                            service.serve(s);
-                        } catch (IOException | InterruptedException e) {
-                            // The router has ended its side.
+                    while (!server.isClosed()) {
+                        try {
+                            Socket s = server.accept();
+                            s.setTcpNoDelay(true);
+                            Mailbox.thread("peer", () -> {
+                                        try (s) {
+                                            service.serve(s);
+                                        } catch (IOException | InterruptedException e) {
+                                            // The router has ended its side.
+                                        }
+                                    })
+                                    .start();
+                        } catch (IOException e) {
+                            return;
                         }
-                    }).start();
-                } catch (IOException e) {
-                    return;
-                }
-            }
-        }).start();
+                    }
+                })
+                .start();
         return server;
     }
 
@@ -180,8 +183,7 @@
     private void list(Socket s, String members) throws IOException, InterruptedException {
         say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         for (int revision = 2; !over; revision++) {
-            say(s, chunk("{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + members
-                    + "]}\n"));
+            say(s, chunk("{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + members + "]}\n"));
             TimeUnit.MILLISECONDS.sleep(300);
         }
     }
@@ -195,9 +197,11 @@
                 Http.Input in = new Http.Input(s.getInputStream(), () -> 0);
                 for (int k = own.nextInt(1, 6); k > 0 && !over; k--, i++) {
                     requests.incrementAndGet();
-                    say(s, "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + number + "." + i
-                            + "\r\nX-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: " + own.nextInt(64)
-                            + "\r\nX-Budget-Ms: 4000\r\nContent-Length: 2\r\n\r\n{}");
+                    say(
+                            s,
+                            "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + number + "." + i
+                                    + "\r\nX-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: " + own.nextInt(64)
+                                    + "\r\nX-Budget-Ms: 4000\r\nContent-Length: 2\r\n\r\n{}");
                     if (own.nextInt(12) == 0) {
                         TimeUnit.MILLISECONDS.sleep(own.nextInt(40));
                         k = 0; // Leaves with its request in hand.
@@ -223,7 +227,7 @@
         Http.Head h = in.head(false);
         if (h.status() == 200) {
             try {
-                in.events(h, e -> { });
+                in.events(h, e -> {});
             } catch (IOException e) {
                 refused.incrementAndGet(); // Its engine broke it.
                 return false;
@@ -240,46 +244,58 @@
     private void start(boolean planted) throws IOException {
         StringBuilder known = new StringBuilder();
         for (int i = 0; i < ENGINES; i++) {
-            known.append(i == 0 ? "" : ",").append("{\"id\":\"e").append(i).append("\",\"host_port\":\"")
-                    .append("127.0.0.1:").append(serve(StepProof::engine).getLocalPort())
+            known.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"e")
+                    .append(i)
+                    .append("\",\"host_port\":\"")
+                    .append("127.0.0.1:")
+                    .append(serve(StepProof::engine).getLocalPort())
                     .append("\",\"phase\":\"Ready\"}");
         }
         ServerSocket discovery = serve(s -> list(s, known.toString()));
         Path config = folder.resolve("router.json");
-        Files.writeString(config, "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"console\":\"127.0.0.1:0\","
-                + "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"seed\":\"7\",\"settings\":"
-                + Files.readString(Path.of("src/test/resources/site.json"))
-                + ",\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"console\":\"127.0.0.1:0\","
+                        + "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"seed\":\"7\",\"settings\":"
+                        + Files.readString(Path.of("src/test/resources/site.json"))
+                        + ",\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}}");
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = ")).findFirst().orElseThrow();
+                .filter(l -> l.startsWith("run = "))
+                .findFirst()
+                .orElseThrow();
         run = run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'))
                 .replace("exec java", "exec taskset -c " + core + " chrt -f 1 java")
-                .replace("-jar target/magpiehub.jar serve", "-cp " + System.getProperty("java.class.path")
-                        + " " + (planted ? Planted.class.getName().replace("$", "\\$") : "magpiehub.Main")
-                        + " serve");
+                .replace(
+                        "-jar target/magpiehub.jar serve",
+                        "-cp " + System.getProperty("java.class.path")
+                                + " " + (planted ? Planted.class.getName().replace("$", "\\$") : "magpiehub.Main")
+                                + " serve");
         ProcessBuilder b = new ProcessBuilder("sh", "-c", run).redirectErrorStream(true);
         b.environment().put("ROUTER_CONFIG", config.toString());
         b.environment().put("TMPDIR", folder.toString());
-        b.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY",
-                "ROUTER_CONSOLE", "ROUTER_FD"));
+        b.environment()
+                .keySet()
+                .removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY", "ROUTER_CONSOLE", "ROUTER_FD"));
         router = b.start();
         Runtime.getRuntime().addShutdownHook(new Thread(router::destroyForcibly));
         BufferedReader log = router.inputReader();
         Mailbox.thread("log", () -> {
-            try {
-                for (String l = log.readLine(); l != null; l = log.readLine()) {
-                    if (l.contains(" started ")) {
-                        port = Integer.parseInt(l.replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
-                        started.countDown();
-                    }
-                    if (System.getenv("PROOF_LOG") != null || !l.startsWith("<")) {
-                        System.err.println(l);
+                    try {
+                        for (String l = log.readLine(); l != null; l = log.readLine()) {
+                            if (l.contains(" started ")) {
+                                port = Integer.parseInt(l.replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+                                started.countDown();
+                            }
+                            if (System.getenv("PROOF_LOG") != null || !l.startsWith("<")) {
+                                System.err.println(l);
+                            }
+                        }
+                    } catch (IOException e) {
+                        // Its end.
                     }
-                }
-            } catch (IOException e) {
-                // Its end.
-            }
-        }).start();
+                })
+                .start();
     }
 
     // ---- Scheduling and sampling ----------------------------------------------------------------------
@@ -289,8 +305,10 @@
         private final OutputStream to;
 
         Shell() throws IOException {
-            sh = new ProcessBuilder("sh").redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            sh = new ProcessBuilder("sh")
+                    .redirectErrorStream(true)
+                    .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                    .start();
             to = sh.getOutputStream();
         }
 
@@ -307,8 +325,7 @@
     }
 
     /** A thread as /proc tells it; times in ticks. */
-    record Seen(long thread, String name, long user, long system, long waits) {
-    }
+    record Seen(long thread, String name, long user, long system, long waits) {}
 
     static List<Seen> seen(long pid) throws IOException {
         List<Seen> all = new ArrayList<>();
@@ -321,11 +338,16 @@
                 String stat = Files.readString(t.resolve("stat"));
                 long waits = Files.readAllLines(t.resolve("status")).stream()
                         .filter(l -> l.startsWith("voluntary"))
-                        .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", ""))).findFirst().orElse(0);
+                        .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                        .findFirst()
+                        .orElse(0);
                 String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-                all.add(new Seen(Long.parseLong(t.getFileName().toString()), stat.substring(
-                        stat.indexOf('(') + 1, stat.lastIndexOf(')')), Long.parseLong(f[11]),
-                        Long.parseLong(f[12]), waits));
+                all.add(new Seen(
+                        Long.parseLong(t.getFileName().toString()),
+                        stat.substring(stat.indexOf('(') + 1, stat.lastIndexOf(')')),
+                        Long.parseLong(f[11]),
+                        Long.parseLong(f[12]),
+                        waits));
             } catch (IOException | java.io.UncheckedIOException e) {
                 continue; // It has ended meanwhile.
             }
@@ -351,16 +373,23 @@
         // Stopped first, by its first thread on another core: whoever attaches waits for each thread to stop,
         // and those would wait for the one that runs.
         String pid = Long.toString(router.pid());
-        new ProcessBuilder("sh", "-c", "kill -STOP " + pid + "; taskset -pc 0-"
-                + (Runtime.getRuntime().availableProcessors() - 1) + " " + pid + " >/dev/null").start()
+        new ProcessBuilder(
+                        "sh",
+                        "-c",
+                        "kill -STOP " + pid + "; taskset -pc 0-"
+                                + (Runtime.getRuntime().availableProcessors() - 1) + " " + pid + " >/dev/null")
+                .start()
                 .waitFor();
-        Process p = new ProcessBuilder("timeout", "20", System.getProperty("java.home") + "/bin/jhsdb",
-                "jstack", "--pid", pid).redirectErrorStream(true).start();
+        Process p = new ProcessBuilder(
+                        "timeout", "20", System.getProperty("java.home") + "/bin/jhsdb", "jstack", "--pid", pid)
+                .redirectErrorStream(true)
+                .start();
         String all = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         int id = all.indexOf("nid=0x" + Long.toHexString(thread) + " ");
         int at = all.lastIndexOf("\n\"", Math.max(0, id)) + 1;
         int end = all.indexOf("\n\"", Math.max(at, id));
-        return id < 0 ? "no stack of a Java thread: " + all.substring(0, Math.min(all.length(), 600))
+        return id < 0
+                ? "no stack of a Java thread: " + all.substring(0, Math.min(all.length(), 600))
                 : all.substring(at, end < 0 ? all.length() : end).stripTrailing();
     }
 
@@ -369,8 +398,17 @@
         // A share of the core: another process, which goes first, has it for a part of each moment. A stop of
         // the whole process would end a wait of the kind looked for, since what goes on after it is put in
         // another order.
-        Process other = new ProcessBuilder("taskset", "-c", core, "chrt", "-f", "3", "sh", "-c",
-                "while :; do i=0; while [ $i -lt 9000 ]; do i=$((i+1)); done; sleep 0.01; done").start();
+        Process other = new ProcessBuilder(
+                        "taskset",
+                        "-c",
+                        core,
+                        "chrt",
+                        "-f",
+                        "3",
+                        "sh",
+                        "-c",
+                        "while :; do i=0; while [ $i -lt 9000 ]; do i=$((i+1)); done; sleep 0.01; done")
+                .start();
         Runtime.getRuntime().addShutdownHook(new Thread(other::destroyForcibly));
         try (Shell threads = new Shell()) {
             List<Thread> clients = new ArrayList<>();
@@ -413,8 +451,12 @@
     }
 
     static boolean allowed() throws Exception {
-        return new ProcessBuilder("chrt", "-f", "1", "true").redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor() == 0;
+        return new ProcessBuilder("chrt", "-f", "1", "true")
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start()
+                        .waitFor()
+                == 0;
     }
 
     public static void main(String[] args) throws Exception {
@@ -445,15 +487,18 @@
             }
         }
         Map<String, Long> byName = new TreeMap<>();
-        cpu.forEach((k, v) -> byName.merge(k.substring(0, k.lastIndexOf(' ')), (v[0] + v[1]) * 1000 / TICKS,
-                Long::sum));
+        cpu.forEach(
+                (k, v) -> byName.merge(k.substring(0, k.lastIndexOf(' ')), (v[0] + v[1]) * 1000 / TICKS, Long::sum));
         StringBuilder line = new StringBuilder();
-        runs.longest.entrySet().stream().sorted((a, b) -> Long.compare(b.getValue(), a.getValue())).limit(4)
-                .forEach(e -> line.append(' ').append(e.getKey().replace(' ', '-')).append('=')
+        runs.longest.entrySet().stream()
+                .sorted((a, b) -> Long.compare(b.getValue(), a.getValue()))
+                .limit(4)
+                .forEach(e -> line.append(' ')
+                        .append(e.getKey().replace(' ', '-'))
+                        .append('=')
                         .append(e.getValue()));
         long all = byName.values().stream().mapToLong(Long::longValue).sum();
-        System.out.printf(Locale.ROOT, "cpu_ms=%d operators=%d%n", all,
-                byName.getOrDefault("operators", 0L));
+        System.out.printf(Locale.ROOT, "cpu_ms=%d operators=%d%n", all, byName.getOrDefault("operators", 0L));
         if (found != null) {
             System.out.println("out of bounds: " + found);
         }
--- a/src/test/java/magpiehub/UpgradeTest.java
+++ b/src/test/java/magpiehub/UpgradeTest.java
@@ -29,7 +29,8 @@
  */
 public class UpgradeTest {
     /** Says the socket's port, then starts the program for each line that names a console's port. */
-    private static final String LAUNCHER = """
+    private static final String LAUNCHER =
+            """
             use Socket; $| = 1; $SIG{CHLD} = 'IGNORE';
             socket(my $s, PF_INET, SOCK_STREAM, 0) or die; bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;
             listen($s, 64) or die; print((sockaddr_in(getsockname($s)))[0], "\\n");
@@ -47,6 +48,7 @@
             }
             kill 'KILL', 0;
             """;
+
     private static final String ASK = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: %s\r\n"
             + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
     private static final String ANSWER = "HTTP/1.1 200 OK\r\nConnection: close\r\n"
@@ -55,8 +57,10 @@
     /** Guards against a word that never comes: the test fails then, and does not hang. */
     @Rule
     public final Timeout patience = Timeout.seconds(120);
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
     private ServerSocket engine;
     private ServerSocket discovery;
@@ -71,9 +75,15 @@
         discovery = new ServerSocket(0, 8, loopback);
         Path config = folder.newFile().toPath();
         ServeTest.write(config, discovery, engine);
-        ProcessBuilder b = new ProcessBuilder("perl", "-e", LAUNCHER,
-                ProcessHandle.current().info().command().orElse("java"), "-cp",
-                System.getProperty("java.class.path"), "magpiehub.Main", "serve");
+        ProcessBuilder b = new ProcessBuilder(
+                "perl",
+                "-e",
+                LAUNCHER,
+                ProcessHandle.current().info().command().orElse("java"),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "magpiehub.Main",
+                "serve");
         b.environment().put("ROUTER_CONFIG", config.toString());
         b.environment().put("TMPDIR", folder.getRoot().toString());
         b.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
@@ -106,8 +116,7 @@
         try (Socket s = new Socket(loopback, console)) {
             s.setSoTimeout(30_000);
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII))
-                    .readLine();
+            return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
         }
     }
 
@@ -123,8 +132,7 @@
     private Socket asked() throws IOException {
         Socket s = engine.accept();
         s.setSoTimeout(30_000);
-        BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(),
-                StandardCharsets.US_ASCII));
+        BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
         ServeTest.until(in, "X-Budget-Ms");
         assertEquals("", in.readLine());
         assertEquals('{', in.read());
@@ -133,12 +141,13 @@
     }
 
     private static String first(Socket s) throws IOException {
-        return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII))
-                .readLine();
+        return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
     }
 
     private long old() {
-        return launcher.children().min(java.util.Comparator.comparingLong(ProcessHandle::pid)).orElseThrow()
+        return launcher.children()
+                .min(java.util.Comparator.comparingLong(ProcessHandle::pid))
+                .orElseThrow()
                 .pid();
     }
 
@@ -197,8 +206,7 @@
         ServeTest.until(said, " standby ");
         ServeTest.until(said, " standby "); // On both: each logs it.
         try (Socket up = new Socket(loopback, port)) {
-            up.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
-                    .getBytes(StandardCharsets.US_ASCII));
+            up.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertEquals("HTTP/1.1 503 Service Unavailable", first(up));
         }
         ProcessHandle older = ProcessHandle.of(old()).orElseThrow();
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -15,24 +15,24 @@
 
     /** Two threads on one core; whoever goes first does so at any moment of the other. */
     public static final class Hammer {
-        private Hammer() {
-        }
+        private Hammer() {}
 
         public static void main(String[] args) throws IOException {
             Mailbox<Object> box = new Mailbox<>(Mailbox.Clock.SYSTEM, 1);
             Mailbox.thread("taker", () -> {
-                try {
-                    for (int i = 0; i < TAKES; i++) {
-                        box.take(Mailbox.Clock.SYSTEM.micros() + 30 + i % 90);
-                        while (box.poll() != null) {
-                            continue;
+                        try {
+                            for (int i = 0; i < TAKES; i++) {
+                                box.take(Mailbox.Clock.SYSTEM.micros() + 30 + i % 90);
+                                while (box.poll() != null) {
+                                    continue;
+                                }
+                            }
+                            System.exit(0);
+                        } catch (InterruptedException e) {
+                            System.exit(1);
                         }
-                    }
-                    System.exit(0);
-                } catch (InterruptedException e) {
-                    System.exit(1);
-                }
-            }).start();
+                    })
+                    .start();
             System.out.println("begun");
             System.in.read();
             while (true) {
@@ -46,23 +46,37 @@
     public void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
         Assume.assumeTrue("the first-in-first-out class", StepProof.allowed());
         String core = Integer.toString(Runtime.getRuntime().availableProcessors() - 1);
-        Process p = new ProcessBuilder("taskset", "-c", core, "chrt", "-f", "1",
-                ProcessHandle.current().info().command().orElse("java"), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                Hammer.class.getName()).redirectErrorStream(true).start();
+        Process p = new ProcessBuilder(
+                        "taskset",
+                        "-c",
+                        core,
+                        "chrt",
+                        "-f",
+                        "1",
+                        ProcessHandle.current().info().command().orElse("java"),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        Hammer.class.getName())
+                .redirectErrorStream(true)
+                .start();
         try (BufferedReader out = p.inputReader()) {
             assertEquals("begun", out.readLine());
             long taker = taker(p.pid()).thread();
-            assertEquals(0, new ProcessBuilder("chrt", "-f", "-p", "2", Long.toString(taker)).start()
-                    .waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("chrt", "-f", "-p", "2", Long.toString(taker))
+                            .start()
+                            .waitFor());
             p.getOutputStream().write('\n');
             p.getOutputStream().flush();
             StepProof.Runs runs = new StepProof.Runs();
             while (p.isAlive()) {
                 StepProof.Seen t = taker(p.pid());
                 if (t != null) {
-                    assertEquals("ms of CPU without a wait", -1,
-                            runs.look(taker, "taker", t.user(), t.system(), t.waits()));
+                    assertEquals(
+                            "ms of CPU without a wait", -1, runs.look(taker, "taker", t.user(), t.system(), t.waits()));
                 }
             }
             assertEquals(0, p.exitValue());
@@ -74,7 +88,10 @@
     private static StepProof.Seen taker(long pid) {
         try {
             List<StepProof.Seen> all = StepProof.seen(pid);
-            return all.stream().filter(t -> t.name().equals("taker")).findFirst().orElse(null);
+            return all.stream()
+                    .filter(t -> t.name().equals("taker"))
+                    .findFirst()
+                    .orElse(null);
         } catch (IOException e) {
             return null; // It has ended.
         }
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -35,35 +35,38 @@
     }
 
     private void bad(String json, String message) {
-        assertEquals(message, assertThrows(Config.Malformed.class, () -> read(json)).getMessage());
+        assertEquals(
+                message, assertThrows(Config.Malformed.class, () -> read(json)).getMessage());
     }
 
     @Test
     public void variablesGoBeforeTheFile() throws IOException {
         Config.Router r = read(GOOD);
-        assertEquals("from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " "
-                + r.sockets());
+        assertEquals(
+                "from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " " + r.sockets());
         assertEquals(-1, r.site().cls("d"));
     }
 
     @Test
     public void faultsNameTheirPlace() {
         bad(GOOD.replace("'classes'", "'clauses'"), "config.settings.classes is missing");
-        bad(GOOD.replace("[{'name':'c','deadlineMs':9}]", "[7]"),
-                "config.settings.classes must hold objects");
+        bad(GOOD.replace("[{'name':'c','deadlineMs':9}]", "[7]"), "config.settings.classes must hold objects");
         bad(GOOD.replace("'127.0.0.1:1'", "'127.0.0.1'"), "is no address:port: 127.0.0.1");
         bad(GOOD.replace(",'deadlineMs':9", ""), "config.settings.classes.deadlineMs is missing");
-        bad(GOOD.replace("'deadlineMs':9", "'deadlineMs':0"),
+        bad(
+                GOOD.replace("'deadlineMs':9", "'deadlineMs':0"),
                 "config.settings.classes.deadlineMs must be a number above 0");
-        bad(GOOD.replace("'mostTries':2", "'mostTries':-2"),
+        bad(
+                GOOD.replace("'mostTries':2", "'mostTries':-2"),
                 "config.settings.limits.mostTries must be a number above 0");
-        bad(GOOD.replace("'mostTries':2", "'mostTries':'2'"),
-                "config.settings.limits.mostTries has the wrong type");
+        bad(GOOD.replace("'mostTries':2", "'mostTries':'2'"), "config.settings.limits.mostTries has the wrong type");
         bad(GOOD.replace("'sockets':9}", "'sockets':'9'}"), "config.limits.sockets has the wrong type");
         bad(GOOD.replace("'seed'", "'sead'"), "config.seed is missing");
         bad(GOOD + "{}", "config holds more than one value");
-        assertEquals("ROUTER_CONFIG is not set",
-                assertThrows(Config.Malformed.class, () -> Config.router(Map.of())).getMessage());
+        assertEquals(
+                "ROUTER_CONFIG is not set",
+                assertThrows(Config.Malformed.class, () -> Config.router(Map.of()))
+                        .getMessage());
     }
 
     /** Every key that the file in force has is to be there, in each class too; the list and the seed need
@@ -71,8 +74,8 @@
     @Test
     public void aLaterFileLacksNothing() throws IOException {
         Config.Router now = read(GOOD);
-        java.util.Map<String, Object> later = read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',"))
-                .file();
+        java.util.Map<String, Object> later =
+                read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).file();
         assertEquals(null, Config.lacking(now.file(), later, "config"));
         assertEquals("config.settings.classes[0].aimMs", Config.lacking(later, now.file(), "config"));
         later.remove("seed");
@@ -84,14 +87,17 @@
     @Test
     public void classesKeepTheirPlacesOverFiles() {
         Config.Site one = site("{'name':'a','deadlineMs':1},{'name':'b','deadlineMs':2}");
-        Config.Site two = one.followedBy(site("{'name':'b','deadlineMs':2},{'name':'c','deadlineMs':3},"
-                + "{'name':'a','deadlineMs':9}"));
+        Config.Site two = one.followedBy(
+                site("{'name':'b','deadlineMs':2},{'name':'c','deadlineMs':3}," + "{'name':'a','deadlineMs':9}"));
         assertEquals("1 2 3", two.cls("b") + " " + two.cls("c") + " " + two.cls("a"));
         assertEquals(1000, two.settings().classes().get(0).deadline());
         assertEquals(9000, two.settings().classes().get(3).deadline());
         Config.Site three = two.followedBy(site("{'name':'a','deadlineMs':1}"));
-        assertEquals("as at first: its first place again, no fifth", "0 -1 4", three.cls("a") + " "
-                + three.cls("b") + " " + three.settings().classes().size());
+        assertEquals(
+                "as at first: its first place again, no fifth",
+                "0 -1 4",
+                three.cls("a") + " " + three.cls("b") + " "
+                        + three.settings().classes().size());
     }
 
     /** Classes, tenants and models are the settings' words: the examples' stand nowhere else. */
@@ -115,15 +121,16 @@
 
     private static List<Path> list(Path folder, String end) throws IOException {
         try (var all = Files.walk(folder)) {
-            return new ArrayList<>(all.filter(f -> Files.isRegularFile(f) && f.toString().endsWith(end))
-                    .toList());
+            return new ArrayList<>(
+                    all.filter(f -> Files.isRegularFile(f) && f.toString().endsWith(end))
+                            .toList());
         }
     }
 
     private static Config.Site site(String classes) {
         try {
-            return Config.site(Config.facts(("{'classes':[" + classes + "]}").replace('\'', '"').getBytes(),
-                    "settings"));
+            return Config.site(Config.facts(
+                    ("{'classes':[" + classes + "]}").replace('\'', '"').getBytes(), "settings"));
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
--- a/src/test/java/magpiehub/core/Bench.java
+++ b/src/test/java/magpiehub/core/Bench.java
@@ -24,8 +24,7 @@
     static final long S = 1_000_000;
 
     /** What was sent, and what became of it. */
-    record Sent(String id, String server, long at, long timeout) {
-    }
+    record Sent(String id, String server, long at, long timeout) {}
 
     final List<Sent> sent = new ArrayList<>();
     final Map<String, Integer> tries = new HashMap<>();
@@ -59,10 +58,20 @@
         return settings(instances, true, false, List.of(), classes);
     }
 
-    static Settings settings(int instances, boolean parallel, boolean subscribe, List<Tenant> tenants,
-            RequestClass... classes) {
+    static Settings settings(
+            int instances, boolean parallel, boolean subscribe, List<Tenant> tenants, RequestClass... classes) {
         List<RequestClass> c = classes.length == 0 ? List.of(cls(Effect.PURE, Group.ALL)) : List.of(classes);
-        return new Settings(0, instances, 0, 2, subscribe, false, Weights.NONE, 0.1, c, tenants,
+        return new Settings(
+                0,
+                instances,
+                0,
+                2,
+                subscribe,
+                false,
+                Weights.NONE,
+                0.1,
+                c,
+                tenants,
                 new Limits(true, true, false, parallel, true, 6, 1000, 2 * S, S / 4),
                 new Guarantees(20_000, 10 * S, 20 * S, 2 * S, 2.5, 0.12, S / 2),
                 new Costs(0.03, 0.05, 0.002, 0.03, 0, 0));
@@ -92,8 +101,9 @@
 
     String ask(int cls, int tenant, long prefix, long session) {
         String id = "r" + ids++;
-        node.request(now, new Request(id, cls, tenant, session, prefix, now + 4 * S, 0, 1000, 800, 100, false,
-                false, false));
+        node.request(
+                now,
+                new Request(id, cls, tenant, session, prefix, now + 4 * S, 0, 1000, 800, 100, false, false, false));
         return id;
     }
 
--- a/src/test/java/magpiehub/core/ColdFleetTest.java
+++ b/src/test/java/magpiehub/core/ColdFleetTest.java
@@ -26,8 +26,7 @@
     /** What part of the warm servers' capacity the traffic takes. */
     private static final double LOAD = 0.6;
 
-    private record Due(long at, Runnable what) {
-    }
+    private record Due(long at, Runnable what) {}
 
     private static final class Fleet {
         final SplittableRandom random;
@@ -65,7 +64,7 @@
         }
 
         void run(long us) {
-            for (long end = now + us; now < end;) {
+            for (long end = now + us; now < end; ) {
                 now += STEP;
                 while (!dues.isEmpty() && dues.peek().at <= now) {
                     dues.poll().what.run();
@@ -73,8 +72,11 @@
                 routers.forEach(Router::step);
                 for (double x = perS * STEP / S; x > 0; x--) {
                     if (random.nextDouble() < x) {
-                        ask(random.nextInt(10) < 3 && !sessions.isEmpty()
-                                ? sessions.get(random.nextInt(sessions.size())) : session(), false);
+                        ask(
+                                random.nextInt(10) < 3 && !sessions.isEmpty()
+                                        ? sessions.get(random.nextInt(sessions.size()))
+                                        : session(),
+                                false);
                     }
                 }
             }
@@ -103,8 +105,7 @@
             }
             List<Server> list = List.copyOf(servers);
             for (Router r : routers) {
-                dues.add(new Due(now + random.nextLong(300_000),
-                        () -> r.rules.list(now, ListKind.COMPLETE, list)));
+                dues.add(new Due(now + random.nextLong(300_000), () -> r.rules.list(now, ListKind.COMPLETE, list)));
                 if (restarts && random.nextInt(10) < 7) {
                     dues.add(new Due(now + 300_000 + random.nextLong(2 * S), () -> r.start(list)));
                 }
@@ -130,9 +131,24 @@
             Contract.Settings t = Bench.settings(fleet.shares.length);
             Contract.Guarantees g = new Contract.Guarantees(8_000, 10 * S, COLD, FALL, FACTOR, START, 2 * S);
             open.clear();
-            rules = new Rules(new Contract.Settings(me, fleet.shares.length, me % 2, 2, false, false,
-                    t.weights(), 0.1, t.classes(), List.of(), t.limits(), g, t.costs()),
-                    fleet.random.nextLong(), this, fleet.now);
+            rules = new Rules(
+                    new Contract.Settings(
+                            me,
+                            fleet.shares.length,
+                            me % 2,
+                            2,
+                            false,
+                            false,
+                            t.weights(),
+                            0.1,
+                            t.classes(),
+                            List.of(),
+                            t.limits(),
+                            g,
+                            t.costs()),
+                    fleet.random.nextLong(),
+                    this,
+                    fleet.now);
             rules.list(fleet.now, ListKind.COMPLETE, List.copyOf(list));
         }
 
@@ -148,8 +164,7 @@
 
         void ask(long session, long prefix, boolean again) {
             String id = "r" + fleet.ids++;
-            Request r = new Request(id, 0, 0, session, prefix, fleet.now + 4 * S, 0, 1000, 0, 100, false,
-                    false, again);
+            Request r = new Request(id, 0, 0, session, prefix, fleet.now + 4 * S, 0, 1000, 0, 100, false, false, again);
             open.put(id, r);
             rules.request(fleet.now, r);
         }
@@ -163,8 +178,8 @@
             int how = fleet.random.nextInt(100);
             if (how < 4) { // Fails, and is tried elsewhere.
                 Outcome o = how < 2 ? Outcome.RESET : Outcome.CONNECT_FAILED;
-                fleet.dues.add(new Due(fleet.now + 20_000,
-                        () -> to.outcome(fleet.now, id, n, o, 20_000, false, -1, null)));
+                fleet.dues.add(
+                        new Due(fleet.now + 20_000, () -> to.outcome(fleet.now, id, n, o, 20_000, false, -1, null)));
                 return;
             }
             fleet.dues.add(new Due(fleet.now + 60_000, () -> to.begun(fleet.now, id, n, 60_000)));
@@ -199,15 +214,15 @@
                 to++;
             }
             double n = FACTOR * warmth(at.get(from) - since) * f.each() / LOAD * FALL / S;
-            assertTrue(what + ": " + (to - from) + " in a window that allows " + n + ", "
-                    + (at.get(from) - since) / 1000 + " ms after the start",
+            assertTrue(
+                    what + ": " + (to - from) + " in a window that allows " + n + ", " + (at.get(from) - since) / 1000
+                            + " ms after the start",
                     to - from <= n + 2 * Math.sqrt(n) + 2);
         }
         long last = since;
         for (long t : at) {
             // Of chance alone, one in three thousand times of this length has none.
-            assertTrue(what + ": unused for " + (t - last) / 1000 + " ms",
-                    t - last <= 8 * S / (START * f.each()));
+            assertTrue(what + ": unused for " + (t - last) / 1000 + " ms", t - last <= 8 * S / (START * f.each()));
             last = t;
         }
     }
@@ -237,8 +252,7 @@
                     due += due(f);
                 }
             }
-            assertTrue(routers + " routers send cold servers " + got / due + " of their due",
-                    got >= 0.6 * due);
+            assertTrue(routers + " routers send cold servers " + got / due + " of their due", got >= 0.6 * due);
         }
     }
 
@@ -281,8 +295,10 @@
                     f.now = since + Math.max(after, f.now - since);
                     List<Server> one = new ArrayList<>();
                     for (Server s : f.servers) {
-                        one.add(s.id().equals(cold) ? s
-                                : new Server(s.id(), s.zone(), 0, 0, State.DRAINING, 1, s.onlineSince()));
+                        one.add(
+                                s.id().equals(cold)
+                                        ? s
+                                        : new Server(s.id(), s.zone(), 0, 0, State.DRAINING, 1, s.onlineSince()));
                     }
                     f.sent.clear();
                     f.dues.clear();
@@ -295,8 +311,9 @@
                     }
                     int n = f.sent.getOrDefault(cold, List.of()).size();
                     double may = FACTOR * warmth(f.now - since) * f.each() / LOAD * FALL / S;
-                    assertTrue(n + " at once, " + may + " allowed " + (f.now - since) / 1000
-                            + " ms after the start, seed " + seed + ", prefix " + prefix,
+                    assertTrue(
+                            n + " at once, " + may + " allowed " + (f.now - since) / 1000 + " ms after the start, seed "
+                                    + seed + ", prefix " + prefix,
                             n <= may + 2 * Math.sqrt(may) + 2);
                 }
             }
--- a/src/test/java/magpiehub/core/DecisionScenario.java
+++ b/src/test/java/magpiehub/core/DecisionScenario.java
@@ -40,7 +40,18 @@
 
     /** What a stretch of the scenario brings; {@link Phase#CALM} is drawn twice as often as the others. */
     private enum Phase {
-        CALM, CALM_AGAIN, QUIET, OVERLOAD, ZONE_CUT, ERRORS, SLOW, HANG, RESETS, RELEASE, DRAIN, RELOAD
+        CALM,
+        CALM_AGAIN,
+        QUIET,
+        OVERLOAD,
+        ZONE_CUT,
+        ERRORS,
+        SLOW,
+        HANG,
+        RESETS,
+        RELEASE,
+        DRAIN,
+        RELOAD
     }
 
     private static final class Engine {
@@ -84,14 +95,13 @@
     }
 
     /** Something that happens at a time; of two at one time the one that was planned first comes first. */
-    private record Planned(long at, long order, Runnable event) {
-    }
+    private record Planned(long at, long order, Runnable event) {}
 
     private final Random random;
     private final Rules module;
     private final MessageDigest digest = sha256();
-    private final PriorityQueue<Planned> agenda = new PriorityQueue<>((a, b) -> a.at != b.at
-            ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Planned> agenda =
+            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<String, Call> calls = new HashMap<>();
     private final List<String> openIds = new ArrayList<>();
     private final Map<String, Engine> engines = new HashMap<>();
@@ -115,7 +125,9 @@
         Zones zones = seed % 3 == 0 && settings.zones() > 1 ? plannedZones(seed) : new Zones.Plain();
         module = new Rules(settings, seed, this, now, zones);
         int fleet = 4 + random.nextInt(28);
-        for (int i = 0; i < fleet; i++) { addEngine(random.nextInt(6) == 0 ? now : 0); }
+        for (int i = 0; i < fleet; i++) {
+            addEngine(random.nextInt(6) == 0 ? now : 0);
+        }
         listAll(ListKind.SAVED);
         nextArrival();
     }
@@ -123,11 +135,15 @@
     /** Runs until so many events have been given, then some seconds of quiet and requests for known keys. */
     String digestAfter(int wanted) {
         while (events < wanted) {
-            if (events % 500 == 0) { drawPhase(); }
+            if (events % 500 == 0) {
+                drawPhase();
+            }
             step();
         }
         phase = Phase.CALM;
-        for (int i = 0; i < STEPS_AFTERWARDS; i++) { step(); }
+        for (int i = 0; i < STEPS_AFTERWARDS; i++) {
+            step();
+        }
         record("known", module.known());
         return HexFormat.of().formatHex(digest.digest(), 0, 16);
     }
@@ -143,7 +159,9 @@
         }
     }
 
-    private void plan(long delay, Runnable event) { agenda.add(new Planned(now + Math.max(0, delay), order++, event)); }
+    private void plan(long delay, Runnable event) {
+        agenda.add(new Planned(now + Math.max(0, delay), order++, event));
+    }
 
     private void record(Object... parts) {
         digest.update((now + " " + Arrays.toString(parts) + "\n").getBytes(StandardCharsets.UTF_8));
@@ -160,51 +178,92 @@
     // ---- Settings and the fleet -------------------------------------------------------------------------
     private Zones plannedZones(long seed) {
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < settings.zones(); i++) { names.add("zone" + i); }
-        return new Plan(Sites.Settings.USUAL, names, settings.myZone(), seed,
-                new ModuleActor.Journal() {
-                    @Override
-                    public void count(String name) { record("count", name); }
+        for (int i = 0; i < settings.zones(); i++) {
+            names.add("zone" + i);
+        }
+        return new Plan(Sites.Settings.USUAL, names, settings.myZone(), seed, new ModuleActor.Journal() {
+            @Override
+            public void count(String name) {
+                record("count", name);
+            }
 
-                    @Override
-                    public void log(String what, String... namesAndValues) {
-                        record(what, String.join(" ", namesAndValues));
-                    }
-                });
+            @Override
+            public void log(String what, String... namesAndValues) {
+                record(what, String.join(" ", namesAndValues));
+            }
+        });
     }
 
     private Settings drawSettings() {
         int zones = 1 + random.nextInt(4);
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 1 + random.nextInt(4); i > 0; i--) { classes.add(drawClass("class" + i)); }
-        List<Tenant> tenants = random.nextBoolean() ? List.of()
+        for (int i = 1 + random.nextInt(4); i > 0; i--) {
+            classes.add(drawClass("class" + i));
+        }
+        List<Tenant> tenants = random.nextBoolean()
+                ? List.of()
                 : List.of(new Tenant("first", 0.5, 1 + random.nextInt(20)), new Tenant("second", 0.5, 0));
         int instances = 1 + random.nextInt(random.nextBoolean() ? 4 : 60);
         boolean priced = random.nextInt(4) == 0;
-        return new Settings(random.nextInt(instances), instances, random.nextInt(zones), zones,
-                random.nextBoolean(), false, Weights.values()[random.nextInt(Weights.values().length)],
-                random.nextDouble(), classes, tenants, drawLimits(),
-                new Guarantees(20_000, (2 + random.nextInt(10)) * SECOND, (5 + random.nextInt(20)) * SECOND,
-                        (1 + random.nextInt(3)) * SECOND, 1 + 3 * random.nextDouble(),
-                        0.1 + 0.5 * random.nextDouble(), SECOND / 2),
+        return new Settings(
+                random.nextInt(instances),
+                instances,
+                random.nextInt(zones),
+                zones,
+                random.nextBoolean(),
+                false,
+                Weights.values()[random.nextInt(Weights.values().length)],
+                random.nextDouble(),
+                classes,
+                tenants,
+                drawLimits(),
+                new Guarantees(
+                        20_000,
+                        (2 + random.nextInt(10)) * SECOND,
+                        (5 + random.nextInt(20)) * SECOND,
+                        (1 + random.nextInt(3)) * SECOND,
+                        1 + 3 * random.nextDouble(),
+                        0.1 + 0.5 * random.nextDouble(),
+                        SECOND / 2),
                 new Costs(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, priced ? 0.01 : 0, 0));
     }
 
     private RequestClass drawClass(String name) {
-        return new RequestClass(name, Effect.values()[random.nextInt(3)], Group.values()[random.nextInt(3)],
-                random.nextInt(3_000_000), true, 100_000 + random.nextInt(900_000), random.nextInt(60_000), 0,
-                4 * SECOND, 60_000, 1 + random.nextInt(5), random.nextDouble());
+        return new RequestClass(
+                name,
+                Effect.values()[random.nextInt(3)],
+                Group.values()[random.nextInt(3)],
+                random.nextInt(3_000_000),
+                true,
+                100_000 + random.nextInt(900_000),
+                random.nextInt(60_000),
+                0,
+                4 * SECOND,
+                60_000,
+                1 + random.nextInt(5),
+                random.nextDouble());
     }
 
     private Limits drawLimits() {
-        return new Limits(random.nextInt(4) > 0, random.nextInt(4) > 0, false, random.nextBoolean(), true,
-                1 + random.nextInt(6), 1000, 2 * SECOND, SECOND / 4);
+        return new Limits(
+                random.nextInt(4) > 0,
+                random.nextInt(4) > 0,
+                false,
+                random.nextBoolean(),
+                true,
+                1 + random.nextInt(6),
+                1000,
+                2 * SECOND,
+                SECOND / 4);
     }
 
     private void addEngine(long onlineSince) {
         int number = engineCount++;
-        Engine engine = new Engine("10.0." + number / 200 + "." + number % 200 + ":9000",
-                random.nextInt(settings.zones()), random.nextInt(4), 0.5 + random.nextInt(4),
+        Engine engine = new Engine(
+                "10.0." + number / 200 + "." + number % 200 + ":9000",
+                random.nextInt(settings.zones()),
+                random.nextInt(4),
+                0.5 + random.nextInt(4),
                 0.7 + 0.6 * random.nextDouble());
         engine.onlineSince = onlineSince;
         engines.put(engine.id, engine);
@@ -213,11 +272,13 @@
 
     private Server entry(Engine engine) {
         double load = settings.weights() == Weights.LIVE ? random.nextDouble() : 1;
-        return new Server(engine.id, engine.zone, 0, engine.cell, engine.state, engine.weight * load,
-                engine.onlineSince);
+        return new Server(
+                engine.id, engine.zone, 0, engine.cell, engine.state, engine.weight * load, engine.onlineSince);
     }
 
-    private void listAll(ListKind kind) { module.list(now, kind, listed.stream().map(this::entry).toList()); }
+    private void listAll(ListKind kind) {
+        module.list(now, kind, listed.stream().map(this::entry).toList());
+    }
 
     private void listOne(Engine engine) {
         if (random.nextInt(8) == 0) {
@@ -227,18 +288,22 @@
         }
     }
 
-    private Engine anyListed() { return listed.get(random.nextInt(listed.size())); }
+    private Engine anyListed() {
+        return listed.get(random.nextInt(listed.size()));
+    }
 
     private void drawPhase() {
         phase = Phase.values()[random.nextInt(Phase.values().length)];
         target = random.nextInt(64);
         switch (phase) {
             case RELEASE -> {
-                for (int i = 0; i < listed.size() / 2; i++) { plan(i * 150_000L, this::replaceOne); }
+                for (int i = 0; i < listed.size() / 2; i++) {
+                    plan(i * 150_000L, this::replaceOne);
+                }
             }
             case DRAIN -> plan(200_000, this::drainOne);
             case RELOAD -> plan(200_000, this::reload);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -269,7 +334,9 @@
     }
 
     private void remove(Engine engine) {
-        if (listed.size() < 4 || !listed.remove(engine)) { return; }
+        if (listed.size() < 4 || !listed.remove(engine)) {
+            return;
+        }
         engine.state = State.DEAD;
         if (random.nextBoolean()) {
             module.list(now, ListKind.CHANGES, List.of(entry(engine)));
@@ -282,11 +349,23 @@
     private void reload() {
         Settings other = drawSettings();
         List<RequestClass> classes = new ArrayList<>(settings.classes());
-        if (classes.size() < 6) { classes.add(drawClass("class" + classes.size())); }
-        settings = new Settings(settings.me(), other.instances(), settings.myZone(), settings.zones(),
-                settings.subscribe(), settings.resume(), settings.weights(), other.overShareWorth(), classes,
-                settings.tenants().isEmpty() ? other.tenants() : settings.tenants(), other.limits(),
-                other.guarantees(), other.costs());
+        if (classes.size() < 6) {
+            classes.add(drawClass("class" + classes.size()));
+        }
+        settings = new Settings(
+                settings.me(),
+                other.instances(),
+                settings.myZone(),
+                settings.zones(),
+                settings.subscribe(),
+                settings.resume(),
+                settings.weights(),
+                other.overShareWorth(),
+                classes,
+                settings.tenants().isEmpty() ? other.tenants() : settings.tenants(),
+                other.limits(),
+                other.guarantees(),
+                other.costs());
         module.settings(now, settings);
     }
 
@@ -302,25 +381,47 @@
         long prefix = random.nextInt(3) == 0 ? 0 : 1 + (long) (Math.pow(random.nextDouble(), 3) * 40);
         long session = random.nextInt(4) == 0 ? 0 : 1 + (long) (Math.pow(random.nextDouble(), 2) * 400);
         long timeLeft = random.nextInt(50) == 0 ? 0 : 300_000 + random.nextInt(4_000_000);
-        int requestClass = random.nextInt(200) == 0 ? 99 : random.nextInt(settings.classes().size());
+        int requestClass = random.nextInt(200) == 0
+                ? 99
+                : random.nextInt(settings.classes().size());
         double prompt = 200 + random.nextInt(9_000);
-        Call call = new Call(new Request(id, requestClass, random.nextInt(3), session, prefix, now + timeLeft, 0,
-                prompt, prompt * 0.6, 100, false, false, random.nextInt(20) == 0));
+        Call call = new Call(new Request(
+                id,
+                requestClass,
+                random.nextInt(3),
+                session,
+                prefix,
+                now + timeLeft,
+                0,
+                prompt,
+                prompt * 0.6,
+                100,
+                false,
+                false,
+                random.nextInt(20) == 0));
         calls.put(id, call);
         openIds.add(id);
         plan(timeLeft, () -> expire(call));
-        if (random.nextInt(40) == 0) { plan(random.nextInt(1_000_000), () -> leave(call)); }
+        if (random.nextInt(40) == 0) {
+            plan(random.nextInt(1_000_000), () -> leave(call));
+        }
         module.request(now, call.request);
-        if (random.nextInt(200) == 0) { module.request(now - 10, call.request); }
+        if (random.nextInt(200) == 0) {
+            module.request(now - 10, call.request);
+        }
     }
 
     private void expire(Call call) {
-        for (int i = 0; i < call.attempts.size() && !call.settled; i++) { end(call, i, Outcome.TIMEOUT, false); }
+        for (int i = 0; i < call.attempts.size() && !call.settled; i++) {
+            end(call, i, Outcome.TIMEOUT, false);
+        }
         openIds.remove(call.request.id());
     }
 
     private void leave(Call call) {
-        if (call.settled) { return; }
+        if (call.settled) {
+            return;
+        }
         call.settled = true;
         module.abandoned(now, call.request.id());
     }
@@ -337,7 +438,9 @@
         long first = (long) (engine.pace * (30_000 + random.nextInt(40_000)) * slowness(engine));
         switch (outcome) {
             case OK, RESET, SPOILT -> {
-                if (outcome == Outcome.OK || random.nextInt(3) == 0) { plan(first, () -> begin(call, number)); }
+                if (outcome == Outcome.OK || random.nextInt(3) == 0) {
+                    plan(first, () -> begin(call, number));
+                }
                 plan(first + random.nextInt(600_000), () -> end(call, number, outcome, outcome == Outcome.OK));
             }
             case TIMEOUT -> plan(2 * SECOND, () -> end(call, number, outcome, false));
@@ -345,23 +448,38 @@
         }
     }
 
-    private boolean isTarget(Engine engine) { return (engine.id.hashCode() & 7) == (target & 7); }
+    private boolean isTarget(Engine engine) {
+        return (engine.id.hashCode() & 7) == (target & 7);
+    }
 
     private double slowness(Engine engine) {
         double cold = now - engine.onlineSince < 5 * SECOND ? 2.5 : 1;
         double busy = 1 + engine.inFlight / 8.0;
-        return cold * busy * (phase == Phase.OVERLOAD ? 6 + random.nextInt(12)
-                : phase == Phase.SLOW && isTarget(engine) ? 12 : 1);
+        return cold
+                * busy
+                * (phase == Phase.OVERLOAD ? 6 + random.nextInt(12) : phase == Phase.SLOW && isTarget(engine) ? 12 : 1);
     }
 
     private Outcome drawOutcome(Engine engine) {
         int percent = random.nextInt(100);
-        if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zones()) { return Outcome.CONNECT_FAILED; }
-        if (phase == Phase.HANG && isTarget(engine)) { return Outcome.TIMEOUT; }
-        if (phase == Phase.ERRORS && percent < (isTarget(engine) ? 80 : 50)) { return Outcome.ERROR; }
-        if (phase == Phase.RESETS && percent < 30) { return percent < 20 ? Outcome.RESET : Outcome.SPOILT; }
-        if (engine.inFlight > 12 || phase == Phase.OVERLOAD && percent < 30) { return Outcome.FULL; }
-        if (percent < 4) { return Outcome.values()[random.nextInt(Outcome.values().length)]; }
+        if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zones()) {
+            return Outcome.CONNECT_FAILED;
+        }
+        if (phase == Phase.HANG && isTarget(engine)) {
+            return Outcome.TIMEOUT;
+        }
+        if (phase == Phase.ERRORS && percent < (isTarget(engine) ? 80 : 50)) {
+            return Outcome.ERROR;
+        }
+        if (phase == Phase.RESETS && percent < 30) {
+            return percent < 20 ? Outcome.RESET : Outcome.SPOILT;
+        }
+        if (engine.inFlight > 12 || phase == Phase.OVERLOAD && percent < 30) {
+            return Outcome.FULL;
+        }
+        if (percent < 4) {
+            return Outcome.values()[random.nextInt(Outcome.values().length)];
+        }
         return Outcome.OK;
     }
 
@@ -374,21 +492,40 @@
 
     private void end(Call call, int number, Outcome outcome, boolean served) {
         Attempt attempt = call.attempts.get(number);
-        if (attempt.ended) { return; }
+        if (attempt.ended) {
+            return;
+        }
         attempt.ended = true;
         attempt.engine.inFlight--;
         Outcome seen = call.settled && outcome == Outcome.OK ? Outcome.CANCELLED : outcome;
         call.settled |= served;
-        long kept = random.nextInt(5) == 0 ? -1
+        long kept = random.nextInt(5) == 0
+                ? -1
                 : phase == Phase.RELEASE ? 0 : (long) (call.request.promptTokens() * random.nextDouble());
-        module.outcome(now, call.request.id(), number, seen, now - attempt.sentAt, call.settled, kept,
+        module.outcome(
+                now,
+                call.request.id(),
+                number,
+                seen,
+                now - attempt.sentAt,
+                call.settled,
+                kept,
                 drawLoad(attempt.engine));
     }
 
     private Load drawLoad(Engine engine) {
-        if (!reportsLoad || random.nextInt(3) == 0) { return null; }
-        return new Load(engine.inFlight, Math.max(0, engine.inFlight - 10), Double.NaN,
-                50 * engine.pace * slowness(engine), Double.NaN, 0, Double.NaN, Double.NaN);
+        if (!reportsLoad || random.nextInt(3) == 0) {
+            return null;
+        }
+        return new Load(
+                engine.inFlight,
+                Math.max(0, engine.inFlight - 10),
+                Double.NaN,
+                50 * engine.pace * slowness(engine),
+                Double.NaN,
+                0,
+                Double.NaN,
+                Double.NaN);
     }
 
     // ---- The module's other actions ---------------------------------------------------------------------
@@ -440,20 +577,32 @@
     }
 
     @Override
-    public void move(String id) { record("move", id); }
+    public void move(String id) {
+        record("move", id);
+    }
 
     @Override
-    public void fetch() { record("fetch"); }
+    public void fetch() {
+        record("fetch");
+    }
 
     @Override
-    public void unwatch() { record("unwatch"); }
+    public void unwatch() {
+        record("unwatch");
+    }
 
     @Override
-    public void close(String server) { record("close", server); }
+    public void close(String server) {
+        record("close", server);
+    }
 
     @Override
-    public void tell(int peer, byte[] payload) { record("tell", peer, payload.length); }
+    public void tell(int peer, byte[] payload) {
+        record("tell", peer, payload.length);
+    }
 
     @Override
-    public void log(String text) { record("log", text); }
+    public void log(String text) {
+        record("log", text);
+    }
 }
--- a/src/test/java/magpiehub/core/ModuleActorTest.java
+++ b/src/test/java/magpiehub/core/ModuleActorTest.java
@@ -63,16 +63,13 @@
         }
 
         @Override
-        public void probe(String server) {
-        }
+        public void probe(String server) {}
 
         @Override
-        public void closeIdle(String server) {
-        }
+        public void closeIdle(String server) {}
 
         @Override
-        public void list(ListKind kind, List<Server> servers) {
-        }
+        public void list(ListKind kind, List<Server> servers) {}
     };
     private final ModuleActor.Roster roster = new ModuleActor.Roster() {
         @Override
@@ -81,12 +78,10 @@
         }
 
         @Override
-        public void unwatch() {
-        }
+        public void unwatch() {}
 
         @Override
-        public void fetch() {
-        }
+        public void fetch() {}
     };
     private final ModuleActor.Journal journal = new ModuleActor.Journal() {
         @Override
@@ -98,8 +93,7 @@
         }
 
         @Override
-        public void log(String what, String... namesAndValues) {
-        }
+        public void log(String what, String... namesAndValues) {}
     };
     private ModuleActor actor = actor(Bench.settings(1));
 
@@ -114,9 +108,10 @@
     }
 
     private void ask(String... servers) throws InterruptedException {
-        actor.list(ListKind.SAVED, java.util.Arrays.stream(servers).map(Bench::server).toList());
-        actor.take(new Request("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false), client,
-                "work", 4);
+        actor.list(
+                ListKind.SAVED,
+                java.util.Arrays.stream(servers).map(Bench::server).toList());
+        actor.take(new Request("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false), client, "work", 4);
         turns();
     }
 
@@ -152,9 +147,19 @@
     @Test
     public void noTimeToReturnIsNamedWhereTheSiteHasNone() throws InterruptedException {
         Contract.Settings t = Bench.settings(1);
-        actor.settings(new Contract.Settings(0, 1, 0, 2, true, false, t.weights(), 0.1, t.classes(),
+        actor.settings(new Contract.Settings(
+                0,
+                1,
+                0,
+                2,
+                true,
+                false,
+                t.weights(),
+                0.1,
+                t.classes(),
                 t.tenants(),
-                new Contract.Limits(true, true, false, false, false, 6, 1000, 0, 250_000), t.guarantees(),
+                new Contract.Limits(true, true, false, false, false, 6, 1000, 0, 250_000),
+                t.guarantees(),
                 t.costs()));
         fleetFails = true;
         ask("a");
@@ -165,8 +170,20 @@
     @Test
     public void aWatchIsKeptWhereListsArePushed() throws InterruptedException {
         Contract.Settings t = Bench.settings(1);
-        actor.settings(new Contract.Settings(0, 1, 0, 2, false, false, t.weights(), 0.1, t.classes(),
-                t.tenants(), t.limits(), t.guarantees(), t.costs()));
+        actor.settings(new Contract.Settings(
+                0,
+                1,
+                0,
+                2,
+                false,
+                false,
+                t.weights(),
+                0.1,
+                t.classes(),
+                t.tenants(),
+                t.limits(),
+                t.guarantees(),
+                t.costs()));
         turns();
         assertEquals(1, watches);
         actor.list(ListKind.ERROR, List.of());
@@ -201,7 +218,10 @@
         ask("a", "b");
         String first = attempts.get(0).server;
         clientGone = true;
-        assertEquals("a connection that comes up now is for nobody", null, attempts.get(0).work());
+        assertEquals(
+                "a connection that comes up now is for nobody",
+                null,
+                attempts.get(0).work());
         actor.ended(attempts.get(0), Outcome.ERROR, -1, null);
         turns();
         actor.gone("r");
@@ -246,8 +266,10 @@
                 turns();
                 boolean harmless = effect == Contract.Effect.PURE
                         || effect == Contract.Effect.TOKEN && group == Contract.Group.ALL;
-                assertEquals(effect + " " + group, List.of("start a", "abort a",
-                        (harmless ? "refuse" : "fail") + " at 1000000"), done);
+                assertEquals(
+                        effect + " " + group,
+                        List.of("start a", "abort a", (harmless ? "refuse" : "fail") + " at 1000000"),
+                        done);
             }
         }
     }
--- a/src/test/java/magpiehub/core/OverloadControlTest.java
+++ b/src/test/java/magpiehub/core/OverloadControlTest.java
@@ -23,8 +23,19 @@
     private static Bench overloaded(SplittableRandom random) {
         RequestClass[] classes = new RequestClass[1 + random.nextInt(4)];
         for (int i = 0; i < classes.length; i++) {
-            classes[i] = new RequestClass("c" + i, Effect.PURE, Group.ALL, 0, true, S, 0, 0, 4 * S, 60_000,
-                    1 + random.nextInt(9), random.nextDouble());
+            classes[i] = new RequestClass(
+                    "c" + i,
+                    Effect.PURE,
+                    Group.ALL,
+                    0,
+                    true,
+                    S,
+                    0,
+                    0,
+                    4 * S,
+                    60_000,
+                    1 + random.nextInt(9),
+                    random.nextDouble());
         }
         Bench b = new Bench(Bench.settings(1 + random.nextInt(20), classes));
         String[] names = new String[4 + random.nextInt(12)];
@@ -67,8 +78,7 @@
                     refusedInARow.addLast(b.now);
                     late += b.now >= from + 10 * S ? 1 : 0;
                 }
-                all |= refusedInARow.size() >= ENOUGH
-                        && b.now - refusedInARow.getFirst() >= WINDOW - WINDOW / ENOUGH;
+                all |= refusedInARow.size() >= ENOUGH && b.now - refusedInARow.getFirst() >= WINDOW - WINDOW / ENOUGH;
                 b.pass(WINDOW / ENOUGH);
             }
             turnedAllAway += all ? 1 : 0;
@@ -113,8 +123,10 @@
                 throughout += r == turns ? 1 : 0;
             }
             double chance = Math.pow(part, turns);
-            assertTrue(throughout <= conversations * (chance + 0.12), "seed " + seed + ": " + throughout
-                    + " of " + conversations + " conversations, " + part + " of all turns");
+            assertTrue(
+                    throughout <= conversations * (chance + 0.12),
+                    "seed " + seed + ": " + throughout + " of " + conversations + " conversations, " + part
+                            + " of all turns");
         }
     }
 }
--- a/src/test/java/magpiehub/core/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/core/PromptLengthFairnessTest.java
@@ -30,8 +30,8 @@
     private static final double TOKENS_PER_SECOND = 10_000;
     private static final double SHORTEST_PROMPT = 200;
     private static final double LONGEST_PROMPT = 8_000;
-    private static final double MEAN_PROMPT = (LONGEST_PROMPT - SHORTEST_PROMPT)
-            / Math.log(LONGEST_PROMPT / SHORTEST_PROMPT);
+    private static final double MEAN_PROMPT =
+            (LONGEST_PROMPT - SHORTEST_PROMPT) / Math.log(LONGEST_PROMPT / SHORTEST_PROMPT);
     private static final int DEPLOYMENTS = 20;
     /** Classes with fewer requests are judged by their longest quarter, others by their longest tenth. */
     private static final int MANY_REQUESTS = 400;
@@ -46,8 +46,7 @@
         }
     }
 
-    private record Due(long at, Runnable event) {
-    }
+    private record Due(long at, Runnable event) {}
 
     /** One router, its replicas and its clients. */
     private static final class Day extends QuietActions {
@@ -65,9 +64,18 @@
             random = new SplittableRandom(seed);
             classes = new RequestClass[1 + random.nextInt(3)];
             for (int i = 0; i < classes.length; i++) {
-                classes[i] = new RequestClass("c" + i, Effect.PURE, Group.ALL, 0, true,
-                        SECOND / 2 + random.nextLong(2 * SECOND), 30_000 + random.nextLong(30_000), 0,
-                        DEADLINE, 60_000, 1 + random.nextInt(5),
+                classes[i] = new RequestClass(
+                        "c" + i,
+                        Effect.PURE,
+                        Group.ALL,
+                        0,
+                        true,
+                        SECOND / 2 + random.nextLong(2 * SECOND),
+                        30_000 + random.nextLong(30_000),
+                        0,
+                        DEADLINE,
+                        60_000,
+                        1 + random.nextInt(5),
                         random.nextBoolean() ? 0 : random.nextDouble());
             }
             replicas = 4 + random.nextInt(9);
@@ -96,9 +104,20 @@
         private void ask() {
             double tokens = SHORTEST_PROMPT * Math.pow(LONGEST_PROMPT / SHORTEST_PROMPT, random.nextDouble());
             String id = "r" + all.size();
-            Asked asked = new Asked(new Request(id, random.nextInt(classes.length), 0,
-                    random.nextLong(1, 1L << 53), 0, now + DEADLINE, 0, Math.floor(tokens), 0, 100, false,
-                    false, false));
+            Asked asked = new Asked(new Request(
+                    id,
+                    random.nextInt(classes.length),
+                    0,
+                    random.nextLong(1, 1L << 53),
+                    0,
+                    now + DEADLINE,
+                    0,
+                    Math.floor(tokens),
+                    0,
+                    100,
+                    false,
+                    false,
+                    false));
             all.add(asked);
             open.put(id, asked);
             rules.request(now, asked.request);
--- a/src/test/java/magpiehub/core/QuietActions.java
+++ b/src/test/java/magpiehub/core/QuietActions.java
@@ -3,54 +3,41 @@
 /** A node's host that does nothing: tests say what they look at. */
 public class QuietActions implements Contract.Actions {
     @Override
-    public void send(String id, String server, long timeout) {
-    }
+    public void send(String id, String server, long timeout) {}
 
     @Override
-    public void cancel(String id, int attempt) {
-    }
+    public void cancel(String id, int attempt) {}
 
     @Override
-    public void refuse(String id, long retryAfter) {
-    }
+    public void refuse(String id, long retryAfter) {}
 
     @Override
-    public void fail(String id) {
-    }
+    public void fail(String id) {}
 
     @Override
-    public void watch() {
-    }
+    public void watch() {}
 
     @Override
-    public void timer(long at, long token) {
-    }
+    public void timer(long at, long token) {}
 
     @Override
-    public void probe(String server) {
-    }
+    public void probe(String server) {}
 
     @Override
-    public void move(String id) {
-    }
+    public void move(String id) {}
 
     @Override
-    public void fetch() {
-    }
+    public void fetch() {}
 
     @Override
-    public void unwatch() {
-    }
+    public void unwatch() {}
 
     @Override
-    public void close(String server) {
-    }
+    public void close(String server) {}
 
     @Override
-    public void tell(int peer, byte[] payload) {
-    }
+    public void tell(int peer, byte[] payload) {}
 
     @Override
-    public void log(String text) {
-    }
+    public void log(String text) {}
 }
--- a/src/test/java/magpiehub/core/RandomEventsTest.java
+++ b/src/test/java/magpiehub/core/RandomEventsTest.java
@@ -61,13 +61,27 @@
             rnd = new Random(seed);
             List<RequestClass> classes = new ArrayList<>();
             for (int i = 0; i < 1 + rnd.nextInt(4); i++) {
-                classes.add(new RequestClass("c" + i, Effect.values()[rnd.nextInt(3)],
-                        Group.values()[rnd.nextInt(3)], rnd.nextInt(3_000_000), true, rnd.nextInt(2_000_000),
-                        rnd.nextInt(60_000), 0, 4 * S, 60_000, rnd.nextInt(5), rnd.nextDouble()));
+                classes.add(new RequestClass(
+                        "c" + i,
+                        Effect.values()[rnd.nextInt(3)],
+                        Group.values()[rnd.nextInt(3)],
+                        rnd.nextInt(3_000_000),
+                        true,
+                        rnd.nextInt(2_000_000),
+                        rnd.nextInt(60_000),
+                        0,
+                        4 * S,
+                        60_000,
+                        rnd.nextInt(5),
+                        rnd.nextDouble()));
             }
-            List<Tenant> tenants = rnd.nextBoolean() ? List.of() : List.of(new Tenant("t", 0.5, 5),
-                    new Tenant("u", 0.5, 0));
-            s = Bench.settings(1 + rnd.nextInt(30), rnd.nextBoolean(), rnd.nextBoolean(), tenants,
+            List<Tenant> tenants =
+                    rnd.nextBoolean() ? List.of() : List.of(new Tenant("t", 0.5, 5), new Tenant("u", 0.5, 0));
+            s = Bench.settings(
+                    1 + rnd.nextInt(30),
+                    rnd.nextBoolean(),
+                    rnd.nextBoolean(),
+                    tenants,
                     classes.toArray(new RequestClass[0]));
             node = new Rules(s, seed, this, now);
         }
@@ -90,8 +104,11 @@
                 assertEquals(Effect.TOKEN, j.c.effect(), "a side effect may happen twice");
                 assertTrue(now - j.sentAt.get(i) <= j.c.window(), "outside the window");
                 Server was = everKnown.get(j.at.get(i));
-                assertTrue(j.c.group() == Group.ALL || j.c.group() == Group.ZONE && was.zone() == e.zone()
-                        || j.c.group() == Group.CELL && was.cell() == e.cell(), "outside the group");
+                assertTrue(
+                        j.c.group() == Group.ALL
+                                || j.c.group() == Group.ZONE && was.zone() == e.zone()
+                                || j.c.group() == Group.CELL && was.cell() == e.cell(),
+                        "outside the group");
             }
             if (e.onlineSince() > 0 && now - e.onlineSince() < s.guarantees().fall()) {
                 coldSends.merge(server + "@" + e.onlineSince(), 1, Integer::sum);
@@ -109,8 +126,10 @@
             assertNotNull(j);
             assertFalse(j.over, "two final answers");
             for (int i = 0; refused && i < j.at.size(); i++) {
-                assertTrue(j.c.effect() == Effect.PURE || j.ended.get(i) != null && j.ended.get(i).neverRan
-                        || j.c.effect() == Effect.TOKEN && j.c.group() == Group.ALL,
+                assertTrue(
+                        j.c.effect() == Effect.PURE
+                                || j.ended.get(i) != null && j.ended.get(i).neverRan
+                                || j.c.effect() == Effect.TOKEN && j.c.group() == Group.ALL,
                         "refused what may have run");
             }
             assertEquals(-1, j.begun, "ended a stream that runs");
@@ -173,8 +192,14 @@
                     continue;
                 }
                 State state = State.values()[rnd.nextInt(6) > 3 ? 1 + rnd.nextInt(2) : 0];
-                Server e = new Server(id, id.hashCode() % 3, 0, id.hashCode() % 4, state,
-                        rnd.nextDouble() * 2, rnd.nextInt(8) == 0 ? now : 0);
+                Server e = new Server(
+                        id,
+                        id.hashCode() % 3,
+                        0,
+                        id.hashCode() % 4,
+                        state,
+                        rnd.nextDouble() * 2,
+                        rnd.nextInt(8) == 0 ? now : 0);
                 l.add(e);
                 known.put(id, e);
                 everKnown.put(id, e);
@@ -198,9 +223,20 @@
                 Job j = new Job();
                 int cls = rnd.nextInt(s.classes().size());
                 j.c = s.classes().get(cls);
-                j.r = new Request("q" + requests++, cls, rnd.nextInt(3), rnd.nextInt(50), rnd.nextInt(12),
-                        now + 100_000 + rnd.nextInt(4_000_000), 0, rnd.nextInt(9000), rnd.nextInt(5000), 100,
-                        false, false, false);
+                j.r = new Request(
+                        "q" + requests++,
+                        cls,
+                        rnd.nextInt(3),
+                        rnd.nextInt(50),
+                        rnd.nextInt(12),
+                        now + 100_000 + rnd.nextInt(4_000_000),
+                        0,
+                        rnd.nextInt(9000),
+                        rnd.nextInt(5000),
+                        100,
+                        false,
+                        false,
+                        false);
                 jobs.put(j.r.id(), j);
                 live.add(j);
                 node.request(now, j.r);
@@ -235,8 +271,12 @@
                     j.over = true;
                     node.abandoned(now, j.r.id());
                 } else {
-                    end(j, i, j.begun == i ? rnd.nextInt(8) == 0 ? Outcome.RESET : Outcome.OK
-                            : Outcome.values()[rnd.nextInt(Outcome.values().length)]);
+                    end(
+                            j,
+                            i,
+                            j.begun == i
+                                    ? rnd.nextInt(8) == 0 ? Outcome.RESET : Outcome.OK
+                                    : Outcome.values()[rnd.nextInt(Outcome.values().length)]);
                 }
                 return;
             }
--- a/src/test/java/magpiehub/core/RulesTest.java
+++ b/src/test/java/magpiehub/core/RulesTest.java
@@ -61,15 +61,34 @@
         Contract.Settings s = Bench.settings(1);
         Bench b = new Bench(s).list(names(4));
         String under = b.ask(0, 0);
-        Contract.RequestClass strict = new Contract.RequestClass("c", Effect.SIDE_EFFECT, Group.ALL, 0, true,
-                S, 0, 0, 4 * S, 60_000, 1, 0.3);
+        Contract.RequestClass strict =
+                new Contract.RequestClass("c", Effect.SIDE_EFFECT, Group.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
         Contract.Limits l = s.limits();
-        b.node.settings(b.now, new Contract.Settings(s.me(), s.instances(), s.myZone(), s.zones(),
-                s.subscribe(), s.resume(), s.weights(), s.overShareWorth(),
-                List.of(s.classes().get(0), strict), List.of(new Contract.Tenant("t", 1, 5)),
-                new Contract.Limits(l.cancel(), l.probes(), l.peers(), l.parallel(),
-                        l.retryAfter(), 2, l.mostHeld(), l.maxRetryAfter(), l.connectTimeout()),
-                s.guarantees(), s.costs()));
+        b.node.settings(
+                b.now,
+                new Contract.Settings(
+                        s.me(),
+                        s.instances(),
+                        s.myZone(),
+                        s.zones(),
+                        s.subscribe(),
+                        s.resume(),
+                        s.weights(),
+                        s.overShareWorth(),
+                        List.of(s.classes().get(0), strict),
+                        List.of(new Contract.Tenant("t", 1, 5)),
+                        new Contract.Limits(
+                                l.cancel(),
+                                l.probes(),
+                                l.peers(),
+                                l.parallel(),
+                                l.retryAfter(),
+                                2,
+                                l.mostHeld(),
+                                l.maxRetryAfter(),
+                                l.connectTimeout()),
+                        s.guarantees(),
+                        s.costs()));
         b.outcome(under, Outcome.RESET);
         assertEquals(2, b.tries.get(under), "its own class may be repeated");
         b.outcome(under, Outcome.RESET);
@@ -88,8 +107,8 @@
         Bench b = new Bench(Bench.settings(1)).list(names(4));
         for (long late : new long[] {0, 1, S}) {
             String id = "late" + late;
-            b.node.request(b.now, new Contract.Request(id, 0, 0, 7, 0, b.now - late, 0, 1000, 800, 100, false,
-                    false, false));
+            b.node.request(
+                    b.now, new Contract.Request(id, 0, 0, 7, 0, b.now - late, 0, 1000, 800, 100, false, false, false));
             assertEquals("refused", b.finals.get(id));
             assertNull(b.where(id));
         }
@@ -100,11 +119,31 @@
     void aRequestKeepsTheLimitsThatItCameUnder() {
         Contract.Settings wide = Bench.settings(1, true, false, List.of());
         Contract.Limits l = wide.limits();
-        Contract.Limits narrow = new Contract.Limits(l.cancel(), l.probes(), l.peers(), false, l.retryAfter(),
-                2, l.mostHeld(), l.maxRetryAfter(), l.connectTimeout());
-        Bench b = new Bench(new Contract.Settings(wide.me(), wide.instances(), wide.myZone(), wide.zones(),
-                wide.subscribe(), wide.resume(), wide.weights(), wide.overShareWorth(), wide.classes(),
-                wide.tenants(), narrow, wide.guarantees(), wide.costs())).list(names(8));
+        Contract.Limits narrow = new Contract.Limits(
+                l.cancel(),
+                l.probes(),
+                l.peers(),
+                false,
+                l.retryAfter(),
+                2,
+                l.mostHeld(),
+                l.maxRetryAfter(),
+                l.connectTimeout());
+        Bench b = new Bench(new Contract.Settings(
+                        wide.me(),
+                        wide.instances(),
+                        wide.myZone(),
+                        wide.zones(),
+                        wide.subscribe(),
+                        wide.resume(),
+                        wide.weights(),
+                        wide.overShareWorth(),
+                        wide.classes(),
+                        wide.tenants(),
+                        narrow,
+                        wide.guarantees(),
+                        wide.costs()))
+                .list(names(8));
         String under = b.ask(0, 0);
         b.node.settings(b.now, wide);
         b.outcome(under, Outcome.RESET);
@@ -276,8 +315,9 @@
     void coldReplicaStaysUnderASmallMultiple() {
         Contract.Settings t = Bench.settings(1);
         Contract.Guarantees g = new Contract.Guarantees(8_000, 10 * S, 20 * S, 2 * S, 1, 0.2, 2 * S);
-        Bench b = new Bench(new Contract.Settings(0, 1, 0, 2, false, false, t.weights(), 0.1, t.classes(),
-                t.tenants(), t.limits(), g, t.costs())).list(names(5));
+        Bench b = new Bench(new Contract.Settings(
+                        0, 1, 0, 2, false, false, t.weights(), 0.1, t.classes(), t.tenants(), t.limits(), g, t.costs()))
+                .list(names(5));
         for (int i = 0; i < 400; i++) {
             b.serve(0, i + 1);
             b.pass(25_000);
@@ -302,8 +342,21 @@
         int total = 0;
         for (int me = 0; me < nodes; me++) {
             Contract.Settings t = Bench.settings(nodes);
-            Bench b = new Bench(new Contract.Settings(me, nodes, 0, 2, false, false, t.weights(), 0.1,
-                    t.classes(), t.tenants(), t.limits(), t.guarantees(), t.costs())).list(names(5));
+            Bench b = new Bench(new Contract.Settings(
+                            me,
+                            nodes,
+                            0,
+                            2,
+                            false,
+                            false,
+                            t.weights(),
+                            0.1,
+                            t.classes(),
+                            t.tenants(),
+                            t.limits(),
+                            t.guarantees(),
+                            t.costs()))
+                    .list(names(5));
             for (int i = 0; i < 100; i++) {
                 b.serve(0, i + 1);
                 b.pass(S / 2);
@@ -329,8 +382,20 @@
         Map<String, Integer> sent = new HashMap<>();
         Map<String, Integer> firstSecond = new HashMap<>();
         for (int me = 0; me < nodes; me++) {
-            Bench b = new Bench(new Contract.Settings(me, nodes, me % 2, 2, false, false, t.weights(), 0.1,
-                    t.classes(), t.tenants(), t.limits(), g, t.costs()));
+            Bench b = new Bench(new Contract.Settings(
+                    me,
+                    nodes,
+                    me % 2,
+                    2,
+                    false,
+                    false,
+                    t.weights(),
+                    0.1,
+                    t.classes(),
+                    t.tenants(),
+                    t.limits(),
+                    g,
+                    t.costs()));
             List<Contract.Server> list = new java.util.ArrayList<>();
             for (int i = 0; i < fleet; i++) {
                 list.add(Bench.server(names(fleet)[i], State.LIVE, i < warm ? 0 : b.now));
@@ -449,16 +514,14 @@
             for (Object[] row : rows) {
                 for (Outcome o : Outcome.values()) {
                     if (o != Outcome.OK && o != Outcome.MOOT) {
-                        effect((Effect) row[0], (Group) row[1], (String) row[2], (String) row[3], o,
-                                deadline);
+                        effect((Effect) row[0], (Group) row[1], (String) row[2], (String) row[3], o, deadline);
                     }
                 }
             }
         }
     }
 
-    private static void effect(Effect effect, Group group, String keeps, String last, Outcome o,
-            long deadline) {
+    private static void effect(Effect effect, Group group, String keeps, String last, Outcome o, long deadline) {
         String what = effect + " " + group + " " + o + " " + deadline;
         Bench b = new Bench(Bench.settings(1, Bench.cls(effect, group)));
         List<Contract.Server> list = new java.util.ArrayList<>();
@@ -469,8 +532,9 @@
         int repeated = 0;
         for (int n = 0; n < 24; n++) {
             String id = "x" + n;
-            b.node.request(b.now, new Contract.Request(id, 0, 0, n + 1, 0, b.now + deadline, 0, 1000, 0, 100,
-                    false, false, false));
+            b.node.request(
+                    b.now,
+                    new Contract.Request(id, 0, 0, n + 1, 0, b.now + deadline, 0, 1000, 0, 100, false, false, false));
             assertEquals(1, b.tries.get(id), what + ": one attempt, and none beside it");
             int first = Integer.parseInt(b.where(id).substring(1));
             b.now += 10_000;
@@ -497,9 +561,12 @@
     @Test
     void keyedRequestStaysInItsGroupAndWindow() {
         Bench b = new Bench(Bench.settings(1, Bench.cls(Effect.TOKEN, Group.CELL)));
-        b.node.list(b.now, ListKind.COMPLETE, List.of(
-                inCell("a", 1), inCell("b", 1),
-                inCell("c", 2), inCell("d", 2)));
+        b.node.list(
+                b.now,
+                ListKind.COMPLETE,
+                List.of(
+                        inCell("a", 1), inCell("b", 1),
+                        inCell("c", 2), inCell("d", 2)));
         for (long k = 1; k < 20; k++) {
             String id = b.ask(0, k);
             boolean low = b.where(id).compareTo("b") <= 0;
@@ -701,11 +768,21 @@
         return new Contract.Server("10.0.0." + i + ":9000", i % 2, 0, 0, State.LIVE, weight, 0);
     }
 
-    private static Bench priced(int me, int nodes, double crossZone, double connection,
-            Contract.Weights weights) {
+    private static Bench priced(int me, int nodes, double crossZone, double connection, Contract.Weights weights) {
         Contract.Settings t = Bench.settings(nodes);
-        return new Bench(new Contract.Settings(me, nodes, 0, 2, false, false, weights, 0.1, t.classes(),
-                t.tenants(), t.limits(), t.guarantees(),
+        return new Bench(new Contract.Settings(
+                me,
+                nodes,
+                0,
+                2,
+                false,
+                false,
+                weights,
+                0.1,
+                t.classes(),
+                t.tenants(),
+                t.limits(),
+                t.guarantees(),
                 new Contract.Costs(crossZone, 0, 0, 0, connection, 0)));
     }
 
@@ -786,8 +863,8 @@
     @Test
     void overloadRefusesWhatIsWorthLeast() {
         Contract.RequestClass c = Bench.cls(Effect.PURE, Group.ALL);
-        Contract.RequestClass dear = new Contract.RequestClass("dear", Effect.PURE, Group.ALL, 0, true, S,
-                0, 0, 4 * S, 60_000, 9, 0.3);
+        Contract.RequestClass dear =
+                new Contract.RequestClass("dear", Effect.PURE, Group.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 9, 0.3);
         Bench b = new Bench(Bench.settings(1, c, dear)).list(names(4));
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
@@ -831,8 +908,7 @@
     void slownessIsToldByReportsButNotOfAColdReplica() {
         for (boolean cold : new boolean[] {false, true}) {
             Bench b = new Bench(Bench.settings(1)).list(names(8));
-            b.node.list(b.now, ListKind.CHANGES,
-                    List.of(Bench.server(names(8)[3], State.LIVE, cold ? b.now : 0)));
+            b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(names(8)[3], State.LIVE, cold ? b.now : 0)));
             int late = 0;
             for (int i = 0; i < 300; i++) {
                 String id = b.ask(0, 1000 + i);
@@ -857,8 +933,10 @@
                 b.begun(id, 2 * S);
                 b.outcome(id, Outcome.OK);
             }
-            b.node.request(b.now, new Contract.Request("rest" + i, 0, 0, 1000 + i, 0, b.now + 4 * S, 0, 1000,
-                    800, 100, false, false, true));
+            b.node.request(
+                    b.now,
+                    new Contract.Request(
+                            "rest" + i, 0, 0, 1000 + i, 0, b.now + 4 * S, 0, 1000, 800, 100, false, false, true));
             assertEquals(null, b.finals.get("rest" + i));
             b.begun("rest" + i, 2 * S);
             b.outcome("rest" + i, Outcome.OK);
--- a/src/test/java/magpiehub/core/ZonesTest.java
+++ b/src/test/java/magpiehub/core/ZonesTest.java
@@ -27,8 +27,7 @@
         boolean tries;
 
         @Override
-        public void number(int zones) {
-        }
+        public void number(int zones) {}
 
         @Override
         public void told(long now, int zone, String replica, Sign sign, long took, double ratio) {
@@ -41,8 +40,7 @@
         }
 
         @Override
-        public void listed(long now, int zone, int live) {
-        }
+        public void listed(long now, int zone, int live) {}
 
         @Override
         public boolean takes(long now, int zone, double place) {
@@ -85,10 +83,23 @@
     private Bench bench(boolean probes) {
         Settings s = Bench.settings(1, true, true, List.of());
         Contract.Limits l = s.limits();
-        Bench bench = new Bench(new Settings(0, 1, 0, 2, true, false, s.weights(), 0.1, s.classes(),
-                List.of(),
-                new Contract.Limits(l.cancel(), probes, false, false, true, 6, 1000, l.maxRetryAfter(),
-                        l.connectTimeout()), s.guarantees(), s.costs()), zones);
+        Bench bench = new Bench(
+                new Settings(
+                        0,
+                        1,
+                        0,
+                        2,
+                        true,
+                        false,
+                        s.weights(),
+                        0.1,
+                        s.classes(),
+                        List.of(),
+                        new Contract.Limits(
+                                l.cancel(), probes, false, false, true, 6, 1000, l.maxRetryAfter(), l.connectTimeout()),
+                        s.guarantees(),
+                        s.costs()),
+                zones);
         List<Server> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             all.add(new Server((i < 4 ? "a" : "b") + i, i < 4 ? 0 : 1, 0, 0, State.LIVE, 1, 0));
@@ -154,7 +165,11 @@
     public void silenceIsToldOnceWhileItLasts() {
         String id = there();
         b.pass(3 * Bench.S);
-        assertEquals(1, zones.told.stream().filter(t -> t.equals(b.where(id) + " SILENCE")).count());
+        assertEquals(
+                1,
+                zones.told.stream()
+                        .filter(t -> t.equals(b.where(id) + " SILENCE"))
+                        .count());
     }
 
     @Test
@@ -167,7 +182,9 @@
             }
         }
         for (long s = 1; s <= 200; s++) {
-            assertEquals("its next turn goes where it was", before.contains(s),
+            assertEquals(
+                    "its next turn goes where it was",
+                    before.contains(s),
                     b.serve(0, s * 7919).startsWith("b"));
         }
         zones.share[1] = 1;
@@ -187,7 +204,8 @@
         zones.checks = 3;
         b.pass(50_000);
         b.pass(50_000);
-        assertEquals(3, b.probes.stream().filter(p -> p.startsWith("b")).distinct().count());
+        assertEquals(
+                3, b.probes.stream().filter(p -> p.startsWith("b")).distinct().count());
         zones.lose(b.now);
         zones.tries = true;
         b.probes.clear();
@@ -225,7 +243,8 @@
         zones.share[1] = 1;
         zones.shut[1] = Long.MAX_VALUE;
         b.pass(100_000);
-        assertEquals(List.of("b4 fresh", "b5 fresh", "b6 fresh", "b7 fresh"),
+        assertEquals(
+                List.of("b4 fresh", "b5 fresh", "b6 fresh", "b7 fresh"),
                 zones.told.stream().sorted().toList());
         there();
     }
--- a/src/test/java/magpiehub/net/EnginesTest.java
+++ b/src/test/java/magpiehub/net/EnginesTest.java
@@ -62,7 +62,8 @@
     @Test
     public void aConnectionThatComesUpForNobodyIsClosed() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-                Socket first = new Socket(); Socket second = new Socket()) {
+                Socket first = new Socket();
+                Socket second = new Socket()) {
             first.connect(engine.getLocalSocketAddress());
             second.connect(engine.getLocalSocketAddress());
             start(engine, true);
@@ -96,7 +97,7 @@
             try (ServerSocket engine = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
                 start(engine, true);
                 CompletableFuture<Boolean> again = new CompletableFuture<>();
-                take(new AskAgain(() -> again.complete(take(new AskAgain(() -> { })))));
+                take(new AskAgain(() -> again.complete(take(new AskAgain(() -> {})))));
                 serve(engine, last);
                 assertTrue("there was no room", again.get(60, TimeUnit.SECONDS));
                 serve(engine, "0\r\n\r\n");
@@ -115,15 +116,18 @@
             assertTrue(in.await());
             in.body(in.head(true));
             String event = "data: {\"choices\":[]}\n\n";
-            s.getOutputStream().write(("HTTP/1.1 200 OK\r\nConnection: close\r\n"
-                    + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(event.length()) + "\r\n"
-                    + event + "\r\n" + last).getBytes());
+            s.getOutputStream()
+                    .write(("HTTP/1.1 200 OK\r\nConnection: close\r\n"
+                                    + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(event.length())
+                                    + "\r\n"
+                                    + event + "\r\n" + last)
+                            .getBytes());
         }
     }
 
     /** The client's side of a stream: does something the moment it is told of the end. */
     private final class AskAgain implements Front.Sink {
-        private final Streams.Flow flow = streams.open(0, -1, "1", () -> { });
+        private final Streams.Flow flow = streams.open(0, -1, "1", () -> {});
         private final Runnable atTheEnd;
 
         AskAgain(Runnable atTheEnd) {
@@ -131,8 +135,7 @@
         }
 
         @Override
-        public void event(byte[] event) {
-        }
+        public void event(byte[] event) {}
 
         @Override
         public void end() {
@@ -173,24 +176,23 @@
     };
     private final ModuleActor.Roster roster = new ModuleActor.Roster() {
         @Override
-        public void watch() {
-        }
+        public void watch() {}
 
         @Override
-        public void unwatch() {
-        }
+        public void unwatch() {}
 
         @Override
-        public void fetch() {
-        }
+        public void fetch() {}
     };
 
     /** One engine, of which the list says at last that it takes work, or not. */
     private void start(ServerSocket engine, boolean takes) throws IOException {
-        site = Config.site(Config.facts(Files.readString(Path.of("src/test/resources/site.json"))
-                .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000").getBytes(), "settings"));
-        streams = new Streams(Allowances.none(site.settings().classes(), 64 << 20), site,
-                Mailbox.Clock.SYSTEM, log);
+        site = Config.site(Config.facts(
+                Files.readString(Path.of("src/test/resources/site.json"))
+                        .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
+                        .getBytes(),
+                "settings"));
+        streams = new Streams(Allowances.none(site.settings().classes(), 64 << 20), site, Mailbox.Clock.SYSTEM, log);
         Engines engines = new Engines(site, 8, Mailbox.Clock.SYSTEM, log, new Mailbox.Crew(), streams);
         module = new ModuleActor(site.settings(), 7, Mailbox.Clock.SYSTEM, engines, roster, log);
         engines.module(module);
@@ -204,8 +206,7 @@
     private boolean take(Front.Sink sink) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
-        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes()),
-                Mailbox.Clock.SYSTEM::micros);
+        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes()), Mailbox.Clock.SYSTEM::micros);
         try {
             assertTrue(in.await());
             Http.Head head = in.head(true);
--- a/src/test/java/magpiehub/ops/ConsoleTest.java
+++ b/src/test/java/magpiehub/ops/ConsoleTest.java
@@ -19,12 +19,10 @@
 public class ConsoleTest {
     private final ModuleActor.Journal silent = new ModuleActor.Journal() {
         @Override
-        public void count(String name) {
-        }
+        public void count(String name) {}
 
         @Override
-        public void log(String what, String... namesAndValues) {
-        }
+        public void log(String what, String... namesAndValues) {}
     };
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
     private Console console;
@@ -103,9 +101,12 @@
 
     @Test
     public void aCallThatFailsInsideIsAnswered() throws IOException {
-        Console broken = new Console(new InetSocketAddress(loopback, 0), l -> {
-            throw new IllegalStateException("x");
-        }, silent);
+        Console broken = new Console(
+                new InetSocketAddress(loopback, 0),
+                l -> {
+                    throw new IllegalStateException("x");
+                },
+                silent);
         broken.start();
         try (Socket s = new Socket(loopback, broken.port())) {
             s.getOutputStream().write('\n');
--- a/src/test/java/magpiehub/ops/LogTest.java
+++ b/src/test/java/magpiehub/ops/LogTest.java
@@ -13,15 +13,16 @@
 
     @Test
     public void valuesAreEscapedAndNamesAreClean() {
-        assertEquals("<134>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 li_st "
-                + "[magpiehub@32473 a_b_=\"q\\\"\\\\\\] \u00e9\" c=\"\"]\n",
+        assertEquals(
+                "<134>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 li_st "
+                        + "[magpiehub@32473 a_b_=\"q\\\"\\\\\\] \u00e9\" c=\"\"]\n",
                 log.line(AT, "li st", "a=b]", "q\"\\]\n\u00e9", "c", ""));
     }
 
     @Test
     public void failuresAreWarningsAndNoDataIsADash() {
-        assertEquals("<132>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 engine-error -\n",
-                log.line(AT, "engine-error"));
+        assertEquals(
+                "<132>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 engine-error -\n", log.line(AT, "engine-error"));
     }
 
     @Test
--- a/src/test/java/magpiehub/ops/MaintenanceTest.java
+++ b/src/test/java/magpiehub/ops/MaintenanceTest.java
@@ -23,11 +23,11 @@
 public class MaintenanceTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private final List<String> logged = new ArrayList<>();
     private final ModuleActor.Journal journal = new ModuleActor.Journal() {
         @Override
-        public void count(String name) {
-        }
+        public void count(String name) {}
 
         @Override
         public void log(String what, String... namesAndValues) {
@@ -51,14 +51,24 @@
         assertEquals(Set.of(), back.banned());
         assertEquals(Map.of("a", 1000L), back.back());
         assertSame(back, call(back, "maint-off a").after());
-        assertTrue("a ban ends what was known of the call back before it",
+        assertTrue(
+                "a ban ends what was known of the call back before it",
                 call(back, "maint-on a").after().back().isEmpty());
     }
 
     @Test
     public void whatMakesNoSenseIsRefusedAndChangesNothing() {
-        for (String line : List.of("", "maint-on", "maint-off", "maint-on a b", "maint-on c", "maint-off c",
-                "standby now", "status a", "reboot", "MAINT-ON a")) {
+        for (String line : List.of(
+                "",
+                "maint-on",
+                "maint-off",
+                "maint-on a b",
+                "maint-on c",
+                "maint-off c",
+                "standby now",
+                "status a",
+                "reboot",
+                "MAINT-ON a")) {
             Verdict v = call(two, line);
             assertNotNull(line, v.refused());
             assertSame(line, two, v.after());
@@ -93,9 +103,11 @@
         StateFile old = new StateFile(folder.getRoot().toPath(), "n/1", journal);
         StateFile fresh = new StateFile(folder.getRoot().toPath(), "n/1", journal);
         assertNull(old.read());
-        Held h = old.change(two, x -> call(x.serving(7, List.of()), "maint-on a").after());
+        Held h =
+                old.change(two, x -> call(x.serving(7, List.of()), "maint-on a").after());
         assertEquals(h, fresh.read());
-        Held then = fresh.change(Held.NOTHING, x -> call(x.serving(8, List.of(9L)), "standby").after());
+        Held then = fresh.change(
+                Held.NOTHING, x -> call(x.serving(8, List.of(9L)), "standby").after());
         assertEquals(Set.of("a"), then.banned());
         assertEquals(then, old.read());
         assertEquals(List.of(7L, 8L), List.copyOf(then.routers()));
@@ -109,8 +121,12 @@
         f.change(two, x -> call(x, "maint-on a").after());
         Path file = root.resolve("magpiehub-n.operators");
         byte[] whole = Files.readAllBytes(file);
-        for (byte[] bad : List.of(new byte[0], java.util.Arrays.copyOf(whole, whole.length / 2),
-                "{\"form\":\"other\"}".getBytes(), "[]".getBytes(), new byte[] {0, 1, 2})) {
+        for (byte[] bad : List.of(
+                new byte[0],
+                java.util.Arrays.copyOf(whole, whole.length / 2),
+                "{\"form\":\"other\"}".getBytes(),
+                "[]".getBytes(),
+                new byte[] {0, 1, 2})) {
             Files.write(root.resolve("next"), bad);
             Files.move(root.resolve("next"), file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
             logged.clear();
@@ -118,31 +134,39 @@
             assertNull(f.read());
             assertEquals("named once", List.of("operators-file-unreadable"), logged);
         }
-        assertEquals("the next change writes it anew", Set.of("b"),
+        assertEquals(
+                "the next change writes it anew",
+                Set.of("b"),
                 f.change(two, x -> call(x, "maint-on b").after()).banned());
         assertEquals(Set.of("b"), new StateFile(root, "n", journal).read().banned());
     }
 
     @Test
     public void sitesAreGivenUpAndTakenBackWhereTheyArePlannedForAndNeverAllOfThem() throws Exception {
-        Map<String, String> sites = new java.util.TreeMap<>(Map.of("a", "whole", "b",
-                "lost share=0% cause=list"));
-        assertTrue(Maintenance.call(two, "site-out a", true,
-                0).refused().startsWith("unknown call; status, m"));
+        Map<String, String> sites = new java.util.TreeMap<>(Map.of("a", "whole", "b", "lost share=0% cause=list"));
+        assertTrue(Maintenance.call(two, "site-out a", true, 0).refused().startsWith("unknown call; status, m"));
         Held out = Maintenance.call(two, "site-out a", true, 0, sites).after();
         assertEquals(Set.of("a"), out.sites());
         assertSame(out, Maintenance.call(out, "site-out a", true, 0, sites).after());
-        assertEquals("it is the last site that is not out",
+        assertEquals(
+                "it is the last site that is not out",
                 Maintenance.call(out, "site-out b", true, 0, sites).refused());
-        assertEquals("no site of that name; there are a, b",
+        assertEquals(
+                "no site of that name; there are a, b",
                 Maintenance.call(out, "site-out c", true, 0, sites).refused());
-        assertEquals("site-in takes one name", Maintenance.call(out, "site-in", true, 0, sites).refused());
-        assertEquals("a whole; b lost share=0% cause=list",
+        assertEquals(
+                "site-in takes one name",
+                Maintenance.call(out, "site-in", true, 0, sites).refused());
+        assertEquals(
+                "a whole; b lost share=0% cause=list",
                 Maintenance.call(out, "site-status", true, 0, sites).said());
-        assertEquals("b lost share=0% cause=list",
+        assertEquals(
+                "b lost share=0% cause=list",
                 Maintenance.call(out, "site-status b", true, 0, sites).said());
         assertEquals("kept over a restart", out, StateFile.parse(StateFile.format(out)));
-        assertEquals(Set.of(), Maintenance.call(out, "site-in a", true, 0, sites).after().sites());
+        assertEquals(
+                Set.of(),
+                Maintenance.call(out, "site-in a", true, 0, sites).after().sites());
         assertTrue(Maintenance.call(out, "nothing", true, 0, sites).refused().contains("site-out NAME"));
     }
 }
--- a/src/test/java/magpiehub/registry/DiscoveryTest.java
+++ b/src/test/java/magpiehub/registry/DiscoveryTest.java
@@ -26,17 +26,22 @@
     /** A call that finds no thread to be read on has failed like any other: the next one begins in time. */
     @Test
     public void aCallThatFindsNoThreadIsFollowedByAnother() throws Exception {
-        Config.Site site = Config.site(Config.facts(
-                Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
+        Config.Site site =
+                Config.site(Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
         Log log = new Log(System.err, "test", 1);
         Mailbox.Clock clock = Mailbox.Clock.SYSTEM;
         AtomicInteger calls = new AtomicInteger();
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(ASKED_AGAIN_MS);
-            Engines engines = new Engines(site, 8, clock, log, new Mailbox.Crew(), new Streams(
-                    Allowances.none(site.settings().classes(), 64 << 20), site, clock, log));
-            Discovery discovery = new Discovery("127.0.0.1:" + server.getLocalPort(), () -> site, engines,
-                    clock, log, 7, read -> {
+            Engines engines = new Engines(
+                    site,
+                    8,
+                    clock,
+                    log,
+                    new Mailbox.Crew(),
+                    new Streams(Allowances.none(site.settings().classes(), 64 << 20), site, clock, log));
+            Discovery discovery =
+                    new Discovery("127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
                         if (calls.incrementAndGet() == 1) {
                             throw new OutOfMemoryError("unable to create native thread");
                         }
--- a/src/test/java/magpiehub/registry/MembershipTest.java
+++ b/src/test/java/magpiehub/registry/MembershipTest.java
@@ -43,7 +43,9 @@
     }
 
     private static String states(List<Config.Entry> told) {
-        return told.stream().map(e -> e.server().id() + " " + e.server().state()).sorted()
+        return told.stream()
+                .map(e -> e.server().id() + " " + e.server().state())
+                .sorted()
                 .collect(Collectors.joining(", "));
     }
 
@@ -58,8 +60,7 @@
         assertEquals(S + 1_500_000, m.next());
         assertEquals("", states(m.due(m.next())));
         assertTrue(m.confirm());
-        assertEquals("e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD",
-                states(m.confirmed(Set.copyOf(ids(4, 10)), 4 * S)));
+        assertEquals("e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD", states(m.confirmed(Set.copyOf(ids(4, 10)), 4 * S)));
         assertEquals("e4 is in the second list, the first was wrong", 6, m.all().size());
     }
 
@@ -79,16 +80,18 @@
         for (int i = 0; i < 10; i++) {
             drains.add(engine(i, State.DRAINING));
         }
-        assertEquals(10, d.apply(whole(drains, List.of()), S).stream()
-                .filter(e -> e.server().state() == State.DRAINING).count());
+        assertEquals(
+                10,
+                d.apply(whole(drains, List.of()), S).stream()
+                        .filter(e -> e.server().state() == State.DRAINING)
+                        .count());
     }
 
     @Test
     public void aHeldEngineThatIsNamedAgainStaysWithItsNewEntry() {
         Membership m = of(10);
         m.apply(whole(List.of(), ids(0, 5)), S);
-        assertEquals("e0 DRAINING", states(m.apply(change(List.of(engine(0, State.DRAINING)), List.of()),
-                S)));
+        assertEquals("e0 DRAINING", states(m.apply(change(List.of(engine(0, State.DRAINING)), List.of()), S)));
         assertFalse(m.held().contains("e0"));
         assertEquals(4, m.confirmed(Set.of(), 2 * S).size());
     }
@@ -98,7 +101,8 @@
         Membership m = of(10);
         for (int i = 1; i <= 4; i++) {
             assertEquals("away at once", "e0 DEAD", states(m.apply(change(List.of(), ids(0, 1)), i * S)));
-            assertEquals(i < 4 ? "e0 LIVE" : "e0 DRAINING",
+            assertEquals(
+                    i < 4 ? "e0 LIVE" : "e0 DRAINING",
                     states(m.apply(change(List.of(engine(0, State.LIVE)), List.of()), i * S + 1)));
         }
         assertEquals(1, m.suppressed());
@@ -121,7 +125,12 @@
         Membership m = of(10);
         for (int i = 1; i <= 6; i++) {
             m.apply(change(List.of(), ids(0, 10)), i * S);
-            m.apply(change(IntStream.range(0, 10).mapToObj(k -> engine(k, State.LIVE)).toList(), List.of()),
+            m.apply(
+                    change(
+                            IntStream.range(0, 10)
+                                    .mapToObj(k -> engine(k, State.LIVE))
+                                    .toList(),
+                            List.of()),
                     i * S + 1);
         }
         assertTrue(m.suppressed() <= 5);
--- a/src/test/java/magpiehub/registry/PartsTest.java
+++ b/src/test/java/magpiehub/registry/PartsTest.java
@@ -42,8 +42,10 @@
             {"{" + ok + ",\"timeout_ms\":1}", "registry.json.timeout_ms must be from 50 to 60000, not 1"},
             {"{" + ok + ",\"timeout\":900}", "registry.json.timeout is not known; known are announce, "},
             {"{" + ok + ",\"user\":\"u\"}", "registry.json.password_file must be given with the other"},
-            {"{" + ok + ",\"membership\":{\"removal_share\":2}}",
-                "registry.json.membership.removal_share must be from 0 to 1, not 2"},
+            {
+                "{" + ok + ",\"membership\":{\"removal_share\":2}}",
+                "registry.json.membership.removal_share must be from 0 to 1, not 2"
+            },
             {"{" + ok + ",\"announce\":{}}", "registry.json.announce.prefix must name"},
             {"{" + ok + ",\"backoff_base_ms\":2000}", "registry.json.backoff_base_ms must not be above"},
             {"{" + ok, "registry.json: Unexpected end-of-input"},
@@ -53,11 +55,12 @@
         }
         Path secret = folder.newFile("secret").toPath();
         Files.writeString(secret, "x");
-        Files.setPosixFilePermissions(secret, java.nio.file.attribute.PosixFilePermissions.fromString(
-                "rw-r--r--"));
-        assertTrue(fault("{" + ok + ",\"user\":\"u\",\"password_file\":\"secret\"}").contains("chmod 600"));
+        Files.setPosixFilePermissions(secret, java.nio.file.attribute.PosixFilePermissions.fromString("rw-r--r--"));
+        assertTrue(fault("{" + ok + ",\"user\":\"u\",\"password_file\":\"secret\"}")
+                .contains("chmod 600"));
         assertNull(Options.read(folder.getRoot().toPath().resolve("none.json")));
-        assertEquals("etcd", Options.read(Path.of("deploy/registry.example.json")).kind());
+        assertEquals(
+                "etcd", Options.read(Path.of("deploy/registry.example.json")).kind());
     }
 
     // ---- Waits ----------------------------------------------------------------------------------------
@@ -73,7 +76,8 @@
             first.add(e.readyAt());
         }
         long[] times = first.stream().mapToLong(t -> t).toArray();
-        assertTrue("the middle nine tenths take over a second",
+        assertTrue(
+                "the middle nine tenths take over a second",
                 times[times.length * 95 / 100] - times[times.length * 5 / 100] > S);
     }
 
@@ -100,8 +104,7 @@
         assertEquals("a silent one is left at once", 1 - first, two.pick(0));
         two.up(first);
         two.failed(first, 0, Endpoints.Loss.ANSWER, 0);
-        assertEquals("one that answers with an error is no restart: another is asked at once", 1 - first,
-                two.pick(0));
+        assertEquals("one that answers with an error is no restart: another is asked at once", 1 - first, two.pick(0));
         two.up(1 - first);
         assertEquals("the one in use stays in use", 1 - first, two.pick(10 * S));
         two.up(first);
@@ -127,7 +130,8 @@
         Entries entries = Entries.strict(Rig.site(), 0);
         LastList list = new LastList(file, entries);
         assertNull(list.read(0, S));
-        List<Config.Entry> fleet = List.of(entries.read(Rig.engine(7, "Ready").getBytes(), "e7"),
+        List<Config.Entry> fleet = List.of(
+                entries.read(Rig.engine(7, "Ready").getBytes(), "e7"),
                 entries.read(Rig.engine(8, "Terminating").getBytes(), "e8"));
         list.write(fleet, new View.Position("c", 3, 9), 5_000);
         LastList.Kept kept = list.read(6_000, 10 * S);
@@ -215,10 +219,16 @@
         for (String kind : List.of("etcd", "consul-kv")) {
             try (StandIn registry = new StandIn(1);
                     Rig.Client journal = new Rig.Client(Rig.options(kind, registry.addresses(), ""))) {
-                Announcer a = new Announcer(Rig.options(kind, registry.addresses(),
-                        ",\"announce\":{\"prefix\":"
-                        + "\"routers/\",\"service\":\"routers\",\"ttl_ms\":1000}"), "n1", "127.0.0.1:9",
-                        Mailbox.Clock.SYSTEM, journal, 1);
+                Announcer a = new Announcer(
+                        Rig.options(
+                                kind,
+                                registry.addresses(),
+                                ",\"announce\":{\"prefix\":" + "\"routers/\",\"service\":\"routers\",\"ttl_ms\":1000}"),
+                        "n1",
+                        "127.0.0.1:9",
+                        Mailbox.Clock.SYSTEM,
+                        journal,
+                        1);
                 a.start();
                 Rig.await(() -> announced(registry), () -> journal.logged.toString());
                 registry.loseLeases();
@@ -228,16 +238,16 @@
                 Rig.await(() -> announced(registry), () -> journal.logged.toString());
                 assertEquals(1, journal.counted("registry_announcement_lost"));
                 a.stop(20_000);
-                assertTrue(journal.logged.toString(), !announced(registry)
-                        && journal.logged.indexOf("registry-deregistered id n1") >= 0);
+                assertTrue(
+                        journal.logged.toString(),
+                        !announced(registry) && journal.logged.indexOf("registry-deregistered id n1") >= 0);
             }
         }
     }
 
     private static boolean announced(StandIn r) {
         synchronized (r) {
-            return r.services.contains("n1")
-                    || r.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
+            return r.services.contains("n1") || r.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
         }
     }
 }
--- a/src/test/java/magpiehub/registry/RegistryProof.java
+++ b/src/test/java/magpiehub/registry/RegistryProof.java
@@ -32,6 +32,7 @@
     private static final long S = 1_000_000;
     /** Lags above this are logged, with the fault at the time. */
     private static final long LATE = 2_400_000;
+
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final Mailbox.Clock CLOCK = Mailbox.Clock.SYSTEM;
     /** Each change's number in the order of the truth stands in its entry's cell. */
@@ -39,8 +40,7 @@
             "{\"host_port\":\"127.0.0.1:%d\",\"phase\":\"%s\",\"cell\":%d,\"locality\":\"a\"}";
 
     /** What an engine became: the number in its cell, 0 if it is gone, and when (us). */
-    private record Change(int cell, long at) {
-    }
+    private record Change(int cell, long at) {}
 
     /** The truth of one dialect's registry, with the times of all that it became. */
     private static final class Truth {
@@ -51,6 +51,7 @@
         volatile int restoredAt;
         /** While no endpoint answers, nobody can follow: when that last ended. */
         volatile long reachableAt;
+
         volatile long wentDownAt = Long.MAX_VALUE;
         volatile String phase = "";
         int cell;
@@ -92,8 +93,7 @@
             String s = new String(v.value(), StandardCharsets.UTF_8);
             int at = s.indexOf("\"cell\":");
             if (at >= 0) {
-                m.put(k.substring(StandIn.PREFIX.length()),
-                        Integer.parseInt(s.substring(at + 7, s.indexOf(',', at))));
+                m.put(k.substring(StandIn.PREFIX.length()), Integer.parseInt(s.substring(at + 7, s.indexOf(',', at))));
             }
         });
         return m;
@@ -101,6 +101,7 @@
 
     /** What was found amiss, over all clients. */
     private static final AtomicLong MISSED = new AtomicLong();
+
     private static final AtomicLong REPEATED = new AtomicLong();
     private static final AtomicLong REGRESSED = new AtomicLong();
     /** Whole views held against the truth at their own position. */
@@ -113,6 +114,7 @@
         final Map<String, Integer> has = new HashMap<>();
         /** The highest cell that was ever told, and how much of the truth's changes has been seen. */
         final Map<String, Integer> highest = new HashMap<>();
+
         final Map<String, Integer> seen = new HashMap<>();
         final List<Long> lags = new ArrayList<>();
         final List<Thread> threads = java.util.Collections.synchronizedList(new ArrayList<>());
@@ -131,16 +133,22 @@
             this.truth = truth;
             this.salt = (int) (seed % 40);
             if (!whole) {
-                registry = new Registry(options, Rig.site(), null, (kind, list) -> { }, CLOCK, this, seed);
+                registry = new Registry(options, Rig.site(), null, (kind, list) -> {}, CLOCK, this, seed);
                 registry.tap = this;
                 registry.start(null, null);
                 return;
             }
             // A whole client: membership, the module and its engines, as a router has them.
-            Config.Site site = Config.site(Config.facts(("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"],"
-                    + "\"classes\":[{\"name\":\"c\"}]}").getBytes(), "settings"));
-            Engines engines = new Engines(site, 64, CLOCK, this, new Mailbox.Crew(), new Streams(
-                    Allowances.none(site.settings().classes(), 64 << 20), site, CLOCK, this));
+            Config.Site site = Config.site(Config.facts(
+                    ("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]," + "\"classes\":[{\"name\":\"c\"}]}").getBytes(),
+                    "settings"));
+            Engines engines = new Engines(
+                    site,
+                    64,
+                    CLOCK,
+                    this,
+                    new Mailbox.Crew(),
+                    new Streams(Allowances.none(site.settings().classes(), 64 << 20), site, CLOCK, this));
             registry = new Registry(options, () -> site, engines, CLOCK, this, seed);
             ModuleActor module = new ModuleActor(site.settings(), seed, CLOCK, engines, registry, this);
             engines.module(module);
@@ -229,8 +237,7 @@
                     if (truth.wentDownAt > now) {
                         lags.add(Math.max(0, now - since));
                         if (now - since > LATE && logged.length() < 100_000) {
-                            log("late", "engine", id, "ms", Long.toString((now - since) / 1000), "fault",
-                                    truth.phase);
+                            log("late", "engine", id, "ms", Long.toString((now - since) / 1000), "fault", truth.phase);
                         }
                     }
                 }
@@ -271,8 +278,12 @@
         @Override
         public void log(String what, String... pairs) {
             if (logged.length() < 200_000) {
-                logged.append(CLOCK.micros() / 1000).append(' ').append(what).append(' ')
-                        .append(String.join(" ", pairs)).append('\n');
+                logged.append(CLOCK.micros() / 1000)
+                        .append(' ')
+                        .append(what)
+                        .append(' ')
+                        .append(String.join(" ", pairs))
+                        .append('\n');
             }
         }
     }
@@ -303,15 +314,13 @@
                 long next = System.nanoTime() + 1_000_000_000L;
                 try {
                     if (wire == null || wire.closed()) {
-                        wire = new Wire(registry.addresses().get(i % registry.endpoints.size()), null, CLOCK,
-                                bytes);
+                        wire = new Wire(registry.addresses().get(i % registry.endpoints.size()), null, CLOCK, bytes);
                         wire.open(800);
                         wire.patience(800);
                     }
                     driver.list(wire, new Driver.Sink() {
                         @Override
-                        public void opened(View.Position header) {
-                        }
+                        public void opened(View.Position header) {}
 
                         @Override
                         public void whole(View.Position to, List<View.Item> items) {
@@ -319,20 +328,16 @@
                         }
 
                         @Override
-                        public void changes(View.Position to, List<View.Item> items) {
-                        }
+                        public void changes(View.Position to, List<View.Item> items) {}
 
                         @Override
-                        public void resumed(View.Position of, List<View.Item> last, long count) {
-                        }
+                        public void resumed(View.Position of, List<View.Item> last, long count) {}
 
                         @Override
-                        public void compacted(String why) {
-                        }
+                        public void compacted(String why) {}
 
                         @Override
-                        public void checked(View.Position of, long newest, long count) {
-                        }
+                        public void checked(View.Position of, long newest, long count) {}
                     });
                 } catch (IOException | InterruptedException | RuntimeException e) {
                     if (wire != null) {
@@ -341,8 +346,8 @@
                 }
                 cpuNanos = THREADS.getCurrentThreadCpuTime();
                 while (!over && System.nanoTime() < next) {
-                    java.util.concurrent.locks.LockSupport.parkNanos(Math.max(1,
-                            Math.min(100_000_000, next - System.nanoTime())));
+                    java.util.concurrent.locks.LockSupport.parkNanos(
+                            Math.max(1, Math.min(100_000_000, next - System.nanoTime())));
                 }
             }
         }
@@ -462,10 +467,11 @@
                     pause(200);
                     up();
                 }
-                case 3 -> restore(old + random.nextInt(Math.max(1, (int) (registry.rev - old))),
-                        registry.cluster, 0);
-                case 4 -> restore(registry.rev - Math.min(registry.rev - 1, 50), Long.toString(
-                        random.nextLong(1, 1L << 60)), registry.rev + 500);
+                case 3 -> restore(old + random.nextInt(Math.max(1, (int) (registry.rev - old))), registry.cluster, 0);
+                case 4 -> restore(
+                        registry.rev - Math.min(registry.rev - 1, 50),
+                        Long.toString(random.nextLong(1, 1L << 60)),
+                        registry.rev + 500);
                 case 5 -> {
                     e.fault(StandIn.Fault.SILENT);
                     burst(during);
@@ -504,7 +510,7 @@
                 }
                 case 11 -> { // A list's pages across a compaction.
                     registry.betweenPages = () -> {
-                        registry.betweenPages = () -> { };
+                        registry.betweenPages = () -> {};
                         registry.put("broken", "?");
                         registry.compact();
                     };
@@ -549,16 +555,15 @@
         final List<String> bad = new ArrayList<>();
     }
 
-    private static Options options(String kind, StandIn registry, boolean whole,
-            Path list) throws IOException {
-        String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"",
-                registry.addresses()) + "\"],\"prefix\":\"" + StandIn.PREFIX + "\",\"service\":\"engines\""
+    private static Options options(String kind, StandIn registry, boolean whole, Path list) throws IOException {
+        String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", registry.addresses())
+                + "\"],\"prefix\":\"" + StandIn.PREFIX + "\",\"service\":\"engines\""
                 + (whole ? ",\"list_file\":\"" + list + "\"" : "") + "}";
         return Options.of(Config.facts(json.getBytes(), "registry.json"), Path.of("."));
     }
 
-    private static Result dialect(boolean etcd, long seed, int engines, int changes, int views, int whole,
-            long settle) throws Exception {
+    private static Result dialect(boolean etcd, long seed, int engines, int changes, int views, int whole, long settle)
+            throws Exception {
         Result r = new Result();
         Path folder = Files.createTempDirectory("proof-registry");
         StandIn registry = new StandIn(3);
@@ -570,13 +575,19 @@
         List<Follower> followers = new ArrayList<>();
         for (int i = 0; i < views + whole; i++) {
             String kind = etcd ? "etcd" : i % 2 == 0 ? "consul-health" : "consul-kv";
-            followers.add(new Follower(truth, options(kind, registry, i >= views, folder.resolve("list" + i)),
-                    seed * 1000 + i, i >= views));
+            followers.add(new Follower(
+                    truth,
+                    options(kind, registry, i >= views, folder.resolve("list" + i)),
+                    seed * 1000 + i,
+                    i >= views));
         }
         Options o = options(etcd ? "etcd" : "consul-health", registry, false, null);
         Entries entries = Entries.strict(Rig.site(), 0);
-        Poller poller = new Poller(etcd ? new Etcd(o.prefix(), o.page(), null, null, entries)
-                : Consul.health(o.service(), o.block(), null, entries), registry);
+        Poller poller = new Poller(
+                etcd
+                        ? new Etcd(o.prefix(), o.page(), null, null, entries)
+                        : Consul.health(o.service(), o.block(), null, entries),
+                registry);
         poller.start();
         long started = CLOCK.micros();
         settle(truth, followers, 2 * settle);
@@ -611,17 +622,18 @@
             different += d;
             boolean late = f.logged.indexOf(" late ") >= 0;
             late |= f.logged.indexOf(" regressed ") >= 0;
-            if ((d > 0 || late || f.logged.indexOf("sample-failed") >= 0) && System.getenv("PROOF_LOG") !=
-                    null) {
+            if ((d > 0 || late || f.logged.indexOf("sample-failed") >= 0) && System.getenv("PROOF_LOG") != null) {
                 StringBuilder counts = new StringBuilder("counts");
-                f.counts.forEach((k, v) -> counts.append(' ').append(k).append('=').append(v.n));
+                f.counts.forEach(
+                        (k, v) -> counts.append(' ').append(k).append('=').append(v.n));
                 System.err.println(counts + "\n" + f.logged);
             }
             f.registry.stop();
         }
         MISSED.addAndGet(different);
         long[] sorted = lags.stream().mapToLong(l -> l / 1000).sorted().toArray();
-        long[] spread = script.spreads.stream().mapToLong(l -> l / 1000).sorted().toArray();
+        long[] spread =
+                script.spreads.stream().mapToLong(l -> l / 1000).sorted().toArray();
         String n = etcd ? "etcd" : "consul";
         long p50 = sorted[sorted.length / 2];
         long p99 = sorted[(int) (sorted.length * 0.99)];
@@ -631,12 +643,15 @@
         r.figures.put(n + "_lag_ms", p50 + "/" + p99 + "/" + max);
         r.figures.put(n + "_spread_ms", Long.toString(width));
         r.figures.put(n + "_first_list_ms", Long.toString(firstList / 1000));
-        r.figures.put(n + "_bytes_of_poll", String.format(java.util.Locale.ROOT, "%.3f",
-                (double) bytes / views / Math.max(1, poller.bytes.get())));
-        r.figures.put(n + "_quiet_bytes_of_poll", String.format(java.util.Locale.ROOT, "%.4f",
-                (double) quietBytes / views / Math.max(1, quietPoll)));
-        r.figures.put(n + "_cpu_of_poll", String.format(java.util.Locale.ROOT, "%.3f",
-                (double) cpu / views / Math.max(1, poller.cpuNanos)));
+        r.figures.put(
+                n + "_bytes_of_poll",
+                String.format(java.util.Locale.ROOT, "%.3f", (double) bytes / views / Math.max(1, poller.bytes.get())));
+        r.figures.put(
+                n + "_quiet_bytes_of_poll",
+                String.format(java.util.Locale.ROOT, "%.4f", (double) quietBytes / views / Math.max(1, quietPoll)));
+        r.figures.put(
+                n + "_cpu_of_poll",
+                String.format(java.util.Locale.ROOT, "%.3f", (double) cpu / views / Math.max(1, poller.cpuNanos)));
         if (max >= 3000) {
             r.bad.add(n + " lag");
         }
@@ -663,12 +678,10 @@
 
     /** What a run came to: the proof's line, the bounds that did not hold, and what was missed, repeated and
      *  regressed together. */
-    record Outcome(String line, List<String> bad, long wrong) {
-    }
+    record Outcome(String line, List<String> bad, long wrong) {}
 
     /** Plays the script in both dialects; at its end views have so long to agree with the truth (us). */
-    static Outcome run(long seed, int engines, int changes, int views, int whole,
-            long settle) throws Exception {
+    static Outcome run(long seed, int engines, int changes, int views, int whole, long settle) throws Exception {
         List<String> bad = new ArrayList<>();
         Map<String, String> all = new TreeMap<>();
         // One after the other: each has the machine to itself, as the figures of one are not the other's.
@@ -677,8 +690,7 @@
             all.putAll(r.figures);
             bad.addAll(r.bad);
         }
-        StringBuilder line = new StringBuilder("proof registry seed=" + seed + " engines=" + engines +
-                " views="
+        StringBuilder line = new StringBuilder("proof registry seed=" + seed + " engines=" + engines + " views="
                 + views + " whole=" + whole + " missed=" + MISSED + " repeated=" + REPEATED + " regressed="
                 + REGRESSED + " samples=" + SAMPLES);
         all.forEach((k, v) -> line.append(' ').append(k).append('=').append(v));
--- a/src/test/java/magpiehub/registry/RegistryTest.java
+++ b/src/test/java/magpiehub/registry/RegistryTest.java
@@ -80,9 +80,13 @@
         connect("");
         for (int cut = 0; cut < 700; cut += 13) {
             registry.endpoints.get(0).cutAfter = cut;
-            registry.together(Map.of("e1", Rig.engine(2000 + cut, "Ready"), "e2", Rig.engine(3000 + cut,
-                    "Ready"),
-                    "台", Rig.engine(cut, "Ready")));
+            registry.together(Map.of(
+                    "e1",
+                    Rig.engine(2000 + cut, "Ready"),
+                    "e2",
+                    Rig.engine(3000 + cut, "Ready"),
+                    "台",
+                    Rig.engine(cut, "Ready")));
             client.follows(registry);
         }
     }
@@ -142,8 +146,9 @@
         burst(317, 60);
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.follows(registry);
-        assertTrue(client.logged.toString(), !kind.equals("etcd")
-                || client.logged.indexOf("another past at position") >= 0);
+        assertTrue(
+                client.logged.toString(),
+                !kind.equals("etcd") || client.logged.indexOf("another past at position") >= 0);
     }
 
     @Test
@@ -214,8 +219,7 @@
     public void oneUnreadableEntryIsNamedAndLeftOut() throws Exception {
         registry.put("bad", "{\"host_port\":");
         connect("");
-        Rig.await(() -> client.logged.indexOf("registry-entry-unreadable key ") >= 0,
-                () -> client.logged.toString());
+        Rig.await(() -> client.logged.indexOf("registry-entry-unreadable key ") >= 0, () -> client.logged.toString());
         registry.put("e3", "{\"host_port\":\"nowhere\"}");
         client.follows(registry);
         assertFalse(client.fleet.containsKey("e3"));
@@ -316,7 +320,7 @@
     public void aCompactionBetweenThePagesOfAList() throws Exception {
         assumeTrue(kind.equals("etcd"));
         registry.betweenPages = () -> {
-            registry.betweenPages = () -> { };
+            registry.betweenPages = () -> {};
             registry.put("e7", Rig.engine(4711, "Ready"));
             registry.compact();
         };
@@ -347,8 +351,9 @@
         for (int i = 0; i < 40; i++) {
             registry.put("e" + i, Rig.engine(i, "Terminating"));
         }
-        Rig.await(() -> client.fleet.values().stream().allMatch(
-                e -> e.server().state() == State.DRAINING), () -> client.logged.toString());
+        Rig.await(
+                () -> client.fleet.values().stream().allMatch(e -> e.server().state() == State.DRAINING),
+                () -> client.logged.toString());
         assertEquals(0, client.counted("membership_doubts"));
     }
 }
--- a/src/test/java/magpiehub/registry/Rig.java
+++ b/src/test/java/magpiehub/registry/Rig.java
@@ -19,31 +19,41 @@
 
 /** A client of the registry and what it was told, for tests and the proof. */
 final class Rig {
-    private Rig() {
-    }
+    private Rig() {}
 
     static final class Client implements ModuleActor.Journal, Registry.Tap, AutoCloseable {
         final Registry registry;
         /** What the module would have: engines told and not gone. */
         final Map<String, Config.Entry> fleet = new ConcurrentHashMap<>();
+
         final Map<String, Integer> counts = new ConcurrentHashMap<>();
         final StringBuffer logged = new StringBuffer();
         private final Map<String, Config.Entry> shadow = new HashMap<>();
         volatile String fault = "";
 
         Client(Options options) throws IOException {
-            registry = new Registry(options, site(), null, (kind, list) -> {
-                if (kind == ListKind.COMPLETE || kind == ListKind.SAVED) {
-                    fleet.keySet().retainAll(list.stream().map(e -> e.server().id()).toList());
-                }
-                for (Config.Entry e : list) {
-                    if (e.server().state() == State.DEAD) {
-                        fleet.remove(e.server().id());
-                    } else {
-                        fleet.put(e.server().id(), e);
-                    }
-                }
-            }, Mailbox.Clock.SYSTEM, this, 7);
+            registry = new Registry(
+                    options,
+                    site(),
+                    null,
+                    (kind, list) -> {
+                        if (kind == ListKind.COMPLETE || kind == ListKind.SAVED) {
+                            fleet.keySet()
+                                    .retainAll(list.stream()
+                                            .map(e -> e.server().id())
+                                            .toList());
+                        }
+                        for (Config.Entry e : list) {
+                            if (e.server().state() == State.DEAD) {
+                                fleet.remove(e.server().id());
+                            } else {
+                                fleet.put(e.server().id(), e);
+                            }
+                        }
+                    },
+                    Mailbox.Clock.SYSTEM,
+                    this,
+                    7);
             registry.tap = this;
             registry.start(null, null);
         }
@@ -90,9 +100,10 @@
 
         /** Waits until this client has what the registry has, and nothing was told amiss. */
         void follows(StandIn of) {
-            await(() -> same(of),
-                    () -> "fleet " + brief(fleet) + "\ntruth " + brief(truth(of)) + "\n" + counts
-                    + "\n" + logged.substring(Math.max(0, logged.length() - 3000)));
+            await(
+                    () -> same(of),
+                    () -> "fleet " + brief(fleet) + "\ntruth " + brief(truth(of)) + "\n" + counts + "\n"
+                            + logged.substring(Math.max(0, logged.length() - 3000)));
             assertTrue(fault, fault.isEmpty());
         }
 
@@ -108,7 +119,8 @@
 
     private static Map<String, String> addresses(Map<String, Config.Entry> fleet) {
         Map<String, String> m = new TreeMap<>();
-        fleet.forEach((id, e) -> m.put(id, e.address() + " " + e.server().state() + " " + e.server().cell()));
+        fleet.forEach((id, e) -> m.put(
+                id, e.address() + " " + e.server().state() + " " + e.server().cell()));
         return m;
     }
 
@@ -118,10 +130,11 @@
         of.at(Long.MAX_VALUE, StandIn.PREFIX).forEach((k, v) -> {
             try {
                 Config.Facts f = Config.facts(v.value(), "value");
-                m.put(f.text("id", k.substring(StandIn.PREFIX.length())),
+                m.put(
+                        f.text("id", k.substring(StandIn.PREFIX.length())),
                         Config.address(f.text("host_port", ""))
-                        + " " + (f.text("phase", "Ready").equals("Ready") ? "LIVE" : "DRAINING") + " "
-                        + (int) f.number("cell", 0));
+                                + " " + (f.text("phase", "Ready").equals("Ready") ? "LIVE" : "DRAINING") + " "
+                                + (int) f.number("cell", 0));
             } catch (IOException | RuntimeException e) {
                 // One of those to be left out.
             }
@@ -130,20 +143,19 @@
     }
 
     static Supplier<Config.Site> site() throws IOException {
-        Config.Site s = Config.site(Config.facts("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(),
-                "settings"));
+        Config.Site s =
+                Config.site(Config.facts("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(), "settings"));
         return () -> s;
     }
 
     static String engine(int number, String phase) {
-        return "{\"host_port\":\"127.0.0.1:" + (1000 + number % 60_000) + "\",\"phase\":\"" + phase
-                + "\",\"cell\":" + number + "}";
+        return "{\"host_port\":\"127.0.0.1:" + (1000 + number % 60_000) + "\",\"phase\":\"" + phase + "\",\"cell\":"
+                + number + "}";
     }
 
     /** Settings for a dialect with quick waits; {@code more} are further members of the file. */
     static Options options(String kind, List<String> endpoints, String more) throws IOException {
-        String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"",
-                endpoints) + "\"],"
+        String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", endpoints) + "\"],"
                 + "\"prefix\":\"" + StandIn.PREFIX + "\",\"service\":\"engines\",\"reconnect_spread_ms\":50,"
                 + "\"backoff_base_ms\":20,\"backoff_cap_ms\":200,\"least_interval_ms\":20,"
                 + "\"check_every_ms\":200,\"timeout_ms\":2000,\"membership\":{\"flap_half_life_ms\":0}"
--- a/src/test/java/magpiehub/registry/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/registry/ServeRegistryTest.java
@@ -27,32 +27,40 @@
     private void registry(StandIn of, String more) throws Exception {
         Path deploy = folder.getRoot().toPath().resolve("deploy");
         Files.createDirectories(deploy);
-        Files.writeString(deploy.resolve("registry.json"), "{\"kind\":\"etcd\",\"endpoints\":[\""
-                + of.addresses().get(0) + "\"],\"prefix\":\"" + StandIn.PREFIX +
-                        "\",\"announce\":{\"prefix\":"
-                + "\"routers/\"}" + more + "}");
+        Files.writeString(
+                deploy.resolve("registry.json"),
+                "{\"kind\":\"etcd\",\"endpoints\":[\""
+                        + of.addresses().get(0) + "\"],\"prefix\":\"" + StandIn.PREFIX + "\",\"announce\":{\"prefix\":"
+                        + "\"routers/\"}" + more + "}");
     }
 
     private Process start() throws Exception {
         Path config = folder.getRoot().toPath().resolve("config.json");
-        Files.writeString(config, "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"7\",\"settings\":"
-                + Files.readString(Path.of("src/test/resources/site.json")) + "}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"7\",\"settings\":"
+                        + Files.readString(Path.of("src/test/resources/site.json")) + "}");
         StringBuilder path = new StringBuilder();
         for (String p : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
             path.append(Path.of(p).toAbsolutePath()).append(java.io.File.pathSeparator);
         }
-        ProcessBuilder b = new ProcessBuilder(ProcessHandle.current().info().command().orElse("java"), "-cp",
-                path.toString(), "magpiehub.Main", "serve").directory(folder.getRoot());
+        ProcessBuilder b = new ProcessBuilder(
+                        ProcessHandle.current().info().command().orElse("java"),
+                        "-cp",
+                        path.toString(),
+                        "magpiehub.Main",
+                        "serve")
+                .directory(folder.getRoot());
         b.environment().put("ROUTER_CONFIG", config.toString());
-        b.environment().keySet().removeAll(java.util.List.of("ROUTER_LISTEN", "ROUTER_NAME",
-                "ROUTER_DISCOVERY"));
+        b.environment().keySet().removeAll(java.util.List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY"));
         return b.redirectErrorStream(true).start();
     }
 
     @Test
     public void servesByItAndLeavesItInOrder() throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
-        try (ServerSocket engine = new ServerSocket(0, 8, loopback); StandIn first = new StandIn(1);
+        try (ServerSocket engine = new ServerSocket(0, 8, loopback);
+                StandIn first = new StandIn(1);
                 StandIn second = new StandIn(1)) {
             engine.setSoTimeout(30_000);
             first.put("e", "{\"host_port\":\"127.0.0.1:" + engine.getLocalPort() + "\"}");
@@ -67,20 +75,27 @@
                         seen.append(until(log, " ")).append('\n');
                     }
                 }
-                int port = Integer.parseInt(seen.toString().replaceAll(
-                        "(?s).* started [^\n]*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+                int port = Integer.parseInt(
+                        seen.toString().replaceAll("(?s).* started [^\n]*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
                 try (Socket client = new Socket(loopback, port)) {
                     client.setSoTimeout(30_000);
-                    client.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
-                            + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}")
-                            .getBytes());
+                    client.getOutputStream()
+                            .write(("POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
+                                            + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}")
+                                    .getBytes());
                     try (Socket at = engine.accept()) {
-                        until(new BufferedReader(new InputStreamReader(at.getInputStream(),
-                                StandardCharsets.UTF_8)), "X-Budget-Ms");
-                        at.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                + "9\r\ndata: x\n\n\r\n0\r\n\r\n").getBytes());
-                        assertEquals("HTTP/1.1 200 OK", new BufferedReader(new InputStreamReader(
-                                client.getInputStream(), StandardCharsets.UTF_8)).readLine());
+                        until(
+                                new BufferedReader(new InputStreamReader(at.getInputStream(), StandardCharsets.UTF_8)),
+                                "X-Budget-Ms");
+                        at.getOutputStream()
+                                .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                                + "9\r\ndata: x\n\n\r\n0\r\n\r\n")
+                                        .getBytes());
+                        assertEquals(
+                                "HTTP/1.1 200 OK",
+                                new BufferedReader(
+                                                new InputStreamReader(client.getInputStream(), StandardCharsets.UTF_8))
+                                        .readLine());
                     }
                 }
                 registry(second, ",\"tmeout_ms\":5");
