--- a/src/test/java/magpiehub/registry/StandIn.java
+++ b/src/test/java/magpiehub/registry/StandIn.java
@@ -30,17 +30,25 @@
 final class StandIn implements AutoCloseable {
     static final String PREFIX = "fleet/engines/";
     /** How each further write of an endpoint ends. */
-    enum Fault { NONE, DOWN, SILENT, MUTE, DRIPS, UNAUTHORISED, REFUSING, NO_LEADER }
-
-    record Version(long rev, byte[] value) {
+    enum Fault {
+        NONE,
+        DOWN,
+        SILENT,
+        MUTE,
+        DRIPS,
+        UNAUTHORISED,
+        REFUSING,
+        NO_LEADER
     }
 
+    record Version(long rev, byte[] value) {}
+
     /** {@code json}: written once for all who watch. */
-    record Event(long rev, String key, byte[] value, String[] json) {
-    }
+    record Event(long rev, String key, byte[] value, String[] json) {}
 
     /** One history: since the last restore. */
     private final Map<String, List<Version>> keys = new TreeMap<>();
+
     private List<Event> log = new ArrayList<>();
     String cluster = "14841639068965178418";
     long term = 2;
@@ -48,6 +56,7 @@
     long compacted;
     /** Answers of at most so many events are whole; larger ones come in fragments. */
     int fragment = 50;
+
     String password;
     final Set<String> tokens = new HashSet<>();
     int logins;
@@ -56,7 +65,8 @@
     final List<Endpoint> endpoints = new ArrayList<>();
     final Map<String, Integer> asked = new ConcurrentHashMap<>();
     /** Called under the lock before each page but the first of a list. */
-    Runnable betweenPages = () -> { };
+    Runnable betweenPages = () -> {};
+
     private final Map<byte[], byte[]> instances = new java.util.IdentityHashMap<>();
     /** The last few states asked for: hundreds of clients ask for the same one. */
     private final Map<String, Map<String, Version>> snapshots = new java.util.LinkedHashMap<>() {
@@ -67,6 +77,7 @@
             return size() > 4;
         }
     };
+
     private final Object[] healthBodies = new Object[2];
     private final Object[] valueBodies = new Object[2];
 
@@ -95,8 +106,8 @@
     /** Several keys in one revision; a null value removes. */
     synchronized void together(Map<String, String> changes) {
         rev++;
-        changes.forEach((id, json) -> write(rev, PREFIX + id,
-                json == null ? null : json.getBytes(StandardCharsets.UTF_8)));
+        changes.forEach(
+                (id, json) -> write(rev, PREFIX + id, json == null ? null : json.getBytes(StandardCharsets.UTF_8)));
         notifyAll();
     }
 
@@ -158,8 +169,9 @@
         while (i > 0 && log.get(i - 1).rev >= from) {
             i--;
         }
-        return log.subList(i,
-                log.size()).stream().filter(e -> e.rev <= to && e.key.startsWith(prefix)).toList();
+        return log.subList(i, log.size()).stream()
+                .filter(e -> e.rev <= to && e.key.startsWith(prefix))
+                .toList();
     }
 
     synchronized void loseLeases() {
@@ -192,6 +204,7 @@
         volatile long lag;
         /** Bytes after which the next answer to a watch is cut off; -1 for none. */
         volatile int cutAfter = -1;
+
         volatile long delayMs;
 
         Endpoint() throws IOException {
@@ -318,14 +331,20 @@
                         tokens.add("token." + ++logins);
                     }
                 }
-                send(out, right ? 200 : 400, "", (right ? "{\"header\":{},\"token\":\"token." + logins + "\"}"
-                        : "{\"error\":\"authentication failed, invalid user ID or password\",\"code\":3}")
-                        .getBytes());
+                send(
+                        out,
+                        right ? 200 : 400,
+                        "",
+                        (right
+                                        ? "{\"header\":{},\"token\":\"token." + logins + "\"}"
+                                        : "{\"error\":\"authentication failed, "
+                                                + "invalid user ID or password\",\"code\":3}")
+                                .getBytes());
                 return;
             }
             synchronized (StandIn.this) {
-                if (fault == Fault.UNAUTHORISED || password != null && !tokens.contains(
-                        String.valueOf(h.get("Authorization")))) {
+                if (fault == Fault.UNAUTHORISED
+                        || password != null && !tokens.contains(String.valueOf(h.get("Authorization")))) {
                     error(out, 401, 16, "etcdserver: invalid auth token");
                     return;
                 }
@@ -338,9 +357,13 @@
         }
 
         private void error(OutputStream out, int status, int code, String message) throws IOException {
-            send(out, status, "",
+            send(
+                    out,
+                    status,
+                    "",
                     ("{\"error\":\"" + message + "\",\"code\":" + code + ",\"message\":\"" + message
-                    + "\",\"details\":[]}").getBytes());
+                                    + "\",\"details\":[]}")
+                            .getBytes());
         }
 
         private void header(JsonGenerator g) throws IOException {
@@ -385,7 +408,8 @@
                     error(out, 400, 11, "etcdserver: mvcc: required revision has been compacted");
                     return;
                 }
-                all = new ArrayList<>(at(wanted > 0 ? wanted : visible(), PREFIX).entrySet());
+                all = new ArrayList<>(
+                        at(wanted > 0 ? wanted : visible(), PREFIX).entrySet());
                 head = Etcd.json(this::header);
             }
             all.removeIf(e -> e.getKey().compareTo(from) < 0 || e.getKey().compareTo(end) >= 0);
@@ -394,14 +418,12 @@
                 all.sort((a, b) -> Long.compare(b.getValue().rev, a.getValue().rev));
             }
             int limit = (int) f.number("limit", 0);
-            List<Map.Entry<String, Version>> some = limit > 0 && limit < all.size() ? all.subList(0, limit)
-                    : all;
+            List<Map.Entry<String, Version>> some = limit > 0 && limit < all.size() ? all.subList(0, limit) : all;
             byte[] rest = Etcd.json(g -> {
                 g.writeArrayFieldStart("kvs");
                 for (Map.Entry<String, Version> e : some) {
                     g.writeStartObject();
-                    keyValue(g, e.getKey(), e.getValue().rev, f.flag("keys_only", false) ? null
-                            : e.getValue().value);
+                    keyValue(g, e.getKey(), e.getValue().rev, f.flag("keys_only", false) ? null : e.getValue().value);
                     g.writeEndObject();
                 }
                 g.writeEndArray();
@@ -446,8 +468,10 @@
                 List<Event> events;
                 long compactedAt = 0;
                 synchronized (StandIn.this) {
-                    while (next > compacted && (fault == Fault.MUTE || fault == Fault.SILENT
-                            || after(next, visible(), prefix).isEmpty())) {
+                    while (next > compacted
+                            && (fault == Fault.MUTE
+                                    || fault == Fault.SILENT
+                                    || after(next, visible(), prefix).isEmpty())) {
                         StandIn.this.wait();
                         if (!cluster.equals(created)) {
                             return;
@@ -486,14 +510,16 @@
 
         private String json(Event e) throws IOException {
             if (e.json[0] == null) {
-                e.json[0] = new String(Etcd.json(g -> {
-                    if (e.value == null) {
-                        g.writeStringField("type", "DELETE");
-                    }
-                    g.writeObjectFieldStart("kv");
-                    keyValue(g, e.key, e.rev, e.value);
-                    g.writeEndObject();
-                }), StandardCharsets.UTF_8);
+                e.json[0] = new String(
+                        Etcd.json(g -> {
+                            if (e.value == null) {
+                                g.writeStringField("type", "DELETE");
+                            }
+                            g.writeObjectFieldStart("kv");
+                            keyValue(g, e.key, e.rev, e.value);
+                            g.writeEndObject();
+                        }),
+                        StandardCharsets.UTF_8);
             }
             return e.json[0];
         }
@@ -505,8 +531,11 @@
                 switch (path) {
                     case "/v3/lease/grant" -> {
                         leases.put(++rev * 7, new HashSet<>());
-                        send(out, 200, "", ("{\"ID\":\"" + rev * 7 + "\",\"TTL\":\"" + f.text("TTL", "")
-                                + "\"}").getBytes());
+                        send(
+                                out,
+                                200,
+                                "",
+                                ("{\"ID\":\"" + rev * 7 + "\",\"TTL\":\"" + f.text("TTL", "") + "\"}").getBytes());
                     }
                     case "/v3/kv/put" -> {
                         if (held == null) {
@@ -516,8 +545,12 @@
                         held.add(text(f, "key"));
                         send(out, 200, "", "{}".getBytes());
                     }
-                    case "/v3/lease/keepalive" -> send(out, 200, "", ("{\"result\":{\"ID\":\"" + id + "\""
-                            + (held == null ? "" : ",\"TTL\":\"10\"") + "}}\n").getBytes());
+                    case "/v3/lease/keepalive" -> send(
+                            out,
+                            200,
+                            "",
+                            ("{\"result\":{\"ID\":\"" + id + "\"" + (held == null ? "" : ",\"TTL\":\"10\"") + "}}\n")
+                                    .getBytes());
                     default -> {
                         leases.remove(id);
                         send(out, 200, "", "{}".getBytes());
@@ -546,22 +579,21 @@
 
         private void consul(Http.Head h, String path, String query, OutputStream out)
                 throws IOException, InterruptedException {
-            if (fault == Fault.UNAUTHORISED || password != null &&
-                    !password.equals(h.get("X-Consul-Token"))) {
+            if (fault == Fault.UNAUTHORISED || password != null && !password.equals(h.get("X-Consul-Token"))) {
                 send(out, 403, "", "Permission denied".getBytes());
                 return;
             }
             if (fault == Fault.NO_LEADER) {
-                send(out, 200, "X-Consul-Index: " + rev + "\r\nX-Consul-KnownLeader: false\r\n",
-                        "[]".getBytes());
+                send(out, 200, "X-Consul-Index: " + rev + "\r\nX-Consul-KnownLeader: false\r\n", "[]".getBytes());
                 return;
             }
             Map<String, String> q = new HashMap<>();
-            Arrays.stream(query.split("&")).map(p -> p.split("=", 2))
+            Arrays.stream(query.split("&"))
+                    .map(p -> p.split("=", 2))
                     .forEach(p -> q.put(p[0], p.length > 1 ? p[1] : ""));
             long index = Long.parseLong(q.getOrDefault("index", "0"));
-            long until = System.nanoTime() + Long.parseLong(q.getOrDefault("wait", "60000ms")
-                    .replace("ms", "")) * 1_000_000;
+            long until = System.nanoTime()
+                    + Long.parseLong(q.getOrDefault("wait", "60000ms").replace("ms", "")) * 1_000_000;
             byte[] body = "[]".getBytes();
             Map<String, Version> all = null;
             long at;
@@ -580,8 +612,11 @@
             if (all != null) {
                 body = body(all, health);
             }
-            send(out, body.length == 2 && !health ? 404 : 200, "X-Consul-Index: " + at
-                    + "\r\nX-Consul-KnownLeader: true\r\n", body);
+            send(
+                    out,
+                    body.length == 2 && !health ? 404 : 200,
+                    "X-Consul-Index: " + at + "\r\nX-Consul-KnownLeader: true\r\n",
+                    body);
         }
 
         /** One state's list is written once for all who ask. */
--- a/src/test/java/magpiehub/registry/ToldTest.java
+++ b/src/test/java/magpiehub/registry/ToldTest.java
@@ -30,7 +30,10 @@
     }
 
     private static Server find(List<Config.Entry> list, String id) {
-        return list.stream().map(Config.Entry::server).filter(s -> s.id().equals(id)).findFirst()
+        return list.stream()
+                .map(Config.Entry::server)
+                .filter(s -> s.id().equals(id))
+                .findFirst()
                 .orElseThrow();
     }
 
@@ -41,13 +44,16 @@
         assertEquals(2, all.size());
         assertEquals(State.DRAINING, state(all, "a"));
         assertEquals(State.LIVE, state(all, "b"));
-        assertTrue("the same word again tells nothing", told.operators(Set.of("a"), Map.of()).isEmpty());
-        assertEquals(State.DRAINING, state(told.source(ListKind.CHANGES,
-                List.of(entry("a", State.LIVE, 50))), "a"));
-        assertEquals(State.DEAD, state(told.source(ListKind.CHANGES,
-                List.of(entry("a", State.DEAD, 0))), "a"));
-        assertEquals(State.DRAINING, state(told.source(ListKind.COMPLETE,
-                List.of(entry("a", State.LIVE, 60), entry("b", State.LIVE, 0))), "a"));
+        assertTrue(
+                "the same word again tells nothing",
+                told.operators(Set.of("a"), Map.of()).isEmpty());
+        assertEquals(State.DRAINING, state(told.source(ListKind.CHANGES, List.of(entry("a", State.LIVE, 50))), "a"));
+        assertEquals(State.DEAD, state(told.source(ListKind.CHANGES, List.of(entry("a", State.DEAD, 0))), "a"));
+        assertEquals(
+                State.DRAINING,
+                state(
+                        told.source(ListKind.COMPLETE, List.of(entry("a", State.LIVE, 60), entry("b", State.LIVE, 0))),
+                        "a"));
     }
 
     @Test
--- a/src/test/java/magpiehub/registry/ViewTest.java
+++ b/src/test/java/magpiehub/registry/ViewTest.java
@@ -34,7 +34,9 @@
 
     private static View with(long n, Item... items) {
         View v = new View();
-        assertEquals(Verdict.APPLIED, v.whole(at(n), Position.NONE, List.of(items), true).verdict());
+        assertEquals(
+                Verdict.APPLIED,
+                v.whole(at(n), Position.NONE, List.of(items), true).verdict());
         return v;
     }
 
@@ -79,8 +81,7 @@
         View v = with(50, item("a", 40));
         for (int i = 0; i < 5; i++) {
             assertEquals(Verdict.BEHIND, of(v.whole(at(30), v.position(), List.of(), false)));
-            assertEquals(Verdict.APPLIED, of(v.whole(at(50 + i), v.position(), List.of(item("a", 40)),
-                    false)));
+            assertEquals(Verdict.APPLIED, of(v.whole(at(50 + i), v.position(), List.of(item("a", 40)), false)));
         }
         assertEquals(1, v.size());
     }
@@ -92,7 +93,9 @@
         assertEquals(Verdict.REREAD, of(v.changes(other, List.of(item("x", 90)))));
         assertEquals(Verdict.REREAD, of(v.changes(at(51), List.of(item("b", 51)))));
         assertNull(v.get("x"));
-        assertTrue(v.whole(other, v.position(), List.of(item("x", 90)), false).delta().another());
+        assertTrue(v.whole(other, v.position(), List.of(item("x", 90)), false)
+                .delta()
+                .another());
         assertNull(v.get("a"));
         assertEquals(Verdict.REREAD, of(v.heard(new Position("c2", 1, 95))));
     }
@@ -102,13 +105,19 @@
         View v = with(9, item("a", 3), item("b", 8), Item.unreadable("odd", 9, "no address"));
         Item odd = Item.unreadable("odd", 9, "no address");
         assertEquals(Verdict.OLD, of(v.resumed(at(12), at(9), List.of(odd, item("b", 8)), 3)));
-        assertEquals("the last key is the same, the one before it is not", Verdict.REREAD,
+        assertEquals(
+                "the last key is the same, the one before it is not",
+                Verdict.REREAD,
                 of(v.resumed(at(12), at(9), List.of(odd, item("a", 8)), 3)));
         View w = with(9, item("a", 3), item("b", 9));
-        assertEquals("what was changed here was not changed there", Verdict.REREAD,
+        assertEquals(
+                "what was changed here was not changed there",
+                Verdict.REREAD,
                 of(w.resumed(at(12), at(9), List.of(item("a", 3)), 2)));
-        assertEquals("a new leader's answer is compared, too", Verdict.REREAD, of(w.resumed(
-                new Position("c1", 3, 12), at(9), List.of(item("a", 9), item("b", 3)), 2)));
+        assertEquals(
+                "a new leader's answer is compared, too",
+                Verdict.REREAD,
+                of(w.resumed(new Position("c1", 3, 12), at(9), List.of(item("a", 9), item("b", 3)), 2)));
         View empty = with(9);
         assertEquals(Verdict.OLD, of(empty.resumed(at(12), at(9), List.of(), 0)));
     }
@@ -116,8 +125,9 @@
     @Test
     public void anEngineThatComesBackElsewhereInsideOneBurstIsThere() {
         View v = with(5, item("k1", 5));
-        View.Result r = v.changes(at(9), List.of(Item.removed("k1", 6),
-                Item.of("k2", 7, entry("k1", "10.9.9.9:1", 1)), Item.removed("k3", 8)));
+        View.Result r = v.changes(
+                at(9),
+                List.of(Item.removed("k1", 6), Item.of("k2", 7, entry("k1", "10.9.9.9:1", 1)), Item.removed("k3", 8)));
         assertEquals("10.9.9.9:1", v.get("k1").address());
         assertTrue(r.delta().gone().isEmpty());
         // The old key's removal comes after the new key's word: the engine stays.
--- a/src/test/java/magpiehub/registry/WatchesTest.java
+++ b/src/test/java/magpiehub/registry/WatchesTest.java
@@ -32,7 +32,11 @@
 
     /** How calls go that begin while discovery is out. */
     private enum Outage {
-        REFUSES, NEVER_CONNECTS, NEVER_ANSWERS, SAYS_503, CUTS
+        REFUSES,
+        NEVER_CONNECTS,
+        NEVER_ANSWERS,
+        SAYS_503,
+        CUTS
     }
 
     /** One address of discovery: out in some way until a time, from then on serving calls in turn. */
@@ -57,6 +61,7 @@
         final long begun;
         /** How it goes if discovery does not answer, and when (us). */
         Outage fate;
+
         boolean closed;
         boolean open;
 
@@ -90,13 +95,15 @@
             boolean out = d.out(now);
             for (Line l : List.copyOf(d.queue)) {
                 boolean timedOut = l.fate == null && now - l.begun > LIMIT;
-                long after = l.fate == null ? LIMIT : switch (l.fate) {
-                    case REFUSES -> 0;
-                    case NEVER_CONNECTS -> S;
-                    case SAYS_503 -> 50 * MS;
-                    case CUTS -> 200 * MS;
-                    case NEVER_ANSWERS -> Long.MAX_VALUE;
-                };
+                long after = l.fate == null
+                        ? LIMIT
+                        : switch (l.fate) {
+                            case REFUSES -> 0;
+                            case NEVER_CONNECTS -> S;
+                            case SAYS_503 -> 50 * MS;
+                            case CUTS -> 200 * MS;
+                            case NEVER_ANSWERS -> Long.MAX_VALUE;
+                        };
                 if (l.closed) {
                     d.queue.remove(l);
                 } else if (timedOut || l.fate != null && now - l.begun >= after) {
@@ -148,6 +155,7 @@
         int open;
         /** When a list was last told; while a watch is open, that is always now. */
         long toldAt = Long.MIN_VALUE;
+
         Line live;
         long beatAt;
 
@@ -180,8 +188,7 @@
                 live = l;
                 toldAt = fleet.now;
                 beatAt = fleet.now;
-                rules.list(fleet.now, ListKind.COMPLETE,
-                        List.of(new Server("e1", 0, 0, 0, State.LIVE, 1, 0)));
+                rules.list(fleet.now, ListKind.COMPLETE, List.of(new Server("e1", 0, 0, 0, State.LIVE, 1, 0)));
             }
         }
 
@@ -210,8 +217,7 @@
         }
 
         @Override
-        public void late(Watches.Call c, boolean spoken) {
-        }
+        public void late(Watches.Call c, boolean spoken) {}
 
         @Override
         public void failed(Watches.Call c, String why) {
@@ -237,8 +243,8 @@
     private static Fleet fleet(int routers, long each, long seed) throws Exception {
         Fleet f = new Fleet();
         f.discoveries.forEach(d -> d.each = each);
-        Settings s = Config.site(Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")),
-                "site")).settings();
+        Settings s = Config.site(Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "site"))
+                .settings();
         for (int i = 0; i < routers; i++) {
             f.routers.add(new Router(f, s, seed * 1000 + i));
         }
@@ -288,8 +294,9 @@
                     f.step();
                 }
                 for (Router r : f.routers) {
-                    assertTrue(how + ", seed " + seed + ": told " + (r.toldAt - change) / MS
-                            + " ms after the change", r.toldAt >= change);
+                    assertTrue(
+                            how + ", seed " + seed + ": told " + (r.toldAt - change) / MS + " ms after the change",
+                            r.toldAt >= change);
                     assertTrue("calls of one router at once: " + r.mostAtOnce, r.mostAtOnce <= 3);
                 }
             }
@@ -308,8 +315,7 @@
                     f.step();
                 }
                 for (Router r : f.routers) {
-                    assertTrue(how + ", seed " + seed + ": no room left for an answer that waits",
-                            r.toldAt >= back);
+                    assertTrue(how + ", seed " + seed + ": no room left for an answer that waits", r.toldAt >= back);
                 }
             }
         }
@@ -336,8 +342,9 @@
                 f.step();
             }
             for (Router r : f.routers) {
-                assertTrue("seed " + seed + ": last told " + (silent - r.toldAt) / MS
-                        + " ms before the silence", r.toldAt > silent);
+                assertTrue(
+                        "seed " + seed + ": last told " + (silent - r.toldAt) / MS + " ms before the silence",
+                        r.toldAt > silent);
             }
         }
     }
@@ -352,7 +359,8 @@
         while (f.now < d.until) {
             f.step();
         }
-        assertTrue("calls to a discovery that is down, a router and second: " + (d.calls - before) / 1000.0,
+        assertTrue(
+                "calls to a discovery that is down, a router and second: " + (d.calls - before) / 1000.0,
                 d.calls - before <= 100 * 10 * 0.8);
         int most = 0;
         for (int i = 0; i < 60; i++) {
@@ -376,8 +384,8 @@
             while (f.now < until) {
                 f.step();
             }
-            r.rules.request(f.now, new Contract.Request("r" + i, 0, 0, i, 0, f.now + 4 * S, 0, 10, 0, 10,
-                    false, false, false));
+            r.rules.request(
+                    f.now, new Contract.Request("r" + i, 0, 0, i, 0, f.now + 4 * S, 0, 10, 0, 10, false, false, false));
             assertEquals("after " + (i + 1) + " s", i + 1, r.sent.size());
         }
     }
@@ -395,7 +403,7 @@
         long silent = f.now;
         long lastCall = f.now + 4 * S;
         int calls = f.discoveries.get(0).calls;
-        for (long end = f.now + 60 * S; f.now < end;) {
+        for (long end = f.now + 60 * S; f.now < end; ) {
             f.step();
             if (f.now % S == S / 2 && f.now > silent + 4 * S) {
                 r.watches.spoke(old, f.now);
--- a/src/test/java/magpiehub/sim/DrillTest.java
+++ b/src/test/java/magpiehub/sim/DrillTest.java
@@ -13,7 +13,8 @@
 
 /** The adapter on hand-written batches, good and bad. */
 class DrillTest {
-    private static final String START = """
+    private static final String START =
+            """
             {"ROUND":{"atTimeMs":1000.5}}
             {"PROVISION":{"who":3,"initSeed":18446744073709551615,"new":{"deep":[1,{}]},"facts":{"odd":null,
             "classes":[{"aimMs":1000,"deadlineMs":4000,"effect":"pure","gain":1,"stream":true}],
@@ -30,8 +31,11 @@
     private void play(String text) throws IOException {
         ByteArrayOutputStream o = new ByteArrayOutputStream();
         ByteArrayOutputStream e = new ByteArrayOutputStream();
-        status = new Drill(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), o,
-                new PrintStream(e, true, StandardCharsets.UTF_8)).run();
+        status = new Drill(
+                        new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)),
+                        o,
+                        new PrintStream(e, true, StandardCharsets.UTF_8))
+                .run();
         out = o.toString(StandardCharsets.UTF_8);
         err = e.toString(StandardCharsets.UTF_8);
     }
@@ -57,7 +61,9 @@
 
     @Test
     void requestIsSentAndAnswered() throws IOException {
-        play(START + """
+        play(
+                START
+                        + """
                 {"ROUND":{"atTimeMs":1010}}
                 {"INGRESS":{"who":3,"job":"00a1","dropDeadMs":5000,"unknown":[{"x":1}]}}
                 {"EOB":{}}
@@ -75,9 +81,11 @@
 
     @Test
     void stopAndStartInOneBatch() throws IOException {
-        String again = START.replace("{\"EOB\":{}}", "{\"EXIT\":{\"who\":3}}\n"
-                + "{\"PROVISION\":{\"who\":3,\"facts\":{}}}\n"
-                + "{\"INGRESS\":{\"who\":3,\"job\":\"b\",\"dropDeadMs\":5000}}\n{\"EOB\":{}}");
+        String again = START.replace(
+                "{\"EOB\":{}}",
+                "{\"EXIT\":{\"who\":3}}\n"
+                        + "{\"PROVISION\":{\"who\":3,\"facts\":{}}}\n"
+                        + "{\"INGRESS\":{\"who\":3,\"job\":\"b\",\"dropDeadMs\":5000}}\n{\"EOB\":{}}");
         play(again);
         assertEquals(0, status, err);
         assertTrue(out.contains("{\"REJECT\":{\"who\":3,\"job\":\"b\"}}"), out);
--- a/src/test/java/magpiehub/site/PlanTest.java
+++ b/src/test/java/magpiehub/site/PlanTest.java
@@ -21,11 +21,13 @@
 /** The plan's file, its word to the module, its log and the operators' word. */
 public class PlanTest {
     private static final long S = 1_000_000;
+
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private final List<String> logged = new ArrayList<>();
-    private final Plan plan = new Plan(Sites.Settings.USUAL, List.of("north", "south", "west"), 0, 1,
-            new ModuleActor.Journal() {
+    private final Plan plan =
+            new Plan(Sites.Settings.USUAL, List.of("north", "south", "west"), 0, 1, new ModuleActor.Journal() {
                 @Override
                 public void count(String name) {
                     logged.add(name);
@@ -48,8 +50,7 @@
         assertNull(Plan.read(folder.getRoot().toPath().resolve("none.json")));
         assertEquals(Sites.Settings.USUAL, read("{}"));
         assertEquals(2_500_000, read("{\"trialMs\":2500}").trial());
-        for (String bad : List.of("{\"trial\":1}", "{\"engines\":0}", "{\"slow\":\"x\"}", "{\"stepMs\":-1}",
-                "{")) {
+        for (String bad : List.of("{\"trial\":1}", "{\"engines\":0}", "{\"slow\":\"x\"}", "{\"stepMs\":-1}", "{")) {
             assertThrows(bad, Config.Malformed.class, () -> read(bad));
         }
     }
@@ -65,9 +66,10 @@
             plan.told(S + i * 10_000 + 5_000, 2, "w" + i, Sign.ANSWERED, 400, 1);
         }
         assertEquals(0, plan.names().indexOf("north"));
-        assertTrue(logged.toString(),
+        assertTrue(
+                logged.toString(),
                 logged.contains("site name south from doubted to lost cause no_connection")
-                && logged.contains("site_lost"));
+                        && logged.contains("site_lost"));
         assertFalse(plan.takes(2 * S, 1, 0));
         assertTrue(plan.takes(2 * S, 2, 0.99));
         assertTrue("since it was seen", plan.shutSince(1) <= S + 60_000);
@@ -90,8 +92,7 @@
         assertTrue(plan.takes(6 * S, 1, 0.99));
         plan.out(Set.of());
         plan.tick(7 * S);
-        assertTrue(plan.standing().get("west"), plan.standing()
-                .get("west").startsWith("returning share=10%"));
+        assertTrue(plan.standing().get("west"), plan.standing().get("west").startsWith("returning share=10%"));
         assertTrue("a zone that the file did not name is the module's", plan.takes(7 * S, 9, 1));
     }
 }
--- a/src/test/java/magpiehub/site/SitesTest.java
+++ b/src/test/java/magpiehub/site/SitesTest.java
@@ -4,8 +4,8 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import magpiehub.site.Sites.Cause;
 import magpiehub.core.Zones.Sign;
+import magpiehub.site.Sites.Cause;
 import magpiehub.site.Sites.State;
 import org.junit.Test;
 
@@ -29,7 +29,7 @@
     }
 
     private void pass(long us) {
-        for (long until = now + us; now < until;) {
+        for (long until = now + us; now < until; ) {
             now += 50 * MS;
             sites.tick(now);
         }
@@ -139,8 +139,7 @@
         for (int i = 0; i < 40; i++) {
             for (int site = 0; site < 3; site++) {
                 now += 20 * MS;
-                sites.sign(now, site, site + "." + i % 8, i % 3 == 0 ? Sign.SILENCE : Sign.ANSWERED, 5 * MS,
-                        9);
+                sites.sign(now, site, site + "." + i % 8, i % 3 == 0 ? Sign.SILENCE : Sign.ANSWERED, 5 * MS, 9);
             }
         }
         for (int site = 0; site < 3; site++) {
--- a/src/test/java/magpiehub/store/StoreTest.java
+++ b/src/test/java/magpiehub/store/StoreTest.java
@@ -24,8 +24,8 @@
     private final Log log = new Log(System.err, "test", 1);
 
     private ReplicatedStore replica(String name, int port) throws IOException {
-        ReplicatedStore s = new ReplicatedStore(name,
-                new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), Mailbox.Clock.SYSTEM, log);
+        ReplicatedStore s = new ReplicatedStore(
+                name, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), Mailbox.Clock.SYSTEM, log);
         all.add(s);
         return s;
     }
@@ -85,8 +85,10 @@
         ReplicatedStore a = replica("a", 0);
         a.put("k", "1");
         a.put("k", null);
-        say(a, "{\"key\":\"k\",\"value\":\"0\",\"count\":\"1\",\"by\":\"z\"}\n"
-                + "{\"key\":\"mark\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
+        say(
+                a,
+                "{\"key\":\"k\",\"value\":\"0\",\"count\":\"1\",\"by\":\"z\"}\n"
+                        + "{\"key\":\"mark\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
         await(() -> a.get("mark") != null);
         assertNull(a.get("k"));
     }
--- a/src/test/java/magpiehub/stream/ModulesTest.java
+++ b/src/test/java/magpiehub/stream/ModulesTest.java
@@ -211,8 +211,7 @@
         assertEquals("an eighth of the heap", 8 << 20, a.budget());
         assertFalse(a.pace().learns());
         assertTrue(of("{\"silence_ms\":4000,\"stall_least_ms\":800}").pace().learns());
-        Allowances example = Allowances.read(java.nio.file.Path.of("deploy/streams.example.json"), CLASSES,
-                64 << 20);
+        Allowances example = Allowances.read(java.nio.file.Path.of("deploy/streams.example.json"), CLASSES, 64 << 20);
         assertTrue(example.pace().learns());
         assertTrue(fault("{\"pause\":1}").contains("pause is not a setting"));
         assertTrue(fault("{\"budget_kb\":60000}").contains("budget_kb must be a whole number"));
--- a/src/test/java/magpiehub/stream/StreamsProof.java
+++ b/src/test/java/magpiehub/stream/StreamsProof.java
@@ -36,8 +36,20 @@
 public final class StreamsProof {
     /** What goes wrong with a stream, told to its engine by the request's id. */
     enum Trouble {
-        NONE, PAUSES, BYTE_A_SECOND, STOPS_READING, LEAVES, RESETS, BEFORE_TOKEN, BEFORE_USAGE, BEFORE_DONE,
-        BEFORE_LAST_CHUNK, DRIBBLES, COMMENTS, BREAKS, LARGE
+        NONE,
+        PAUSES,
+        BYTE_A_SECOND,
+        STOPS_READING,
+        LEAVES,
+        RESETS,
+        BEFORE_TOKEN,
+        BEFORE_USAGE,
+        BEFORE_DONE,
+        BEFORE_LAST_CHUNK,
+        DRIBBLES,
+        COMMENTS,
+        BREAKS,
+        LARGE
     }
 
     private static final int EVENT_MS = 50;
@@ -59,6 +71,7 @@
     private final AtomicInteger atOnce = new AtomicInteger();
     /** The longest that this machine has kept a thread waiting beyond what it asked for (us). */
     private volatile long late;
+
     private Process router;
     private final CountDownLatch logged = new CountDownLatch(1);
     private volatile String lastCounters = "";
@@ -70,34 +83,36 @@
 
     // ---- Engines --------------------------------------------------------------------------------------
     private static byte[] event(int number, int size) {
-        String s = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + number + "."
-                + "x".repeat(size) + "\"},\"finish_reason\":null}]}\n\n";
+        String s = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + number + "." + "x".repeat(size)
+                + "\"},\"finish_reason\":null}]}\n\n";
         return s.getBytes(StandardCharsets.UTF_8);
     }
 
     private static final byte[] FINISH = ("data: {"
-            + "\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n")
+                    + "\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}]}\n\n")
             .getBytes(StandardCharsets.UTF_8);
     private static final byte[] USAGE = ("data: {"
-            + "\"choices\":[],\"usage\":{\"prompt_tokens\":5,\"completion_tokens\":9}}\n\n")
+                    + "\"choices\":[],\"usage\":{\"prompt_tokens\":5,\"completion_tokens\":9}}\n\n")
             .getBytes(StandardCharsets.UTF_8);
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
     /** All events of a trouble's whole stream. */
     private static List<byte[]> events(Trouble t) {
         List<byte[]> all = new ArrayList<>();
-        int n = switch (t) {
-            case LARGE -> 20;
-            case PAUSES, BYTE_A_SECOND, STOPS_READING -> 12;
-            case NONE -> EVENTS;
-            default -> 10;
-        };
-        int size = switch (t) {
-            case LARGE -> 100_000;
-            case PAUSES -> 15_000;
-            case BYTE_A_SECOND, STOPS_READING -> 60_000;
-            default -> 40;
-        };
+        int n =
+                switch (t) {
+                    case LARGE -> 20;
+                    case PAUSES, BYTE_A_SECOND, STOPS_READING -> 12;
+                    case NONE -> EVENTS;
+                    default -> 10;
+                };
+        int size =
+                switch (t) {
+                    case LARGE -> 100_000;
+                    case PAUSES -> 15_000;
+                    case BYTE_A_SECOND, STOPS_READING -> 60_000;
+                    default -> 40;
+                };
         for (int i = 0; i < n; i++) {
             all.add(event(i, size));
         }
@@ -151,12 +166,13 @@
     private static boolean tell(Trouble t, OutputStream out) throws IOException, InterruptedException {
         List<byte[]> all = events(t);
         int n = all.size();
-        int most = switch (t) {
-            case BEFORE_TOKEN, LEAVES, RESETS, DRIBBLES, COMMENTS, BREAKS -> n - 4;
-            case BEFORE_USAGE -> n - 2;
-            case BEFORE_DONE -> n - 1;
-            default -> n;
-        };
+        int most =
+                switch (t) {
+                    case BEFORE_TOKEN, LEAVES, RESETS, DRIBBLES, COMMENTS, BREAKS -> n - 4;
+                    case BEFORE_USAGE -> n - 2;
+                    case BEFORE_DONE -> n - 1;
+                    default -> n;
+                };
         for (int i = 0; i < most; i++) {
             chunk(out, all.get(i));
             if (t != Trouble.LARGE) {
@@ -178,8 +194,7 @@
                 }
             }
             case BREAKS -> throw new IOException("breaks");
-            default -> {
-            }
+            default -> {}
         }
         return most == n && t != Trouble.BEFORE_LAST_CHUNK;
     }
@@ -193,9 +208,11 @@
             s.setTcpNoDelay(true);
             s.connect(new java.net.InetSocketAddress(InetAddress.getByName("127.0.0.1"), port));
             s.setSoTimeout(30_000);
-            s.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
-                    + "\r\nX-Call-Class: chat\r\nX-Route-Hash: " + Integer.toHexString(id.hashCode())
-                    + "\r\nX-Budget-Ms: 8000\r\nContent-Length: 2\r\n\r\n{}").getBytes());
+            s.getOutputStream()
+                    .write(("POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
+                                    + "\r\nX-Call-Class: chat\r\nX-Route-Hash: " + Integer.toHexString(id.hashCode())
+                                    + "\r\nX-Budget-Ms: 8000\r\nContent-Length: 2\r\n\r\n{}")
+                            .getBytes());
             Http.Input in = new Http.Input(s.getInputStream(), () -> System.nanoTime() / 1000);
             if (!in.await()) {
                 cutOff.incrementAndGet();
@@ -223,8 +240,8 @@
         private static final long serialVersionUID = 1L;
     }
 
-    private void read(Socket s, Http.Input in, Http.Head h, String id, Trouble t,
-            ConcurrentLinkedQueue<Long> gaps) throws IOException, InterruptedException {
+    private void read(Socket s, Http.Input in, Http.Head h, String id, Trouble t, ConcurrentLinkedQueue<Long> gaps)
+            throws IOException, InterruptedException {
         if (t == Trouble.STOPS_READING || t == Trouble.BYTE_A_SECOND) {
             InputStream raw = s.getInputStream();
             for (int i = 0; i < 7; i++) {
@@ -279,7 +296,8 @@
         byte[] s = sent.toByteArray();
         byte[] same = got;
         if (t == Trouble.COMMENTS) {
-            same = new String(got, StandardCharsets.UTF_8).replace(": still here\n\n", "")
+            same = new String(got, StandardCharsets.UTF_8)
+                    .replace(": still here\n\n", "")
                     .getBytes(StandardCharsets.UTF_8);
         }
         boolean good = same.length <= s.length
@@ -298,9 +316,12 @@
             ServerSocket s = new ServerSocket(0, 512, InetAddress.getByName("127.0.0.1"));
             engines.add(s);
             Mailbox.thread("accept", () -> engine(s)).start();
-            known.append(i == 0 ? "" : ",").append("{\"id\":\"e").append(i)
+            known.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"e")
+                    .append(i)
                     .append("\",\"host_port\":\"127.0.0.1:")
-                    .append(s.getLocalPort()).append("\",\"phase\":\"Ready\"}");
+                    .append(s.getLocalPort())
+                    .append("\",\"phase\":\"Ready\"}");
         }
         ServerSocket discovery = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         engines.add(discovery);
@@ -312,24 +333,36 @@
                 + "\"idleCloseMs\":30000,\"mostHeld\":2000},\"guarantees\":{\"answerSlackMs\":50,"
                 + "\"askWithinMs\":10000,\"coldMs\":0}}";
         Path config = folder.resolve("router.json");
-        Files.writeString(config, "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-                + discovery.getLocalPort() + "\",\"seed\":\"7\",\"limits\":{\"sockets\":2048},"
-                + "\"settings\":" + site
-                + ",\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+                        + discovery.getLocalPort() + "\",\"seed\":\"7\",\"limits\":{\"sockets\":2048},"
+                        + "\"settings\":" + site
+                        + ",\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}}");
         Files.createDirectories(folder.resolve("deploy"));
-        Files.writeString(folder.resolve("deploy/streams.json"), "{\"budget_kb\":12000,\"buffer_kb\":1024,"
-                + "\"pause_ms\":" + PAUSE_MS + ",\"hold_ms\":" + HOLD_MS + ",\"silence_ms\":" + HOLD_MS
-                + ",\"comments_ms\":5000,\"send_buffer_kb\":32}");
+        Files.writeString(
+                folder.resolve("deploy/streams.json"),
+                "{\"budget_kb\":12000,\"buffer_kb\":1024,"
+                        + "\"pause_ms\":" + PAUSE_MS + ",\"hold_ms\":" + HOLD_MS + ",\"silence_ms\":" + HOLD_MS
+                        + ",\"comments_ms\":5000,\"send_buffer_kb\":32}");
         List<String> command = new ArrayList<>(List.of(
                 ProcessHandle.current().info().command().orElse("java"),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms64m", "-Xmx64m", "-Xmn24m",
-                "-XX:MaxMetaspaceSize=32m", "-XX:ReservedCodeCacheSize=16m",
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xms64m",
+                "-Xmx64m",
+                "-Xmn24m",
+                "-XX:MaxMetaspaceSize=32m",
+                "-XX:ReservedCodeCacheSize=16m",
                 "-Djdk.nio.maxCachedBufferSize=16384",
-                "-cp", Arrays.stream(System.getProperty("java.class.path").split(java.io.File.pathSeparator))
+                "-cp",
+                Arrays.stream(System.getProperty("java.class.path").split(java.io.File.pathSeparator))
                         .map(e -> Path.of(e).toAbsolutePath().toString())
                         .collect(java.util.stream.Collectors.joining(java.io.File.pathSeparator)),
-                "magpiehub.Main", "serve"));
-        ProcessBuilder b = new ProcessBuilder(command).directory(folder.toFile()).redirectErrorStream(true);
+                "magpiehub.Main",
+                "serve"));
+        ProcessBuilder b =
+                new ProcessBuilder(command).directory(folder.toFile()).redirectErrorStream(true);
         b.environment().put("ROUTER_CONFIG", config.toString());
         b.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME"));
         b.environment().put("MALLOC_ARENA_MAX", "2");
@@ -338,48 +371,51 @@
         // A proof that is stopped from outside leaves no router behind.
         Runtime.getRuntime().addShutdownHook(new Thread(router::destroyForcibly));
         Mailbox.thread("discovery", () -> {
-            try {
-                while (true) {
-                    Socket s = discovery.accept();
-                    s.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                            .getBytes());
-                    Mailbox.thread("watch", () -> {
-                        try {
-                            while (true) {
-                                s.getOutputStream().write("1\r\n\n\r\n".getBytes());
-                                TimeUnit.SECONDS.sleep(1);
-                            }
-                        } catch (IOException | InterruptedException e) {
-                            Clients.closeQuietly(s);
+                    try {
+                        while (true) {
+                            Socket s = discovery.accept();
+                            s.getOutputStream()
+                                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").getBytes());
+                            Mailbox.thread("watch", () -> {
+                                        try {
+                                            while (true) {
+                                                s.getOutputStream().write("1\r\n\n\r\n".getBytes());
+                                                TimeUnit.SECONDS.sleep(1);
+                                            }
+                                        } catch (IOException | InterruptedException e) {
+                                            Clients.closeQuietly(s);
+                                        }
+                                    })
+                                    .start();
                         }
-                    }).start();
-                }
-            } catch (IOException e) {
-                // The proof is over.
-            }
-        }).start();
+                    } catch (IOException e) {
+                        // The proof is over.
+                    }
+                })
+                .start();
         BufferedReader log = router.inputReader();
         CountDownLatch started = new CountDownLatch(1);
         Mailbox.thread("log", () -> {
-            try {
-                for (String l = log.readLine(); l != null; l = log.readLine()) {
-                    if (l.contains(" started ")) {
-                        port = Integer.parseInt(l.replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
-                        started.countDown();
-                    }
-                    if (l.contains(" counters ")) {
-                        lastCounters = l;
-                    }
-                    if (System.getenv("PROOF_LOG") != null) {
-                        System.err.println(l);
+                    try {
+                        for (String l = log.readLine(); l != null; l = log.readLine()) {
+                            if (l.contains(" started ")) {
+                                port = Integer.parseInt(l.replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+                                started.countDown();
+                            }
+                            if (l.contains(" counters ")) {
+                                lastCounters = l;
+                            }
+                            if (System.getenv("PROOF_LOG") != null) {
+                                System.err.println(l);
+                            }
+                        }
+                    } catch (IOException e) {
+                        // Its end.
+                    } finally {
+                        logged.countDown();
                     }
-                }
-            } catch (IOException e) {
-                // Its end.
-            } finally {
-                logged.countDown();
-            }
-        }).start();
+                })
+                .start();
         try {
             if (!started.await(20, TimeUnit.SECONDS)) {
                 throw new IOException("the router did not start");
@@ -415,16 +451,19 @@
     }
 
     /** So many healthy streams beside so many troubled ones; returns the healthy ones' gaps (us). */
-    private long[] play(String name, int healthy, int troubled, Trouble... only)
-            throws InterruptedException {
+    private long[] play(String name, int healthy, int troubled, Trouble... only) throws InterruptedException {
         ConcurrentLinkedQueue<Long> gaps = new ConcurrentLinkedQueue<>();
         Trouble[] kinds = Trouble.values();
         List<Thread> all = new ArrayList<>();
         for (int i = 0; i < healthy + troubled; i++) {
             // Each trouble comes at least once; what more there is of them, the seed says.
-            Trouble t = i < healthy ? Trouble.NONE : only.length > 0 ? only[0]
-                    : i - healthy < kinds.length - 1 ? kinds[1 + i - healthy]
-                    : kinds[1 + random.nextInt(kinds.length - 1)];
+            Trouble t = i < healthy
+                    ? Trouble.NONE
+                    : only.length > 0
+                            ? only[0]
+                            : i - healthy < kinds.length - 1
+                                    ? kinds[1 + i - healthy]
+                                    : kinds[1 + random.nextInt(kinds.length - 1)];
             String id = name + i + "-" + t;
             Thread c = Mailbox.thread("client", () -> client(id, t, t == Trouble.NONE ? gaps : null));
             all.add(c);
@@ -518,30 +557,59 @@
             }
             long twice = c.getOrDefault("streams_ended_twice", 0L);
             long none = c.getOrDefault("streams_open", 0L);
-            long[] closing = p.closing.stream().mapToLong(Long::longValue).sorted().toArray();
+            long[] closing =
+                    p.closing.stream().mapToLong(Long::longValue).sorted().toArray();
             double ratio = (double) at(beside, 0.99) / Math.max(1, at(alone, 0.99));
-            line.append("proof streams seed=").append(seed).append(" requests=")
-                    .append(p.streams.get() + p.refused.get()).append(" at_once=").append(p.atOnce)
-                    .append(" refused=").append(p.refused).append(by).append(" without_ending=").append(none)
-                    .append(" two_endings=").append(twice).append(" bytes_wrong=").append(p.wrong)
-                    .append(" held_most_kb=").append(c.getOrDefault("streams_bytes_held_most", 0L) / 1024)
-                    .append(" memory_mb=").append(memoryAlone / 1024).append('/').append(memory / 1024)
-                    .append(" reader_end_to_engine_us=").append(at(closing, 0.5)).append('/')
-                    .append(at(closing, 0.99)).append(" ends=").append(closing.length)
-                    .append(" gap_p99_us=").append(at(alone, 0.99)).append('/').append(at(beside, 0.99))
-                    .append(String.format(java.util.Locale.ROOT, " gap_ratio=%.3f/%.3f", ratio,
+            line.append("proof streams seed=")
+                    .append(seed)
+                    .append(" requests=")
+                    .append(p.streams.get() + p.refused.get())
+                    .append(" at_once=")
+                    .append(p.atOnce)
+                    .append(" refused=")
+                    .append(p.refused)
+                    .append(by)
+                    .append(" without_ending=")
+                    .append(none)
+                    .append(" two_endings=")
+                    .append(twice)
+                    .append(" bytes_wrong=")
+                    .append(p.wrong)
+                    .append(" held_most_kb=")
+                    .append(c.getOrDefault("streams_bytes_held_most", 0L) / 1024)
+                    .append(" memory_mb=")
+                    .append(memoryAlone / 1024)
+                    .append('/')
+                    .append(memory / 1024)
+                    .append(" reader_end_to_engine_us=")
+                    .append(at(closing, 0.5))
+                    .append('/')
+                    .append(at(closing, 0.99))
+                    .append(" ends=")
+                    .append(closing.length)
+                    .append(" gap_p99_us=")
+                    .append(at(alone, 0.99))
+                    .append('/')
+                    .append(at(beside, 0.99))
+                    .append(String.format(
+                            java.util.Locale.ROOT,
+                            " gap_ratio=%.3f/%.3f",
+                            ratio,
                             (double) at(crowd, 0.99) / Math.max(1, at(alone, 0.99))));
             check(bad, none == 0 && twice == 0, "endings");
             check(bad, p.wrong.get() == 0, "bytes");
             check(bad, c.getOrDefault("streams_fault", 0L) == 0, "faults");
             check(bad, endings == before, "endings=" + endings + " streams=" + before);
-            check(bad, stopped == p.streams.get(), "endings at SIGTERM=" + stopped + " of "
-                    + p.streams.get());
+            check(bad, stopped == p.streams.get(), "endings at SIGTERM=" + stopped + " of " + p.streams.get());
             check(bad, healthy + troubled < 400 || p.atOnce.get() >= 400, "streams at once");
             check(bad, early == 0, "refused before the crowd");
-            check(bad, closing.length > 0 && at(closing, 0.99) < 100_000 + p.late, "reader's end "
-                    + at(closing, 0.99) + " us, late " + p.late);
-            check(bad, healthy < 50 || ratio <= 1.2 && at(crowd, 0.99) <= 1.2 * at(alone, 0.99),
+            check(
+                    bad,
+                    closing.length > 0 && at(closing, 0.99) < 100_000 + p.late,
+                    "reader's end " + at(closing, 0.99) + " us, late " + p.late);
+            check(
+                    bad,
+                    healthy < 50 || ratio <= 1.2 && at(crowd, 0.99) <= 1.2 * at(alone, 0.99),
                     "gap of healthy streams");
         } finally {
             for (ServerSocket s : p.engines) {
@@ -565,8 +633,11 @@
 
     public static void main(String[] args) throws Exception {
         StringBuilder line = new StringBuilder();
-        boolean ok = run(Long.parseLong(args[0]), args.length > 1 ? Integer.parseInt(args[1]) : 220,
-                args.length > 2 ? Integer.parseInt(args[2]) : 300, line);
+        boolean ok = run(
+                Long.parseLong(args[0]),
+                args.length > 1 ? Integer.parseInt(args[1]) : 220,
+                args.length > 2 ? Integer.parseInt(args[2]) : 300,
+                line);
         System.out.println(line + (ok ? " ok" : " short"));
         System.exit(ok ? 0 : 1);
     }
--- a/src/test/java/magpiehub/stream/StreamsTest.java
+++ b/src/test/java/magpiehub/stream/StreamsTest.java
@@ -18,13 +18,13 @@
     /** Time passes only in waits; at each reading an engine's actor looks whether the stream is silent. */
     private static final class Crossing implements Mailbox.Clock {
         private long now = 1000 * S;
-        private Runnable look = () -> { };
-        private Runnable whileWaiting = () -> { };
+        private Runnable look = () -> {};
+        private Runnable whileWaiting = () -> {};
 
         @Override
         public long micros() {
             Runnable l = look;
-            look = () -> { };
+            look = () -> {};
             l.run();
             look = l;
             return now;
@@ -44,10 +44,10 @@
         byte[] settings = Files.readAllBytes(Path.of("src/test/resources/site.json"));
         Config.Site site = Config.site(Config.facts(settings, "site"));
         String allowed = "{\"buffer_kb\":" + BUFFER / 1024 + ",\"pause_ms\":" + 2 * PAUSE / 1000 + "}";
-        Allowances allowances = Allowances.of(Config.facts(allowed.getBytes(), "streams"),
-                site.settings().classes(), 64 << 20);
+        Allowances allowances = Allowances.of(
+                Config.facts(allowed.getBytes(), "streams"), site.settings().classes(), 64 << 20);
         Streams streams = new Streams(allowances, site, clock, new Log(System.err, "test", 1));
-        Streams.Flow flow = streams.open(0, 0, "r", () -> { });
+        Streams.Flow flow = streams.open(0, 0, "r", () -> {});
         streams.begun(flow, "e");
         long heardAt = clock.now;
         long largest = streams.largestBuffer();
@@ -56,8 +56,9 @@
         clock.look = () -> {
             looks[0]++;
             long until = streams.silentUntil(flow, "e", true, heardAt, heardAt, clock.now);
-            assertTrue("silent " + (clock.now - until) + " us ago, " + (clock.now - heardAt) / S
-                    + " s into the pause", until > clock.now || clock.now == heardAt);
+            assertTrue(
+                    "silent " + (clock.now - until) + " us ago, " + (clock.now - heardAt) / S + " s into the pause",
+                    until > clock.now || clock.now == heardAt);
         };
         clock.whileWaiting = () -> {
             if (clock.now >= heardAt + PAUSE) {
