--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Build, test, lint and run; the commands of CI and of the deploy file.
-.PHONY: build test lint run adapter lab
+.PHONY: build test lint format run adapter lab
 
 build:
 	sh -c "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/balancer.toml)"
@@ -12,7 +12,11 @@
 	mvn -q -DskipTests package -f lab/all.xml
 
 lint:
-	mvn -B checkstyle:check@default
+	mvn -B -f lab/all.xml spotless:check checkstyle:check@default
+
+# Rewrites all sources in the project's format.
+format:
+	mvn -B -f lab/all.xml spotless:apply
 
 run: build
 	sh -c "$$(sed -n 's/^run = "\(.*\)"$$/\1/p' deploy/balancer.toml)"
