--- a/lab/src/main/java/magpiehub/lab/Clients.java
+++ b/lab/src/main/java/magpiehub/lab/Clients.java
@@ -15,8 +15,8 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import magpiehub.core.Mailbox;
-import magpiehub.net.Http;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Http;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/lab/src/main/java/magpiehub/lab/Discovery.java
+++ b/lab/src/main/java/magpiehub/lab/Discovery.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.core.Mailbox;
-import magpiehub.net.Http;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Http;
 
 /**
  * The discovery stand-in: the list of engines with its watch, one listener a router since each site
--- a/lab/src/main/java/magpiehub/lab/EngineSite.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSite.java
@@ -16,8 +16,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import magpiehub.core.Mailbox;
-import magpiehub.net.Http;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Http;
 
 /**
  * The engines of one site as a process: each listens at an address of its own and answers as the platform's
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import magpiehub.core.Mailbox;
-import magpiehub.net.Http;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Http;
 
 /**
  * One play of a scenario: routers as real processes by the command of {@code run}, one process of engines a
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import magpiehub.core.Mailbox;
+import magpiehub.concurrent.Mailbox;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
--- a/lab/src/main/java/magpiehub/lab/Processes.java
+++ b/lab/src/main/java/magpiehub/lab/Processes.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import magpiehub.core.Mailbox;
+import magpiehub.concurrent.Mailbox;
 
 /**
  * The processes of a play: started, hit with signals, looked at, and ended with the rig, whatever ends it. It
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import magpiehub.core.Mailbox;
+import magpiehub.concurrent.Mailbox;
 
 /**
  * What lies between any two processes of the rig: a listener that hands each connection on to one address,
--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import magpiehub.core.Zones.Sign;
-import magpiehub.site.Sites;
-import magpiehub.site.Sites.State;
+import magpiehub.routing.Zones.Sign;
+import magpiehub.sites.Sites;
+import magpiehub.sites.Sites.State;
 
 /**
  * Many routers' machines in virtual time against drawn losses: sites of engines, some of them bad by
--- a/src/main/java/magpiehub/ops/Console.java
+++ b/src/main/java/magpiehub/admin/Console.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.admin;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -10,9 +10,9 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Clients;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.http.Sockets;
 
 /**
  * The operators' door: a listener of its own, one line to a connection, one line back. It owns its
@@ -81,7 +81,7 @@
         }
         if (oldest != null) {
             journal.count("console_callers_shed");
-            Clients.closeQuietly(oldest);
+            Sockets.closeQuietly(oldest);
         }
     }
 
@@ -89,7 +89,7 @@
         synchronized (callers) {
             callers.remove(s);
         }
-        Clients.closeQuietly(s);
+        Sockets.closeQuietly(s);
     }
 
     private void serve(Socket s) {
--- a/src/main/java/magpiehub/ops/Maintenance.java
+++ b/src/main/java/magpiehub/admin/Maintenance.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.admin;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
--- a/src/main/java/magpiehub/ops/Operators.java
+++ b/src/main/java/magpiehub/admin/Operators.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.admin;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -8,8 +8,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.dispatch.ModuleActor;
 
 /**
  * Carries out what operators say: asks {@link Maintenance} what a call means, keeps that in the file that
--- a/src/main/java/magpiehub/ops/StateFile.java
+++ b/src/main/java/magpiehub/admin/StateFile.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.admin;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 import magpiehub.config.Config;
-import magpiehub.core.ModuleActor;
+import magpiehub.dispatch.ModuleActor;
 
 /**
  * What operators have said, as a file that outlives a process and that both processes of an upgrade share. It
--- a/src/main/java/magpiehub/core/Mailbox.java
+++ b/src/main/java/magpiehub/concurrent/Mailbox.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.concurrent;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/magpiehub/config/Config.java
+++ b/src/main/java/magpiehub/config/Config.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import magpiehub.core.Contract.Costs;
-import magpiehub.core.Contract.Effect;
-import magpiehub.core.Contract.Group;
-import magpiehub.core.Contract.Guarantees;
-import magpiehub.core.Contract.Limits;
-import magpiehub.core.Contract.RequestClass;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.Settings;
-import magpiehub.core.Contract.State;
-import magpiehub.core.Contract.Tenant;
-import magpiehub.core.Contract.Weights;
+import magpiehub.routing.Contract.Costs;
+import magpiehub.routing.Contract.Effect;
+import magpiehub.routing.Contract.Group;
+import magpiehub.routing.Contract.Guarantees;
+import magpiehub.routing.Contract.Limits;
+import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.Settings;
+import magpiehub.routing.Contract.State;
+import magpiehub.routing.Contract.Tenant;
+import magpiehub.routing.Contract.Weights;
 
 /**
  * What both hosts of the module read: the settings, and lists of engines under the names that each wire gives
--- a/src/main/java/magpiehub/registry/Announcement.java
+++ b/src/main/java/magpiehub/discovery/Announcement.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 /**
  * Whether this router's own entry stands in the registry, and what is to be done for it next. It is a plain
--- a/src/main/java/magpiehub/registry/Announcer.java
+++ b/src/main/java/magpiehub/discovery/Announcer.java
@@ -1,13 +1,13 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import javax.net.ssl.SSLContext;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Http;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.http.Http;
 
 /**
  * The actor that keeps this router's own entry in the registry: in etcd a key under a lease
--- a/src/main/java/magpiehub/registry/Consul.java
+++ b/src/main/java/magpiehub/discovery/Consul.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.State;
-import magpiehub.net.Http;
+import magpiehub.http.Http;
+import magpiehub.routing.Contract.State;
 
 /**
  * Consul's HTTP interface (version 1), as its documentation of blocking queries, of {@code
--- a/src/main/java/magpiehub/registry/Discovery.java
+++ b/src/main/java/magpiehub/discovery/Discovery.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -15,14 +15,14 @@
 import java.util.Set;
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.State;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Clients;
-import magpiehub.net.Engines;
-import magpiehub.net.Http;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.http.Http;
+import magpiehub.http.Sockets;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.State;
+import magpiehub.upstream.Engines;
 
 /**
  * The platform's discovery: it asks when the module says so, and hands what comes to a {@link View}, which
@@ -244,7 +244,7 @@
 
         @Override
         public void close(Watches.Call c) {
-            Clients.closeQuietly(((Call) c).socket);
+            Sockets.closeQuietly(((Call) c).socket);
         }
 
         @Override
@@ -271,7 +271,7 @@
 
     private void closeFetch() {
         if (fetch != null) {
-            Clients.closeQuietly(fetch.socket);
+            Sockets.closeQuietly(fetch.socket);
         }
         fetch = null;
     }
--- a/src/main/java/magpiehub/registry/Driver.java
+++ b/src/main/java/magpiehub/discovery/Driver.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.io.IOException;
 import java.util.List;
--- a/src/main/java/magpiehub/registry/Endpoints.java
+++ b/src/main/java/magpiehub/discovery/Endpoints.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
--- a/src/main/java/magpiehub/registry/Entries.java
+++ b/src/main/java/magpiehub/discovery/Entries.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
 
 /**
  * What the fields of an entry mean: the discovery page's names, which entries in other registries have too.
--- a/src/main/java/magpiehub/registry/Etcd.java
+++ b/src/main/java/magpiehub/discovery/Etcd.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,7 +11,7 @@
 import java.util.Arrays;
 import java.util.List;
 import magpiehub.config.Config;
-import magpiehub.net.Http;
+import magpiehub.http.Http;
 
 /**
  * etcd's v3 interface through its JSON gateway, as etcd's documentation and its {@code rpc.proto} describe it
--- a/src/main/java/magpiehub/registry/LastList.java
+++ b/src/main/java/magpiehub/discovery/LastList.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/magpiehub/registry/Membership.java
+++ b/src/main/java/magpiehub/discovery/Membership.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,8 +10,8 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
 
 /**
  * What the fleet is taken to be, given what the registry says: it doubts whole lists that lose a large part
--- a/src/main/java/magpiehub/registry/Registry.java
+++ b/src/main/java/magpiehub/discovery/Registry.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.io.IOException;
 import java.util.HashSet;
@@ -8,11 +8,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 import javax.net.ssl.SSLContext;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Engines;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.upstream.Engines;
 
 /**
  * The actor that keeps the list of engines with a key-value registry. It owns the {@link View}, the
--- a/src/main/java/magpiehub/registry/Source.java
+++ b/src/main/java/magpiehub/discovery/Source.java
@@ -1,14 +1,14 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Engines;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
+import magpiehub.upstream.Engines;
 
 /** Where the list of engines comes from: one actor, whatever the dialect. */
 public interface Source extends ModuleActor.Roster {
--- a/src/main/java/magpiehub/registry/Told.java
+++ b/src/main/java/magpiehub/discovery/Told.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,9 +10,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
 
 /**
  * The last step of every list on its way to the module, whatever source it comes from: an engine that
--- a/src/main/java/magpiehub/registry/View.java
+++ b/src/main/java/magpiehub/discovery/View.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.State;
 
 /**
  * One list of engines out of what sources say: whole lists, changes, and words such as "compacted". It is a
--- a/src/main/java/magpiehub/registry/Watches.java
+++ b/src/main/java/magpiehub/discovery/Watches.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.util.ArrayDeque;
 import java.util.SplittableRandom;
--- a/src/main/java/magpiehub/registry/Wire.java
+++ b/src/main/java/magpiehub/discovery/Wire.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.io.ByteArrayInputStream;
 import java.io.FilterInputStream;
@@ -17,10 +17,10 @@
 import javax.net.ssl.SSLSocket;
 import javax.net.ssl.SSLSocketFactory;
 import javax.net.ssl.TrustManagerFactory;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
-import magpiehub.net.Clients;
-import magpiehub.net.Http;
+import magpiehub.http.Http;
+import magpiehub.http.Sockets;
 
 /**
  * One connection to one endpoint of a registry: calls in, answers out, one at a time. It owns the socket and
@@ -205,7 +205,7 @@
     @Override
     public void close() {
         closed = true;
-        Clients.closeQuietly(socket);
-        Clients.closeQuietly(plain);
+        Sockets.closeQuietly(socket);
+        Sockets.closeQuietly(plain);
     }
 }
--- a/src/main/java/magpiehub/core/ModuleActor.java
+++ b/src/main/java/magpiehub/dispatch/ModuleActor.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.dispatch;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,12 +7,16 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.PriorityQueue;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Load;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Request;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.Settings;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.routing.Contract;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Load;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Request;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.Settings;
+import magpiehub.routing.Rules;
+import magpiehub.routing.Zones;
 
 /**
  * The module's actor: the sole owner of the decision module, of the open requests, of their attempts and of
--- a/src/main/java/magpiehub/net/Clients.java
+++ b/src/main/java/magpiehub/downstream/Clients.java
@@ -1,4 +1,4 @@
-package magpiehub.net;
+package magpiehub.downstream;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -16,11 +16,14 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.core.ThreadCache;
-import magpiehub.stream.Ledger.Ending;
-import magpiehub.stream.Streams;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.ThreadCache;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.http.Http;
+import magpiehub.http.Sockets;
+import magpiehub.protocol.Front;
+import magpiehub.streaming.Ledger.Ending;
+import magpiehub.streaming.Streams;
 
 /**
  * The clients' side: one listener with its front, and the connections that it accepts. Each connection has a
@@ -202,7 +205,7 @@
                     journal.count("accept_failures");
                     journal.log("accept-failure", "error", e.toString());
                     if (s != null) {
-                        closeQuietly(s);
+                        Sockets.closeQuietly(s);
                     }
                 }
             } catch (InterruptedException e) {
@@ -494,7 +497,7 @@
             boolean first = full.compareAndSet(false, true);
             if (first) {
                 left = true;
-                closeQuietly(socket);
+                Sockets.closeQuietly(socket);
                 mailbox.post(new Left());
             }
             return first;
@@ -651,7 +654,7 @@
         /** The end of this connection; what is posted later is let go of. */
         private void end() {
             left = true;
-            closeQuietly(socket);
+            Sockets.closeQuietly(socket);
             mailbox.close();
             for (Object m = mailbox.poll(); m != null; m = mailbox.poll()) {
                 inHand.addAndGet(m instanceof Arrived a ? -a.room : 0);
@@ -903,12 +906,4 @@
             }
         }
     }
-
-    public static void closeQuietly(Socket s) {
-        try {
-            s.close();
-        } catch (IOException e) {
-            // Closed is closed.
-        }
-    }
 }
--- a/src/main/java/magpiehub/net/Door.java
+++ b/src/main/java/magpiehub/downstream/Door.java
@@ -1,4 +1,4 @@
-package magpiehub.net;
+package magpiehub.downstream;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/magpiehub/net/Http.java
+++ b/src/main/java/magpiehub/http/Http.java
@@ -1,4 +1,4 @@
-package magpiehub.net;
+package magpiehub.http;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -9,6 +9,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Predicate;
+import magpiehub.protocol.Front;
 
 /**
  * HTTP/1.1 as bytes: reading heads, bodies and the events of a stream from one buffer a connection, and
@@ -322,7 +323,7 @@
         }
 
         /** Room that a message's body may take: what its head says, or the most where it does not say. */
-        static int announced(Head h) throws Bad {
+        public static int announced(Head h) throws Bad {
             int length = framing(h);
             return length < 0 ? MOST_BODY : length;
         }
--- a/src/main/java/magpiehub/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -1,17 +1,17 @@
-package magpiehub;
+package magpiehub.lifecycle;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Supplier;
+import magpiehub.admin.Operators;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.RequestClass;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Clients;
-import magpiehub.ops.Log;
-import magpiehub.ops.Operators;
-import magpiehub.registry.Announcer;
+import magpiehub.discovery.Announcer;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.downstream.Clients;
+import magpiehub.routing.Contract.RequestClass;
 import magpiehub.store.Store;
+import magpiehub.telemetry.Log;
 
 /**
  * Ends the process in order once it is told to: new connections are accepted for a moment, then the ones that
@@ -19,7 +19,7 @@
  * final answer. Runs as the JVM's shutdown hook, on the thread that the JVM gives it, and returns once no
  * connection is open.
  */
-final class GracefulShutdown implements Runnable {
+public final class GracefulShutdown implements Runnable {
     /** How long the registry may take to forget this router (ms). */
     private static final long DEREGISTER_MS = 400;
     /** How often the phases are looked at (ms). */
@@ -34,7 +34,7 @@
      * @param keep idle connections are kept until then; later each answer is its connection's last
      * @param finish requests are waited for until then; what is still held is answered or moved at once
      */
-    record Phases(long accept, long keep, long finish) {
+    public record Phases(long accept, long keep, long finish) {
         /** New connections come for 0.4 s, and a router held to its share of a core sees them later. */
         private static final long ACCEPT_MS = 600;
         /** The process is killed no sooner than after the longest deadline, taken as so long where it is
@@ -48,7 +48,7 @@
 
         /** The phases for the deadlines (us) of these classes. Idle connections are kept for half of the
          *  time: another router may be down as well, and what comes on them last has the other half. */
-        static Phases of(List<RequestClass> classes) {
+        public static Phases of(List<RequestClass> classes) {
             long longest =
                     classes.stream().mapToLong(c -> c.deadline() / 1000).max().orElse(LONGEST_DEADLINE_MS);
             long finish = Math.min(LONGEST_DEADLINE_MS, longest) + KILLED_AFTER_MS - LAST_ANSWERS_MS;
@@ -67,7 +67,7 @@
 
     /** A shutdown that has not begun; {@code store}, what {@code announcer} gives, and {@code operators} may
      *  be null where an installation has none. */
-    GracefulShutdown(
+    public GracefulShutdown(
             List<Clients> fronts,
             ModuleActor module,
             Supplier<Config.Site> site,
--- a/src/main/java/magpiehub/Rehearsal.java
+++ b/src/main/java/magpiehub/lifecycle/Rehearsal.java
@@ -1,4 +1,4 @@
-package magpiehub;
+package magpiehub.lifecycle;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -11,7 +11,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import magpiehub.core.Mailbox;
+import magpiehub.concurrent.Mailbox;
 
 /**
  * One short service on loopback with made-up peers, so that the JVM can record the classes of a router in an
@@ -19,7 +19,7 @@
  * CPU. It owns the peers' two answers. It must never be part of a router that serves: the command
  * {@code rehearse} runs it and ends.
  */
-final class Rehearsal {
+public final class Rehearsal {
     private static final int LONGEST_MS = 10_000;
     private static final String LIST =
             """
@@ -43,7 +43,7 @@
     private Rehearsal() {}
 
     /** What a router is to serve with; its peers answer until the process ends. */
-    static Map<String, String> begin() throws IOException {
+    public static Map<String, String> begin() throws IOException {
         InetAddress loopback = InetAddress.getLoopbackAddress();
         ServerSocket peers = new ServerSocket(0, 16, loopback);
         int port;
--- a/src/main/java/magpiehub/SettingsReload.java
+++ b/src/main/java/magpiehub/lifecycle/SettingsReload.java
@@ -1,15 +1,15 @@
-package magpiehub;
+package magpiehub.lifecycle;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
-import magpiehub.ops.Log;
-import magpiehub.registry.Discovery;
-import magpiehub.registry.Options;
-import magpiehub.registry.Registry;
-import magpiehub.registry.Source;
+import magpiehub.discovery.Discovery;
+import magpiehub.discovery.Options;
+import magpiehub.discovery.Registry;
+import magpiehub.discovery.Source;
+import magpiehub.telemetry.Log;
 
 /**
  * Reads the configuration again on each SIGHUP. A file is taken whole or not at all: one that can't be used
@@ -17,9 +17,9 @@
  * differs is named in the log, since it takes a restart. Runs on a thread of its own until that is
  * interrupted.
  */
-final class SettingsReload implements Runnable {
+public final class SettingsReload implements Runnable {
     /** Hands new settings to the parts of the router, in an order that suits them. */
-    interface Target {
+    public interface Target {
         void apply(Config.Site later) throws IOException;
     }
 
@@ -40,7 +40,7 @@
      * @param hangups gets one message for each SIGHUP
      * @param registryFile where an installation may name a registry of its own
      */
-    SettingsReload(
+    public SettingsReload(
             Config.Router started,
             Mailbox<Object> hangups,
             Source discovery,
--- a/src/main/java/magpiehub/net/Front.java
+++ b/src/main/java/magpiehub/protocol/Front.java
@@ -1,10 +1,11 @@
-package magpiehub.net;
+package magpiehub.protocol;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
-import magpiehub.core.Contract.Request;
-import magpiehub.stream.Ledger;
-import magpiehub.stream.Streams;
+import magpiehub.http.Http;
+import magpiehub.routing.Contract.Request;
+import magpiehub.streaming.Ledger;
+import magpiehub.streaming.Streams;
 
 /**
  * What a client dialect is to the connections: it reads a request into the module's terms, and gives each
@@ -42,11 +43,11 @@
             this.body = body;
         }
 
-        final Sink sink() {
+        public final Sink sink() {
             return sink;
         }
 
-        final void sink(Sink to) {
+        public final void sink(Sink to) {
             sink = to;
         }
 
--- a/src/main/java/magpiehub/front/MessagesFront.java
+++ b/src/main/java/magpiehub/protocol/MessagesFront.java
@@ -1,4 +1,4 @@
-package magpiehub.front;
+package magpiehub.protocol;
 
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 import java.io.IOException;
@@ -12,9 +12,8 @@
 import java.util.function.Supplier;
 import magpiehub.config.Config;
 import magpiehub.config.Config.Facts;
-import magpiehub.core.Contract.Request;
-import magpiehub.net.Front;
-import magpiehub.net.Http;
+import magpiehub.http.Http;
+import magpiehub.routing.Contract.Request;
 import magpiehub.store.Store;
 
 /**
--- a/src/main/java/magpiehub/front/PlatformFront.java
+++ b/src/main/java/magpiehub/protocol/PlatformFront.java
@@ -1,4 +1,4 @@
-package magpiehub.front;
+package magpiehub.protocol;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -11,9 +11,8 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.Request;
-import magpiehub.net.Front;
-import magpiehub.net.Http;
+import magpiehub.http.Http;
+import magpiehub.routing.Contract.Request;
 
 /**
  * The platform's own protocol: its headers in the module's terms, and the engine's events passed on as they
--- a/src/main/java/magpiehub/core/Asking.java
+++ b/src/main/java/magpiehub/routing/Asking.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 /**
  * When the module asks for the list of engines again. It owns the backoff after calls that came to nothing.
--- a/src/main/java/magpiehub/core/Rules.java
+++ b/src/main/java/magpiehub/routing/Rules.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.core.Contract.*;
-import magpiehub.core.State.*;
-import magpiehub.core.Zones.Sign;
+import magpiehub.routing.Contract.*;
+import magpiehub.routing.State.*;
+import magpiehub.routing.Zones.Sign;
 
 /**
  * The decision module, one per node. What it deals in, its types, events and actions, is in Contract.java.
@@ -734,7 +734,7 @@
     }
 
     /** Whether a request may be answered as refused now, whatever became of its attempts. */
-    boolean mayRefuse(String id) {
+    public boolean mayRefuse(String id) {
         return !held.containsKey(id) || mayRefuse(held.get(id));
     }
 
--- a/src/main/java/magpiehub/core/State.java
+++ b/src/main/java/magpiehub/routing/State.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,9 +6,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.core.Contract.Limits;
-import magpiehub.core.Contract.Request;
-import magpiehub.core.Contract.Server;
+import magpiehub.routing.Contract.Limits;
+import magpiehub.routing.Contract.Request;
+import magpiehub.routing.Contract.Server;
 
 /** What the decision module remembers: plain fields that only {@link Rules} reads and writes,
  * and the handling of a deque. */
--- a/src/main/java/magpiehub/core/Zones.java
+++ b/src/main/java/magpiehub/routing/Zones.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import java.util.Arrays;
 import java.util.HashSet;
--- a/src/main/java/magpiehub/sim/Drill.java
+++ b/src/main/java/magpiehub/simulator/Drill.java
@@ -1,4 +1,4 @@
-package magpiehub.sim;
+package magpiehub.simulator;
 
 import com.fasterxml.jackson.core.JsonParseException;
 import com.fasterxml.jackson.core.JsonParser;
@@ -14,14 +14,14 @@
 import java.util.Map;
 import magpiehub.config.Config;
 import magpiehub.config.Config.Malformed;
-import magpiehub.core.Contract;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Load;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Request;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
-import magpiehub.core.Rules;
+import magpiehub.routing.Contract;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Load;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Request;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
+import magpiehub.routing.Rules;
 
 /**
  * The wire adapter: reads batches of events, hands each to the node it names, writes the reply. It translates
--- a/src/main/java/magpiehub/sim/WarmUp.java
+++ b/src/main/java/magpiehub/simulator/WarmUp.java
@@ -1,4 +1,4 @@
-package magpiehub.sim;
+package magpiehub.simulator;
 
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
--- a/src/main/java/magpiehub/site/Plan.java
+++ b/src/main/java/magpiehub/sites/Plan.java
@@ -1,4 +1,4 @@
-package magpiehub.site;
+package magpiehub.sites;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import magpiehub.config.Config;
-import magpiehub.core.ModuleActor;
-import magpiehub.core.Zones;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.routing.Zones;
 
 /**
  * The plan for the loss of a site, where {@code deploy/site.json} asks for it: the zones that the decision
--- a/src/main/java/magpiehub/site/Sites.java
+++ b/src/main/java/magpiehub/sites/Sites.java
@@ -1,4 +1,4 @@
-package magpiehub.site;
+package magpiehub.sites;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import magpiehub.core.Zones.Sign;
+import magpiehub.routing.Zones.Sign;
 
 /**
  * What one router holds of each site, a failure domain of the list with its engines and the paths to it:
--- a/src/main/java/magpiehub/store/ReplicatedStore.java
+++ b/src/main/java/magpiehub/store/ReplicatedStore.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentSkipListMap;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
+import magpiehub.dispatch.ModuleActor;
 
 /**
  * A replica of the store in memory: a map whose every entry has a stamp, a count and the name of the replica
--- a/src/main/java/magpiehub/stream/Allowances.java
+++ b/src/main/java/magpiehub/streaming/Allowances.java
@@ -1,4 +1,4 @@
-package magpiehub.stream;
+package magpiehub.streaming;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.RequestClass;
+import magpiehub.routing.Contract.RequestClass;
 
 /**
  * What {@code deploy/streams.json} says, or what holds without it. It owns the names, units, defaults and
--- a/src/main/java/magpiehub/stream/Budget.java
+++ b/src/main/java/magpiehub/streaming/Budget.java
@@ -1,4 +1,4 @@
-package magpiehub.stream;
+package magpiehub.streaming;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/magpiehub/stream/Ledger.java
+++ b/src/main/java/magpiehub/streaming/Ledger.java
@@ -1,4 +1,4 @@
-package magpiehub.stream;
+package magpiehub.streaming;
 
 import java.util.EnumMap;
 import java.util.Locale;
--- a/src/main/java/magpiehub/stream/Pace.java
+++ b/src/main/java/magpiehub/streaming/Pace.java
@@ -1,4 +1,4 @@
-package magpiehub.stream;
+package magpiehub.streaming;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/magpiehub/stream/Streams.java
+++ b/src/main/java/magpiehub/streaming/Streams.java
@@ -1,13 +1,13 @@
-package magpiehub.stream;
+package magpiehub.streaming;
 
 import java.util.List;
 import java.util.Set;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.RequestClass;
-import magpiehub.core.Contract.Tenant;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.stream.Ledger.Ending;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.Contract.Tenant;
+import magpiehub.streaming.Ledger.Ending;
 
 /**
  * The streams under way, as the actors on both their sides see them: one lock round the {@link Budget}, the
--- a/src/main/java/magpiehub/ops/Log.java
+++ b/src/main/java/magpiehub/telemetry/Log.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.telemetry;
 
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -11,8 +11,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.dispatch.ModuleActor;
 
 /**
  * The log and the counters. Log lines are RFC 5424 messages with structured data; a thread of its own writes
--- a/src/main/java/magpiehub/net/EngineEvent.java
+++ b/src/main/java/magpiehub/upstream/EngineEvent.java
@@ -1,8 +1,9 @@
-package magpiehub.net;
+package magpiehub.upstream;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.Config;
+import magpiehub.protocol.Front;
 
 /**
  * What one event of an engine's stream tells the router: an error, the tokens found in the engine's cache, or
--- a/src/main/java/magpiehub/net/Engines.java
+++ b/src/main/java/magpiehub/upstream/Engines.java
@@ -1,4 +1,4 @@
-package magpiehub.net;
+package magpiehub.upstream;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -11,17 +11,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.ThreadCache;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Load;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.core.ModuleActor.Attempt;
-import magpiehub.core.ThreadCache;
-import magpiehub.stream.Ledger;
-import magpiehub.stream.Streams;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.dispatch.ModuleActor.Attempt;
+import magpiehub.http.Http;
+import magpiehub.http.Sockets;
+import magpiehub.protocol.Front;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Load;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Server;
+import magpiehub.streaming.Ledger;
+import magpiehub.streaming.Streams;
 
 /**
  * The engines' side: where each engine listens, a pool of connections for each, and the relay of one answer
@@ -302,7 +305,7 @@
             synchronized (this) {
                 aborted = true;
                 if (socket != null) {
-                    Clients.closeQuietly(socket);
+                    Sockets.closeQuietly(socket);
                 }
             }
             if (connection != null) {
@@ -750,7 +753,7 @@
 
         private void drop() {
             if (socket != null) {
-                Clients.closeQuietly(socket);
+                Sockets.closeQuietly(socket);
                 socket = null;
             }
         }
--- a/src/main/java/magpiehub/net/Reports.java
+++ b/src/main/java/magpiehub/upstream/Reports.java
@@ -1,9 +1,9 @@
-package magpiehub.net;
+package magpiehub.upstream;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.Load;
+import magpiehub.routing.Contract.Load;
 
 /**
  * Engines' load reports as the wire has them: a header of an answer, a comment at a stream's end, the body
--- a/src/test/java/magpiehub/GracefulShutdownTest.java
+++ b/src/test/java/magpiehub/GracefulShutdownTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import magpiehub.GracefulShutdown.Phases;
-import magpiehub.core.Contract.Effect;
-import magpiehub.core.Contract.Group;
-import magpiehub.core.Contract.RequestClass;
+import magpiehub.lifecycle.GracefulShutdown.Phases;
+import magpiehub.routing.Contract.Effect;
+import magpiehub.routing.Contract.Group;
+import magpiehub.routing.Contract.RequestClass;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -22,19 +22,19 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Pattern;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.front.MessagesFront;
-import magpiehub.front.PlatformFront;
-import magpiehub.net.Clients;
-import magpiehub.net.Door;
-import magpiehub.net.Engines;
-import magpiehub.net.Front;
-import magpiehub.ops.Log;
-import magpiehub.registry.Discovery;
-import magpiehub.stream.Allowances;
-import magpiehub.stream.Streams;
+import magpiehub.discovery.Discovery;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.downstream.Clients;
+import magpiehub.downstream.Door;
+import magpiehub.protocol.Front;
+import magpiehub.protocol.MessagesFront;
+import magpiehub.protocol.PlatformFront;
+import magpiehub.streaming.Allowances;
+import magpiehub.streaming.Streams;
+import magpiehub.telemetry.Log;
+import magpiehub.upstream.Engines;
 
 /**
  * Plays a recorded exchange against the program on loopback sockets: the clients, engines and discovery of a
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import magpiehub.core.Mailbox;
-import magpiehub.net.Http;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Http;
 
 /**
  * The proof that no thread of a router waits by looking again and again. The program runs as a process, by
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -5,7 +5,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.util.List;
-import magpiehub.core.Mailbox;
+import magpiehub.concurrent.Mailbox;
 import org.junit.Assume;
 import org.junit.Test;
 
--- a/src/test/java/magpiehub/ops/ConsoleTest.java
+++ b/src/test/java/magpiehub/admin/ConsoleTest.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.admin;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.core.ModuleActor;
+import magpiehub.dispatch.ModuleActor;
 import org.junit.Before;
 import org.junit.Test;
 
--- a/src/test/java/magpiehub/ops/MaintenanceTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceTest.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.admin;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotNull;
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.core.ModuleActor;
-import magpiehub.ops.Maintenance.Held;
-import magpiehub.ops.Maintenance.Verdict;
+import magpiehub.admin.Maintenance.Held;
+import magpiehub.admin.Maintenance.Verdict;
+import magpiehub.dispatch.ModuleActor;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
--- a/src/test/java/magpiehub/core/ThreadCacheTest.java
+++ b/src/test/java/magpiehub/concurrent/ThreadCacheTest.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.concurrent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/magpiehub/registry/DiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -9,13 +9,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicInteger;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Engines;
-import magpiehub.ops.Log;
-import magpiehub.stream.Allowances;
-import magpiehub.stream.Streams;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.streaming.Allowances;
+import magpiehub.streaming.Streams;
+import magpiehub.telemetry.Log;
+import magpiehub.upstream.Engines;
 import org.junit.Test;
 
 /** The platform's discovery where the process itself is short of something. */
--- a/src/test/java/magpiehub/registry/MembershipTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
 import org.junit.Test;
 
 /** Membership's doubts, driven directly. */
--- a/src/test/java/magpiehub/registry/PartsTest.java
+++ b/src/test/java/magpiehub/discovery/PartsTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNull;
@@ -9,8 +9,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.TreeSet;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
--- a/src/test/java/magpiehub/registry/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -14,12 +14,12 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.net.Engines;
-import magpiehub.stream.Allowances;
-import magpiehub.stream.Streams;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.streaming.Allowances;
+import magpiehub.streaming.Streams;
+import magpiehub.upstream.Engines;
 
 /**
  * The proof of the registry client: views and whole clients follow a stand-in that changes, compacts, breaks
--- a/src/test/java/magpiehub/registry/RegistryTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -8,8 +8,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.core.Contract.State;
-import magpiehub.registry.StandIn.Fault;
+import magpiehub.discovery.StandIn.Fault;
+import magpiehub.routing.Contract.State;
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
--- a/src/test/java/magpiehub/registry/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertTrue;
 
@@ -11,11 +11,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.State;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.State;
 
 /** A client of the registry and what it was told, for tests and the proof. */
 final class Rig {
--- a/src/test/java/magpiehub/registry/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static magpiehub.ServeTest.hangUp;
 import static magpiehub.ServeTest.until;
--- a/src/test/java/magpiehub/registry/ToldTest.java
+++ b/src/test/java/magpiehub/discovery/ToldTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
 import org.junit.Test;
 
 /** Calls that cross list changes: the operators' word on an engine holds, whatever its source says. */
--- a/src/test/java/magpiehub/registry/ViewTest.java
+++ b/src/test/java/magpiehub/discovery/ViewTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
-import magpiehub.registry.View.Item;
-import magpiehub.registry.View.Position;
-import magpiehub.registry.View.Verdict;
+import magpiehub.discovery.View.Item;
+import magpiehub.discovery.View.Position;
+import magpiehub.discovery.View.Verdict;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
 import org.junit.Test;
 
 /** The view, driven directly. */
--- a/src/test/java/magpiehub/registry/WatchesTest.java
+++ b/src/test/java/magpiehub/discovery/WatchesTest.java
@@ -1,4 +1,4 @@
-package magpiehub.registry;
+package magpiehub.discovery;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import magpiehub.config.Config;
-import magpiehub.core.Contract;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.Settings;
-import magpiehub.core.Contract.State;
-import magpiehub.core.QuietActions;
-import magpiehub.core.Rules;
+import magpiehub.routing.Contract;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.Settings;
+import magpiehub.routing.Contract.State;
+import magpiehub.routing.QuietActions;
+import magpiehub.routing.Rules;
 import org.junit.Test;
 
 /** The calls for the list, with the module that asks for them, against a discovery in virtual time: whatever
--- a/src/test/java/magpiehub/core/ModuleActorTest.java
+++ b/src/test/java/magpiehub/dispatch/ModuleActorTest.java
@@ -1,13 +1,15 @@
-package magpiehub.core;
+package magpiehub.dispatch;
 
 import static org.junit.Assert.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Request;
-import magpiehub.core.Contract.Server;
+import magpiehub.routing.Bench;
+import magpiehub.routing.Contract;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Request;
+import magpiehub.routing.Contract.Server;
 import org.junit.Test;
 
 /** The module's actor over ports that note the order of what it does, on a clock of the test's own. */
--- a/src/test/java/magpiehub/core/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import static org.junit.Assert.assertTrue;
 
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Request;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Request;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
 import org.junit.Test;
 
 /** A fleet of modules in virtual time, and servers that start cold: what all of them send together. */
--- a/src/test/java/magpiehub/core/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -11,23 +11,24 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import magpiehub.core.Contract.Costs;
-import magpiehub.core.Contract.Effect;
-import magpiehub.core.Contract.Group;
-import magpiehub.core.Contract.Guarantees;
-import magpiehub.core.Contract.Limits;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Load;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Request;
-import magpiehub.core.Contract.RequestClass;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.Settings;
-import magpiehub.core.Contract.State;
-import magpiehub.core.Contract.Tenant;
-import magpiehub.core.Contract.Weights;
-import magpiehub.site.Plan;
-import magpiehub.site.Sites;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.routing.Contract.Costs;
+import magpiehub.routing.Contract.Effect;
+import magpiehub.routing.Contract.Group;
+import magpiehub.routing.Contract.Guarantees;
+import magpiehub.routing.Contract.Limits;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Load;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Request;
+import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.Settings;
+import magpiehub.routing.Contract.State;
+import magpiehub.routing.Contract.Tenant;
+import magpiehub.routing.Contract.Weights;
+import magpiehub.sites.Plan;
+import magpiehub.sites.Sites;
 
 /**
  * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the decision module
--- a/src/test/java/magpiehub/core/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -1,11 +1,11 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Request;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Request;
 import org.junit.jupiter.api.Test;
 
 /** The README's embedding example, compiled and run: one request from its coming to its answer. */
--- a/src/test/java/magpiehub/core/OverloadControlTest.java
+++ b/src/test/java/magpiehub/routing/OverloadControlTest.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiehub.core.Contract.Effect;
-import magpiehub.core.Contract.Group;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.RequestClass;
+import magpiehub.routing.Contract.Effect;
+import magpiehub.routing.Contract.Group;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.RequestClass;
 import org.junit.jupiter.api.Test;
 
 /** Refusals over drawn deployments: no router turns away everything, and no conversation is singled out. */
--- a/src/test/java/magpiehub/core/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import magpiehub.core.Contract.Effect;
-import magpiehub.core.Contract.Group;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Request;
-import magpiehub.core.Contract.RequestClass;
-import magpiehub.core.Contract.Server;
+import magpiehub.routing.Contract.Effect;
+import magpiehub.routing.Contract.Group;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Request;
+import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.Contract.Server;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/magpiehub/core/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 /** A node's host that does nothing: tests say what they look at. */
 public class QuietActions implements Contract.Actions {
--- a/src/test/java/magpiehub/core/RulesTest.java
+++ b/src/test/java/magpiehub/routing/RulesTest.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.core.Contract.Effect;
-import magpiehub.core.Contract.Group;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.Effect;
+import magpiehub.routing.Contract.Group;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.State;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path step by step, and each exception to it. */
--- a/src/test/java/magpiehub/core/ZonesTest.java
+++ b/src/test/java/magpiehub/routing/ZonesTest.java
@@ -1,4 +1,4 @@
-package magpiehub.core;
+package magpiehub.routing;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotEquals;
@@ -9,11 +9,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Outcome;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.Settings;
-import magpiehub.core.Contract.State;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Outcome;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.Settings;
+import magpiehub.routing.Contract.State;
 import org.junit.Test;
 
 /** What the decisions make of zones that are planned for: what is told, and what a share of 0 means. */
--- a/src/test/java/magpiehub/sim/DrillTest.java
+++ b/src/test/java/magpiehub/simulator/DrillTest.java
@@ -1,4 +1,4 @@
-package magpiehub.sim;
+package magpiehub.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/magpiehub/site/PlanTest.java
+++ b/src/test/java/magpiehub/sites/PlanTest.java
@@ -1,4 +1,4 @@
-package magpiehub.site;
+package magpiehub.sites;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Set;
 import magpiehub.config.Config;
-import magpiehub.core.ModuleActor;
-import magpiehub.core.Zones.Sign;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.routing.Zones.Sign;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
--- a/src/test/java/magpiehub/site/SitesTest.java
+++ b/src/test/java/magpiehub/sites/SitesTest.java
@@ -1,12 +1,12 @@
-package magpiehub.site;
+package magpiehub.sites;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import magpiehub.core.Zones.Sign;
-import magpiehub.site.Sites.Cause;
-import magpiehub.site.Sites.State;
+import magpiehub.routing.Zones.Sign;
+import magpiehub.sites.Sites.Cause;
+import magpiehub.sites.Sites.State;
 import org.junit.Test;
 
 /** The machine driven directly: three sites, the router's own is 0. */
--- a/src/test/java/magpiehub/store/StoreTest.java
+++ b/src/test/java/magpiehub/store/StoreTest.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import magpiehub.core.Mailbox;
-import magpiehub.ops.Log;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.telemetry.Log;
 import org.junit.After;
 import org.junit.Test;
 
--- a/src/test/java/magpiehub/stream/ModulesTest.java
+++ b/src/test/java/magpiehub/streaming/ModulesTest.java
@@ -1,4 +1,4 @@
-package magpiehub.stream;
+package magpiehub.streaming;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -11,10 +11,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.Effect;
-import magpiehub.core.Contract.Group;
-import magpiehub.core.Contract.RequestClass;
-import magpiehub.stream.Ledger.Ending;
+import magpiehub.routing.Contract.Effect;
+import magpiehub.routing.Contract.Group;
+import magpiehub.routing.Contract.RequestClass;
+import magpiehub.streaming.Ledger.Ending;
 import org.junit.Test;
 
 /** The streams' modules, driven directly. */
--- a/src/test/java/magpiehub/stream/StreamsTest.java
+++ b/src/test/java/magpiehub/streaming/StreamsTest.java
@@ -1,12 +1,12 @@
-package magpiehub.stream;
+package magpiehub.streaming;
 
 import static org.junit.Assert.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Mailbox;
-import magpiehub.ops.Log;
+import magpiehub.telemetry.Log;
 import org.junit.Test;
 
 /** The account of streams under its lock, with the moments between two of its steps forced by the clock. */
--- a/src/test/java/magpiehub/ops/LogTest.java
+++ b/src/test/java/magpiehub/telemetry/LogTest.java
@@ -1,4 +1,4 @@
-package magpiehub.ops;
+package magpiehub.telemetry;
 
 import static org.junit.Assert.assertEquals;
 
--- a/src/test/java/magpiehub/net/EnginesTest.java
+++ b/src/test/java/magpiehub/upstream/EnginesTest.java
@@ -1,4 +1,4 @@
-package magpiehub.net;
+package magpiehub.upstream;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -15,17 +15,19 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
-import magpiehub.core.Contract.ListKind;
-import magpiehub.core.Contract.Server;
-import magpiehub.core.Contract.State;
-import magpiehub.core.Mailbox;
-import magpiehub.core.ModuleActor;
-import magpiehub.front.PlatformFront;
-import magpiehub.ops.Log;
-import magpiehub.stream.Allowances;
-import magpiehub.stream.Ledger;
-import magpiehub.stream.Streams;
+import magpiehub.dispatch.ModuleActor;
+import magpiehub.http.Http;
+import magpiehub.protocol.Front;
+import magpiehub.protocol.PlatformFront;
+import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.Contract.Server;
+import magpiehub.routing.Contract.State;
+import magpiehub.streaming.Allowances;
+import magpiehub.streaming.Ledger;
+import magpiehub.streaming.Streams;
+import magpiehub.telemetry.Log;
 import org.junit.After;
 import org.junit.Test;
 
