--- a/src/main/java/magpiehub/config/Config.java
+++ b/src/main/java/magpiehub/config/Config.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import magpiehub.routing.Contract.Costs;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.Guarantees;
-import magpiehub.routing.Contract.Limits;
-import magpiehub.routing.Contract.RequestClass;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.Settings;
-import magpiehub.routing.Contract.State;
-import magpiehub.routing.Contract.Tenant;
-import magpiehub.routing.Contract.Weights;
+import magpiehub.routing.DeduplicationScope;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointState;
+import magpiehub.routing.Guarantees;
+import magpiehub.routing.Idempotency;
+import magpiehub.routing.RequestClass;
+import magpiehub.routing.RoutingCosts;
+import magpiehub.routing.RoutingLimits;
+import magpiehub.routing.RoutingSettings;
+import magpiehub.routing.Tenant;
+import magpiehub.routing.WeightMeaning;
 
 /**
  * What both hosts of the module read: the settings, and lists of engines under the names that each wire gives
@@ -51,7 +51,7 @@
      *  known by their places in the settings; places whose names are not in the two maps have vanished, and
      *  are kept for what is under way. */
     public record Site(
-            Settings settings,
+            RoutingSettings settings,
             List<String> zones,
             List<String> kinds,
             long idleClose,
@@ -73,11 +73,11 @@
         public Site followedBy(Site later) {
             List<RequestClass> cs = new ArrayList<>(settings.classes());
             List<Tenant> ts = new ArrayList<>(settings.tenants());
-            Settings s = later.settings;
+            RoutingSettings s = later.settings;
             Map<String, Integer> classNames = places(s.classes(), RequestClass::name, cs);
             Map<String, Integer> tenantNames = places(s.tenants(), Tenant::name, ts);
             return new Site(
-                    new Settings(
+                    new RoutingSettings(
                             s.me(),
                             s.instances(),
                             s.myZone(),
@@ -319,15 +319,15 @@
             classes.add(new RequestClass(
                     c.text("name", ""),
                     switch (c.text("effect", "pure")) {
-                        case "pure" -> Effect.PURE;
-                        case "token" -> Effect.TOKEN;
-                        case "side_effect" -> Effect.SIDE_EFFECT;
+                        case "pure" -> Idempotency.PURE;
+                        case "token" -> Idempotency.TOKEN;
+                        case "side_effect" -> Idempotency.SIDE_EFFECT;
                         default -> throw new Malformed("classes.effect is no effect: " + c.text("effect", ""));
                     },
                     switch (c.text("group", "all")) {
-                        case "all" -> Group.ALL;
-                        case "zone" -> Group.ZONE;
-                        case "cell" -> Group.CELL;
+                        case "all" -> DeduplicationScope.ALL;
+                        case "zone" -> DeduplicationScope.ZONE;
+                        case "cell" -> DeduplicationScope.CELL;
                         default -> throw new Malformed("classes.group is no group: " + c.text("group", ""));
                     },
                     c.micros("windowMs", 0),
@@ -347,7 +347,7 @@
         Facts l = f.object("limits");
         Facts g = f.object("guarantees");
         Facts c = f.object("costs");
-        Settings s = new Settings(
+        RoutingSettings s = new RoutingSettings(
                 (int) f.number("me", 0),
                 Math.max(1, (int) f.number("instances", 1)),
                 (int) f.number("myZone", 0),
@@ -355,15 +355,15 @@
                 f.text("membershipMode", "automatic").equals("subscribe"),
                 f.object("familyInfo").flag("resume", false),
                 switch (f.text("weights", "none")) {
-                    case "nominal" -> Weights.NOMINAL;
-                    case "rough" -> Weights.ROUGH;
-                    case "live" -> Weights.LIVE;
-                    default -> Weights.NONE;
+                    case "nominal" -> WeightMeaning.NOMINAL;
+                    case "rough" -> WeightMeaning.ROUGH;
+                    case "live" -> WeightMeaning.LIVE;
+                    default -> WeightMeaning.NONE;
                 },
                 f.number("overShareWorth", 1),
                 classes,
                 tenants,
-                new Limits(
+                new RoutingLimits(
                         l.flag("cancel", false),
                         l.flag("probes", false),
                         l.flag("peers", false),
@@ -381,7 +381,7 @@
                         g.number("overloadFactor", 2),
                         g.number("startCapacity", 1),
                         g.micros("stopSendingWithinMs", 0)),
-                new Costs(
+                new RoutingCosts(
                         c.number("crossZone", 0),
                         c.number("waste", 0),
                         c.number("probe", 0),
@@ -415,14 +415,14 @@
         /** A zone or kind, given as a number or a name. */
         int number(String field, JsonParser p) throws IOException;
 
-        State state(String word);
+        EndpointState state(String word);
 
         /** Clock time of a start, from the wire's number. */
         long since(double value);
     }
 
     /** An entry of a list; {@code address} is null on wires where the id is the address. */
-    public record Entry(Server server, String address) {}
+    public record Entry(Endpoint server, String address) {}
 
     /** The entries of the array that the parser stands at. */
     public static List<Entry> entries(JsonParser p, Names names) throws IOException {
@@ -443,7 +443,7 @@
     private static Entry entry(JsonParser p, Names names) throws IOException {
         String id = null;
         String address = null;
-        State state = State.LIVE;
+        EndpointState state = EndpointState.LIVE;
         int zone = 0;
         int kind = 0;
         int cell = 0;
@@ -468,7 +468,7 @@
         if (id == null) {
             throw new Malformed("an entry has no id");
         }
-        return new Entry(new Server(id, zone, kind, cell, state, weight, names.since(online)), address);
+        return new Entry(new Endpoint(id, zone, kind, cell, state, weight, names.since(online)), address);
     }
 
     public static String text(JsonParser p, String name) throws IOException {
--- a/src/main/java/magpiehub/discovery/Consul.java
+++ b/src/main/java/magpiehub/discovery/Consul.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import magpiehub.config.Config;
 import magpiehub.http.Http;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.EndpointState;
 
 /**
  * Consul's HTTP interface (version 1), as its documentation of blocking queries, of {@code
@@ -232,7 +232,7 @@
                 (host.isEmpty() ? node.getOrDefault("Address", "") : host) + ":" + service.getOrDefault("Port", ""));
         try {
             Config.Entry e = f.entry(id);
-            if (critical[0] && e.server().state() == State.LIVE) {
+            if (critical[0] && e.server().state() == EndpointState.LIVE) {
                 f.set("phase", "Terminating");
                 e = f.entry(id);
             }
--- a/src/main/java/magpiehub/discovery/Discovery.java
+++ b/src/main/java/magpiehub/discovery/Discovery.java
@@ -20,8 +20,8 @@
 import magpiehub.dispatch.ModuleActor;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
 import magpiehub.upstream.Engines;
 
 /**
@@ -308,11 +308,11 @@
         } else if (from.first && from.watch) {
             // A heartbeat alone says that nothing has changed since the revision asked from.
             from.first = false;
-            tell(ListKind.CHANGES, List.of());
+            tell(EndpointListKind.CHANGES, List.of());
         }
         if (from.watch && h.word != null && watches.forsaken()) {
             // Its word counts, but the newer watch has failed: the module is to go on asking for one.
-            module.list(ListKind.ERROR, List.of());
+            module.list(EndpointListKind.ERROR, List.of());
         }
         if (!from.watch && !from.first) {
             closeFetch();
@@ -332,15 +332,15 @@
         heard = true;
         journal.count("discovery_failures");
         journal.log("discovery-failed", "call", call, "why", why);
-        module.list(ListKind.ERROR, List.of());
+        module.list(EndpointListKind.ERROR, List.of());
     }
 
-    private void tell(ListKind kind, List<Config.Entry> entries) {
+    private void tell(EndpointListKind kind, List<Config.Entry> entries) {
         // The list of the configuration is enough to serve with: when all routers start together, discovery
         // takes seconds to tell them all, and their clients would wait for it.
-        heard |= kind != ListKind.SAVED;
-        known |= kind != ListKind.SAVED
-                || entries.stream().anyMatch(e -> e.server().state() == State.LIVE);
+        heard |= kind != EndpointListKind.SAVED;
+        known |= kind != EndpointListKind.SAVED
+                || entries.stream().anyMatch(e -> e.server().state() == EndpointState.LIVE);
         Source.tell(kind, told.source(kind, entries), engines, module);
     }
 
@@ -378,13 +378,13 @@
         List<View.Item> items = new ArrayList<>(entries.size());
         for (Config.Entry e : entries) {
             items.add(
-                    e.server().state() == State.DEAD
+                    e.server().state() == EndpointState.DEAD
                             ? View.Item.removed(e.server().id(), 0)
                             : View.Item.of(e.server().id(), 0, e));
         }
         if (saved) {
             view.saved(items, to);
-            tell(ListKind.SAVED, view.entries());
+            tell(EndpointListKind.SAVED, view.entries());
             return;
         }
         // A whole list that opens a watch is taken as it is: discovery may have begun its count anew.
@@ -394,11 +394,11 @@
             return;
         }
         if (complete) {
-            tell(ListKind.COMPLETE, view.entries());
+            tell(EndpointListKind.COMPLETE, view.entries());
         } else {
             List<Config.Entry> changed = new ArrayList<>(r.delta().put());
             r.delta().gone().forEach(id -> changed.add(Source.gone(id)));
-            tell(ListKind.CHANGES, changed);
+            tell(EndpointListKind.CHANGES, changed);
         }
         journal.log(
                 "list",
--- a/src/main/java/magpiehub/discovery/Entries.java
+++ b/src/main/java/magpiehub/discovery/Entries.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointState;
 
 /**
  * What the fields of an entry mean: the discovery page's names, which entries in other registries have too.
@@ -89,7 +89,7 @@
                 throw new Config.Malformed("size must be above 0");
             }
             return new Config.Entry(
-                    new Server(
+                    new Endpoint(
                             id,
                             place("locality", site.get().zones()),
                             place("flavor", site.get().kinds()),
@@ -183,17 +183,17 @@
     }
 
     @Override
-    public State state(String word) {
+    public EndpointState state(String word) {
         return switch (word) {
-            case "Ready" -> State.LIVE;
-            case "Terminating" -> State.DRAINING;
-            case "Gone" -> State.DEAD;
+            case "Ready" -> EndpointState.LIVE;
+            case "Terminating" -> EndpointState.DRAINING;
+            case "Gone" -> EndpointState.DEAD;
             default -> {
                 if (strict) {
                     throw new Config.Malformed("phase is none of Ready, Terminating, Gone: " + word);
                 }
                 // Guards against sending work to an engine in a phase that this program does not know.
-                yield State.DRAINING;
+                yield EndpointState.DRAINING;
             }
         };
     }
@@ -205,14 +205,14 @@
 
     /** The inverse of {@link Fields}, for a list kept on disk. */
     Map<String, Object> write(Config.Entry e) {
-        Server s = e.server();
+        Endpoint s = e.server();
         Map<String, Object> m = new java.util.LinkedHashMap<>();
         m.put("id", s.id());
         m.put("host_port", e.address());
         m.put("locality", named(site.get().zones(), s.zone()));
         m.put("flavor", named(site.get().kinds(), s.kind()));
         m.put("cell", (double) s.cell());
-        m.put("phase", s.state() == State.LIVE ? "Ready" : "Terminating");
+        m.put("phase", s.state() == EndpointState.LIVE ? "Ready" : "Terminating");
         m.put("size", s.weight());
         m.put("up_since_ms", s.onlineSince() == 0 ? 0.0 : (double) ((s.onlineSince() - offset) / 1000));
         return m;
--- a/src/main/java/magpiehub/discovery/Membership.java
+++ b/src/main/java/magpiehub/discovery/Membership.java
@@ -10,8 +10,8 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointState;
 
 /**
  * What the fleet is taken to be, given what the registry says: it doubts whole lists that lose a large part
@@ -194,12 +194,14 @@
 
     private void place(Config.Entry e, long now, Map<String, Config.Entry> out) {
         String id = e.server().id();
-        if (e.server().state() == State.DEAD) {
+        if (e.server().state() == EndpointState.DEAD) {
             drop(id, now, out);
             return;
         }
         Config.Entry old = members.put(id, e);
-        if (old != null && old.server().state() == State.LIVE && e.server().state() != State.LIVE) {
+        if (old != null
+                && old.server().state() == EndpointState.LIVE
+                && e.server().state() != EndpointState.LIVE) {
             wentAway(id, now);
         }
         out.put(id, told(e));
@@ -210,21 +212,23 @@
         if (old == null) {
             return;
         }
-        if (old.server().state() == State.LIVE) {
+        if (old.server().state() == EndpointState.LIVE) {
             wentAway(id, now);
         }
-        out.put(id, with(old, State.DEAD));
+        out.put(id, with(old, EndpointState.DEAD));
     }
 
     private Config.Entry told(Config.Entry e) {
         Flap f = flaps.get(e.server().id());
-        return f != null && f.suppressed && e.server().state() == State.LIVE ? with(e, State.DRAINING) : e;
+        return f != null && f.suppressed && e.server().state() == EndpointState.LIVE
+                ? with(e, EndpointState.DRAINING)
+                : e;
     }
 
-    private static Config.Entry with(Config.Entry e, State state) {
-        Server s = e.server();
+    private static Config.Entry with(Config.Entry e, EndpointState state) {
+        Endpoint s = e.server();
         return new Config.Entry(
-                new Server(s.id(), s.zone(), s.kind(), s.cell(), state, s.weight(), s.onlineSince()), e.address());
+                new Endpoint(s.id(), s.zone(), s.kind(), s.cell(), state, s.weight(), s.onlineSince()), e.address());
     }
 
     // ---- Damping --------------------------------------------------------------------------------------
--- a/src/main/java/magpiehub/discovery/Registry.java
+++ b/src/main/java/magpiehub/discovery/Registry.java
@@ -11,7 +11,7 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
 import magpiehub.dispatch.ModuleActor;
-import magpiehub.routing.Contract.ListKind;
+import magpiehub.routing.EndpointListKind;
 import magpiehub.upstream.Engines;
 
 /**
@@ -68,7 +68,7 @@
 
     /** Where the list goes: in order, from this actor's thread. */
     interface Out {
-        void tell(ListKind kind, List<Config.Entry> entries);
+        void tell(EndpointListKind kind, List<Config.Entry> entries);
     }
 
     private record Ask() {}
@@ -482,7 +482,7 @@
                 mailbox.close();
                 return false;
             } else if (m instanceof Ask && known) {
-                out.tell(ListKind.CHANGES, List.of());
+                out.tell(EndpointListKind.CHANGES, List.of());
             } else if (m instanceof Maintain o) {
                 o.carry(told, engines, module);
             } else if (m instanceof Move to) {
@@ -872,7 +872,7 @@
         if (!toldWhole) {
             toldWhole = true;
             known = true;
-            out.tell(ListKind.COMPLETE, membership.all());
+            out.tell(EndpointListKind.COMPLETE, membership.all());
         } else {
             tell(changes);
         }
@@ -894,7 +894,7 @@
 
     private void tell(List<Config.Entry> changes) {
         if (!changes.isEmpty()) {
-            out.tell(ListKind.CHANGES, changes);
+            out.tell(EndpointListKind.CHANGES, changes);
         }
     }
 
@@ -947,7 +947,7 @@
             if (tap != null) {
                 tap.view(view, new View.Result(View.Verdict.APPLIED, delta, "saved"), false);
             }
-            out.tell(ListKind.SAVED, membership.all());
+            out.tell(EndpointListKind.SAVED, membership.all());
             savedVersion = view.version();
             journal.count("registry_list_restored");
             journal.log(
--- a/src/main/java/magpiehub/discovery/Source.java
+++ b/src/main/java/magpiehub/discovery/Source.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 import magpiehub.config.Config;
 import magpiehub.dispatch.ModuleActor;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
 import magpiehub.upstream.Engines;
 
 /** Where the list of engines comes from: one actor, whatever the dialect. */
@@ -31,8 +31,8 @@
     void maintain(Set<String> out, Map<String, Long> back, Runnable done);
 
     /** A change in order: addresses first, so that the module never sends to an engine without one. */
-    static void tell(ListKind kind, List<Config.Entry> entries, Engines engines, ModuleActor module) {
-        if (kind == ListKind.COMPLETE || kind == ListKind.SAVED) {
+    static void tell(EndpointListKind kind, List<Config.Entry> entries, Engines engines, ModuleActor module) {
+        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
             java.util.Set<String> ids = new java.util.HashSet<>(entries.size() * 2);
             entries.forEach(e -> ids.add(e.server().id()));
             engines.only(ids);
@@ -41,8 +41,8 @@
             engines.place(
                     e.server().id(),
                     e.address(),
-                    e.server().state() == State.LIVE,
-                    e.server().state() == State.DEAD);
+                    e.server().state() == EndpointState.LIVE,
+                    e.server().state() == EndpointState.DEAD);
         }
         module.list(kind, entries.stream().map(Config.Entry::server).toList());
     }
@@ -53,7 +53,7 @@
         void carry(Told told, Engines engines, ModuleActor module) {
             List<Config.Entry> all = told.operators(out, back);
             if (!all.isEmpty()) {
-                tell(ListKind.SAVED, all, engines, module);
+                tell(EndpointListKind.SAVED, all, engines, module);
             }
             module.execute(done);
         }
@@ -61,6 +61,6 @@
 
     /** An engine of which only its id is known any more. */
     static Config.Entry gone(String id) {
-        return new Config.Entry(new Server(id, 0, 0, 0, State.DEAD, 1, 0), null);
+        return new Config.Entry(new Endpoint(id, 0, 0, 0, EndpointState.DEAD, 1, 0), null);
     }
 }
--- a/src/main/java/magpiehub/discovery/Told.java
+++ b/src/main/java/magpiehub/discovery/Told.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
 
 /**
  * The last step of every list on its way to the module, whatever source it comes from: an engine that
@@ -34,14 +34,14 @@
     }
 
     /** A list or changes as the source tells them; returns what the module is told. */
-    public List<Config.Entry> source(ListKind kind, List<Config.Entry> entries) {
-        if (kind != ListKind.CHANGES) {
+    public List<Config.Entry> source(EndpointListKind kind, List<Config.Entry> entries) {
+        if (kind != EndpointListKind.CHANGES) {
             said.clear();
         }
         List<Config.Entry> told = new ArrayList<>(entries.size());
         List<String> ids = new ArrayList<>(entries.size());
         for (Config.Entry e : entries) {
-            if (e.server().state() == State.DEAD) {
+            if (e.server().state() == EndpointState.DEAD) {
                 said.remove(e.server().id());
             } else {
                 said.put(e.server().id(), e);
@@ -77,19 +77,19 @@
         if (e == null) {
             return null;
         }
-        Server s = e.server();
+        Endpoint s = e.server();
         Long since = back.get(s.id());
-        boolean banned = s.state() == State.LIVE && out.contains(s.id());
+        boolean banned = s.state() == EndpointState.LIVE && out.contains(s.id());
         if (!banned && since == null) {
             return e;
         }
         return new Config.Entry(
-                new Server(
+                new Endpoint(
                         s.id(),
                         s.zone(),
                         s.kind(),
                         s.cell(),
-                        banned ? State.DRAINING : s.state(),
+                        banned ? EndpointState.DRAINING : s.state(),
                         s.weight(),
                         since == null ? s.onlineSince() : Math.max(s.onlineSince(), since)),
                 e.address());
--- a/src/main/java/magpiehub/discovery/View.java
+++ b/src/main/java/magpiehub/discovery/View.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.EndpointState;
 
 /**
  * One list of engines out of what sources say: whole lists, changes, and words such as "compacted". It is a
@@ -59,7 +59,7 @@
         /** An entry as its value has it; a key whose engine is told to be gone is there, but not in the list.
          *  */
         public static Item read(String key, long mod, Config.Entry entry) {
-            return entry.server().state() == State.DEAD ? new Item(key, mod, null, "") : of(key, mod, entry);
+            return entry.server().state() == EndpointState.DEAD ? new Item(key, mod, null, "") : of(key, mod, entry);
         }
     }
 
--- a/src/main/java/magpiehub/dispatch/ModuleActor.java
+++ b/src/main/java/magpiehub/dispatch/ModuleActor.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.routing.Contract;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Load;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.Settings;
+import magpiehub.routing.AttemptOutcome;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.LoadReport;
+import magpiehub.routing.RoutingActions;
+import magpiehub.routing.RoutingRequest;
+import magpiehub.routing.RoutingSettings;
 import magpiehub.routing.Rules;
 import magpiehub.routing.Zones;
 
@@ -68,7 +68,7 @@
         void closeIdle(String server);
 
         /** The list as the module has it now. */
-        void list(ListKind kind, List<Server> servers);
+        void list(EndpointListKind kind, List<Endpoint> servers);
     }
 
     /** Discovery: each call is answered by one {@link #list}. Must not block the module's thread. */
@@ -118,7 +118,7 @@
 
     /** A request taken and not yet over. */
     private static final class Open {
-        final Request request;
+        final RoutingRequest request;
         /** Both are let go of as soon as it is over: timers hold the rest of this until the deadline. */
         Client client;
 
@@ -127,7 +127,7 @@
         Attempt begun;
         boolean answered;
 
-        Open(Request request, Client client, Object work) {
+        Open(RoutingRequest request, Client client, Object work) {
             this.request = request;
             this.client = client;
             this.work = work;
@@ -162,7 +162,7 @@
     private int mostHeld;
     private long comeBack;
     private final Rules rules;
-    private Settings settings;
+    private RoutingSettings settings;
     private long order;
     private long now;
     private volatile int held;
@@ -171,13 +171,14 @@
     private boolean shuttingDown;
 
     /** An actor over ports; it does nothing until {@link #turn} or {@link #run} is called. */
-    public ModuleActor(Settings settings, long seed, Mailbox.Clock clock, Fleet fleet, Roster roster, Journal journal) {
+    public ModuleActor(
+            RoutingSettings settings, long seed, Mailbox.Clock clock, Fleet fleet, Roster roster, Journal journal) {
         this(settings, seed, clock, fleet, roster, journal, new Zones.Plain());
     }
 
     /** The same with what is known of zones. */
     public ModuleActor(
-            Settings settings,
+            RoutingSettings settings,
             long seed,
             Mailbox.Clock clock,
             Fleet fleet,
@@ -194,7 +195,7 @@
         this.rules = new Rules(settings, seed, new Decisions(), now, zones);
     }
 
-    private void hold(Settings s) {
+    private void hold(RoutingSettings s) {
         settings = s;
         long longest = s.limits().maxRetryAfter();
         comeBack = !s.limits().retryAfter() ? 0 : longest > 0 ? Math.min(longest, COME_BACK) : COME_BACK;
@@ -259,7 +260,7 @@
     }
 
     /** A client's request; false if there is no room, and then the caller answers it. */
-    public boolean take(Request request, Client client, Object work, int bytes) {
+    public boolean take(RoutingRequest request, Client client, Object work, int bytes) {
         return mailbox.post(() -> taken(request, client, work), bytes);
     }
 
@@ -275,21 +276,21 @@
 
     /** An attempt has ended; its connection is closed or free. {@code kept} is -1 if not told, {@code load}
      *  null if its engine told none. */
-    public void ended(Attempt a, Outcome outcome, long kept, Load load) {
+    public void ended(Attempt a, AttemptOutcome outcome, long kept, LoadReport load) {
         mailbox.post(() -> end(a, outcome, kept, load));
     }
 
     /** A probe has come back. */
-    public void probed(String server, Outcome outcome, long sentAt, Load load) {
+    public void probed(String server, AttemptOutcome outcome, long sentAt, LoadReport load) {
         mailbox.post(() -> rules.probed(now, server, outcome, now - sentAt, load));
     }
 
     /** Discovery's word on the engines. */
-    public void list(ListKind kind, List<Server> servers) {
+    public void list(EndpointListKind kind, List<Endpoint> servers) {
         mailbox.post(() -> {
             fleet.list(kind, servers);
             rules.list(now, kind, servers);
-            if (kind == ListKind.ERROR) {
+            if (kind == EndpointListKind.ERROR) {
                 watching = false;
                 at(now + PUSHED_AGAIN, this::keepPushed);
             }
@@ -298,7 +299,7 @@
     }
 
     /** Other settings hold from now on; classes keep their places. */
-    public void settings(Settings s) {
+    public void settings(RoutingSettings s) {
         mailbox.post(() -> {
             hold(s);
             rules.settings(now, s);
@@ -340,7 +341,7 @@
     }
 
     // ---- Events ---------------------------------------------------------------------------------------
-    private void taken(Request r, Client client, Object work) {
+    private void taken(RoutingRequest r, Client client, Object work) {
         if (client.gone()) {
             journal.count("taken");
             journal.count("answered_abandoned");
@@ -384,7 +385,7 @@
         rules.begun(now, o.request.id(), a.number, now - a.sentAt);
     }
 
-    private void end(Attempt a, Outcome outcome, long kept, Load load) {
+    private void end(Attempt a, AttemptOutcome outcome, long kept, LoadReport load) {
         if (a.over) {
             return;
         }
@@ -394,10 +395,14 @@
         if (o.begun == null && !o.answered && o.client.gone()) {
             left(o.request.id()); // Its word is on the way: no further attempt is thought of.
         }
-        boolean settled = o.answered || o.begun == a || outcome == Outcome.OK;
+        boolean settled = o.answered || o.begun == a || outcome == AttemptOutcome.OK;
         journal.count("attempt_" + outcome.name().toLowerCase(Locale.ROOT));
         if (settled && !o.answered) {
-            answer(o, outcome == Outcome.OK ? "served" : outcome == Outcome.CANCELLED ? "abandoned" : "broken");
+            answer(
+                    o,
+                    outcome == AttemptOutcome.OK
+                            ? "served"
+                            : outcome == AttemptOutcome.CANCELLED ? "abandoned" : "broken");
         }
         rules.outcome(now, o.request.id(), a.number, outcome, now - a.sentAt, settled, kept, load);
     }
@@ -413,7 +418,7 @@
             if (!a.over) {
                 // Nobody reads on: the engine is not to work for a client that has gone.
                 a.handle.abort();
-                end(a, Outcome.CANCELLED, -1, null);
+                end(a, AttemptOutcome.CANCELLED, -1, null);
             }
         }
     }
@@ -433,13 +438,13 @@
     private void stop(Attempt a) {
         if (!a.over) {
             a.handle.abort();
-            ended(a, Outcome.CANCELLED, -1, null);
+            ended(a, AttemptOutcome.CANCELLED, -1, null);
         }
     }
 
     // ---- Actions --------------------------------------------------------------------------------------
     /** What the module has decided, carried out through the ports. */
-    private final class Decisions implements Contract.Actions {
+    private final class Decisions implements RoutingActions {
         @Override
         public void send(String id, String server, long timeout) {
             Open o = requests.get(id);
@@ -466,14 +471,14 @@
                 // A fault of the engines' side is an attempt that never ran, not the end of the request.
                 journal.count("module_exceptions");
                 journal.log("module-exception", "error", e.toString(), "engine", server);
-                ended(a, Outcome.CONNECT_FAILED, -1, null);
+                ended(a, AttemptOutcome.CONNECT_FAILED, -1, null);
             }
         }
 
         private void expire(Attempt a) {
             if (!a.over && a.open.begun != a) {
                 a.handle.abort();
-                end(a, Outcome.TIMEOUT, -1, null);
+                end(a, AttemptOutcome.TIMEOUT, -1, null);
             }
         }
 
@@ -509,7 +514,7 @@
             if (o != null && o.begun != null) {
                 o.begun.handle.abort();
                 answer(o, "moved").move();
-                ended(o.begun, Outcome.CANCELLED, -1, null);
+                ended(o.begun, AttemptOutcome.CANCELLED, -1, null);
             }
         }
 
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -9,7 +9,7 @@
 import magpiehub.discovery.Announcer;
 import magpiehub.dispatch.ModuleActor;
 import magpiehub.downstream.Clients;
-import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.RequestClass;
 import magpiehub.store.Store;
 import magpiehub.telemetry.Log;
 
--- a/src/main/java/magpiehub/protocol/Front.java
+++ b/src/main/java/magpiehub/protocol/Front.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import magpiehub.http.Http;
-import magpiehub.routing.Contract.Request;
+import magpiehub.routing.RoutingRequest;
 import magpiehub.streaming.Ledger;
 import magpiehub.streaming.Streams;
 
@@ -27,7 +27,7 @@
     /** One request of a client and its answer in the client's dialect; used from one actor's thread. */
     abstract class Call {
         /** The request in the module's terms. */
-        public final Request request;
+        public final RoutingRequest request;
         /** What engines are sent: the target, header lines of the client's own, and the body. */
         public final String target;
 
@@ -36,7 +36,7 @@
         /** The stream that gets the events; set by the connection that took the request. */
         private volatile Sink sink;
 
-        protected Call(Request request, String target, byte[] headers, byte[] body) {
+        protected Call(RoutingRequest request, String target, byte[] headers, byte[] body) {
             this.request = request;
             this.target = target;
             this.headers = headers;
--- a/src/main/java/magpiehub/protocol/MessagesFront.java
+++ b/src/main/java/magpiehub/protocol/MessagesFront.java
@@ -13,7 +13,7 @@
 import magpiehub.config.Config;
 import magpiehub.config.Config.Facts;
 import magpiehub.http.Http;
-import magpiehub.routing.Contract.Request;
+import magpiehub.routing.RoutingRequest;
 import magpiehub.store.Store;
 
 /**
@@ -141,7 +141,7 @@
         long session = route != null
                 ? PlatformFront.whole(route, 16, "X-Route-Hash")
                 : hash(f.object("metadata").text("user_id", "") + '\n' + system + '\n' + opening);
-        Request r = new Request(
+        RoutingRequest r = new RoutingRequest(
                 id != null ? PlatformFront.id(id) : newId(),
                 c,
                 now.tenant(tenant != null ? tenant : options.tenant),
@@ -234,7 +234,7 @@
         private long kept;
         private long made;
 
-        Translated(Request request, byte[] headers, byte[] body, String model, boolean stream) {
+        Translated(RoutingRequest request, byte[] headers, byte[] body, String model, boolean stream) {
             super(request, PlatformFront.PATH, headers, body);
             this.model = model;
             this.stream = stream;
--- a/src/main/java/magpiehub/protocol/PlatformFront.java
+++ b/src/main/java/magpiehub/protocol/PlatformFront.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import magpiehub.config.Config;
 import magpiehub.http.Http;
-import magpiehub.routing.Contract.Request;
+import magpiehub.routing.RoutingRequest;
 
 /**
  * The platform's own protocol: its headers in the module's terms, and the engine's events passed on as they
@@ -100,7 +100,7 @@
     }
 
     /** The request that the platform's headers describe. */
-    static Request request(Config.Site site, Http.Head head, long at) throws Http.Bad {
+    static RoutingRequest request(Config.Site site, Http.Head head, long at) throws Http.Bad {
         String id = id(need(head, "X-Call-Id"));
         long budget = budget(need(head, "X-Budget-Ms"));
         String tenant = name(head.only("X-Caller"));
@@ -125,7 +125,7 @@
             }
         }
         String again = head.get("X-Again");
-        return new Request(
+        return new RoutingRequest(
                 id,
                 cls(site, name(need(head, "X-Call-Class"))),
                 tenant == null ? -1 : site.tenant(tenant),
@@ -237,7 +237,7 @@
     }
 
     private final class Passed extends Call {
-        Passed(Request request, String target, byte[] headers, byte[] body) {
+        Passed(RoutingRequest request, String target, byte[] headers, byte[] body) {
             super(request, target, headers, body);
         }
 
--- /dev/null
+++ b/src/main/java/magpiehub/routing/EndpointListKind.java
@@ -0,0 +1,9 @@
+package magpiehub.routing;
+
+/** What a server list is. */
+public enum EndpointListKind {
+    CHANGES,
+    COMPLETE,
+    SAVED,
+    ERROR
+}
--- a/src/main/java/magpiehub/routing/Rules.java
+++ b/src/main/java/magpiehub/routing/Rules.java
@@ -7,12 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.routing.Contract.*;
 import magpiehub.routing.State.*;
 import magpiehub.routing.Zones.Sign;
 
 /**
- * The decision module, one per node. What it deals in, its types, events and actions, is in Contract.java.
+ * The decision module, one per node. What it deals in, its types, events and actions, is in the package comment.
  *
  * <p>The ordinary path: a request comes in ({@link #request}) and is admitted. Its key, the shared prefix's
  * id or else the session's, is looked up in the prefix table ({@link #place}). A known key goes to its deque
@@ -22,7 +21,7 @@
  * is an exception to that path and says at its place what it guards against; docs/design.md lists them.
  * No clock but the events', no randomness but the seed's, nothing shared with other nodes.
  */
-public final class Rules implements Contract.Events {
+public final class Rules implements RoutingEvents {
     // ---- Settings: each with its unit and reason --------------------------------------------------------
     /** Replicas in one deque at most; a prefix that needs more is spread by session over the whole ring. */
     private static final int MOST_WARM = 8;
@@ -112,8 +111,8 @@
 
     // ---- State ------------------------------------------------------------------------------------------
     static final long NEVER = Long.MIN_VALUE;
-    private Settings s;
-    private final Contract.Actions out;
+    private RoutingSettings s;
+    private final RoutingActions out;
     private long seed;
     private long now;
 
@@ -175,12 +174,12 @@
     private long warmAt = NEVER / 2;
 
     /** A node that has just started and knows nothing. */
-    public Rules(Settings settings, long seed, Contract.Actions actions, long now) {
+    public Rules(RoutingSettings settings, long seed, RoutingActions actions, long now) {
         this(settings, seed, actions, now, new Zones.Plain());
     }
 
     /** The same with what is known of zones. */
-    public Rules(Settings settings, long seed, Contract.Actions actions, long now, Zones zones) {
+    public Rules(RoutingSettings settings, long seed, RoutingActions actions, long now, Zones zones) {
         this.s = settings;
         this.out = actions;
         this.seed = seed;
@@ -218,7 +217,7 @@
     }
 
     @Override
-    public void settings(long time, Settings settings) {
+    public void settings(long time, RoutingSettings settings) {
         at(time);
         s = settings;
         sized();
@@ -240,17 +239,17 @@
 
     // ---- Fleet list -------------------------------------------------------------------------------------
     @Override
-    public void list(long time, ListKind kind, List<Server> servers) {
+    public void list(long time, EndpointListKind kind, List<Endpoint> servers) {
         at(time);
-        if (kind == ListKind.ERROR) {
+        if (kind == EndpointListKind.ERROR) {
             asking.failed(now, s.guarantees().askWithin(), random());
             return;
         }
-        if (kind != ListKind.SAVED) {
+        if (kind != EndpointListKind.SAVED) {
             asking.told();
         }
         boolean changed = false;
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListKind.CHANGES) {
             Set<String> listed = new HashSet<>();
             servers.forEach(e -> listed.add(e.id()));
             for (Replica r : fleet) {
@@ -262,7 +261,7 @@
             }
             fleet.removeIf(r -> !listed.contains(r.id));
         }
-        for (Server e : servers) {
+        for (Endpoint e : servers) {
             Replica r = replicas.get(e.id());
             if (r == null) {
                 r = new Replica(e.id());
@@ -271,10 +270,10 @@
             }
             boolean restarted = r.entry == null || e.onlineSince() > r.entry.onlineSince();
             // A live weight falls with the load: the most seen is the replica's size.
-            double size = s.weights() == Weights.NONE
+            double size = s.weights() == WeightMeaning.NONE
                     ? 1
-                    : s.weights() == Weights.LIVE ? Math.max(r.size, e.weight()) : e.weight();
-            boolean live = e.state() == Contract.State.LIVE;
+                    : s.weights() == WeightMeaning.LIVE ? Math.max(r.size, e.weight()) : e.weight();
+            boolean live = e.state() == EndpointState.LIVE;
             boolean resized = Math.abs(size - r.size) > 0.1 * r.size;
             changed |= r.entry == null || r.entry.zone() != e.zone() || r.ready != live || resized;
             r.size = resized ? size : r.size;
@@ -288,7 +287,7 @@
             } else {
                 leave(r);
             }
-            if (e.state() == Contract.State.DEAD) {
+            if (e.state() == EndpointState.DEAD) {
                 // A new engine has a new id: what has gone would be held, and walked over, for good.
                 replicas.remove(r.id);
                 fleet.remove(r);
@@ -373,7 +372,7 @@
 
     // ---- Requests: admission, then the ordinary path ----------------------------------------------------
     @Override
-    public void request(long time, Request r) {
+    public void request(long time, RoutingRequest r) {
         at(time);
         if (held.containsKey(r.id())) {
             return;
@@ -402,7 +401,7 @@
     }
 
     private void place(Held h) {
-        Request r = h.r;
+        RoutingRequest r = h.r;
         Mapping m = null;
         int most = 1;
         if (r.prefix() != 0) {
@@ -616,7 +615,8 @@
     }
 
     @Override
-    public void outcome(long time, String id, int n, Outcome o, long took, boolean settled, long kept, Load load) {
+    public void outcome(
+            long time, String id, int n, AttemptOutcome o, long took, boolean settled, long kept, LoadReport load) {
         at(time);
         Held h = held.get(id);
         if (h == null || n < 0 || n >= h.attempts.size() || h.attempts.get(n).done) {
@@ -638,14 +638,14 @@
         }
         judge(h, a, o, took);
         reported(a.replica, load);
-        if (o == Outcome.OK && h.fallback && h.mapping != null && !h.mapping.session && a.replica.ready) {
+        if (o == AttemptOutcome.OK && h.fallback && h.mapping != null && !h.mapping.session && a.replica.ready) {
             // A served fallback or pressure pick joins the deque, whose back entry goes.
             h.mapping.join(a.replica, Math.max(1, h.mapping.size));
         }
-        if (o == Outcome.OK && kept >= 0 && h.r.promptTokens() > 0) {
+        if (o == AttemptOutcome.OK && kept >= 0 && h.r.promptTokens() > 0) {
             keptPart += (Math.min(1, kept / h.r.promptTokens()) - keptPart) * Math.max(KEPT_WEIGHT, 1.0 / ++keptSeen);
         }
-        if (o == Outcome.OK && kept >= 0 && warm(h.mapping, a.replica)) {
+        if (o == AttemptOutcome.OK && kept >= 0 && warm(h.mapping, a.replica)) {
             missed(h, a, kept);
         }
         if (settled || h.over) {
@@ -677,10 +677,10 @@
         }
     }
 
-    private boolean mayRetry(Held h, Attempt a, Outcome o, long took) {
+    private boolean mayRetry(Held h, Attempt a, AttemptOutcome o, long took) {
         if (h.streaming
-                || o == Outcome.MOOT
-                || o == Outcome.CANCELLED && !a.givenUp
+                || o == AttemptOutcome.MOOT
+                || o == AttemptOutcome.CANCELLED && !a.givenUp
                 || h.r.deadline() - now < SWEEP
                 || h.attempts.size() >= Math.min(MOST_TRIES, h.mostAttempts(s.limits()))) {
             return false;
@@ -691,12 +691,13 @@
         }
         // While the fleet is short, a full replica's request waits with its client: its tokens are kept
         // there, and elsewhere it would be read anew and push the next replica over.
-        if (o == Outcome.FULL && strained()) {
+        if (o == AttemptOutcome.FULL && strained()) {
             return false;
         }
         // At a zone that is lost nothing runs: what is given up there costs nobody a second time.
-        double cost =
-                o == Outcome.CONNECT_FAILED || a.givenUp ? 0 : o != Outcome.FULL && took < SWEEP ? QUICK_ERROR : 1;
+        double cost = o == AttemptOutcome.CONNECT_FAILED || a.givenUp
+                ? 0
+                : o != AttemptOutcome.FULL && took < SWEEP ? QUICK_ERROR : 1;
         if (retryBudget < cost) {
             return false;
         }
@@ -704,7 +705,7 @@
         return true;
     }
 
-    private static double aim(RequestClass c, Request r) {
+    private static double aim(RequestClass c, RoutingRequest r) {
         return c.aim() + c.aimPer1000() * r.promptTokens() / 1000;
     }
 
@@ -714,7 +715,7 @@
         if (h.open > 0 && !h.limits.parallel()) {
             return false;
         }
-        if (c.effect() == Effect.PURE) {
+        if (c.effect() == Idempotency.PURE) {
             return true;
         }
         Attempt first = h.mayHaveRun;
@@ -724,13 +725,13 @@
         if (first == null) {
             return true;
         }
-        if (c.effect() == Effect.SIDE_EFFECT || now - first.sentAt >= c.window()) {
+        if (c.effect() == Idempotency.SIDE_EFFECT || now - first.sentAt >= c.window()) {
             return false;
         }
-        Server was = first.replica.entry;
-        return c.group() == Group.ALL
-                || c.group() == Group.ZONE && to.entry.zone() == was.zone()
-                || c.group() == Group.CELL && to.entry.cell() == was.cell();
+        Endpoint was = first.replica.entry;
+        return c.group() == DeduplicationScope.ALL
+                || c.group() == DeduplicationScope.ZONE && to.entry.zone() == was.zone()
+                || c.group() == DeduplicationScope.CELL && to.entry.cell() == was.cell();
     }
 
     /** Whether a request may be answered as refused now, whatever became of its attempts. */
@@ -743,7 +744,7 @@
             return true;
         }
         RequestClass c = s.classes().get(h.r.cls());
-        return c.effect() == Effect.PURE || c.effect() == Effect.TOKEN && c.group() == Group.ALL;
+        return c.effect() == Idempotency.PURE || c.effect() == Idempotency.TOKEN && c.group() == DeduplicationScope.ALL;
     }
 
     /** The final answer when there is nothing better: refused if a retry is harmless, else failed. */
@@ -806,7 +807,7 @@
     /** A report is stale and noisy. One where requests wait is passed over for as long as a full one; its
      *  time of service counts against the fleet's like a first token's, unless it is cold and thus slow
      *  anyway. */
-    private void reported(Replica r, Load l) {
+    private void reported(Replica r, LoadReport l) {
         if (l == null) {
             return;
         }
@@ -819,7 +820,7 @@
         }
     }
 
-    private void judge(Held h, Attempt a, Outcome o, long took) {
+    private void judge(Held h, Attempt a, AttemptOutcome o, long took) {
         Replica r = a.replica;
         switch (o) {
             case OK -> {
@@ -857,9 +858,9 @@
             }
             default -> {}
         }
-        if (o == Outcome.OK || o == Outcome.FULL || o == Outcome.ERROR) {
+        if (o == AttemptOutcome.OK || o == AttemptOutcome.FULL || o == AttemptOutcome.ERROR) {
             r.heard = now;
-            told(r, o == Outcome.ERROR ? Sign.ERROR : Sign.ANSWERED, took, 1);
+            told(r, o == AttemptOutcome.ERROR ? Sign.ERROR : Sign.ANSWERED, took, 1);
         }
     }
 
@@ -991,20 +992,20 @@
     }
 
     @Override
-    public void probed(long time, String server, Outcome o, long took, Load load) {
+    public void probed(long time, String server, AttemptOutcome o, long took, LoadReport load) {
         at(time);
         Replica r = replicas.get(server);
-        if (r != null && o == Outcome.OK) {
+        if (r != null && o == AttemptOutcome.OK) {
             r.heard = now;
             reported(r, load);
             if (zones.plans()) {
                 told(r, Sign.ANSWERED, took, 1);
             }
         }
-        if (r != null && (o == Outcome.CONNECT_FAILED || o == Outcome.RESET)) {
+        if (r != null && (o == AttemptOutcome.CONNECT_FAILED || o == AttemptOutcome.RESET)) {
             unreachable(r, took);
         }
-        if (r != null && o == Outcome.TIMEOUT && zones.plans()) {
+        if (r != null && o == AttemptOutcome.TIMEOUT && zones.plans()) {
             told(r, Sign.SILENCE, took, 1);
         }
     }
@@ -1093,7 +1094,7 @@
 
     // ---- Fairness and overload --------------------------------------------------------------------------
     /** Under overload, the work that brings least worth for the time it holds a replica is refused first. */
-    private boolean admit(Request r) {
+    private boolean admit(RoutingRequest r) {
         int k = 2 * r.cls() + (overShare(r.tenant()) ? 1 : 0);
         arrivals[k]++;
         // The rest of a stream that broke or was moved has cost most of its work already.
--- a/src/main/java/magpiehub/routing/State.java
+++ b/src/main/java/magpiehub/routing/State.java
@@ -6,9 +6,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.routing.Contract.Limits;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.Server;
 
 /** What the decision module remembers: plain fields that only {@link Rules} reads and writes,
  * and the handling of a deque. */
@@ -20,7 +17,7 @@
     static final class Replica {
         final String id;
         final long hash;
-        Server entry;
+        Endpoint entry;
         /** Registered size, and the same over the fleet's mean. */
         double size;
 
@@ -243,10 +240,10 @@
 
     /** A request taken and not over, or over with attempts still out. */
     static final class Held {
-        final Request r;
+        final RoutingRequest r;
         final long arrived;
         /** Those in force when it came: a reload changes nothing for a request under way. */
-        final Limits limits;
+        final RoutingLimits limits;
 
         final List<Attempt> attempts = new ArrayList<>(2);
         Mapping mapping;
@@ -258,7 +255,7 @@
         Attempt mayHaveRun;
 
         /** Fewer attempts bind a request under way too, more do not. */
-        int mostAttempts(Limits inForce) {
+        int mostAttempts(RoutingLimits inForce) {
             return Math.min(limits.mostAttempts(), inForce.mostAttempts());
         }
 
@@ -267,7 +264,7 @@
             return mapping == null ? 1 : Math.max(1, mapping.size);
         }
 
-        Held(Request r, Limits limits, long arrived) {
+        Held(RoutingRequest r, RoutingLimits limits, long arrived) {
             this.r = r;
             this.limits = limits;
             this.arrived = arrived;
--- /dev/null
+++ b/src/main/java/magpiehub/routing/WeightMeaning.java
@@ -0,0 +1,9 @@
+package magpiehub.routing;
+
+/** What the list's weight means. */
+public enum WeightMeaning {
+    NONE,
+    NOMINAL,
+    ROUGH,
+    LIVE
+}
--- a/src/main/java/magpiehub/simulator/Drill.java
+++ b/src/main/java/magpiehub/simulator/Drill.java
@@ -14,13 +14,14 @@
 import java.util.Map;
 import magpiehub.config.Config;
 import magpiehub.config.Config.Malformed;
-import magpiehub.routing.Contract;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Load;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.AttemptOutcome;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
+import magpiehub.routing.LoadReport;
+import magpiehub.routing.RoutingActions;
+import magpiehub.routing.RoutingEvents;
+import magpiehub.routing.RoutingRequest;
 import magpiehub.routing.Rules;
 
 /**
@@ -32,7 +33,7 @@
     private final InputStream in;
     private final OutputStream out;
     private final PrintStream err;
-    private final Map<Integer, Contract.Events> nodes = new HashMap<>();
+    private final Map<Integer, RoutingEvents> nodes = new HashMap<>();
     private final Reply reply = new Reply();
     private JsonParser p;
     private long now;
@@ -66,10 +67,10 @@
     private boolean write;
     private boolean again;
     private boolean settled;
-    private Load load;
+    private LoadReport load;
     private byte[] payload;
     private Map<String, Object> facts;
-    private List<Server> servers;
+    private List<Endpoint> servers;
 
     /** An adapter between two streams; complaints go to the third. */
     public Drill(InputStream in, OutputStream out, PrintStream err) {
@@ -159,7 +160,7 @@
             nodes.remove(who);
             return;
         }
-        Contract.Events node = nodes.get(who);
+        RoutingEvents node = nodes.get(who);
         check(node != null, "names an instance that was not started");
         switch (message) {
             case "INGRESS" -> {
@@ -168,7 +169,7 @@
                 check(!Double.isNaN(dropDead), "is missing");
                 node.request(
                         now,
-                        new Request(
+                        new RoutingRequest(
                                 job,
                                 type,
                                 customer,
@@ -267,7 +268,7 @@
         expect(p.currentToken(), JsonToken.END_OBJECT, "the fields must end with the object");
     }
 
-    private Load readLoad() throws IOException {
+    private LoadReport readLoad() throws IOException {
         expect(p.currentToken(), JsonToken.START_OBJECT, "must be an object");
         double[] v = new double[8];
         java.util.Arrays.fill(v, Double.NaN);
@@ -291,7 +292,7 @@
                 v[at] = number();
             }
         }
-        return new Load(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]);
+        return new LoadReport(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7]);
     }
 
     /** The fields of an entry as this wire names them. */
@@ -316,11 +317,11 @@
         }
 
         @Override
-        public State state(String word) {
+        public EndpointState state(String word) {
             return switch (word) {
-                case "live" -> State.LIVE;
-                case "quiescing" -> State.DRAINING;
-                case "dead" -> State.DEAD;
+                case "live" -> EndpointState.LIVE;
+                case "quiescing" -> EndpointState.DRAINING;
+                case "dead" -> EndpointState.DEAD;
                 default -> throw new Malformed("state is no state: " + word);
             };
         }
@@ -385,32 +386,32 @@
         }
     }
 
-    private static ListKind listKind(String word) {
+    private static EndpointListKind listKind(String word) {
         return switch (word) {
-            case "Partial" -> ListKind.CHANGES;
-            case "Complete" -> ListKind.COMPLETE;
-            case "Persisted" -> ListKind.SAVED;
-            case "Error" -> ListKind.ERROR;
+            case "Partial" -> EndpointListKind.CHANGES;
+            case "Complete" -> EndpointListKind.COMPLETE;
+            case "Persisted" -> EndpointListKind.SAVED;
+            case "Error" -> EndpointListKind.ERROR;
             default -> throw new Malformed("is no kind of list: " + word);
         };
     }
 
-    private static Outcome outcome(int code) {
+    private static AttemptOutcome outcome(int code) {
         return switch (code) {
-            case 0 -> Outcome.OK;
-            case 13 -> Outcome.ERROR;
-            case 8 -> Outcome.FULL;
-            case 4 -> Outcome.TIMEOUT;
-            case 14 -> Outcome.CONNECT_FAILED;
-            case 10 -> Outcome.RESET;
-            case 1 -> Outcome.CANCELLED;
-            case 9 -> Outcome.MOOT;
+            case 0 -> AttemptOutcome.OK;
+            case 13 -> AttemptOutcome.ERROR;
+            case 8 -> AttemptOutcome.FULL;
+            case 4 -> AttemptOutcome.TIMEOUT;
+            case 14 -> AttemptOutcome.CONNECT_FAILED;
+            case 10 -> AttemptOutcome.RESET;
+            case 1 -> AttemptOutcome.CANCELLED;
+            case 9 -> AttemptOutcome.MOOT;
             default -> throw new Malformed("reason is no outcome: " + code);
         };
     }
 
     /** The actions of one node, written to the reply as they come. */
-    private final class Sink implements Contract.Actions {
+    private final class Sink implements RoutingActions {
         private final int node;
 
         Sink(int node) {
--- a/src/main/java/magpiehub/streaming/Allowances.java
+++ b/src/main/java/magpiehub/streaming/Allowances.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.RequestClass;
 
 /**
  * What {@code deploy/streams.json} says, or what holds without it. It owns the names, units, defaults and
--- a/src/main/java/magpiehub/streaming/Streams.java
+++ b/src/main/java/magpiehub/streaming/Streams.java
@@ -5,8 +5,8 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
 import magpiehub.dispatch.ModuleActor;
-import magpiehub.routing.Contract.RequestClass;
-import magpiehub.routing.Contract.Tenant;
+import magpiehub.routing.RequestClass;
+import magpiehub.routing.Tenant;
 import magpiehub.streaming.Ledger.Ending;
 
 /**
--- a/src/main/java/magpiehub/upstream/Engines.java
+++ b/src/main/java/magpiehub/upstream/Engines.java
@@ -19,10 +19,10 @@
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 import magpiehub.protocol.Front;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Load;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Server;
+import magpiehub.routing.AttemptOutcome;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.LoadReport;
 import magpiehub.streaming.Ledger;
 import magpiehub.streaming.Streams;
 
@@ -150,7 +150,7 @@
         if (c == null) {
             if (connections >= most && !evict()) {
                 journal.count("engine_connections_short");
-                module.ended(attempt, Outcome.FULL, -1, null);
+                module.ended(attempt, AttemptOutcome.FULL, -1, null);
                 return lease;
             }
             c = new Connection(attempt.server);
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void list(ListKind kind, List<Server> servers) {
+    public void list(EndpointListKind kind, List<Endpoint> servers) {
         for (String id : List.copyOf(idle.keySet())) {
             Place p = places.get(id);
             if (p == null || !p.takes) {
@@ -239,9 +239,9 @@
     public void probe(String server) {
         long sentAt = clock.micros();
         Mailbox.thread("probe", () -> {
-                    Outcome o = Outcome.RESET;
+                    AttemptOutcome o = AttemptOutcome.RESET;
                     boolean sent = false;
-                    Load load = null;
+                    LoadReport load = null;
                     Reports told = reports;
                     try (Socket s = new Socket()) {
                         connect(s, server);
@@ -254,22 +254,24 @@
                         sent = true;
                         Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
                         Http.Head h = in.await() ? in.head(false) : null;
-                        o = h == null ? Outcome.RESET : h.status() == 200 ? Outcome.OK : Outcome.FULL;
-                        if (o == Outcome.OK && told.inProbes()) {
+                        o = h == null
+                                ? AttemptOutcome.RESET
+                                : h.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.FULL;
+                        if (o == AttemptOutcome.OK && told.inProbes()) {
                             load = load(told, new String(in.body(h), StandardCharsets.UTF_8));
                         }
                     } catch (SocketTimeoutException e) {
-                        o = sent ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED;
+                        o = sent ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED;
                     } catch (IOException | RuntimeException e) {
-                        o = sent ? Outcome.RESET : Outcome.CONNECT_FAILED;
+                        o = sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
                     }
                     module.probed(server, o, sentAt, load);
                 })
                 .start();
     }
 
-    private Load load(Reports told, String text) {
-        Load l = told.read(text);
+    private LoadReport load(Reports told, String text) {
+        LoadReport l = told.read(text);
         journal.count(l == null ? "load_reports_unreadable" : "load_reports");
         return l;
     }
@@ -374,7 +376,7 @@
         private boolean granted;
         private final ArrayDeque<byte[]> pending = new ArrayDeque<>(2);
         /** How the attempt ended, kept back until the stream is granted or stopped. */
-        private Outcome outcome;
+        private AttemptOutcome outcome;
 
         private byte[] error;
         private boolean reusable;
@@ -485,7 +487,7 @@
             lastEvent = null;
             Object work = l.attempt.work();
             if (!(work instanceof Front.Call call)) {
-                fail(Outcome.CANCELLED);
+                fail(AttemptOutcome.CANCELLED);
                 return;
             }
             sink = call.sink();
@@ -507,7 +509,7 @@
             Place p = places.get(server);
             if (p == null || !p.takes || p.hostPort == null) {
                 journal.count("drained_before_write");
-                fail(Outcome.CONNECT_FAILED);
+                fail(AttemptOutcome.CONNECT_FAILED);
                 return false;
             }
             return true;
@@ -536,7 +538,7 @@
                 return;
             }
             if (!(lease.attempt.work() instanceof Front.Call call)) {
-                fail(Outcome.CANCELLED);
+                fail(AttemptOutcome.CANCELLED);
                 return;
             }
             boolean reused = written > 0;
@@ -562,7 +564,7 @@
         private void notConnected(String why) {
             journal.count("connect_failures");
             journal.log("connect-failed", "engine", server, "error", why);
-            fail(Outcome.CONNECT_FAILED);
+            fail(AttemptOutcome.CONNECT_FAILED);
         }
 
         private byte[] request(Front.Call call, Attempt a) {
@@ -592,7 +594,7 @@
             if (!never) {
                 journal.log("engine-error", "engine", server, "status", Integer.toString(a.status));
             }
-            fail(never ? Outcome.FULL : Outcome.ERROR);
+            fail(never ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
         }
 
         /** Whether the event is taken over: passed on, or kept until the stream is granted. */
@@ -608,10 +610,10 @@
                 journal.log("engine-error-event", "engine", server, "begun", Boolean.toString(begun));
                 drop();
                 if (!begun) {
-                    fail(Outcome.ERROR);
+                    fail(AttemptOutcome.ERROR);
                 } else {
                     error = bytes;
-                    outcome = Outcome.ERROR;
+                    outcome = AttemptOutcome.ERROR;
                     finish();
                 }
                 return false;
@@ -671,7 +673,7 @@
                 journal.log("unknown-last-event", "engine", server, "event", EngineEvent.brief(lastEvent));
             }
             start();
-            outcome = Outcome.OK;
+            outcome = AttemptOutcome.OK;
             finish();
         }
 
@@ -692,7 +694,7 @@
                 return;
             }
             journal.log("engine-broke", "engine", server, "begun", Boolean.toString(begun), "why", why);
-            Outcome o = spoilt ? Outcome.SPOILT : Outcome.RESET;
+            AttemptOutcome o = spoilt ? AttemptOutcome.SPOILT : AttemptOutcome.RESET;
             if (!begun) {
                 fail(o);
             } else {
@@ -708,11 +710,11 @@
                 return;
             }
             Front.Sink client = sink;
-            Ledger.Ending ending = outcome == Outcome.ERROR
+            Ledger.Ending ending = outcome == AttemptOutcome.ERROR
                     ? Ledger.Ending.ENGINE_ERROR
                     : silent ? Ledger.Ending.ENGINE_STALLED : Ledger.Ending.ENGINE_BROKE;
             over(outcome);
-            if (outcome == Outcome.OK) {
+            if (outcome == AttemptOutcome.OK) {
                 client.end();
             } else {
                 client.broken(error, ending);
@@ -721,14 +723,14 @@
 
         /** Ends an attempt that has begun nothing. A socket that may still bring an answer is closed
          * first. */
-        private void fail(Outcome o) {
-            if (o != Outcome.FULL && o != Outcome.ERROR) {
+        private void fail(AttemptOutcome o) {
+            if (o != AttemptOutcome.FULL && o != AttemptOutcome.ERROR) {
                 drop();
             }
             over(o);
         }
 
-        private void over(Outcome o) {
+        private void over(AttemptOutcome o) {
             Attempt a = lease.attempt;
             lease.bind(null);
             forget();
--- a/src/main/java/magpiehub/upstream/Reports.java
+++ b/src/main/java/magpiehub/upstream/Reports.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.Load;
+import magpiehub.routing.LoadReport;
 
 /**
  * Engines' load reports as the wire has them: a header of an answer, a comment at a stream's end, the body
@@ -32,7 +32,7 @@
     }
 
     /** The report in a header's value or a body; null if there is none. */
-    Load read(String json) {
+    LoadReport read(String json) {
         if (json == null || json.length() > LONGEST) {
             return null;
         }
@@ -43,7 +43,7 @@
                     return null;
                 }
             }
-            return new Load(
+            return new LoadReport(
                     value(f, "inflight"),
                     value(f, "queue"),
                     value(f, "util"),
--- a/src/test/java/magpiehub/GracefulShutdownTest.java
+++ b/src/test/java/magpiehub/GracefulShutdownTest.java
@@ -5,9 +5,9 @@
 
 import java.util.List;
 import magpiehub.lifecycle.GracefulShutdown.Phases;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.DeduplicationScope;
+import magpiehub.routing.Idempotency;
+import magpiehub.routing.RequestClass;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -15,7 +15,7 @@
 /** The phases of a shutdown follow from the deadlines of the classes. */
 class GracefulShutdownTest {
     private static RequestClass withDeadline(long ms) {
-        return new RequestClass("c", Effect.PURE, Group.ALL, 0, true, 0, 0, 0, ms * 1000, 0, 1, 0);
+        return new RequestClass("c", Idempotency.PURE, DeduplicationScope.ALL, 0, true, 0, 0, 0, ms * 1000, 0, 1, 0);
     }
 
     @ParameterizedTest
--- a/src/test/java/magpiehub/discovery/MembershipTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipTest.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointState;
 import org.junit.Test;
 
 /** Membership's doubts, driven directly. */
@@ -20,8 +20,8 @@
     private static final Membership.Options GUARDED =
             new Membership.Options(0.3, 2, 1_500_000, 10 * S, 3, 1, 60 * S, 0.5);
 
-    private static Config.Entry engine(int i, State state) {
-        return new Config.Entry(new Server("e" + i, 0, 0, 0, state, 1, 0), "10.0.0.1:" + (1 + i));
+    private static Config.Entry engine(int i, EndpointState state) {
+        return new Config.Entry(new Endpoint("e" + i, 0, 0, 0, state, 1, 0), "10.0.0.1:" + (1 + i));
     }
 
     private static View.Delta whole(List<Config.Entry> put, List<String> gone) {
@@ -34,7 +34,13 @@
 
     private static Membership of(int n) {
         Membership m = new Membership(GUARDED);
-        m.apply(whole(IntStream.range(0, n).mapToObj(i -> engine(i, State.LIVE)).toList(), List.of()), 0);
+        m.apply(
+                whole(
+                        IntStream.range(0, n)
+                                .mapToObj(i -> engine(i, EndpointState.LIVE))
+                                .toList(),
+                        List.of()),
+                0);
         return m;
     }
 
@@ -78,12 +84,12 @@
         Membership d = of(10);
         List<Config.Entry> drains = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            drains.add(engine(i, State.DRAINING));
+            drains.add(engine(i, EndpointState.DRAINING));
         }
         assertEquals(
                 10,
                 d.apply(whole(drains, List.of()), S).stream()
-                        .filter(e -> e.server().state() == State.DRAINING)
+                        .filter(e -> e.server().state() == EndpointState.DRAINING)
                         .count());
     }
 
@@ -91,7 +97,7 @@
     public void aHeldEngineThatIsNamedAgainStaysWithItsNewEntry() {
         Membership m = of(10);
         m.apply(whole(List.of(), ids(0, 5)), S);
-        assertEquals("e0 DRAINING", states(m.apply(change(List.of(engine(0, State.DRAINING)), List.of()), S)));
+        assertEquals("e0 DRAINING", states(m.apply(change(List.of(engine(0, EndpointState.DRAINING)), List.of()), S)));
         assertFalse(m.held().contains("e0"));
         assertEquals(4, m.confirmed(Set.of(), 2 * S).size());
     }
@@ -103,7 +109,7 @@
             assertEquals("away at once", "e0 DEAD", states(m.apply(change(List.of(), ids(0, 1)), i * S)));
             assertEquals(
                     i < 4 ? "e0 LIVE" : "e0 DRAINING",
-                    states(m.apply(change(List.of(engine(0, State.LIVE)), List.of()), i * S + 1)));
+                    states(m.apply(change(List.of(engine(0, EndpointState.LIVE)), List.of()), i * S + 1)));
         }
         assertEquals(1, m.suppressed());
         String told = "";
@@ -128,7 +134,7 @@
             m.apply(
                     change(
                             IntStream.range(0, 10)
-                                    .mapToObj(k -> engine(k, State.LIVE))
+                                    .mapToObj(k -> engine(k, EndpointState.LIVE))
                                     .toList(),
                             List.of()),
                     i * S + 1);
--- a/src/test/java/magpiehub/discovery/RegistryTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import magpiehub.discovery.StandIn.Fault;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.EndpointState;
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
@@ -352,7 +352,7 @@
             registry.put("e" + i, Rig.engine(i, "Terminating"));
         }
         Rig.await(
-                () -> client.fleet.values().stream().allMatch(e -> e.server().state() == State.DRAINING),
+                () -> client.fleet.values().stream().allMatch(e -> e.server().state() == EndpointState.DRAINING),
                 () -> client.logged.toString());
         assertEquals(0, client.counted("membership_doubts"));
     }
--- a/src/test/java/magpiehub/discovery/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -14,8 +14,8 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
 import magpiehub.dispatch.ModuleActor;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
 
 /** A client of the registry and what it was told, for tests and the proof. */
 final class Rig {
@@ -37,14 +37,14 @@
                     site(),
                     null,
                     (kind, list) -> {
-                        if (kind == ListKind.COMPLETE || kind == ListKind.SAVED) {
+                        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
                             fleet.keySet()
                                     .retainAll(list.stream()
                                             .map(e -> e.server().id())
                                             .toList());
                         }
                         for (Config.Entry e : list) {
-                            if (e.server().state() == State.DEAD) {
+                            if (e.server().state() == EndpointState.DEAD) {
                                 fleet.remove(e.server().id());
                             } else {
                                 fleet.put(e.server().id(), e);
--- a/src/test/java/magpiehub/discovery/ViewTest.java
+++ b/src/test/java/magpiehub/discovery/ViewTest.java
@@ -14,14 +14,14 @@
 import magpiehub.discovery.View.Item;
 import magpiehub.discovery.View.Position;
 import magpiehub.discovery.View.Verdict;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointState;
 import org.junit.Test;
 
 /** The view, driven directly. */
 public class ViewTest {
     static Config.Entry entry(String id, String address, double size) {
-        return new Config.Entry(new Server(id, 0, 0, 0, State.LIVE, size, 0), address);
+        return new Config.Entry(new Endpoint(id, 0, 0, 0, EndpointState.LIVE, size, 0), address);
     }
 
     private static Item item(String key, long mod) {
--- a/src/test/java/magpiehub/discovery/WatchesTest.java
+++ b/src/test/java/magpiehub/discovery/WatchesTest.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.Settings;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
 import magpiehub.routing.QuietActions;
+import magpiehub.routing.RoutingRequest;
+import magpiehub.routing.RoutingSettings;
 import magpiehub.routing.Rules;
 import org.junit.Test;
 
@@ -159,7 +159,7 @@
         Line live;
         long beatAt;
 
-        Router(Fleet fleet, Settings s, long seed) {
+        Router(Fleet fleet, RoutingSettings s, long seed) {
             this.fleet = fleet;
             watches = new Watches("a", this, seed);
             rules = new Rules(s, seed, this, fleet.now);
@@ -188,7 +188,10 @@
                 live = l;
                 toldAt = fleet.now;
                 beatAt = fleet.now;
-                rules.list(fleet.now, ListKind.COMPLETE, List.of(new Server("e1", 0, 0, 0, State.LIVE, 1, 0)));
+                rules.list(
+                        fleet.now,
+                        EndpointListKind.COMPLETE,
+                        List.of(new Endpoint("e1", 0, 0, 0, EndpointState.LIVE, 1, 0)));
             }
         }
 
@@ -221,7 +224,7 @@
 
         @Override
         public void failed(Watches.Call c, String why) {
-            rules.list(fleet.now, ListKind.ERROR, List.of());
+            rules.list(fleet.now, EndpointListKind.ERROR, List.of());
         }
 
         @Override
@@ -243,7 +246,8 @@
     private static Fleet fleet(int routers, long each, long seed) throws Exception {
         Fleet f = new Fleet();
         f.discoveries.forEach(d -> d.each = each);
-        Settings s = Config.site(Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "site"))
+        RoutingSettings s = Config.site(
+                        Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "site"))
                 .settings();
         for (int i = 0; i < routers; i++) {
             f.routers.add(new Router(f, s, seed * 1000 + i));
@@ -385,7 +389,7 @@
                 f.step();
             }
             r.rules.request(
-                    f.now, new Contract.Request("r" + i, 0, 0, i, 0, f.now + 4 * S, 0, 10, 0, 10, false, false, false));
+                    f.now, new RoutingRequest("r" + i, 0, 0, i, 0, f.now + 4 * S, 0, 10, 0, 10, false, false, false));
             assertEquals("after " + (i + 1) + " s", i + 1, r.sent.size());
         }
     }
@@ -407,9 +411,9 @@
             f.step();
             if (f.now % S == S / 2 && f.now > silent + 4 * S) {
                 r.watches.spoke(old, f.now);
-                r.rules.list(f.now, ListKind.CHANGES, List.of());
+                r.rules.list(f.now, EndpointListKind.CHANGES, List.of());
                 if (r.watches.forsaken()) {
-                    r.rules.list(f.now, ListKind.ERROR, List.of());
+                    r.rules.list(f.now, EndpointListKind.ERROR, List.of());
                 }
             }
             if (f.discoveries.get(0).calls > calls) {
--- a/src/test/java/magpiehub/dispatch/ModuleActorTest.java
+++ b/src/test/java/magpiehub/dispatch/ModuleActorTest.java
@@ -4,12 +4,15 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.Bench;
-import magpiehub.routing.Contract;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.Server;
+import magpiehub.routing.DeduplicationScope;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.Idempotency;
+import magpiehub.routing.RoutingLimits;
+import magpiehub.routing.RoutingRequest;
+import magpiehub.routing.RoutingSettings;
 import org.junit.Test;
 
 /** The module's actor over ports that note the order of what it does, on a clock of the test's own. */
@@ -71,7 +74,7 @@
         public void closeIdle(String server) {}
 
         @Override
-        public void list(ListKind kind, List<Server> servers) {}
+        public void list(EndpointListKind kind, List<Endpoint> servers) {}
     };
     private final ModuleActor.Roster roster = new ModuleActor.Roster() {
         @Override
@@ -99,7 +102,7 @@
     };
     private ModuleActor actor = actor(Bench.settings(1));
 
-    private ModuleActor actor(Contract.Settings settings) {
+    private ModuleActor actor(RoutingSettings settings) {
         return new ModuleActor(settings, 7, () -> now, fleet, roster, journal);
     }
 
@@ -111,9 +114,13 @@
 
     private void ask(String... servers) throws InterruptedException {
         actor.list(
-                ListKind.SAVED,
+                EndpointListKind.SAVED,
                 java.util.Arrays.stream(servers).map(Bench::server).toList());
-        actor.take(new Request("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false), client, "work", 4);
+        actor.take(
+                new RoutingRequest("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false),
+                client,
+                "work",
+                4);
         turns();
     }
 
@@ -148,8 +155,8 @@
 
     @Test
     public void noTimeToReturnIsNamedWhereTheSiteHasNone() throws InterruptedException {
-        Contract.Settings t = Bench.settings(1);
-        actor.settings(new Contract.Settings(
+        RoutingSettings t = Bench.settings(1);
+        actor.settings(new RoutingSettings(
                 0,
                 1,
                 0,
@@ -160,7 +167,7 @@
                 0.1,
                 t.classes(),
                 t.tenants(),
-                new Contract.Limits(true, true, false, false, false, 6, 1000, 0, 250_000),
+                new RoutingLimits(true, true, false, false, false, 6, 1000, 0, 250_000),
                 t.guarantees(),
                 t.costs()));
         fleetFails = true;
@@ -171,8 +178,8 @@
     /** A watch is how pushed lists come; it is opened at the start, and again a while after each failure. */
     @Test
     public void aWatchIsKeptWhereListsArePushed() throws InterruptedException {
-        Contract.Settings t = Bench.settings(1);
-        actor.settings(new Contract.Settings(
+        RoutingSettings t = Bench.settings(1);
+        actor.settings(new RoutingSettings(
                 0,
                 1,
                 0,
@@ -188,7 +195,7 @@
                 t.costs()));
         turns();
         assertEquals(1, watches);
-        actor.list(ListKind.ERROR, List.of());
+        actor.list(EndpointListKind.ERROR, List.of());
         turns();
         now += 249_000;
         turns();
@@ -204,7 +211,7 @@
         now += 400_000;
         turns();
         actor.begun(attempts.get(0));
-        actor.ended(attempts.get(0), Outcome.OK, 5, null);
+        actor.ended(attempts.get(0), AttemptOutcome.OK, 5, null);
         actor.gone("r");
         turns();
         assertEquals(List.of("start a", "abort a", "refuse at 1400000"), done);
@@ -224,7 +231,7 @@
                 "a connection that comes up now is for nobody",
                 null,
                 attempts.get(0).work());
-        actor.ended(attempts.get(0), Outcome.ERROR, -1, null);
+        actor.ended(attempts.get(0), AttemptOutcome.ERROR, -1, null);
         turns();
         actor.gone("r");
         turns();
@@ -259,15 +266,15 @@
     /** Effects at the shutdown: what may have run is not called refused, what can't have run is. */
     @Test
     public void atTheShutdownOnlyWhatMayBeRepeatedIsRefused() throws InterruptedException {
-        for (Contract.Effect effect : Contract.Effect.values()) {
-            for (Contract.Group group : Contract.Group.values()) {
+        for (Idempotency effect : Idempotency.values()) {
+            for (DeduplicationScope group : DeduplicationScope.values()) {
                 done.clear();
                 actor = actor(Bench.settings(1, Bench.cls(effect, group)));
                 ask("a");
                 actor.shutDown(false);
                 turns();
-                boolean harmless = effect == Contract.Effect.PURE
-                        || effect == Contract.Effect.TOKEN && group == Contract.Group.ALL;
+                boolean harmless =
+                        effect == Idempotency.PURE || effect == Idempotency.TOKEN && group == DeduplicationScope.ALL;
                 assertEquals(
                         effect + " " + group,
                         List.of("start a", "abort a", (harmless ? "refuse" : "fail") + " at 1000000"),
--- a/src/test/java/magpiehub/routing/Bench.java
+++ b/src/test/java/magpiehub/routing/Bench.java
@@ -4,23 +4,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.routing.Contract.Costs;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.Guarantees;
-import magpiehub.routing.Contract.Limits;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.RequestClass;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.Settings;
-import magpiehub.routing.Contract.State;
-import magpiehub.routing.Contract.Tenant;
-import magpiehub.routing.Contract.Weights;
 
 /** One node under test: feeds events, records actions. Times are in microseconds. */
-public final class Bench implements Contract.Actions {
+public final class Bench implements RoutingActions {
     public static final long S = 1_000_000;
 
     /** What was sent, and what became of it. */
@@ -37,60 +23,61 @@
     final List<Long> timers = new ArrayList<>();
     int watches;
     long now = S;
-    final Settings settings;
+    final RoutingSettings settings;
     final Rules node;
     private int ids;
 
-    Bench(Settings settings) {
+    Bench(RoutingSettings settings) {
         this(settings, new Zones.Plain());
     }
 
-    Bench(Settings settings, Zones zones) {
+    Bench(RoutingSettings settings, Zones zones) {
         this.settings = settings;
         node = new Rules(settings, 42, this, now, zones);
     }
 
-    public static RequestClass cls(Effect effect, Group group) {
+    public static RequestClass cls(Idempotency effect, DeduplicationScope group) {
         return new RequestClass("c", effect, group, 3 * S, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
     }
 
-    public static Settings settings(int instances, RequestClass... classes) {
+    public static RoutingSettings settings(int instances, RequestClass... classes) {
         return settings(instances, true, false, List.of(), classes);
     }
 
-    public static Settings settings(
+    public static RoutingSettings settings(
             int instances, boolean parallel, boolean subscribe, List<Tenant> tenants, RequestClass... classes) {
-        List<RequestClass> c = classes.length == 0 ? List.of(cls(Effect.PURE, Group.ALL)) : List.of(classes);
-        return new Settings(
+        List<RequestClass> c =
+                classes.length == 0 ? List.of(cls(Idempotency.PURE, DeduplicationScope.ALL)) : List.of(classes);
+        return new RoutingSettings(
                 0,
                 instances,
                 0,
                 2,
                 subscribe,
                 false,
-                Weights.NONE,
+                WeightMeaning.NONE,
                 0.1,
                 c,
                 tenants,
-                new Limits(true, true, false, parallel, true, 6, 1000, 2 * S, S / 4),
+                new RoutingLimits(true, true, false, parallel, true, 6, 1000, 2 * S, S / 4),
                 new Guarantees(20_000, 10 * S, 20 * S, 2 * S, 2.5, 0.12, S / 2),
-                new Costs(0.03, 0.05, 0.002, 0.03, 0, 0));
+                new RoutingCosts(0.03, 0.05, 0.002, 0.03, 0, 0));
     }
 
-    public static Server server(String id) {
-        return new Server(id, 0, 0, 0, State.LIVE, 1, 0);
+    public static Endpoint server(String id) {
+        return new Endpoint(id, 0, 0, 0, EndpointState.LIVE, 1, 0);
     }
 
-    public static Server server(String id, State state, long online) {
-        return new Server(id, 0, 0, 0, state, 1, online);
+    public static Endpoint server(String id, EndpointState state, long online) {
+        return new Endpoint(id, 0, 0, 0, state, 1, online);
     }
 
     public Bench list(String... ids) {
-        List<Server> l = new ArrayList<>();
+        List<Endpoint> l = new ArrayList<>();
         for (String id : ids) {
             l.add(server(id));
         }
-        node.list(now, ListKind.COMPLETE, l);
+        node.list(now, EndpointListKind.COMPLETE, l);
         return this;
     }
 
@@ -103,7 +90,8 @@
         String id = "r" + ids++;
         node.request(
                 now,
-                new Request(id, cls, tenant, session, prefix, now + 4 * S, 0, 1000, 800, 100, false, false, false));
+                new RoutingRequest(
+                        id, cls, tenant, session, prefix, now + 4 * S, 0, 1000, 800, 100, false, false, false));
         return id;
     }
 
@@ -121,8 +109,8 @@
         node.begun(now, id, tries.get(id) - 1, took);
     }
 
-    void outcome(String id, Outcome o) {
-        boolean ok = o == Outcome.OK;
+    void outcome(String id, AttemptOutcome o) {
+        boolean ok = o == AttemptOutcome.OK;
         if (ok) {
             finals.merge(id, "ok", (a, b) -> a + "," + b);
         }
@@ -132,7 +120,7 @@
     /** Served, with so many prompt tokens found kept. */
     void kept(String id, long tokens) {
         finals.merge(id, "ok", (a, b) -> a + "," + b);
-        node.outcome(now, id, tries.get(id) - 1, Outcome.OK, 50_000, true, tokens, null);
+        node.outcome(now, id, tries.get(id) - 1, AttemptOutcome.OK, 50_000, true, tokens, null);
     }
 
     /** A request from start to end; returns where it was served. */
@@ -140,7 +128,7 @@
         String id = ask(prefix, session);
         String at = where(id);
         begun(id, 50_000);
-        outcome(id, Outcome.OK);
+        outcome(id, AttemptOutcome.OK);
         return at;
     }
 
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -8,11 +8,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
 import org.junit.Test;
 
 /** A fleet of modules in virtual time, and servers that start cold: what all of them send together. */
@@ -31,7 +26,7 @@
     private static final class Fleet {
         final SplittableRandom random;
         final List<Router> routers = new ArrayList<>();
-        final List<Server> servers = new ArrayList<>();
+        final List<Endpoint> servers = new ArrayList<>();
         final Map<String, List<Long>> sent = new HashMap<>();
         final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
         final double[] shares;
@@ -51,7 +46,7 @@
                 sum += shares[i];
             }
             for (int i = 0; i < engines; i++) {
-                servers.add(new Server("10.1.0." + i + ":" + seed, i % 2, 0, 0, State.LIVE, 1, 0));
+                servers.add(new Endpoint("10.1.0." + i + ":" + seed, i % 2, 0, 0, EndpointState.LIVE, 1, 0));
             }
             for (int i = 0; i < count; i++) {
                 shares[i] /= sum;
@@ -100,12 +95,13 @@
         /** Servers start anew, all routers are told within a moment, and some of those start anew as well. */
         void cold(int count, boolean restarts) {
             for (int i = 0; i < count; i++) {
-                Server w = servers.get(i);
-                servers.set(i, new Server(w.id(), w.zone(), 0, 0, State.LIVE, 1, now));
+                Endpoint w = servers.get(i);
+                servers.set(i, new Endpoint(w.id(), w.zone(), 0, 0, EndpointState.LIVE, 1, now));
             }
-            List<Server> list = List.copyOf(servers);
+            List<Endpoint> list = List.copyOf(servers);
             for (Router r : routers) {
-                dues.add(new Due(now + random.nextLong(300_000), () -> r.rules.list(now, ListKind.COMPLETE, list)));
+                dues.add(new Due(
+                        now + random.nextLong(300_000), () -> r.rules.list(now, EndpointListKind.COMPLETE, list)));
                 if (restarts && random.nextInt(10) < 7) {
                     dues.add(new Due(now + 300_000 + random.nextLong(2 * S), () -> r.start(list)));
                 }
@@ -116,7 +112,7 @@
     private static final class Router extends QuietActions {
         final Fleet fleet;
         final int me;
-        final Map<String, Request> open = new HashMap<>();
+        final Map<String, RoutingRequest> open = new HashMap<>();
         final Map<String, Integer> tries = new HashMap<>();
         Rules rules;
         long timer;
@@ -127,12 +123,12 @@
             start(fleet.servers);
         }
 
-        void start(List<Server> list) {
-            Contract.Settings t = Bench.settings(fleet.shares.length);
-            Contract.Guarantees g = new Contract.Guarantees(8_000, 10 * S, COLD, FALL, FACTOR, START, 2 * S);
+        void start(List<Endpoint> list) {
+            RoutingSettings t = Bench.settings(fleet.shares.length);
+            Guarantees g = new Guarantees(8_000, 10 * S, COLD, FALL, FACTOR, START, 2 * S);
             open.clear();
             rules = new Rules(
-                    new Contract.Settings(
+                    new RoutingSettings(
                             me,
                             fleet.shares.length,
                             me % 2,
@@ -149,7 +145,7 @@
                     fleet.random.nextLong(),
                     this,
                     fleet.now);
-            rules.list(fleet.now, ListKind.COMPLETE, List.copyOf(list));
+            rules.list(fleet.now, EndpointListKind.COMPLETE, List.copyOf(list));
         }
 
         void step() {
@@ -164,7 +160,8 @@
 
         void ask(long session, long prefix, boolean again) {
             String id = "r" + fleet.ids++;
-            Request r = new Request(id, 0, 0, session, prefix, fleet.now + 4 * S, 0, 1000, 0, 100, false, false, again);
+            RoutingRequest r = new RoutingRequest(
+                    id, 0, 0, session, prefix, fleet.now + 4 * S, 0, 1000, 0, 100, false, false, again);
             open.put(id, r);
             rules.request(fleet.now, r);
         }
@@ -174,10 +171,10 @@
             fleet.sent.computeIfAbsent(server, k -> new ArrayList<>()).add(fleet.now);
             int n = tries.merge(id, 1, Integer::sum) - 1;
             Rules to = rules;
-            Request r = open.get(id);
+            RoutingRequest r = open.get(id);
             int how = fleet.random.nextInt(100);
             if (how < 4) { // Fails, and is tried elsewhere.
-                Outcome o = how < 2 ? Outcome.RESET : Outcome.CONNECT_FAILED;
+                AttemptOutcome o = how < 2 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
                 fleet.dues.add(
                         new Due(fleet.now + 20_000, () -> to.outcome(fleet.now, id, n, o, 20_000, false, -1, null)));
                 return;
@@ -185,7 +182,8 @@
             fleet.dues.add(new Due(fleet.now + 60_000, () -> to.begun(fleet.now, id, n, 60_000)));
             boolean breaks = how < 8;
             fleet.dues.add(new Due(fleet.now + 500_000, () -> {
-                to.outcome(fleet.now, id, n, breaks ? Outcome.RESET : Outcome.OK, 500_000, true, 800, null);
+                to.outcome(
+                        fleet.now, id, n, breaks ? AttemptOutcome.RESET : AttemptOutcome.OK, 500_000, true, 800, null);
                 if (breaks) {
                     fleet.ask(r.session(), true); // Its client asks for the rest.
                 }
@@ -293,18 +291,19 @@
                     f.cold(1, false);
                     f.run(400_000);
                     f.now = since + Math.max(after, f.now - since);
-                    List<Server> one = new ArrayList<>();
-                    for (Server s : f.servers) {
+                    List<Endpoint> one = new ArrayList<>();
+                    for (Endpoint s : f.servers) {
                         one.add(
                                 s.id().equals(cold)
                                         ? s
-                                        : new Server(s.id(), s.zone(), 0, 0, State.DRAINING, 1, s.onlineSince()));
+                                        : new Endpoint(
+                                                s.id(), s.zone(), 0, 0, EndpointState.DRAINING, 1, s.onlineSince()));
                     }
                     f.sent.clear();
                     f.dues.clear();
                     for (Router r : f.routers) {
                         if (!prefix) {
-                            r.rules.list(f.now, ListKind.CHANGES, one);
+                            r.rules.list(f.now, EndpointListKind.CHANGES, one);
                         }
                         r.ask(f.session(), key, false);
                         r.ask(f.session(), key, false);
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -12,21 +12,6 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import magpiehub.dispatch.ModuleActor;
-import magpiehub.routing.Contract.Costs;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.Guarantees;
-import magpiehub.routing.Contract.Limits;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Load;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.RequestClass;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.Settings;
-import magpiehub.routing.Contract.State;
-import magpiehub.routing.Contract.Tenant;
-import magpiehub.routing.Contract.Weights;
 import magpiehub.sites.Plan;
 import magpiehub.sites.Sites;
 
@@ -61,7 +46,7 @@
         final int cell;
         final double weight;
         final double pace;
-        State state = State.LIVE;
+        EndpointState state = EndpointState.LIVE;
         long onlineSince;
         int inFlight;
 
@@ -86,11 +71,11 @@
     }
 
     private static final class Call {
-        final Request request;
+        final RoutingRequest request;
         final List<Attempt> attempts = new ArrayList<>();
         boolean settled;
 
-        Call(Request request) {
+        Call(RoutingRequest request) {
             this.request = request;
         }
     }
@@ -107,7 +92,7 @@
     private final List<String> openIds = new ArrayList<>();
     private final Map<String, Engine> engines = new HashMap<>();
     private final List<Engine> listed = new ArrayList<>();
-    private Settings settings;
+    private RoutingSettings settings;
     private final double meanGap;
     private final boolean reportsLoad;
     private Phase phase = Phase.CALM;
@@ -129,7 +114,7 @@
         for (int i = 0; i < fleet; i++) {
             addEngine(random.nextInt(6) == 0 ? now : 0);
         }
-        listAll(ListKind.SAVED);
+        listAll(EndpointListKind.SAVED);
         nextArrival();
     }
 
@@ -195,7 +180,7 @@
         });
     }
 
-    private Settings drawSettings() {
+    private RoutingSettings drawSettings() {
         int zones = 1 + random.nextInt(4);
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 1 + random.nextInt(4); i > 0; i--) {
@@ -206,14 +191,14 @@
                 : List.of(new Tenant("first", 0.5, 1 + random.nextInt(20)), new Tenant("second", 0.5, 0));
         int instances = 1 + random.nextInt(random.nextBoolean() ? 4 : 60);
         boolean priced = random.nextInt(4) == 0;
-        return new Settings(
+        return new RoutingSettings(
                 random.nextInt(instances),
                 instances,
                 random.nextInt(zones),
                 zones,
                 random.nextBoolean(),
                 false,
-                Weights.values()[random.nextInt(Weights.values().length)],
+                WeightMeaning.values()[random.nextInt(WeightMeaning.values().length)],
                 random.nextDouble(),
                 classes,
                 tenants,
@@ -226,14 +211,14 @@
                         1 + 3 * random.nextDouble(),
                         0.1 + 0.5 * random.nextDouble(),
                         SECOND / 2),
-                new Costs(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, priced ? 0.01 : 0, 0));
+                new RoutingCosts(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, priced ? 0.01 : 0, 0));
     }
 
     private RequestClass drawClass(String name) {
         return new RequestClass(
                 name,
-                Effect.values()[random.nextInt(3)],
-                Group.values()[random.nextInt(3)],
+                Idempotency.values()[random.nextInt(3)],
+                DeduplicationScope.values()[random.nextInt(3)],
                 random.nextInt(3_000_000),
                 true,
                 100_000 + random.nextInt(900_000),
@@ -245,8 +230,8 @@
                 random.nextDouble());
     }
 
-    private Limits drawLimits() {
-        return new Limits(
+    private RoutingLimits drawLimits() {
+        return new RoutingLimits(
                 random.nextInt(4) > 0,
                 random.nextInt(4) > 0,
                 false,
@@ -271,21 +256,21 @@
         listed.add(engine);
     }
 
-    private Server entry(Engine engine) {
-        double load = settings.weights() == Weights.LIVE ? random.nextDouble() : 1;
-        return new Server(
+    private Endpoint entry(Engine engine) {
+        double load = settings.weights() == WeightMeaning.LIVE ? random.nextDouble() : 1;
+        return new Endpoint(
                 engine.id, engine.zone, 0, engine.cell, engine.state, engine.weight * load, engine.onlineSince);
     }
 
-    private void listAll(ListKind kind) {
+    private void listAll(EndpointListKind kind) {
         module.list(now, kind, listed.stream().map(this::entry).toList());
     }
 
     private void listOne(Engine engine) {
         if (random.nextInt(8) == 0) {
-            listAll(ListKind.COMPLETE);
+            listAll(EndpointListKind.COMPLETE);
         } else {
-            module.list(now, ListKind.CHANGES, List.of(entry(engine)));
+            module.list(now, EndpointListKind.CHANGES, List.of(entry(engine)));
         }
     }
 
@@ -312,11 +297,11 @@
         Engine gone = anyListed();
         if (random.nextBoolean()) {
             gone.onlineSince = now;
-            gone.state = State.LIVE;
+            gone.state = EndpointState.LIVE;
             listOne(gone);
             return;
         }
-        gone.state = State.DRAINING;
+        gone.state = EndpointState.DRAINING;
         listOne(gone);
         addEngine(now);
         listOne(listed.get(listed.size() - 1));
@@ -325,10 +310,10 @@
 
     private void drainOne() {
         Engine engine = anyListed();
-        engine.state = State.DRAINING;
+        engine.state = EndpointState.DRAINING;
         listOne(engine);
         plan(2 * SECOND, () -> {
-            engine.state = State.LIVE;
+            engine.state = EndpointState.LIVE;
             engine.onlineSince = random.nextBoolean() ? now : 0;
             listOne(engine);
         });
@@ -338,22 +323,22 @@
         if (listed.size() < 4 || !listed.remove(engine)) {
             return;
         }
-        engine.state = State.DEAD;
+        engine.state = EndpointState.DEAD;
         if (random.nextBoolean()) {
-            module.list(now, ListKind.CHANGES, List.of(entry(engine)));
+            module.list(now, EndpointListKind.CHANGES, List.of(entry(engine)));
         } else {
-            listAll(ListKind.COMPLETE);
+            listAll(EndpointListKind.COMPLETE);
         }
     }
 
     /** Classes and tenants keep their places, limits and costs change, a class may come behind. */
     private void reload() {
-        Settings other = drawSettings();
+        RoutingSettings other = drawSettings();
         List<RequestClass> classes = new ArrayList<>(settings.classes());
         if (classes.size() < 6) {
             classes.add(drawClass("class" + classes.size()));
         }
-        settings = new Settings(
+        settings = new RoutingSettings(
                 settings.me(),
                 other.instances(),
                 settings.myZone(),
@@ -386,7 +371,7 @@
                 ? 99
                 : random.nextInt(settings.classes().size());
         double prompt = 200 + random.nextInt(9_000);
-        Call call = new Call(new Request(
+        Call call = new Call(new RoutingRequest(
                 id,
                 requestClass,
                 random.nextInt(3),
@@ -414,7 +399,7 @@
 
     private void expire(Call call) {
         for (int i = 0; i < call.attempts.size() && !call.settled; i++) {
-            end(call, i, Outcome.TIMEOUT, false);
+            end(call, i, AttemptOutcome.TIMEOUT, false);
         }
         openIds.remove(call.request.id());
     }
@@ -435,14 +420,14 @@
         int number = call.attempts.size();
         call.attempts.add(new Attempt(engine, now));
         engine.inFlight++;
-        Outcome outcome = drawOutcome(engine);
+        AttemptOutcome outcome = drawOutcome(engine);
         long first = (long) (engine.pace * (30_000 + random.nextInt(40_000)) * slowness(engine));
         switch (outcome) {
             case OK, RESET, SPOILT -> {
-                if (outcome == Outcome.OK || random.nextInt(3) == 0) {
+                if (outcome == AttemptOutcome.OK || random.nextInt(3) == 0) {
                     plan(first, () -> begin(call, number));
                 }
-                plan(first + random.nextInt(600_000), () -> end(call, number, outcome, outcome == Outcome.OK));
+                plan(first + random.nextInt(600_000), () -> end(call, number, outcome, outcome == AttemptOutcome.OK));
             }
             case TIMEOUT -> plan(2 * SECOND, () -> end(call, number, outcome, false));
             default -> plan(random.nextInt(80_000), () -> end(call, number, outcome, false));
@@ -461,27 +446,27 @@
                 * (phase == Phase.OVERLOAD ? 6 + random.nextInt(12) : phase == Phase.SLOW && isTarget(engine) ? 12 : 1);
     }
 
-    private Outcome drawOutcome(Engine engine) {
+    private AttemptOutcome drawOutcome(Engine engine) {
         int percent = random.nextInt(100);
         if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zones()) {
-            return Outcome.CONNECT_FAILED;
+            return AttemptOutcome.CONNECT_FAILED;
         }
         if (phase == Phase.HANG && isTarget(engine)) {
-            return Outcome.TIMEOUT;
+            return AttemptOutcome.TIMEOUT;
         }
         if (phase == Phase.ERRORS && percent < (isTarget(engine) ? 80 : 50)) {
-            return Outcome.ERROR;
+            return AttemptOutcome.ERROR;
         }
         if (phase == Phase.RESETS && percent < 30) {
-            return percent < 20 ? Outcome.RESET : Outcome.SPOILT;
+            return percent < 20 ? AttemptOutcome.RESET : AttemptOutcome.SPOILT;
         }
         if (engine.inFlight > 12 || phase == Phase.OVERLOAD && percent < 30) {
-            return Outcome.FULL;
+            return AttemptOutcome.FULL;
         }
         if (percent < 4) {
-            return Outcome.values()[random.nextInt(Outcome.values().length)];
+            return AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
         }
-        return Outcome.OK;
+        return AttemptOutcome.OK;
     }
 
     private void begin(Call call, int number) {
@@ -491,14 +476,14 @@
         }
     }
 
-    private void end(Call call, int number, Outcome outcome, boolean served) {
+    private void end(Call call, int number, AttemptOutcome outcome, boolean served) {
         Attempt attempt = call.attempts.get(number);
         if (attempt.ended) {
             return;
         }
         attempt.ended = true;
         attempt.engine.inFlight--;
-        Outcome seen = call.settled && outcome == Outcome.OK ? Outcome.CANCELLED : outcome;
+        AttemptOutcome seen = call.settled && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
         call.settled |= served;
         long kept = random.nextInt(5) == 0
                 ? -1
@@ -514,11 +499,11 @@
                 drawLoad(attempt.engine));
     }
 
-    private Load drawLoad(Engine engine) {
+    private LoadReport drawLoad(Engine engine) {
         if (!reportsLoad || random.nextInt(3) == 0) {
             return null;
         }
-        return new Load(
+        return new LoadReport(
                 engine.inFlight,
                 Math.max(0, engine.inFlight - 10),
                 Double.NaN,
@@ -533,7 +518,7 @@
     @Override
     public void cancel(String id, int attempt) {
         record("cancel", id, attempt);
-        plan(1_000, () -> end(calls.get(id), attempt, Outcome.CANCELLED, false));
+        plan(1_000, () -> end(calls.get(id), attempt, AttemptOutcome.CANCELLED, false));
     }
 
     @Override
@@ -553,12 +538,12 @@
         record("watch");
         plan(random.nextInt(1_500_000), () -> {
             if (random.nextInt(3) == 0) {
-                module.list(now, ListKind.ERROR, List.of());
+                module.list(now, EndpointListKind.ERROR, List.of());
             } else {
                 listOne(anyListed());
             }
         });
-        plan(4 * SECOND, () -> module.list(now, ListKind.ERROR, List.of()));
+        plan(4 * SECOND, () -> module.list(now, EndpointListKind.ERROR, List.of()));
     }
 
     @Override
@@ -571,8 +556,10 @@
     public void probe(String server) {
         record("probe", server);
         Engine engine = engines.get(server);
-        Outcome outcome = drawOutcome(engine);
-        Outcome seen = outcome == Outcome.CONNECT_FAILED || outcome == Outcome.TIMEOUT ? outcome : Outcome.OK;
+        AttemptOutcome outcome = drawOutcome(engine);
+        AttemptOutcome seen = outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT
+                ? outcome
+                : AttemptOutcome.OK;
         long took = 2_000 + random.nextInt(20_000);
         plan(took, () -> module.probed(now, server, seen, took, drawLoad(engine)));
     }
--- a/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -3,9 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
 import org.junit.jupiter.api.Test;
 
 /** The README's embedding example, compiled and run: one request from its coming to its answer. */
@@ -15,11 +12,12 @@
         Bench actions = new Bench(Bench.settings(1));
         long now = 2_000_000;
         Rules rules = new Rules(actions.settings, 7, actions, now);
-        rules.list(now, ListKind.SAVED, List.of(Bench.server("10.0.0.1:9000")));
-        rules.request(now, new Request("a1", 0, 0, 17, 4, now + 4_000_000, 0, 1800, 1200, 256, false, false, false));
+        rules.list(now, EndpointListKind.SAVED, List.of(Bench.server("10.0.0.1:9000")));
+        rules.request(
+                now, new RoutingRequest("a1", 0, 0, 17, 4, now + 4_000_000, 0, 1800, 1200, 256, false, false, false));
         assertEquals("10.0.0.1:9000", actions.where("a1"));
         rules.begun(now + 80_000, "a1", 0, 80_000);
-        rules.outcome(now + 900_000, "a1", 0, Outcome.OK, 900_000, true, 1200, null);
+        rules.outcome(now + 900_000, "a1", 0, AttemptOutcome.OK, 900_000, true, 1200, null);
         assertEquals(0, actions.finals.size(), "the stream itself was the answer");
     }
 
@@ -28,7 +26,8 @@
         Bench actions = new Bench(Bench.settings(1)).list("a");
         String id = actions.ask(9, 0, 0, 1);
         assertEquals("refused", actions.finals.get(id), "a class out of range");
-        Request twice = new Request("x", 0, 0, 1, 0, actions.now + 4_000_000, 0, 10, 0, 10, false, false, false);
+        RoutingRequest twice =
+                new RoutingRequest("x", 0, 0, 1, 0, actions.now + 4_000_000, 0, 10, 0, 10, false, false, false);
         actions.node.request(actions.now, twice);
         actions.node.request(actions.now - 500_000, twice);
         assertEquals(1, actions.tries.get("x"), "an id that is held already");
--- a/src/test/java/magpiehub/routing/OverloadControlTest.java
+++ b/src/test/java/magpiehub/routing/OverloadControlTest.java
@@ -7,10 +7,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.RequestClass;
 import org.junit.jupiter.api.Test;
 
 /** Refusals over drawn deployments: no router turns away everything, and no conversation is singled out. */
@@ -25,8 +21,8 @@
         for (int i = 0; i < classes.length; i++) {
             classes[i] = new RequestClass(
                     "c" + i,
-                    Effect.PURE,
-                    Group.ALL,
+                    Idempotency.PURE,
+                    DeduplicationScope.ALL,
                     0,
                     true,
                     S,
@@ -47,7 +43,7 @@
             String id = b.ask(random.nextInt(classes.length), 0, 0, random.nextLong(1, 1L << 53));
             if (b.finals.get(id) == null) {
                 b.begun(id, 3 * S + random.nextLong(S / 2));
-                b.outcome(id, Outcome.OK);
+                b.outcome(id, AttemptOutcome.OK);
             }
             b.pass(50_000);
         }
@@ -73,7 +69,7 @@
                 if (b.finals.get(id) == null) {
                     refusedInARow.clear();
                     b.begun(id, 50_000);
-                    b.outcome(id, Outcome.OK);
+                    b.outcome(id, AttemptOutcome.OK);
                 } else {
                     refusedInARow.addLast(b.now);
                     late += b.now >= from + 10 * S ? 1 : 0;
@@ -113,7 +109,7 @@
                 if (open.size() > 4) {
                     String done = open.remove(0);
                     b.begun(done, 3 * S);
-                    b.outcome(done, Outcome.OK);
+                    b.outcome(done, AttemptOutcome.OK);
                 }
                 b.pass(100_000);
             }
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -9,13 +9,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.RequestClass;
-import magpiehub.routing.Contract.Server;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -38,10 +31,10 @@
 
     /** One request and whether its first token came in time. */
     private static final class Asked {
-        final Request request;
+        final RoutingRequest request;
         boolean answered;
 
-        Asked(Request request) {
+        Asked(RoutingRequest request) {
             this.request = request;
         }
     }
@@ -66,8 +59,8 @@
             for (int i = 0; i < classes.length; i++) {
                 classes[i] = new RequestClass(
                         "c" + i,
-                        Effect.PURE,
-                        Group.ALL,
+                        Idempotency.PURE,
+                        DeduplicationScope.ALL,
                         0,
                         true,
                         SECOND / 2 + random.nextLong(2 * SECOND),
@@ -80,11 +73,11 @@
             }
             replicas = 4 + random.nextInt(9);
             rules = new Rules(Bench.settings(1, classes), seed, this, now);
-            List<Server> list = new ArrayList<>();
+            List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < replicas; i++) {
                 list.add(Bench.server("10.0.0." + i + ":" + random.nextInt(9000)));
             }
-            rules.list(now, ListKind.COMPLETE, list);
+            rules.list(now, EndpointListKind.COMPLETE, list);
         }
 
         /** Plays the day with traffic that takes a part of what the replicas can read. */
@@ -104,7 +97,7 @@
         private void ask() {
             double tokens = SHORTEST_PROMPT * Math.pow(LONGEST_PROMPT / SHORTEST_PROMPT, random.nextDouble());
             String id = "r" + all.size();
-            Asked asked = new Asked(new Request(
+            Asked asked = new Asked(new RoutingRequest(
                     id,
                     random.nextInt(classes.length),
                     0,
@@ -126,7 +119,7 @@
         @Override
         public void send(String id, String server, long timeout) {
             long sentAt = now;
-            Request r = open.get(id).request;
+            RoutingRequest r = open.get(id).request;
             long begins = Math.max(now, freeAt.getOrDefault(server, 0L));
             long read = begins + (long) (SECOND * r.promptTokens() / TOKENS_PER_SECOND);
             if (read < r.deadline()) {
@@ -135,17 +128,17 @@
             } else {
                 // A replica drops what nobody waits for any more before it has read it.
                 freeAt.put(server, Math.min(read, Math.max(begins, r.deadline())));
-                events.add(new Due(r.deadline(), () -> outcome(id, Outcome.TIMEOUT, sentAt)));
+                events.add(new Due(r.deadline(), () -> outcome(id, AttemptOutcome.TIMEOUT, sentAt)));
             }
         }
 
         private void served(String id, long sentAt) {
             open.get(id).answered = true;
             rules.begun(now, id, 0, now - sentAt);
-            outcome(id, Outcome.OK, sentAt);
+            outcome(id, AttemptOutcome.OK, sentAt);
         }
 
-        private void outcome(String id, Outcome outcome, long sentAt) {
+        private void outcome(String id, AttemptOutcome outcome, long sentAt) {
             open.remove(id);
             rules.outcome(now, id, 0, outcome, now - sentAt, true, -1, null);
         }
--- a/src/test/java/magpiehub/routing/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -1,7 +1,7 @@
 package magpiehub.routing;
 
 /** A node's host that does nothing: tests say what they look at. */
-public class QuietActions implements Contract.Actions {
+public class QuietActions implements RoutingActions {
     @Override
     public void send(String id, String server, long timeout) {}
 
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -12,15 +12,6 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Request;
-import magpiehub.routing.Contract.RequestClass;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
-import magpiehub.routing.Contract.Tenant;
 import org.junit.jupiter.api.Test;
 
 /** Seeded random events over many settings, with the rules checked after each action. */
@@ -30,12 +21,12 @@
     /** A world that checks what one node does. */
     private static final class World extends QuietActions {
         private static final class Job {
-            Request r;
+            RoutingRequest r;
             RequestClass c;
             boolean over;
             final List<String> at = new ArrayList<>();
             final List<Long> sentAt = new ArrayList<>();
-            final List<Outcome> ended = new ArrayList<>();
+            final List<AttemptOutcome> ended = new ArrayList<>();
             int begun = -1;
 
             int open() {
@@ -44,11 +35,11 @@
         }
 
         final Random rnd;
-        final Contract.Settings s;
+        final RoutingSettings s;
         final Rules node;
         final Map<String, Job> jobs = new HashMap<>();
         final List<Job> live = new ArrayList<>();
-        final Map<String, Server> known = new HashMap<>();
+        final Map<String, Endpoint> known = new HashMap<>();
         final Set<String> everListed = new HashSet<>();
         final Map<String, Integer> coldSends = new HashMap<>();
         final List<Long> timers = new ArrayList<>();
@@ -63,8 +54,8 @@
             for (int i = 0; i < 1 + rnd.nextInt(4); i++) {
                 classes.add(new RequestClass(
                         "c" + i,
-                        Effect.values()[rnd.nextInt(3)],
-                        Group.values()[rnd.nextInt(3)],
+                        Idempotency.values()[rnd.nextInt(3)],
+                        DeduplicationScope.values()[rnd.nextInt(3)],
                         rnd.nextInt(3_000_000),
                         true,
                         rnd.nextInt(2_000_000),
@@ -92,22 +83,22 @@
             assertNotNull(j, "sent what it did not get");
             assertFalse(j.over, "sent after the final answer");
             assertTrue(everListed.contains(server), "sent to a server never listed");
-            Server e = known.get(server);
-            assertTrue(e != null && e.state() == State.LIVE, "sent to a draining or missing server");
+            Endpoint e = known.get(server);
+            assertTrue(e != null && e.state() == EndpointState.LIVE, "sent to a draining or missing server");
             assertTrue(j.at.size() < s.limits().mostAttempts());
             assertTrue(s.limits().parallel() || j.open() == 0, "two at once");
             for (int i = 0; i < j.at.size(); i++) {
-                Outcome o = j.ended.get(i);
-                if (j.c.effect() == Effect.PURE || o != null && o.neverRan) {
+                AttemptOutcome o = j.ended.get(i);
+                if (j.c.effect() == Idempotency.PURE || o != null && o.neverRan) {
                     continue;
                 }
-                assertEquals(Effect.TOKEN, j.c.effect(), "a side effect may happen twice");
+                assertEquals(Idempotency.TOKEN, j.c.effect(), "a side effect may happen twice");
                 assertTrue(now - j.sentAt.get(i) <= j.c.window(), "outside the window");
-                Server was = everKnown.get(j.at.get(i));
+                Endpoint was = everKnown.get(j.at.get(i));
                 assertTrue(
-                        j.c.group() == Group.ALL
-                                || j.c.group() == Group.ZONE && was.zone() == e.zone()
-                                || j.c.group() == Group.CELL && was.cell() == e.cell(),
+                        j.c.group() == DeduplicationScope.ALL
+                                || j.c.group() == DeduplicationScope.ZONE && was.zone() == e.zone()
+                                || j.c.group() == DeduplicationScope.CELL && was.cell() == e.cell(),
                         "outside the group");
             }
             if (e.onlineSince() > 0 && now - e.onlineSince() < s.guarantees().fall()) {
@@ -119,7 +110,7 @@
             sends++;
         }
 
-        private final Map<String, Server> everKnown = new HashMap<>();
+        private final Map<String, Endpoint> everKnown = new HashMap<>();
 
         private void over(String id, boolean refused) {
             Job j = jobs.get(id);
@@ -127,9 +118,9 @@
             assertFalse(j.over, "two final answers");
             for (int i = 0; refused && i < j.at.size(); i++) {
                 assertTrue(
-                        j.c.effect() == Effect.PURE
+                        j.c.effect() == Idempotency.PURE
                                 || j.ended.get(i) != null && j.ended.get(i).neverRan
-                                || j.c.effect() == Effect.TOKEN && j.c.group() == Group.ALL,
+                                || j.c.effect() == Idempotency.TOKEN && j.c.group() == DeduplicationScope.ALL,
                         "refused what may have run");
             }
             assertEquals(-1, j.begun, "ended a stream that runs");
@@ -181,18 +172,18 @@
         }
 
         private void list() {
-            List<Server> l = new ArrayList<>();
-            ListKind kind = ListKind.values()[rnd.nextInt(4)];
-            if (kind == ListKind.COMPLETE || kind == ListKind.SAVED) {
+            List<Endpoint> l = new ArrayList<>();
+            EndpointListKind kind = EndpointListKind.values()[rnd.nextInt(4)];
+            if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
                 known.clear();
             }
-            for (int i = rnd.nextInt(12); i > 0 && kind != ListKind.ERROR; i--) {
+            for (int i = rnd.nextInt(12); i > 0 && kind != EndpointListKind.ERROR; i--) {
                 String id = "s" + rnd.nextInt(12);
                 if (l.stream().anyMatch(e -> e.id().equals(id))) {
                     continue;
                 }
-                State state = State.values()[rnd.nextInt(6) > 3 ? 1 + rnd.nextInt(2) : 0];
-                Server e = new Server(
+                EndpointState state = EndpointState.values()[rnd.nextInt(6) > 3 ? 1 + rnd.nextInt(2) : 0];
+                Endpoint e = new Endpoint(
                         id,
                         id.hashCode() % 3,
                         0,
@@ -223,7 +214,7 @@
                 Job j = new Job();
                 int cls = rnd.nextInt(s.classes().size());
                 j.c = s.classes().get(cls);
-                j.r = new Request(
+                j.r = new RoutingRequest(
                         "q" + requests++,
                         cls,
                         rnd.nextInt(3),
@@ -248,7 +239,7 @@
                 if (now >= j.r.deadline() && !j.over && j.begun < 0) {
                     for (int i = 0; i < j.at.size(); i++) {
                         if (j.ended.get(i) == null) {
-                            end(j, i, Outcome.TIMEOUT);
+                            end(j, i, AttemptOutcome.TIMEOUT);
                         }
                     }
                     assertTrue(j.over, "no answer at the deadline");
@@ -275,17 +266,17 @@
                             j,
                             i,
                             j.begun == i
-                                    ? rnd.nextInt(8) == 0 ? Outcome.RESET : Outcome.OK
-                                    : Outcome.values()[rnd.nextInt(Outcome.values().length)]);
+                                    ? rnd.nextInt(8) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK
+                                    : AttemptOutcome.values()[rnd.nextInt(AttemptOutcome.values().length)]);
                 }
                 return;
             }
         }
 
-        private void end(Job j, int i, Outcome o) {
-            Outcome told = j.over && o == Outcome.OK ? Outcome.CANCELLED : o;
+        private void end(Job j, int i, AttemptOutcome o) {
+            AttemptOutcome told = j.over && o == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : o;
             j.ended.set(i, told);
-            boolean settles = told == Outcome.OK || j.begun == i;
+            boolean settles = told == AttemptOutcome.OK || j.begun == i;
             j.over |= settles;
             if (settles) {
                 j.begun = -1;
--- a/src/test/java/magpiehub/routing/RulesTest.java
+++ b/src/test/java/magpiehub/routing/RulesTest.java
@@ -10,11 +10,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.State;
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path step by step, and each exception to it. */
@@ -58,15 +53,15 @@
      * served. */
     @Test
     void newSettingsBindFromTheNextDecision() {
-        Contract.Settings s = Bench.settings(1);
+        RoutingSettings s = Bench.settings(1);
         Bench b = new Bench(s).list(names(4));
         String under = b.ask(0, 0);
-        Contract.RequestClass strict =
-                new Contract.RequestClass("c", Effect.SIDE_EFFECT, Group.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
-        Contract.Limits l = s.limits();
+        RequestClass strict = new RequestClass(
+                "c", Idempotency.SIDE_EFFECT, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
+        RoutingLimits l = s.limits();
         b.node.settings(
                 b.now,
-                new Contract.Settings(
+                new RoutingSettings(
                         s.me(),
                         s.instances(),
                         s.myZone(),
@@ -76,8 +71,8 @@
                         s.weights(),
                         s.overShareWorth(),
                         List.of(s.classes().get(0), strict),
-                        List.of(new Contract.Tenant("t", 1, 5)),
-                        new Contract.Limits(
+                        List.of(new Tenant("t", 1, 5)),
+                        new RoutingLimits(
                                 l.cancel(),
                                 l.probes(),
                                 l.peers(),
@@ -89,13 +84,13 @@
                                 l.connectTimeout()),
                         s.guarantees(),
                         s.costs()));
-        b.outcome(under, Outcome.RESET);
+        b.outcome(under, AttemptOutcome.RESET);
         assertEquals(2, b.tries.get(under), "its own class may be repeated");
-        b.outcome(under, Outcome.RESET);
+        b.outcome(under, AttemptOutcome.RESET);
         assertEquals(2, b.tries.get(under), "two attempts are the most now");
         assertEquals("refused", b.finals.get(under));
         String fresh = b.ask(1, 0, 0, 0);
-        b.outcome(fresh, Outcome.RESET);
+        b.outcome(fresh, AttemptOutcome.RESET);
         assertEquals(1, b.tries.get(fresh), "the stricter class is never repeated");
         assertEquals("failed", b.finals.get(fresh));
         b.pass(S);
@@ -108,7 +103,7 @@
         for (long late : new long[] {0, 1, S}) {
             String id = "late" + late;
             b.node.request(
-                    b.now, new Contract.Request(id, 0, 0, 7, 0, b.now - late, 0, 1000, 800, 100, false, false, false));
+                    b.now, new RoutingRequest(id, 0, 0, 7, 0, b.now - late, 0, 1000, 800, 100, false, false, false));
             assertEquals("refused", b.finals.get(id));
             assertNull(b.where(id));
         }
@@ -117,9 +112,9 @@
     /** More attempts, and attempts in parallel, are for requests that come after the reload. */
     @Test
     void aRequestKeepsTheLimitsThatItCameUnder() {
-        Contract.Settings wide = Bench.settings(1, true, false, List.of());
-        Contract.Limits l = wide.limits();
-        Contract.Limits narrow = new Contract.Limits(
+        RoutingSettings wide = Bench.settings(1, true, false, List.of());
+        RoutingLimits l = wide.limits();
+        RoutingLimits narrow = new RoutingLimits(
                 l.cancel(),
                 l.probes(),
                 l.peers(),
@@ -129,7 +124,7 @@
                 l.mostHeld(),
                 l.maxRetryAfter(),
                 l.connectTimeout());
-        Bench b = new Bench(new Contract.Settings(
+        Bench b = new Bench(new RoutingSettings(
                         wide.me(),
                         wide.instances(),
                         wide.myZone(),
@@ -146,13 +141,13 @@
                 .list(names(8));
         String under = b.ask(0, 0);
         b.node.settings(b.now, wide);
-        b.outcome(under, Outcome.RESET);
-        b.outcome(under, Outcome.RESET);
+        b.outcome(under, AttemptOutcome.RESET);
+        b.outcome(under, AttemptOutcome.RESET);
         assertEquals(2, b.tries.get(under));
         assertEquals("refused", b.finals.get(under));
         String fresh = b.ask(0, 0);
-        b.outcome(fresh, Outcome.RESET);
-        b.outcome(fresh, Outcome.RESET);
+        b.outcome(fresh, AttemptOutcome.RESET);
+        b.outcome(fresh, AttemptOutcome.RESET);
         assertEquals(3, b.tries.get(fresh), "the new limit holds for what comes now");
     }
 
@@ -184,7 +179,7 @@
             at.put(k, b.serve(0, k));
         }
         String gone = at.get(1L);
-        b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(gone, State.DRAINING, 0)));
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(gone, EndpointState.DRAINING, 0)));
         for (long k = 1; k <= 80; k++) {
             String now = b.serve(0, k);
             if (at.get(k).equals(gone)) {
@@ -214,7 +209,8 @@
 
     @Test
     void fullAndFailedConnectionsFailOver() {
-        for (Outcome o : List.of(Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET)) {
+        for (AttemptOutcome o : List.of(
+                AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.ERROR, AttemptOutcome.RESET)) {
             Bench b = new Bench(Bench.settings(1)).list(names(6));
             String id = b.ask(0, 7);
             String first = b.where(id);
@@ -230,7 +226,7 @@
         Bench b = new Bench(Bench.settings(1)).list(names(6));
         String id = b.ask(0, 7);
         for (int i = 0; i < 10 && b.finals.get(id) == null; i++) {
-            b.outcome(id, Outcome.FULL);
+            b.outcome(id, AttemptOutcome.FULL);
         }
         assertEquals("refused", b.finals.get(id));
     }
@@ -240,9 +236,9 @@
         Bench b = new Bench(Bench.settings(1)).list(names(6));
         String home = b.serve(0, 7);
         String id = b.ask(0, 7);
-        b.outcome(id, Outcome.CONNECT_FAILED);
+        b.outcome(id, AttemptOutcome.CONNECT_FAILED);
         b.begun(id, 50_000);
-        b.outcome(id, Outcome.OK);
+        b.outcome(id, AttemptOutcome.OK);
         assertNotEquals(home, b.serve(0, 7), "ejected");
         b.pass(5 * S);
         boolean back = false;
@@ -264,7 +260,7 @@
             String id = b.ask(0, 7);
             boolean there = b.where(id).equals(slow);
             b.begun(id, there ? 2 * S : 50_000);
-            b.outcome(id, Outcome.OK);
+            b.outcome(id, AttemptOutcome.OK);
         }
         assertNotEquals(slow, b.serve(0, 7));
         Bench all = new Bench(Bench.settings(1)).list(names(9));
@@ -276,7 +272,7 @@
             String id = all.ask(0, k);
             used.add(all.where(id));
             all.begun(id, 2 * S);
-            all.outcome(id, Outcome.OK);
+            all.outcome(id, AttemptOutcome.OK);
         }
         Set<String> after = new HashSet<>();
         for (long k = 1; k <= 200; k++) {
@@ -293,7 +289,7 @@
             b.pass(25_000);
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(cold, State.LIVE, b.now)));
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
@@ -313,9 +309,9 @@
     /** The budget comes from the site's multiple, also where that is small. */
     @Test
     void coldReplicaStaysUnderASmallMultiple() {
-        Contract.Settings t = Bench.settings(1);
-        Contract.Guarantees g = new Contract.Guarantees(8_000, 10 * S, 20 * S, 2 * S, 1, 0.2, 2 * S);
-        Bench b = new Bench(new Contract.Settings(
+        RoutingSettings t = Bench.settings(1);
+        Guarantees g = new Guarantees(8_000, 10 * S, 20 * S, 2 * S, 1, 0.2, 2 * S);
+        Bench b = new Bench(new RoutingSettings(
                         0, 1, 0, 2, false, false, t.weights(), 0.1, t.classes(), t.tenants(), t.limits(), g, t.costs()))
                 .list(names(5));
         for (int i = 0; i < 400; i++) {
@@ -323,7 +319,7 @@
             b.pass(25_000);
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(cold, State.LIVE, b.now)));
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
         for (int window = 0; window < 4; window++) {
             int n = 0;
             for (int i = 0; i < 80; i++) {
@@ -341,8 +337,8 @@
         int nodes = 20;
         int total = 0;
         for (int me = 0; me < nodes; me++) {
-            Contract.Settings t = Bench.settings(nodes);
-            Bench b = new Bench(new Contract.Settings(
+            RoutingSettings t = Bench.settings(nodes);
+            Bench b = new Bench(new RoutingSettings(
                             me,
                             nodes,
                             0,
@@ -362,7 +358,7 @@
                 b.pass(S / 2);
             }
             String cold = "10.0.0.0:9000";
-            b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(cold, State.LIVE, b.now)));
+            b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
             for (int i = 0; i < 4; i++) {
                 total += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
                 b.pass(S / 2);
@@ -377,12 +373,12 @@
         int nodes = 14;
         int warm = 16;
         int fleet = 40;
-        Contract.Settings t = Bench.settings(nodes);
-        Contract.Guarantees g = new Contract.Guarantees(8_000, 10 * S, 9 * S, S, 4, 0.3, 2 * S);
+        RoutingSettings t = Bench.settings(nodes);
+        Guarantees g = new Guarantees(8_000, 10 * S, 9 * S, S, 4, 0.3, 2 * S);
         Map<String, Integer> sent = new HashMap<>();
         Map<String, Integer> firstSecond = new HashMap<>();
         for (int me = 0; me < nodes; me++) {
-            Bench b = new Bench(new Contract.Settings(
+            Bench b = new Bench(new RoutingSettings(
                     me,
                     nodes,
                     me % 2,
@@ -396,11 +392,11 @@
                     t.limits(),
                     g,
                     t.costs()));
-            List<Contract.Server> list = new java.util.ArrayList<>();
+            List<Endpoint> list = new java.util.ArrayList<>();
             for (int i = 0; i < fleet; i++) {
-                list.add(Bench.server(names(fleet)[i], State.LIVE, i < warm ? 0 : b.now));
+                list.add(Bench.server(names(fleet)[i], EndpointState.LIVE, i < warm ? 0 : b.now));
             }
-            b.node.list(b.now, ListKind.COMPLETE, list);
+            b.node.list(b.now, EndpointListKind.COMPLETE, list);
             for (int i = 0; i < 50; i++) {
                 String at = b.serve(0, 1000L * me + i + 1);
                 sent.merge(at, 1, Integer::sum);
@@ -462,11 +458,12 @@
 
     @Test
     void sideEffectGoesOutAgainOnlyIfItNeverRan() {
-        Bench b = new Bench(Bench.settings(1, Bench.cls(Effect.SIDE_EFFECT, Group.ALL))).list(names(6));
+        Bench b =
+                new Bench(Bench.settings(1, Bench.cls(Idempotency.SIDE_EFFECT, DeduplicationScope.ALL))).list(names(6));
         String id = b.ask(0, 7);
-        b.outcome(id, Outcome.FULL);
+        b.outcome(id, AttemptOutcome.FULL);
         assertEquals(2, b.tries.get(id));
-        b.outcome(id, Outcome.RESET);
+        b.outcome(id, AttemptOutcome.RESET);
         assertEquals(2, b.tries.get(id), "it may have run");
         assertEquals("failed", b.finals.get(id), "and may not be refused");
     }
@@ -475,14 +472,14 @@
     void aLoneResetEjectsNobodyButTwoDo() {
         Bench b = new Bench(Bench.settings(1)).list(names(8));
         String home = b.serve(0, 7);
-        b.outcome(b.ask(0, 7), Outcome.RESET);
+        b.outcome(b.ask(0, 7), AttemptOutcome.RESET);
         assertEquals(home, b.serve(0, 7), "it may have been the request's fault");
-        b.outcome(b.ask(0, 7), Outcome.RESET);
+        b.outcome(b.ask(0, 7), AttemptOutcome.RESET);
         assertNotEquals(home, b.where(b.ask(0, 7)), "twice in a short time");
         Bench c = new Bench(Bench.settings(1)).list(names(8));
         home = c.serve(0, 7);
-        c.outcome(c.ask(0, 7), Outcome.SPOILT);
-        c.outcome(c.ask(0, 7), Outcome.SPOILT);
+        c.outcome(c.ask(0, 7), AttemptOutcome.SPOILT);
+        c.outcome(c.ask(0, 7), AttemptOutcome.SPOILT);
         assertEquals(home, c.serve(0, 7), "what can't be read comes from any replica");
     }
 
@@ -490,13 +487,13 @@
     void whatHasGoneIsForgotten() {
         Bench b = new Bench(Bench.settings(1)).list("a", "b");
         String home = b.serve(0, 7);
-        b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(home, State.DEAD, 0)));
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(home, EndpointState.DEAD, 0)));
         assertNotEquals(home, b.serve(0, 7));
         assertEquals(1, b.node.known());
     }
 
-    private static Contract.Server inCell(String id, int cell) {
-        return new Contract.Server(id, 0, 0, cell, State.LIVE, 1, 0);
+    private static Endpoint inCell(String id, int cell) {
+        return new Endpoint(id, 0, 0, cell, EndpointState.LIVE, 1, 0);
     }
 
     /** What may be repeated, where, after which outcome, and how a request ends: all effects by all outcomes,
@@ -504,37 +501,44 @@
     @Test
     void effectsByOutcomes() {
         Object[][] rows = {
-            {Effect.PURE, Group.ALL, "anywhere", "refused"},
-            {Effect.TOKEN, Group.ALL, "anywhere", "refused"},
-            {Effect.TOKEN, Group.ZONE, "zone", "failed"},
-            {Effect.TOKEN, Group.CELL, "cell", "failed"},
-            {Effect.SIDE_EFFECT, Group.ALL, "nowhere", "failed"},
+            {Idempotency.PURE, DeduplicationScope.ALL, "anywhere", "refused"},
+            {Idempotency.TOKEN, DeduplicationScope.ALL, "anywhere", "refused"},
+            {Idempotency.TOKEN, DeduplicationScope.ZONE, "zone", "failed"},
+            {Idempotency.TOKEN, DeduplicationScope.CELL, "cell", "failed"},
+            {Idempotency.SIDE_EFFECT, DeduplicationScope.ALL, "nowhere", "failed"},
         };
         for (long deadline : new long[] {200_000, S, 60 * S}) {
             for (Object[] row : rows) {
-                for (Outcome o : Outcome.values()) {
-                    if (o != Outcome.OK && o != Outcome.MOOT) {
-                        effect((Effect) row[0], (Group) row[1], (String) row[2], (String) row[3], o, deadline);
+                for (AttemptOutcome o : AttemptOutcome.values()) {
+                    if (o != AttemptOutcome.OK && o != AttemptOutcome.MOOT) {
+                        effect(
+                                (Idempotency) row[0],
+                                (DeduplicationScope) row[1],
+                                (String) row[2],
+                                (String) row[3],
+                                o,
+                                deadline);
                     }
                 }
             }
         }
     }
 
-    private static void effect(Effect effect, Group group, String keeps, String last, Outcome o, long deadline) {
+    private static void effect(
+            Idempotency effect, DeduplicationScope group, String keeps, String last, AttemptOutcome o, long deadline) {
         String what = effect + " " + group + " " + o + " " + deadline;
         Bench b = new Bench(Bench.settings(1, Bench.cls(effect, group)));
-        List<Contract.Server> list = new java.util.ArrayList<>();
+        List<Endpoint> list = new java.util.ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            list.add(new Contract.Server("s" + i, i % 2, 0, i % 4, State.LIVE, 1, 0));
+            list.add(new Endpoint("s" + i, i % 2, 0, i % 4, EndpointState.LIVE, 1, 0));
         }
-        b.node.list(b.now, ListKind.COMPLETE, list);
+        b.node.list(b.now, EndpointListKind.COMPLETE, list);
         int repeated = 0;
         for (int n = 0; n < 24; n++) {
             String id = "x" + n;
             b.node.request(
                     b.now,
-                    new Contract.Request(id, 0, 0, n + 1, 0, b.now + deadline, 0, 1000, 0, 100, false, false, false));
+                    new RoutingRequest(id, 0, 0, n + 1, 0, b.now + deadline, 0, 1000, 0, 100, false, false, false));
             assertEquals(1, b.tries.get(id), what + ": one attempt, and none beside it");
             int first = Integer.parseInt(b.where(id).substring(1));
             b.now += 10_000;
@@ -548,32 +552,32 @@
                 assertTrue(!mayHaveRun || !keeps.equals("zone") || first % 2 == second % 2, what + ": zone");
                 assertTrue(!mayHaveRun || !keeps.equals("cell") || first % 4 == second % 4, what + ": cell");
                 b.now += 10_000;
-                b.outcome(id, Outcome.CANCELLED);
+                b.outcome(id, AttemptOutcome.CANCELLED);
             }
             String word = mayHaveRun || b.tries.get(id) > 1 ? last : "refused";
             assertEquals(word, b.finals.get(id), what + " after " + b.tries.get(id));
             b.pass(4 * S);
         }
-        boolean again = o != Outcome.CANCELLED && !(keeps.equals("nowhere") && !o.neverRan);
+        boolean again = o != AttemptOutcome.CANCELLED && !(keeps.equals("nowhere") && !o.neverRan);
         assertEquals(again, repeated > 0, what + ": repeated " + repeated);
     }
 
     @Test
     void keyedRequestStaysInItsGroupAndWindow() {
-        Bench b = new Bench(Bench.settings(1, Bench.cls(Effect.TOKEN, Group.CELL)));
+        Bench b = new Bench(Bench.settings(1, Bench.cls(Idempotency.TOKEN, DeduplicationScope.CELL)));
         b.node.list(
                 b.now,
-                ListKind.COMPLETE,
+                EndpointListKind.COMPLETE,
                 List.of(
                         inCell("a", 1), inCell("b", 1),
                         inCell("c", 2), inCell("d", 2)));
         for (long k = 1; k < 20; k++) {
             String id = b.ask(0, k);
             boolean low = b.where(id).compareTo("b") <= 0;
-            b.outcome(id, Outcome.RESET);
+            b.outcome(id, AttemptOutcome.RESET);
             if (b.tries.get(id) == 2) {
                 assertEquals(low, b.where(id).compareTo("b") <= 0, "same cell");
-                b.outcome(id, Outcome.RESET);
+                b.outcome(id, AttemptOutcome.RESET);
             }
             assertEquals("failed", b.finals.get(id), "only group all may be refused once it may have run");
             b.pass(S);
@@ -582,10 +586,10 @@
 
     @Test
     void keyedRequestIsNotSentAfterItsWindow() {
-        Bench b = new Bench(Bench.settings(1, Bench.cls(Effect.TOKEN, Group.ALL))).list(names(6));
+        Bench b = new Bench(Bench.settings(1, Bench.cls(Idempotency.TOKEN, DeduplicationScope.ALL))).list(names(6));
         String id = b.ask(0, 7);
         b.pass(3 * S);
-        b.outcome(id, Outcome.RESET);
+        b.outcome(id, AttemptOutcome.RESET);
         assertEquals(1, b.tries.get(id));
         assertEquals("refused", b.finals.get(id));
     }
@@ -593,16 +597,16 @@
     @Test
     void subscriptionIsAskedForInTimeAndAgainAfterErrors() {
         Bench b = new Bench(Bench.settings(8, true, true, List.of()));
-        b.node.list(b.now, ListKind.SAVED, List.of(Bench.server("a")));
+        b.node.list(b.now, EndpointListKind.SAVED, List.of(Bench.server("a")));
         b.pass(5 * S);
         assertEquals(1, b.watches);
-        b.node.list(b.now, ListKind.ERROR, List.of());
+        b.node.list(b.now, EndpointListKind.ERROR, List.of());
         b.pass(4 * S);
         assertEquals(2, b.watches);
-        b.node.list(b.now, ListKind.CHANGES, List.of());
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of());
         b.pass(30 * S);
         assertEquals(2, b.watches, "a subscription that stands is left alone");
-        b.node.list(b.now, ListKind.ERROR, List.of());
+        b.node.list(b.now, EndpointListKind.ERROR, List.of());
         b.pass(4 * S);
         assertEquals(3, b.watches, "a broken one is renewed");
     }
@@ -621,15 +625,15 @@
     void eventsForTheUnknownAreIgnored() {
         Bench b = new Bench(Bench.settings(1)).list(names(2));
         b.node.begun(b.now, "x", 0, 1);
-        b.node.outcome(b.now, "x", 0, Outcome.OK, 1, true, 0, null);
+        b.node.outcome(b.now, "x", 0, AttemptOutcome.OK, 1, true, 0, null);
         b.node.abandoned(b.now, "x");
         b.node.timer(b.now, 99);
-        b.node.probed(b.now, "x", Outcome.CONNECT_FAILED, 1, null);
+        b.node.probed(b.now, "x", AttemptOutcome.CONNECT_FAILED, 1, null);
         b.node.message(b.now, 1, new byte[0]);
         String id = b.ask(0, 1);
-        b.node.outcome(b.now, id, 5, Outcome.OK, 1, true, 0, null);
+        b.node.outcome(b.now, id, 5, AttemptOutcome.OK, 1, true, 0, null);
         b.node.abandoned(b.now, id);
-        b.node.outcome(b.now - S, id, 0, Outcome.CANCELLED, 1, true, 0, null);
+        b.node.outcome(b.now - S, id, 0, AttemptOutcome.CANCELLED, 1, true, 0, null);
         assertTrue(b.finals.isEmpty());
     }
 
@@ -678,10 +682,10 @@
         warmUp(b);
         String home = b.serve(5, 0);
         String id = b.ask(5, 0);
-        b.outcome(id, Outcome.ERROR);
+        b.outcome(id, AttemptOutcome.ERROR);
         String second = b.where(id);
         b.begun(id, 50_000);
-        b.outcome(id, Outcome.OK);
+        b.outcome(id, AttemptOutcome.OK);
         assertNotEquals(home, second);
         b.pass(8 * S);
         assertEquals(second, b.serve(5, 0), "the deque's one entry is the fallback now");
@@ -742,14 +746,14 @@
         String home = b.serve(0, 7);
         for (long k = 100; k < 130; k++) {
             String id = b.ask(0, k);
-            b.outcome(id, Outcome.FULL);
+            b.outcome(id, AttemptOutcome.FULL);
             for (int i = 0; i < 5 && b.finals.get(id) == null; i++) {
-                b.outcome(id, Outcome.FULL);
+                b.outcome(id, AttemptOutcome.FULL);
             }
         }
         assertEquals(home, b.where(b.ask(0, 7)), "full a moment ago, but its tokens are there");
         String id = b.ask(0, 8);
-        b.outcome(id, Outcome.FULL);
+        b.outcome(id, AttemptOutcome.FULL);
         assertEquals(1, b.tries.get(id), "no retry of full");
     }
 
@@ -764,13 +768,13 @@
         assertTrue(used.size() > 1);
     }
 
-    private static Contract.Server sized(int i, double weight) {
-        return new Contract.Server("10.0.0." + i + ":9000", i % 2, 0, 0, State.LIVE, weight, 0);
+    private static Endpoint sized(int i, double weight) {
+        return new Endpoint("10.0.0." + i + ":9000", i % 2, 0, 0, EndpointState.LIVE, weight, 0);
     }
 
-    private static Bench priced(int me, int nodes, double crossZone, double connection, Contract.Weights weights) {
-        Contract.Settings t = Bench.settings(nodes);
-        return new Bench(new Contract.Settings(
+    private static Bench priced(int me, int nodes, double crossZone, double connection, WeightMeaning weights) {
+        RoutingSettings t = Bench.settings(nodes);
+        return new Bench(new RoutingSettings(
                 me,
                 nodes,
                 0,
@@ -783,14 +787,14 @@
                 t.tenants(),
                 t.limits(),
                 t.guarantees(),
-                new Contract.Costs(crossZone, 0, 0, 0, connection, 0)));
+                new RoutingCosts(crossZone, 0, 0, 0, connection, 0)));
     }
 
     @Test
     void liveWeightsMostIsTheSize() {
-        Bench b = priced(0, 20, 0, 0, Contract.Weights.LIVE);
-        b.node.list(b.now, ListKind.COMPLETE, List.of(sized(0, 3), sized(1, 1), sized(2, 1), sized(3, 1)));
-        b.node.list(b.now, ListKind.CHANGES, List.of(sized(0, 0.5)));
+        Bench b = priced(0, 20, 0, 0, WeightMeaning.LIVE);
+        b.node.list(b.now, EndpointListKind.COMPLETE, List.of(sized(0, 3), sized(1, 1), sized(2, 1), sized(3, 1)));
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(sized(0, 0.5)));
         int big = 0;
         for (long k = 1; k <= 60; k++) {
             big += b.serve(0, k).equals("10.0.0.0:9000") ? 1 : 0;
@@ -802,7 +806,7 @@
     void nodesKeepToFewReplicasWhereConnectionsHaveAPrice() {
         Map<String, Integer> nodes = new HashMap<>();
         for (int me = 0; me < 20; me++) {
-            Bench b = priced(me, 20, 0, 0.1, Contract.Weights.NONE).list(names(20));
+            Bench b = priced(me, 20, 0, 0.1, WeightMeaning.NONE).list(names(20));
             Set<String> used = new HashSet<>();
             for (long k = 1; k <= 60; k++) {
                 used.add(b.serve(0, k));
@@ -816,12 +820,12 @@
 
     @Test
     void keysLeaveASlowOwnZoneAndComeBack() {
-        Bench b = priced(0, 1, 0.1, 0, Contract.Weights.NONE);
-        List<Contract.Server> l = new java.util.ArrayList<>();
+        Bench b = priced(0, 1, 0.1, 0, WeightMeaning.NONE);
+        List<Endpoint> l = new java.util.ArrayList<>();
         for (int i = 0; i < 20; i++) {
             l.add(sized(i, 1));
         }
-        b.node.list(b.now, ListKind.COMPLETE, l);
+        b.node.list(b.now, EndpointListKind.COMPLETE, l);
         int[] own = new int[3];
         long k = 1;
         for (int phase = 0; phase < 3; phase++) {
@@ -831,7 +835,7 @@
                 boolean home = Integer.parseInt(at.substring(7, at.indexOf(':'))) % 2 == 0;
                 own[phase] += i >= 400 && home ? 1 : 0;
                 b.begun(id, phase == 1 && home ? 150_000 : 60_000);
-                b.outcome(id, Outcome.OK);
+                b.outcome(id, AttemptOutcome.OK);
                 b.pass(50_000);
             }
         }
@@ -840,12 +844,12 @@
 
     @Test
     void cutZoneIsLearntAtOnce() {
-        Bench b = priced(0, 20, 0, 0, Contract.Weights.NONE);
-        List<Contract.Server> l = new java.util.ArrayList<>();
+        Bench b = priced(0, 20, 0, 0, WeightMeaning.NONE);
+        List<Endpoint> l = new java.util.ArrayList<>();
         for (int i = 0; i < 20; i++) {
             l.add(sized(i, 1));
         }
-        b.node.list(b.now, ListKind.COMPLETE, l);
+        b.node.list(b.now, EndpointListKind.COMPLETE, l);
         int failed = 0;
         for (long k = 1; k <= 60; k++) {
             String id = b.ask(0, k);
@@ -853,7 +857,7 @@
                 String at = b.where(id);
                 boolean cut = Integer.parseInt(at.substring(7, at.indexOf(':'))) % 2 == 1;
                 failed += cut ? 1 : 0;
-                b.outcome(id, cut ? Outcome.CONNECT_FAILED : Outcome.OK);
+                b.outcome(id, cut ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK);
             }
             b.pass(5_000);
         }
@@ -862,9 +866,9 @@
 
     @Test
     void overloadRefusesWhatIsWorthLeast() {
-        Contract.RequestClass c = Bench.cls(Effect.PURE, Group.ALL);
-        Contract.RequestClass dear =
-                new Contract.RequestClass("dear", Effect.PURE, Group.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 9, 0.3);
+        RequestClass c = Bench.cls(Idempotency.PURE, DeduplicationScope.ALL);
+        RequestClass dear = new RequestClass(
+                "dear", Idempotency.PURE, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 9, 0.3);
         Bench b = new Bench(Bench.settings(1, c, dear)).list(names(4));
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
@@ -874,21 +878,21 @@
                 refused[cls]++;
             } else {
                 b.begun(id, 2 * S);
-                b.outcome(id, Outcome.OK);
+                b.outcome(id, AttemptOutcome.OK);
             }
             b.pass(20_000);
         }
         assertTrue(refused[0] > 60 && refused[0] > 2 * refused[1], refused[0] + " " + refused[1]);
     }
 
-    private static Contract.Load load(double queue, double latency) {
+    private static LoadReport load(double queue, double latency) {
         double no = Double.NaN;
-        return new Contract.Load(no, queue, no, latency, no, 0, no, no);
+        return new LoadReport(no, queue, no, latency, no, 0, no, no);
     }
 
-    private static void reports(Bench b, String id, Contract.Load load) {
+    private static void reports(Bench b, String id, LoadReport load) {
         b.begun(id, 50_000);
-        b.node.outcome(b.now, id, 0, Outcome.OK, 50_000, true, 800, load);
+        b.node.outcome(b.now, id, 0, AttemptOutcome.OK, 50_000, true, 800, load);
     }
 
     /** A report of waiting requests counts for a moment only: it is stale by then. */
@@ -908,7 +912,10 @@
     void slownessIsToldByReportsButNotOfAColdReplica() {
         for (boolean cold : new boolean[] {false, true}) {
             Bench b = new Bench(Bench.settings(1)).list(names(8));
-            b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(names(8)[3], State.LIVE, cold ? b.now : 0)));
+            b.node.list(
+                    b.now,
+                    EndpointListKind.CHANGES,
+                    List.of(Bench.server(names(8)[3], EndpointState.LIVE, cold ? b.now : 0)));
             int late = 0;
             for (int i = 0; i < 300; i++) {
                 String id = b.ask(0, 1000 + i);
@@ -931,15 +938,15 @@
             refused += "refused".equals(b.finals.get(id)) ? 1 : 0;
             if (b.where(id) != null) {
                 b.begun(id, 2 * S);
-                b.outcome(id, Outcome.OK);
+                b.outcome(id, AttemptOutcome.OK);
             }
             b.node.request(
                     b.now,
-                    new Contract.Request(
+                    new RoutingRequest(
                             "rest" + i, 0, 0, 1000 + i, 0, b.now + 4 * S, 0, 1000, 800, 100, false, false, true));
             assertEquals(null, b.finals.get("rest" + i));
             b.begun("rest" + i, 2 * S);
-            b.outcome("rest" + i, Outcome.OK);
+            b.outcome("rest" + i, AttemptOutcome.OK);
             b.pass(20_000);
         }
         assertTrue(refused > 40, "under overload others are: " + refused);
@@ -956,7 +963,7 @@
             }
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(b.now, ListKind.CHANGES, List.of(Bench.server(cold, State.LIVE, b.now)));
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
--- a/src/test/java/magpiehub/routing/ZonesTest.java
+++ b/src/test/java/magpiehub/routing/ZonesTest.java
@@ -9,11 +9,6 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Outcome;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.Settings;
-import magpiehub.routing.Contract.State;
 import org.junit.Test;
 
 /** What the decisions make of zones that are planned for: what is told, and what a share of 0 means. */
@@ -81,10 +76,10 @@
     private Bench b = bench(true);
 
     private Bench bench(boolean probes) {
-        Settings s = Bench.settings(1, true, true, List.of());
-        Contract.Limits l = s.limits();
+        RoutingSettings s = Bench.settings(1, true, true, List.of());
+        RoutingLimits l = s.limits();
         Bench bench = new Bench(
-                new Settings(
+                new RoutingSettings(
                         0,
                         1,
                         0,
@@ -95,16 +90,16 @@
                         0.1,
                         s.classes(),
                         List.of(),
-                        new Contract.Limits(
+                        new RoutingLimits(
                                 l.cancel(), probes, false, false, true, 6, 1000, l.maxRetryAfter(), l.connectTimeout()),
                         s.guarantees(),
                         s.costs()),
                 zones);
-        List<Server> all = new ArrayList<>();
+        List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            all.add(new Server((i < 4 ? "a" : "b") + i, i < 4 ? 0 : 1, 0, 0, State.LIVE, 1, 0));
+            all.add(new Endpoint((i < 4 ? "a" : "b") + i, i < 4 ? 0 : 1, 0, 0, EndpointState.LIVE, 1, 0));
         }
-        bench.node.list(bench.now, ListKind.COMPLETE, all);
+        bench.node.list(bench.now, EndpointListKind.COMPLETE, all);
         return bench;
     }
 
@@ -116,7 +111,7 @@
                 return id;
             }
             b.begun(id, 50_000);
-            b.outcome(id, Outcome.OK);
+            b.outcome(id, AttemptOutcome.OK);
         }
         throw new AssertionError("nothing goes there");
     }
@@ -127,7 +122,7 @@
         zones.lose(b.now + 1);
         b.pass(100_000);
         assertEquals("given up once", List.of(id + "/0"), b.cancels);
-        b.outcome(id, Outcome.CANCELLED);
+        b.outcome(id, AttemptOutcome.CANCELLED);
         assertTrue(b.where(id), b.where(id).startsWith("a"));
         assertNull(b.finals.get(id));
     }
@@ -139,8 +134,8 @@
         String id = there();
         String at = b.where(id);
         zones.told.clear();
-        b.node.list(b.now, ListKind.CHANGES, List.of(new Server(at, 1, 0, 0, State.DRAINING, 1, 0)));
-        b.outcome(id, Outcome.CONNECT_FAILED);
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(new Endpoint(at, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
+        b.outcome(id, AttemptOutcome.CONNECT_FAILED);
         assertEquals("only that it is another one now", List.of(at + " fresh"), zones.told);
         assertNotEquals("the request goes elsewhere", at, b.where(id));
     }
@@ -148,7 +143,7 @@
     @Test
     public void whatTheHostCancelledByItselfIsNotTriedAgain() {
         String id = there();
-        b.outcome(id, Outcome.CANCELLED);
+        b.outcome(id, AttemptOutcome.CANCELLED);
         assertEquals("refused", b.finals.get(id));
     }
 
@@ -211,9 +206,9 @@
         b.probes.clear();
         b.pass(100_000);
         assertEquals(1, b.probes.size());
-        b.node.probed(b.now, b.probes.get(0), Outcome.OK, 1_000, null);
+        b.node.probed(b.now, b.probes.get(0), AttemptOutcome.OK, 1_000, null);
         assertTrue(zones.told.contains(b.probes.get(0) + " ANSWERED"));
-        b.node.probed(b.now, b.probes.get(0), Outcome.TIMEOUT, 1_000, null);
+        b.node.probed(b.now, b.probes.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
         assertTrue(zones.told.contains(b.probes.get(0) + " SILENCE"));
     }
 
@@ -235,7 +230,7 @@
     public void aZoneThatIsBackIsMetAsIfNothingHadBeenLearntMeanwhile() {
         for (int i = 0; i < 4; i++) {
             String id = there();
-            b.outcome(id, Outcome.CONNECT_FAILED);
+            b.outcome(id, AttemptOutcome.CONNECT_FAILED);
         }
         zones.lose(b.now);
         b.pass(100_000);
--- a/src/test/java/magpiehub/streaming/ModulesTest.java
+++ b/src/test/java/magpiehub/streaming/ModulesTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import magpiehub.config.Config;
-import magpiehub.routing.Contract.Effect;
-import magpiehub.routing.Contract.Group;
-import magpiehub.routing.Contract.RequestClass;
+import magpiehub.routing.DeduplicationScope;
+import magpiehub.routing.Idempotency;
+import magpiehub.routing.RequestClass;
 import magpiehub.streaming.Ledger.Ending;
 import org.junit.Test;
 
@@ -190,7 +190,7 @@
     private static final List<RequestClass> CLASSES = List.of(cls("chat"), cls("bulk"));
 
     private static RequestClass cls(String name) {
-        return new RequestClass(name, Effect.PURE, Group.ALL, 0, true, 0, 0, 0, 0, 0, 0, 0);
+        return new RequestClass(name, Idempotency.PURE, DeduplicationScope.ALL, 0, true, 0, 0, 0, 0, 0, 0, 0);
     }
 
     private static Allowances of(String json) throws Exception {
--- a/src/test/java/magpiehub/upstream/EnginesTest.java
+++ b/src/test/java/magpiehub/upstream/EnginesTest.java
@@ -21,9 +21,9 @@
 import magpiehub.http.Http;
 import magpiehub.protocol.Front;
 import magpiehub.protocol.PlatformFront;
-import magpiehub.routing.Contract.ListKind;
-import magpiehub.routing.Contract.Server;
-import magpiehub.routing.Contract.State;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
 import magpiehub.streaming.Allowances;
 import magpiehub.streaming.Ledger;
 import magpiehub.streaming.Streams;
@@ -200,7 +200,7 @@
         engines.module(module);
         thread = Mailbox.thread("module", module::run);
         thread.start();
-        module.list(ListKind.SAVED, List.of(new Server("e", 0, 0, 0, State.LIVE, 1, 0)));
+        module.list(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
         engines.place("e", "127.0.0.1:" + engine.getLocalPort(), takes, false);
     }
 
