--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -7,9 +7,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import magpiehub.routing.Zones.Sign;
-import magpiehub.sites.Sites;
-import magpiehub.sites.Sites.State;
+import magpiehub.routing.ZoneEvidence;
+import magpiehub.sites.SiteHealthTracker;
+import magpiehub.sites.SiteHealthTracker.State;
 
 /**
  * Many routers' machines in virtual time against drawn losses: sites of engines, some of them bad by
@@ -28,7 +28,7 @@
         NONE
     }
 
-    private static final Sites.Settings S = Sites.Settings.USUAL;
+    private static final SiteHealthTracker.Settings S = SiteHealthTracker.Settings.USUAL;
     private static final int ROUTERS = 100;
     private static final int ENGINES = 100;
     private static final long TICK = 50_000;
@@ -59,7 +59,7 @@
         }
     }
 
-    private record Due(long at, long sent, int site, String engine, Sign sign, double ratio) {}
+    private record Due(long at, long sent, int site, String engine, ZoneEvidence sign, double ratio) {}
 
     /** One scenario as all routers see it; drawn from a seed alone. */
     private static final class Scenario {
@@ -115,7 +115,7 @@
 
     private static Result router(Scenario c, int own, SplittableRandom r) {
         Result result = new Result();
-        Sites m = new Sites(S, c.sites, own, r.nextLong());
+        SiteHealthTracker m = new SiteHealthTracker(S, c.sites, own, r.nextLong());
         // Some tens of requests a second at most, most routers far fewer.
         double perTick = r.nextDouble(1, 30) * TICK / 1e6;
         List<Due> due = new ArrayList<>();
@@ -155,7 +155,7 @@
             }
             due.removeIf(d -> d.at <= t);
             m.tick(t);
-            for (Sites.Change ch : m.changes()) {
+            for (SiteHealthTracker.Change ch : m.changes()) {
                 // By values: a constant's own hash is another one in each process.
                 result.digest = result.digest * 31
                         + java.util.Objects.hash(
@@ -191,14 +191,19 @@
         if (c.fails(own, to, t)) {
             boolean silent = c.fault == Fault.SILENT;
             due.add(new Due(
-                    t + (silent ? SILENCE : CONNECT), t, to, id, silent ? Sign.SILENCE : Sign.NO_CONNECTION, 0));
+                    t + (silent ? SILENCE : CONNECT),
+                    t,
+                    to,
+                    id,
+                    silent ? ZoneEvidence.SILENCE : ZoneEvidence.NO_CONNECTION,
+                    0));
         } else if (engine < c.badPart * ENGINES / c.sites) {
-            due.add(new Due(t + 20_000, t, to, id, Sign.ERROR, 0));
+            due.add(new Due(t + 20_000, t, to, id, ZoneEvidence.ERROR, 0));
         } else {
             boolean slow = c.down(t) && (c.fault == Fault.ALL_SLOW || c.fault == Fault.SLOW && to == c.site);
             double ratio =
                     slow ? 2.9 * (0.5 + r.nextDouble()) * (c.fault == Fault.SLOW ? 10 : 1) : 0.5 + r.nextDouble();
-            due.add(new Due(t + (long) (100_000 * ratio), t, to, id, Sign.ANSWERED, ratio));
+            due.add(new Due(t + (long) (100_000 * ratio), t, to, id, ZoneEvidence.ANSWERED, ratio));
         }
     }
 
--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -10,34 +10,39 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import magpiehub.admin.Console;
-import magpiehub.admin.Operators;
+import magpiehub.admin.AdminCommandHandler;
+import magpiehub.admin.AdminServer;
+import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.RouterConfiguration;
+import magpiehub.config.SiteSettings;
 import magpiehub.discovery.Announcer;
 import magpiehub.discovery.Discovery;
+import magpiehub.discovery.EndpointSource;
 import magpiehub.discovery.Options;
 import magpiehub.discovery.Registry;
-import magpiehub.discovery.Source;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.downstream.Clients;
-import magpiehub.downstream.Door;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.downstream.ClientListener;
+import magpiehub.downstream.ListenerSocket;
+import magpiehub.lifecycle.ClassArchiveTrainer;
+import magpiehub.lifecycle.ConfigurationReloader;
 import magpiehub.lifecycle.GracefulShutdown;
-import magpiehub.lifecycle.Rehearsal;
-import magpiehub.lifecycle.SettingsReload;
-import magpiehub.protocol.MessagesFront;
-import magpiehub.protocol.PlatformFront;
-import magpiehub.routing.Zones;
-import magpiehub.simulator.Drill;
-import magpiehub.simulator.WarmUp;
-import magpiehub.sites.Plan;
-import magpiehub.sites.Sites;
-import magpiehub.store.ReplicatedStore;
-import magpiehub.store.Store;
-import magpiehub.streaming.Allowances;
+import magpiehub.protocol.MessagesProtocol;
+import magpiehub.protocol.PlatformProtocol;
+import magpiehub.routing.ConnectFailureZoneHealth;
+import magpiehub.simulator.JitWarmUp;
+import magpiehub.simulator.SimulatorAdapter;
+import magpiehub.sites.SiteFailoverPlan;
+import magpiehub.sites.SiteHealthTracker;
+import magpiehub.store.KeyValueStore;
+import magpiehub.store.LastWriteWinsStore;
+import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
-import magpiehub.telemetry.Log;
-import magpiehub.upstream.Engines;
+import magpiehub.telemetry.SyslogEventLog;
+import magpiehub.upstream.UpstreamPool;
 
 /**
  * The command line and the wiring: {@code serve} runs one router, {@code adapter} speaks the simulator's wire
@@ -61,20 +66,20 @@
     public static void main(String[] args) throws IOException {
         // Guards against the JVM's own answer to SIGHUP, which is to end: taken before anything else, read by
         // an actor once there is something to reload.
-        Mailbox<Object> hangups = new Mailbox<>(Mailbox.Clock.SYSTEM, 1);
+        Mailbox<Object> hangups = new Mailbox<>(MonotonicClock.SYSTEM, 1);
         sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"), s -> hangups.post(s));
         // A process that inherits an ignored SIGHUP, as from nohup, never gets one: the JVM leaves it so.
         boolean hangupsIgnored = before == sun.misc.SignalHandler.SIG_IGN;
         if (args.length == 1 && args[0].equals("adapter")) {
-            WarmUp.run(WarmUp.MANY);
-            System.exit(new Drill(System.in, System.out, System.err).run());
+            JitWarmUp.run(JitWarmUp.MANY);
+            System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
         } else if (args.length == 1 && (args[0].equals("serve") || args[0].equals("rehearse"))) {
             try {
                 boolean serves = args[0].equals("serve");
-                serve(Config.router(serves ? System.getenv() : Rehearsal.begin()), hangups, hangupsIgnored);
+                serve(Config.router(serves ? System.getenv() : ClassArchiveTrainer.begin()), hangups, hangupsIgnored);
             } catch (IOException | RuntimeException e) {
                 // One line for whoever starts it: what is wrong, or at least what failed.
-                System.err.println("magpiehub: " + (e instanceof Config.Malformed ? e.getMessage() : e));
+                System.err.println("magpiehub: " + (e instanceof ConfigurationException ? e.getMessage() : e));
                 System.exit(1);
             }
         } else {
@@ -83,51 +88,60 @@
         }
     }
 
-    private static void serve(Config.Router r, Mailbox<Object> hangups, boolean hangupsIgnored) throws IOException {
-        Log log = new Log(System.err, r.name(), ProcessHandle.current().pid());
+    private static void serve(RouterConfiguration r, Mailbox<Object> hangups, boolean hangupsIgnored)
+            throws IOException {
+        SyslogEventLog log =
+                new SyslogEventLog(System.err, r.name(), ProcessHandle.current().pid());
         log.start();
         if (hangupsIgnored) {
             log.log("reload-impossible", "reason", "SIGHUP was ignored when the process started");
         }
-        Mailbox.Clock clock = Mailbox.Clock.SYSTEM;
+        MonotonicClock clock = MonotonicClock.SYSTEM;
         // Requests in hand take at most a third of the descriptors on each side; clients that stay need more.
         int forEngines = Math.max(8, r.sockets() * 3 / 8);
         int forClients = Math.max(8, r.sockets() - OTHER_DESCRIPTORS - forEngines);
-        Mailbox.Crew crew = new Mailbox.Crew();
+        ActorThreadPool crew = new ActorThreadPool();
         // A file of the operators' own, or today's values.
-        Allowances allowances = Allowances.read(
+        StreamLimits allowances = StreamLimits.read(
                 STREAMS, r.site().settings().classes(), Runtime.getRuntime().maxMemory());
-        AtomicReference<Config.Site> site = new AtomicReference<>(r.site());
+        AtomicReference<SiteSettings> site = new AtomicReference<>(r.site());
         Streams streams = new Streams(allowances, r.site(), clock, log);
-        Engines engines = new Engines(r.site(), forEngines, clock, log, crew, streams);
+        UpstreamPool engines = new UpstreamPool(r.site(), forEngines, clock, log, crew, streams);
         engines.start();
         // A registry of the operators' own instead of the platform's discovery, where a file says so.
         Options registry = Options.read(REGISTRY);
         if (registry == null && r.discovery() == null) {
-            throw new Config.Malformed("ROUTER_DISCOVERY is not set and there is no " + REGISTRY);
+            throw new ConfigurationException("ROUTER_DISCOVERY is not set and there is no " + REGISTRY);
         }
-        Source discovery = registry == null
+        EndpointSource discovery = registry == null
                 ? new Discovery(r.discovery(), site::get, engines, clock, log, r.seed())
                 : new Registry(registry, site::get, engines, clock, log, r.seed());
-        Sites.Settings planned = Plan.read(SITE);
-        Plan plan = planned == null
+        SiteHealthTracker.Settings planned = SiteFailoverPlan.read(SITE);
+        SiteFailoverPlan plan = planned == null
                 ? null
-                : new Plan(planned, r.site().zones(), r.site().settings().myZone(), r.seed(), log);
-        ModuleActor module = new ModuleActor(
-                r.site().settings(), r.seed(), clock, engines, discovery, log, plan == null ? new Zones.Plain() : plan);
+                : new SiteFailoverPlan(
+                        planned, r.site().zones(), r.site().settings().myZone(), r.seed(), log);
+        RequestDispatcher module = new RequestDispatcher(
+                r.site().settings(),
+                r.seed(),
+                clock,
+                engines,
+                discovery,
+                log,
+                plan == null ? new ConnectFailureZoneHealth() : plan);
         engines.module(module);
         Supplier<String> counters =
                 () -> log.counters() + streams.figures() + discovery.figures() + (plan == null ? "" : plan.figures());
         BooleanSupplier ready = discovery::known;
-        PlatformFront platform = new PlatformFront(site::get);
-        List<Clients> fronts = new CopyOnWriteArrayList<>();
-        Operators operators = operators(r, fronts, discovery, ready, plan, clock, log);
+        PlatformProtocol platform = new PlatformProtocol(site::get);
+        List<ClientListener> fronts = new CopyOnWriteArrayList<>();
+        AdminCommandHandler operators = operators(r, fronts, discovery, ready, plan, clock, log);
         discovery.start(module, r.known());
-        SettingsReload reload = new SettingsReload(r, hangups, discovery, REGISTRY, log, later -> {
-            Config.Site next = site.get().followedBy(later);
+        ConfigurationReloader reload = new ConfigurationReloader(r, hangups, discovery, REGISTRY, log, later -> {
+            SiteSettings next = site.get().followedBy(later);
             // The fronts go by it last: whatever they number is known by then.
             streams.settings(
-                    Allowances.read(
+                    StreamLimits.read(
                             STREAMS,
                             next.settings().classes(),
                             Runtime.getRuntime().maxMemory()),
@@ -138,21 +152,22 @@
         });
         Mailbox.thread("reload", reload).start();
         Mailbox.thread("module", module::run).start();
-        WarmUp.run(WarmUp.FEW);
+        JitWarmUp.run(JitWarmUp.FEW);
         platform.warm();
         // Not before: a request that waits in the socket of a process that can't read it yet loses time that
         // nobody counts, for its deadline runs from when it was sent.
-        Door door = r.inherited() ? Door.inherited() : Door.bind(Config.socketAddress(r.listen()));
-        Clients clients = new Clients(
+        ListenerSocket door =
+                r.inherited() ? ListenerSocket.inherited() : ListenerSocket.bind(Config.socketAddress(r.listen()));
+        ClientListener clients = new ClientListener(
                 door, platform, module, clock, log, ready, counters, forClients * 15 / 16 - 4, crew, streams);
         fronts.add(clients);
         // The next two are off unless a file of the deployment's gives their address; the platform has none.
-        MessagesFront.Options options = MessagesFront.Options.read(Path.of("deploy/messages.json"));
-        Store store = ReplicatedStore.read(Path.of("deploy/store.json"), r.name(), clock, log);
+        MessagesProtocol.Options options = MessagesProtocol.Options.read(Path.of("deploy/messages.json"));
+        KeyValueStore store = LastWriteWinsStore.read(Path.of("deploy/store.json"), r.name(), clock, log);
         if (options != null) {
-            Clients messages = new Clients(
-                    Door.bind(Config.socketAddress(options.listen())),
-                    new MessagesFront(site::get, options, store),
+            ClientListener messages = new ClientListener(
+                    ListenerSocket.bind(Config.socketAddress(options.listen())),
+                    new MessagesProtocol(site::get, options, store),
                     module,
                     clock,
                     log,
@@ -171,7 +186,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(shutdown));
         if (operators != null) {
             operators.start();
-            Console console = new Console(Config.socketAddress(r.console()), operators::call, log);
+            AdminServer console = new AdminServer(Config.socketAddress(r.console()), operators::call, log);
             console.start();
             log.log("console", "listen", at(r.console(), console.port()));
             // An older process ends once this one says yes, and looks then for who takes its clients.
@@ -201,20 +216,20 @@
     }
 
     /** What operators may do to this router; null where no address is given for their calls. */
-    private static Operators operators(
-            Config.Router r,
-            List<Clients> fronts,
-            Source source,
+    private static AdminCommandHandler operators(
+            RouterConfiguration r,
+            List<ClientListener> fronts,
+            EndpointSource source,
             BooleanSupplier ready,
-            Plan plan,
-            Mailbox.Clock clock,
-            Log log) {
+            SiteFailoverPlan plan,
+            MonotonicClock clock,
+            SyslogEventLog log) {
         if (r.console() == null) {
             return null;
         }
         String tmp = System.getenv("TMPDIR");
         long offset = clock.micros() - System.currentTimeMillis() * 1000;
-        Operators.Hands hands = new Operators.Hands() {
+        AdminCommandHandler.Hands hands = new AdminCommandHandler.Hands() {
             @Override
             public boolean ready() {
                 return ready.getAsBoolean();
@@ -244,7 +259,7 @@
                 fronts.forEach(c -> c.standby(on));
             }
         };
-        Operators operators = new Operators(
+        AdminCommandHandler operators = new AdminCommandHandler(
                 Path.of(tmp == null || tmp.isEmpty() ? System.getProperty("java.io.tmpdir") : tmp),
                 r.name(),
                 hands,
--- a/src/main/java/magpiehub/admin/Operators.java
+++ b/src/main/java/magpiehub/admin/AdminCommandHandler.java
@@ -9,15 +9,16 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.telemetry.EventLog;
 
 /**
- * Carries out what operators say: asks {@link Maintenance} what a call means, keeps that in the file that
+ * Carries out what operators say: asks {@link MaintenanceState} what a call means, keeps that in the file that
  * both processes of an upgrade share, and hands it on. It owns the order: a call is granted only once it
  * is kept and nothing more can go against it in this process, and what another process was told is
  * followed within a tenth of a second. It must never decide where a request goes, or make the router wait.
  */
-public final class Operators {
+public final class AdminCommandHandler {
     /** What the router does at the operators' word. */
     public interface Hands {
         /** Whether this process can serve. */
@@ -47,18 +48,18 @@
 
     private static final long OTHER_MS = 2 * POLL / 1000;
 
-    private final StateFile file;
+    private final MaintenanceStateFile file;
     private final Hands hands;
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
+    private final MonotonicClock clock;
+    private final EventLog journal;
     private final long self = ProcessHandle.current().pid();
     private final Set<String> listed = ConcurrentHashMap.newKeySet();
-    private Maintenance.Held held = Maintenance.Held.NOTHING;
+    private MaintenanceState.Held held = MaintenanceState.Held.NOTHING;
     private volatile boolean fresh;
 
     /** Nothing is read, written or carried out until {@link #start}. */
-    public Operators(Path folder, String router, Hands hands, Mailbox.Clock clock, ModuleActor.Journal journal) {
-        this.file = new StateFile(folder, router, journal);
+    public AdminCommandHandler(Path folder, String router, Hands hands, MonotonicClock clock, EventLog journal) {
+        this.file = new MaintenanceStateFile(folder, router, journal);
         this.hands = hands;
         this.clock = clock;
         this.journal = journal;
@@ -105,14 +106,14 @@
 
     /** Whether another process has begun to serve after this one. */
     public boolean succeeded() {
-        Maintenance.Held h = file.read();
+        MaintenanceState.Held h = file.read();
         return h != null
                 && !h.routers().isEmpty()
                 && others(h)
                 && h.routers().stream().reduce((a, b) -> b).orElse(self) != self;
     }
 
-    private boolean others(Maintenance.Held h) {
+    private boolean others(MaintenanceState.Held h) {
         return h.routers().stream().anyMatch(p -> p != self && alive(p));
     }
 
@@ -120,7 +121,7 @@
         return ProcessHandle.of(pid).isPresent();
     }
 
-    private synchronized void keep(java.util.function.UnaryOperator<Maintenance.Held> how) {
+    private synchronized void keep(java.util.function.UnaryOperator<MaintenanceState.Held> how) {
         try {
             take(file.change(held, how), () -> {});
         } catch (IOException | RuntimeException e) {
@@ -134,15 +135,15 @@
     }
 
     private synchronized void follow() {
-        Maintenance.Held h = file.read();
+        MaintenanceState.Held h = file.read();
         if (h != null && h.version() > held.version()) {
             take(h, () -> {});
         }
     }
 
     /** Hands on what differs. */
-    private void take(Maintenance.Held h, Runnable done) {
-        Maintenance.Held old = held;
+    private void take(MaintenanceState.Held h, Runnable done) {
+        MaintenanceState.Held old = held;
         held = h;
         if (old.standby() != h.standby()) {
             hands.standby(h.standby());
@@ -164,13 +165,13 @@
     public String call(String line) {
         journal.count("console_calls");
         CountDownLatch done = new CountDownLatch(1);
-        Maintenance.Verdict v;
+        MaintenanceState.Verdict v;
         boolean others;
         Exception failure = null;
         synchronized (this) {
-            Maintenance.Held known = held.listed(listed);
+            MaintenanceState.Held known = held.listed(listed);
             Map<String, String> sites = hands.sites();
-            v = Maintenance.call(known, line, hands.ready(), System.currentTimeMillis(), sites);
+            v = MaintenanceState.call(known, line, hands.ready(), System.currentTimeMillis(), sites);
             if (v.refused() != null) {
                 journal.count("console_refused");
                 return "FAILURE " + v.refused();
@@ -185,7 +186,7 @@
                 try {
                     long now = System.currentTimeMillis();
                     take(
-                            file.change(held, h -> Maintenance.call(h.listed(listed), line, true, now, sites)
+                            file.change(held, h -> MaintenanceState.call(h.listed(listed), line, true, now, sites)
                                     .after()),
                             done::countDown);
                 } catch (IOException | RuntimeException e) {
--- a/src/main/java/magpiehub/admin/Console.java
+++ b/src/main/java/magpiehub/admin/AdminServer.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.dispatch.ModuleActor;
 import magpiehub.http.Sockets;
+import magpiehub.telemetry.EventLog;
 
 /**
  * The operators' door: a listener of its own, one line to a connection, one line back. It owns its
@@ -20,7 +20,7 @@
  * not come whole, or hold more than a few connections and a few hundred bytes of each: when too many are
  * there, the one that has been there longest goes.
  */
-public final class Console {
+public final class AdminServer {
     /** Connections at most, and bytes of a line. */
     static final int MOST = 24;
 
@@ -32,13 +32,12 @@
 
     private final ServerSocket server = new ServerSocket();
     private final UnaryOperator<String> calls;
-    private final ModuleActor.Journal journal;
+    private final EventLog journal;
     /** In the order of their coming. */
     private final Set<Socket> callers = new LinkedHashSet<>();
 
     /** A listener that is bound and answers nothing until {@link #start}; {@code calls} answers one line. */
-    public Console(InetSocketAddress listen, UnaryOperator<String> calls, ModuleActor.Journal journal)
-            throws IOException {
+    public AdminServer(InetSocketAddress listen, UnaryOperator<String> calls, EventLog journal) throws IOException {
         this.calls = calls;
         this.journal = journal;
         server.setReuseAddress(true);
--- a/src/main/java/magpiehub/admin/Maintenance.java
+++ b/src/main/java/magpiehub/admin/MaintenanceState.java
@@ -12,7 +12,7 @@
  * machine over one immutable value, with the time as an argument: it must never do I/O, and it carries
  * nothing out by itself.
  */
-public final class Maintenance {
+public final class MaintenanceState {
     /** Ids remembered at most; beyond that the ones first listed are forgotten, never those taken out. */
     static final int MOST_LISTED = 20_000;
     /** How long a call back is remembered (ms): longer than any engine stays cold. */
@@ -115,7 +115,7 @@
      */
     public record Verdict(Held after, String refused, String said, boolean asks) {}
 
-    private Maintenance() {}
+    private MaintenanceState() {}
 
     /** One call on what holds now. {@code ready} tells whether this process can serve. */
     public static Verdict call(Held h, String line, boolean ready, long unixMs) {
--- a/src/main/java/magpiehub/admin/StateFile.java
+++ b/src/main/java/magpiehub/admin/MaintenanceStateFile.java
@@ -16,7 +16,9 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.telemetry.EventLog;
 
 /**
  * What operators have said, as a file that outlives a process and that both processes of an upgrade share. It
@@ -24,18 +26,18 @@
  * file. It must never fail a start: a file that is torn, or not its own, is logged and read as if it were
  * not there.
  */
-final class StateFile {
+final class MaintenanceStateFile {
     private static final String FORM = "magpiehub-operators-1";
     private static final long LONGEST = 4 << 20;
 
     private final Path file;
     private final Path beside;
     private final Path lock;
-    private final ModuleActor.Journal journal;
+    private final EventLog journal;
     private Object lastStamp;
-    private Maintenance.Held last;
+    private MaintenanceState.Held last;
 
-    StateFile(Path folder, String router, ModuleActor.Journal journal) {
+    MaintenanceStateFile(Path folder, String router, EventLog journal) {
         String name = "magpiehub-" + router.replaceAll("[^A-Za-z0-9._-]", "_");
         this.file = folder.resolve(name + ".operators");
         this.beside =
@@ -46,14 +48,14 @@
 
     /** What the file holds; null if there is none that can be used. Read anew only once it has been
      * replaced. */
-    synchronized Maintenance.Held read() {
+    synchronized MaintenanceState.Held read() {
         try {
             Object stamp = stamp();
             if (!stamp.equals(lastStamp)) {
                 lastStamp = stamp; // A bad file is named once.
                 last = null;
                 if (Files.size(file) > LONGEST) {
-                    throw new Config.Malformed("too long");
+                    throw new ConfigurationException("too long");
                 }
                 last = parse(Files.readAllBytes(file));
             }
@@ -76,12 +78,12 @@
 
     /** Changes what the file holds, whichever process changed it last. {@code known} is what this process
      *  goes by if there is no file that can be used. */
-    synchronized Maintenance.Held change(Maintenance.Held known, UnaryOperator<Maintenance.Held> how)
+    synchronized MaintenanceState.Held change(MaintenanceState.Held known, UnaryOperator<MaintenanceState.Held> how)
             throws IOException {
         try (FileChannel c = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock l = c.lock()) {
-            Maintenance.Held was = read();
-            Maintenance.Held now = how.apply(was == null ? known : was);
+            MaintenanceState.Held was = read();
+            MaintenanceState.Held now = how.apply(was == null ? known : was);
             if (!now.equals(was)) {
                 Files.write(beside, format(now));
                 Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -92,18 +94,18 @@
         }
     }
 
-    static Maintenance.Held parse(byte[] json) throws IOException {
-        Config.Facts f = Config.facts(json, "operators");
+    static MaintenanceState.Held parse(byte[] json) throws IOException {
+        ConfigurationObject f = Config.facts(json, "operators");
         if (!f.text("form", "").equals(FORM)) {
-            throw new Config.Malformed("not a file of this program's");
+            throw new ConfigurationException("not a file of this program's");
         }
         Map<String, Long> back = new LinkedHashMap<>();
-        for (Config.Facts b : f.objects("back")) {
+        for (ConfigurationObject b : f.objects("back")) {
             back.put(b.text("id", ""), (long) b.number("at", 0));
         }
         Set<Long> routers = new LinkedHashSet<>();
         f.numbers("routers").forEach(d -> routers.add(d.longValue()));
-        return new Maintenance.Held(
+        return new MaintenanceState.Held(
                 (long) f.number("version", 0),
                 f.flag("standby", false),
                 new LinkedHashSet<>(f.texts("banned")),
@@ -113,7 +115,7 @@
                 new LinkedHashSet<>(f.texts("sites")));
     }
 
-    static byte[] format(Maintenance.Held h) throws IOException {
+    static byte[] format(MaintenanceState.Held h) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator g = Config.JSON.createGenerator(out)) {
             g.writeStartObject();
--- a/src/main/java/magpiehub/concurrent/ThreadCache.java
+++ b/src/main/java/magpiehub/concurrent/CachedThreadPool.java
@@ -9,7 +9,7 @@
  * pile up faster than the system takes them back. There is no bound on the threads at work; whoever hands
  * work in bounds that. Safe for use from any thread.
  */
-public final class ThreadCache {
+public final class CachedThreadPool {
     /** How long a thread waits for more work where nothing else is said (us). */
     private static final long DEFAULT_STAY = 2_000_000;
 
@@ -19,7 +19,7 @@
     private final ArrayDeque<Worker> idle = new ArrayDeque<>();
 
     /** A cache without threads, which wait for more work for as long as is usual. */
-    public ThreadCache(String name) {
+    public CachedThreadPool(String name) {
         this(name, DEFAULT_STAY);
     }
 
@@ -29,7 +29,7 @@
      * @param name what its threads are called
      * @param stay how long a thread waits for more work (us)
      */
-    public ThreadCache(String name, long stay) {
+    public CachedThreadPool(String name, long stay) {
         this.name = name;
         this.stayNanos = stay * 1000;
     }
--- a/src/main/java/magpiehub/config/Config.java
+++ b/src/main/java/magpiehub/config/Config.java
@@ -28,80 +28,14 @@
  * What both hosts of the module read: the settings, and lists of engines under the names that each wire gives
  * their fields; for the router also its own configuration file. It owns the names and units of the settings.
  * It must never guess: an absent key takes its documented default, a value of the wrong type is
- * {@link Malformed} and names its path.
+ * {@link ConfigurationException} and names its path.
  */
 public final class Config {
     /** The one factory: its symbol tables are shared by everything that reads JSON. */
     public static final JsonFactory JSON = new JsonFactory();
 
-    /** Input that does not follow its description: the message names the place. */
-    public static final class Malformed extends RuntimeException {
-        private static final long serialVersionUID = 1L;
-
-        public Malformed(String message) {
-            super(message);
-        }
-    }
-
-    /** Engines' load reports: the fields of each, none where there are no reports, and whether answers carry
-     *  them, or probes alone. */
-    public record Telemetry(List<String> fields, boolean answers) {}
-
-    /** The module's settings, and what the hosts need besides. Times in microseconds. Classes and tenants are
-     *  known by their places in the settings; places whose names are not in the two maps have vanished, and
-     *  are kept for what is under way. */
-    public record Site(
-            RoutingSettings settings,
-            List<String> zones,
-            List<String> kinds,
-            long idleClose,
-            Telemetry telemetry,
-            Map<String, Integer> classes,
-            Map<String, Integer> tenants) {
-        /** A class's number by its name; -1 if there is none, and the module turns such a request away. */
-        public int cls(String name) {
-            return classes.getOrDefault(name, -1);
-        }
-
-        /** A tenant's number by its name; -1 if there is none. */
-        public int tenant(String name) {
-            return tenants.getOrDefault(name, -1);
-        }
-
-        /** What holds once a later file has come: every class and tenant that this one knows keeps its place,
-         *  and one that is new, or another under an old name, takes the next. */
-        public Site followedBy(Site later) {
-            List<RequestClass> cs = new ArrayList<>(settings.classes());
-            List<Tenant> ts = new ArrayList<>(settings.tenants());
-            RoutingSettings s = later.settings;
-            Map<String, Integer> classNames = places(s.classes(), RequestClass::name, cs);
-            Map<String, Integer> tenantNames = places(s.tenants(), Tenant::name, ts);
-            return new Site(
-                    new RoutingSettings(
-                            s.me(),
-                            s.instances(),
-                            s.myZone(),
-                            s.zones(),
-                            s.subscribe(),
-                            s.resume(),
-                            s.weights(),
-                            s.overShareWorth(),
-                            List.copyOf(cs),
-                            List.copyOf(ts),
-                            s.limits(),
-                            s.guarantees(),
-                            s.costs()),
-                    later.zones,
-                    later.kinds,
-                    later.idleClose,
-                    later.telemetry,
-                    classNames,
-                    tenantNames);
-        }
-    }
-
     /** The place of each in a list that grows by those that it does not hold; the first of a name counts. */
-    private static <T> Map<String, Integer> places(List<T> from, Function<T, String> name, List<T> all) {
+    static <T> Map<String, Integer> places(List<T> from, Function<T, String> name, List<T> all) {
         Map<String, Integer> m = new java.util.HashMap<>();
         for (T t : from) {
             int i = all.indexOf(t);
@@ -114,31 +48,6 @@
         return Map.copyOf(m);
     }
 
-    /** A router's own configuration. {@code known} is the list as JSON, in discovery's form; {@code file} is
-     *  what the file said, for comparing it with a later one. {@code console} is where operators call, null
-     *  if nowhere; {@code inherited} says that the clients' listening socket is descriptor 0. */
-    public record Router(
-            String name,
-            String listen,
-            String console,
-            boolean inherited,
-            String discovery,
-            long seed,
-            int memoryMb,
-            int sockets,
-            byte[] known,
-            Site site,
-            Map<String, Object> file) {
-        /** The members of the file in which a later file differs, settings by their own names. The list and
-         *  the seed belong to a start, and discovery's address is followed by itself: these don't count. */
-        public List<String> changes(Router later) {
-            List<String> names = new ArrayList<>();
-            differences(file, later.file, "", names);
-            names.removeAll(List.of("known", "seed", "discovery", "console"));
-            return names;
-        }
-    }
-
     /** Keys that may come and go; any other that a file had, the next one must have too. */
     private static final java.util.Set<String> OPTIONAL = java.util.Set.of("known", "seed", "aimStretch");
 
@@ -178,7 +87,7 @@
         return null;
     }
 
-    private static void differences(Map<?, ?> a, Map<?, ?> b, String path, List<String> names) {
+    static void differences(Map<?, ?> a, Map<?, ?> b, String path, List<String> names) {
         java.util.Set<Object> keys = new java.util.TreeSet<>(a.keySet());
         keys.addAll(b.keySet());
         for (Object k : keys) {
@@ -198,7 +107,7 @@
     /** The object that the parser stands at, as maps, lists, numbers, texts and flags. */
     public static Map<String, Object> object(JsonParser p) throws IOException {
         if (p.currentToken() != JsonToken.START_OBJECT) {
-            throw new Malformed("must be an object");
+            throw new ConfigurationException("must be an object");
         }
         Map<String, Object> m = new LinkedHashMap<>();
         while (p.nextToken() == JsonToken.FIELD_NAME) {
@@ -227,94 +136,17 @@
         };
     }
 
-    /** An object's members: absent keys take a default, values of the wrong type are malformed. */
-    public record Facts(Map<String, Object> map, String path) {
-        private <T> T get(String key, Class<T> type) {
-            Object v = map.get(key);
-            if (v != null && !type.isInstance(v)) {
-                throw new Malformed(path + "." + key + " has the wrong type");
-            }
-            return type.cast(v);
-        }
-
-        public double number(String key, double absent) {
-            Double v = get(key, Double.class);
-            return v == null ? absent : v;
-        }
-
-        /** Of a value that has to be there, and above 0 in whole units of so much. */
-        void positive(String key, double unit) {
-            Double v = get(key, Double.class);
-            if (v == null || !(v >= unit) || v.isInfinite()) {
-                throw new Malformed(path + "." + key + (v == null ? " is missing" : " must be a number above 0"));
-            }
-        }
-
-        long micros(String key, double absentMs) {
-            return Config.micros(number(key, absentMs));
-        }
-
-        public String text(String key, String absent) {
-            String v = get(key, String.class);
-            return v == null ? absent : v;
-        }
-
-        public boolean flag(String key, boolean absent) {
-            Boolean v = get(key, Boolean.class);
-            return v == null ? absent : v;
-        }
-
-        List<?> list(String key) {
-            List<?> v = get(key, List.class);
-            return v == null ? List.of() : v;
-        }
-
-        private <T> List<T> all(String key, Class<T> type, String what) {
-            List<T> r = new ArrayList<>();
-            for (Object o : list(key)) {
-                if (!type.isInstance(o)) {
-                    throw new Malformed(path + "." + key + " must hold " + what);
-                }
-                r.add(type.cast(o));
-            }
-            return r;
-        }
-
-        public List<Double> numbers(String key) {
-            return all(key, Double.class, "numbers");
-        }
-
-        public List<String> texts(String key) {
-            return all(key, String.class, "texts");
-        }
-
-        @SuppressWarnings("unchecked")
-        public Facts object(String key) {
-            Map<String, Object> m = get(key, Map.class);
-            return new Facts(m == null ? Map.of() : m, path + "." + key);
-        }
-
-        @SuppressWarnings("unchecked")
-        public List<Facts> objects(String key) {
-            List<Facts> r = new ArrayList<>();
-            for (Map<String, Object> m : all(key, Map.class, "objects")) {
-                r.add(new Facts(m, path + "." + key));
-            }
-            return r;
-        }
-    }
-
     public static long micros(double ms) {
         return Math.round(ms * 1000);
     }
 
     // ---- Settings -------------------------------------------------------------------------------------
     /** The settings that the simulator's first message and a router's configuration hold alike. */
-    public static Site site(Facts f) {
+    public static SiteSettings site(ConfigurationObject f) {
         List<Double> perToken = f.object("familyInfo").numbers("aimUsPer1000PromptTokens");
         List<Double> tokenAim = f.object("familyInfo").numbers("tokenAimMs");
         List<RequestClass> classes = new ArrayList<>();
-        for (Facts c : f.objects("classes")) {
+        for (ConfigurationObject c : f.objects("classes")) {
             int i = classes.size();
             classes.add(new RequestClass(
                     c.text("name", ""),
@@ -322,13 +154,15 @@
                         case "pure" -> Idempotency.PURE;
                         case "token" -> Idempotency.TOKEN;
                         case "side_effect" -> Idempotency.SIDE_EFFECT;
-                        default -> throw new Malformed("classes.effect is no effect: " + c.text("effect", ""));
+                        default -> throw new ConfigurationException(
+                                "classes.effect is no effect: " + c.text("effect", ""));
                     },
                     switch (c.text("group", "all")) {
                         case "all" -> DeduplicationScope.ALL;
                         case "zone" -> DeduplicationScope.ZONE;
                         case "cell" -> DeduplicationScope.CELL;
-                        default -> throw new Malformed("classes.group is no group: " + c.text("group", ""));
+                        default -> throw new ConfigurationException(
+                                "classes.group is no group: " + c.text("group", ""));
                     },
                     c.micros("windowMs", 0),
                     c.flag("stream", false),
@@ -341,12 +175,12 @@
                     c.number("lateShare", 0)));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (Facts t : f.objects("accounts")) {
+        for (ConfigurationObject t : f.objects("accounts")) {
             tenants.add(new Tenant(t.text("name", ""), t.number("share", 0), t.number("allowancePerS", 0)));
         }
-        Facts l = f.object("limits");
-        Facts g = f.object("guarantees");
-        Facts c = f.object("costs");
+        ConfigurationObject l = f.object("limits");
+        ConfigurationObject g = f.object("guarantees");
+        ConfigurationObject c = f.object("costs");
         RoutingSettings s = new RoutingSettings(
                 (int) f.number("me", 0),
                 Math.max(1, (int) f.number("instances", 1)),
@@ -388,7 +222,7 @@
                         c.number("lateFail", 0),
                         c.number("connection", 0),
                         c.number("handshake", 0)));
-        return new Site(
+        return new SiteSettings(
                 s,
                 f.texts("zones"),
                 f.texts("machineTypes"),
@@ -398,49 +232,31 @@
                 places(tenants, Tenant::name, new ArrayList<>(tenants)));
     }
 
-    private static Telemetry telemetry(Facts t) {
+    private static LoadReportSettings telemetry(ConfigurationObject t) {
         String how = t.text("how", "none");
         if (!List.of("none", "answers", "probe").contains(how)) {
-            throw new Malformed("telemetry.how is unknown: " + how);
+            throw new ConfigurationException("telemetry.how is unknown: " + how);
         }
-        return new Telemetry(how.equals("none") ? List.of() : t.texts("fields"), how.equals("answers"));
+        return new LoadReportSettings(how.equals("none") ? List.of() : t.texts("fields"), how.equals("answers"));
     }
 
-    // ---- Lists of engines -----------------------------------------------------------------------------
-    /** How a wire names an entry's fields and says zones, kinds, states and times. */
-    public interface Names {
-        /** The field that a name stands for: id, zone, kind, cell, state, weight, since, address or null. */
-        String field(String name);
-
-        /** A zone or kind, given as a number or a name. */
-        int number(String field, JsonParser p) throws IOException;
-
-        EndpointState state(String word);
-
-        /** Clock time of a start, from the wire's number. */
-        long since(double value);
-    }
-
-    /** An entry of a list; {@code address} is null on wires where the id is the address. */
-    public record Entry(Endpoint server, String address) {}
-
     /** The entries of the array that the parser stands at. */
-    public static List<Entry> entries(JsonParser p, Names names) throws IOException {
+    public static List<EndpointEntry> entries(JsonParser p, EndpointFieldNames names) throws IOException {
         if (p.currentToken() != JsonToken.START_ARRAY) {
-            throw new Malformed("must be an array");
+            throw new ConfigurationException("must be an array");
         }
-        List<Entry> list = new ArrayList<>();
+        List<EndpointEntry> list = new ArrayList<>();
         while (p.nextToken() == JsonToken.START_OBJECT) {
             list.add(entry(p, names));
         }
         if (p.currentToken() != JsonToken.END_ARRAY) {
-            throw new Malformed("must hold objects only");
+            throw new ConfigurationException("must hold objects only");
         }
         return list;
     }
 
     /** The entry that the parser stands at the start of. */
-    private static Entry entry(JsonParser p, Names names) throws IOException {
+    private static EndpointEntry entry(JsonParser p, EndpointFieldNames names) throws IOException {
         String id = null;
         String address = null;
         EndpointState state = EndpointState.LIVE;
@@ -466,21 +282,21 @@
             }
         }
         if (id == null) {
-            throw new Malformed("an entry has no id");
+            throw new ConfigurationException("an entry has no id");
         }
-        return new Entry(new Endpoint(id, zone, kind, cell, state, weight, names.since(online)), address);
+        return new EndpointEntry(new Endpoint(id, zone, kind, cell, state, weight, names.since(online)), address);
     }
 
     public static String text(JsonParser p, String name) throws IOException {
         if (p.currentToken() != JsonToken.VALUE_STRING) {
-            throw new Malformed(name + " must be a text");
+            throw new ConfigurationException(name + " must be a text");
         }
         return p.getText();
     }
 
     public static double number(JsonParser p, String name) throws IOException {
         if (p.currentToken() == null || !p.currentToken().isNumeric()) {
-            throw new Malformed(name + " must be a number");
+            throw new ConfigurationException(name + " must be a number");
         }
         return p.getDoubleValue();
     }
@@ -488,42 +304,42 @@
     // ---- A router's own file --------------------------------------------------------------------------
     /** The configuration after a new file has replaced the old one: the variables are those of the start, so
      *  from then on the file says where discovery is. */
-    public static Router reread(Map<String, String> env, Router inForce) throws IOException {
+    public static RouterConfiguration reread(Map<String, String> env, RouterConfiguration inForce) throws IOException {
         Map<String, String> kept = new java.util.HashMap<>(env);
         kept.remove("ROUTER_DISCOVERY");
-        Router r = router(kept);
-        String lacks = lacking(inForce.file, r.file, "config");
+        RouterConfiguration r = router(kept);
+        String lacks = lacking(inForce.file(), r.file(), "config");
         if (lacks != null) {
-            throw new Malformed(lacks + " is missing");
+            throw new ConfigurationException(lacks + " is missing");
         }
         return r;
     }
 
     /** What can't be done without, and would end every request at once if it were 0. */
-    private static void check(Facts settings) {
-        for (Facts c : settings.objects("classes")) {
+    private static void check(ConfigurationObject settings) {
+        for (ConfigurationObject c : settings.objects("classes")) {
             c.positive("deadlineMs", 0.001);
         }
         settings.object("limits").positive("mostTries", 1);
     }
 
     /** Reads the file that ROUTER_CONFIG names; the other variables go before what it says. */
-    public static Router router(Map<String, String> env) throws IOException {
+    public static RouterConfiguration router(Map<String, String> env) throws IOException {
         String file = env.get("ROUTER_CONFIG");
         if (file == null) {
-            throw new Malformed("ROUTER_CONFIG is not set");
+            throw new ConfigurationException("ROUTER_CONFIG is not set");
         }
         if (!Files.isReadable(Path.of(file))) {
-            throw new Malformed("ROUTER_CONFIG names no readable file: " + file);
+            throw new ConfigurationException("ROUTER_CONFIG names no readable file: " + file);
         }
-        Facts f = facts(Files.readAllBytes(Path.of(file)), "config");
-        Facts limits = f.object("limits");
+        ConfigurationObject f = facts(Files.readAllBytes(Path.of(file)), "config");
+        ConfigurationObject limits = f.object("limits");
         if (f.object("settings").objects("classes").isEmpty()) {
-            throw new Malformed("config.settings.classes is missing");
+            throw new ConfigurationException("config.settings.classes is missing");
         }
         check(f.object("settings"));
         Object known = f.map().get("known");
-        return new Router(
+        return new RouterConfiguration(
                 said(env, "ROUTER_NAME", f.text("name", null)),
                 address(said(env, "ROUTER_LISTEN", f.text("listen", null))),
                 optional(env, "ROUTER_CONSOLE", f.text("console", null)),
@@ -538,16 +354,16 @@
     }
 
     /** The single object that a text holds. */
-    public static Facts facts(byte[] json, String path) throws IOException {
+    public static ConfigurationObject facts(byte[] json, String path) throws IOException {
         try (JsonParser p = JSON.createParser(json)) {
             p.nextToken();
-            Facts f = new Facts(object(p), path);
+            ConfigurationObject f = new ConfigurationObject(object(p), path);
             if (p.nextToken() != null) {
-                throw new Malformed(path + " holds more than one value");
+                throw new ConfigurationException(path + " holds more than one value");
             }
             return f;
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-            throw new Malformed(path + ": " + e.getOriginalMessage());
+            throw new ConfigurationException(path + ": " + e.getOriginalMessage());
         }
     }
 
@@ -595,7 +411,7 @@
             return false;
         }
         if (!descriptor.strip().equals("0")) {
-            throw new Malformed("ROUTER_FD must be 0, the one that can be inherited: " + descriptor);
+            throw new ConfigurationException("ROUTER_FD must be 0, the one that can be inherited: " + descriptor);
         }
         return true;
     }
@@ -603,7 +419,7 @@
     private static String said(Map<String, String> env, String variable, String otherwise) {
         String v = env.get(variable) != null && !env.get(variable).isEmpty() ? env.get(variable) : otherwise;
         if (v == null) {
-            throw new Malformed(variable + " is not set and the configuration has no value for it");
+            throw new ConfigurationException(variable + " is not set and the configuration has no value for it");
         }
         return v;
     }
@@ -619,7 +435,7 @@
         } catch (NumberFormatException e) {
             // Falls through to the one complaint.
         }
-        throw new Malformed("is no address:port: " + s);
+        throw new ConfigurationException("is no address:port: " + s);
     }
 
     /** What an {@link #address} names. */
@@ -639,6 +455,6 @@
                 return s.hashCode() * 0x9e3779b97f4a7c15L;
             }
         }
-        throw new Malformed("config.seed is missing");
+        throw new ConfigurationException("config.seed is missing");
     }
 }
--- a/src/main/java/magpiehub/discovery/Announcer.java
+++ b/src/main/java/magpiehub/discovery/Announcer.java
@@ -6,8 +6,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import javax.net.ssl.SSLContext;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.http.Http;
+import magpiehub.telemetry.EventLog;
 
 /**
  * The actor that keeps this router's own entry in the registry: in etcd a key under a lease
@@ -25,8 +26,8 @@
     private final Options options;
     private final String id;
     private final String address;
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
+    private final MonotonicClock clock;
+    private final EventLog journal;
     private final Mailbox<Object> mailbox;
     private final Announcement state;
     private final Endpoints endpoints;
@@ -37,8 +38,7 @@
     private long lease;
 
     /** An announcer for settings with {@code announce}; {@code address} is the router's own. */
-    public Announcer(
-            Options options, String name, String address, Mailbox.Clock clock, ModuleActor.Journal journal, long seed)
+    public Announcer(Options options, String name, String address, MonotonicClock clock, EventLog journal, long seed)
             throws IOException {
         Options.Announce a = options.announce();
         this.options = options;
--- a/src/main/java/magpiehub/discovery/Consul.java
+++ b/src/main/java/magpiehub/discovery/Consul.java
@@ -12,6 +12,8 @@
 import java.util.List;
 import java.util.Map;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
 import magpiehub.http.Http;
 import magpiehub.routing.EndpointState;
 
@@ -139,7 +141,7 @@
         } else {
             try (JsonParser p = Config.JSON.createParser(in)) {
                 if (p.nextToken() != JsonToken.START_ARRAY) {
-                    throw new Config.Malformed("an array was due");
+                    throw new ConfigurationException("an array was due");
                 }
                 while (p.nextToken() == JsonToken.START_OBJECT) {
                     View.Item i = health ? instance(p) : value(p);
@@ -148,7 +150,7 @@
                     }
                 }
                 if (p.currentToken() != JsonToken.END_ARRAY || p.nextToken() != null) {
-                    throw new Config.Malformed("must be one array of objects");
+                    throw new ConfigurationException("must be one array of objects");
                 }
             }
         }
@@ -231,7 +233,7 @@
                 "host_port",
                 (host.isEmpty() ? node.getOrDefault("Address", "") : host) + ":" + service.getOrDefault("Port", ""));
         try {
-            Config.Entry e = f.entry(id);
+            EndpointEntry e = f.entry(id);
             if (critical[0] && e.server().state() == EndpointState.LIVE) {
                 f.set("phase", "Terminating");
                 e = f.entry(id);
--- a/src/main/java/magpiehub/discovery/Discovery.java
+++ b/src/main/java/magpiehub/discovery/Discovery.java
@@ -16,13 +16,18 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
-import magpiehub.upstream.Engines;
+import magpiehub.telemetry.EventLog;
+import magpiehub.upstream.UpstreamPool;
 
 /**
  * The platform's discovery: it asks when the module says so, and hands what comes to a {@link View}, which
@@ -31,7 +36,7 @@
  * stands. Lists are JSON values, however they are laid out and cut into chunks; blank lines between them are
  * signs of life.
  */
-public final class Discovery implements Source {
+public final class Discovery implements EndpointSource {
     /** One list at most: the longest that the platform has is a hundredth of it (bytes). */
     private static final int MOST_VALUE = 4 << 20;
     /** Causes of unreadable lists that are logged, each once. */
@@ -47,7 +52,7 @@
     private record Move(String address) {}
 
     /** A list or a change as it was read. */
-    private record Word(long number, boolean complete, List<Config.Entry> entries) {}
+    private record Word(long number, boolean complete, List<EndpointEntry> entries) {}
 
     /** What a call has brought; {@code word} is null for a sign of life. */
     private record Heard(Call from, Word word) {}
@@ -69,17 +74,17 @@
     }
 
     private final Entries names;
-    private final Engines engines;
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
+    private final UpstreamPool engines;
+    private final MonotonicClock clock;
+    private final EventLog journal;
     private final Mailbox<Object> mailbox;
-    private final Supplier<Config.Site> site;
+    private final Supplier<SiteSettings> site;
     private final Set<String> unreadable = new HashSet<>();
     private final View view = new View();
     private final Told told = new Told();
     private final Watches watches;
     private final Executor readers;
-    private ModuleActor module;
+    private RequestDispatcher module;
     private Call fetch;
     /** Whose numbers the view's position is one of. */
     private String toldBy;
@@ -91,10 +96,10 @@
     /** An actor for discovery at an address. */
     public Discovery(
             String address,
-            Supplier<Config.Site> site,
-            Engines engines,
-            Mailbox.Clock clock,
-            ModuleActor.Journal journal,
+            Supplier<SiteSettings> site,
+            UpstreamPool engines,
+            MonotonicClock clock,
+            EventLog journal,
             long seed) {
         this(address, site, engines, clock, journal, seed, read -> Mailbox.thread("discovery-reader", read)
                 .start());
@@ -103,10 +108,10 @@
     /** The same with what begins to read each call's answer on a thread, or fails to have one. */
     Discovery(
             String address,
-            Supplier<Config.Site> site,
-            Engines engines,
-            Mailbox.Clock clock,
-            ModuleActor.Journal journal,
+            Supplier<SiteSettings> site,
+            UpstreamPool engines,
+            MonotonicClock clock,
+            EventLog journal,
             long seed,
             Executor readers) {
         this.watches = new Watches(address, new Carrier(), seed);
@@ -121,13 +126,13 @@
     }
 
     @Override
-    public void start(ModuleActor actor, byte[] saved) {
+    public void start(RequestDispatcher actor, byte[] saved) {
         module = actor;
         if (saved != null) {
             try (JsonParser p = Config.JSON.createParser(saved)) {
                 p.nextToken();
                 apply(word(p), true, true);
-            } catch (IOException | Config.Malformed e) {
+            } catch (IOException | ConfigurationException e) {
                 journal.log("known-list-unreadable", "error", e.getMessage());
             }
         }
@@ -335,23 +340,23 @@
         module.list(EndpointListKind.ERROR, List.of());
     }
 
-    private void tell(EndpointListKind kind, List<Config.Entry> entries) {
+    private void tell(EndpointListKind kind, List<EndpointEntry> entries) {
         // The list of the configuration is enough to serve with: when all routers start together, discovery
         // takes seconds to tell them all, and their clients would wait for it.
         heard |= kind != EndpointListKind.SAVED;
         known |= kind != EndpointListKind.SAVED
                 || entries.stream().anyMatch(e -> e.server().state() == EndpointState.LIVE);
-        Source.tell(kind, told.source(kind, entries), engines, module);
+        EndpointSource.tell(kind, told.source(kind, entries), engines, module);
     }
 
     /** The list or change that the parser stands at the start of. Any thread. */
     private Word word(JsonParser p) throws IOException {
         if (p.currentToken() != JsonToken.START_OBJECT) {
-            throw new Config.Malformed("must be an object");
+            throw new ConfigurationException("must be an object");
         }
         long number = -1;
         boolean complete = false;
-        List<Config.Entry> entries = null;
+        List<EndpointEntry> entries = null;
         while (p.nextToken() == JsonToken.FIELD_NAME) {
             String name = p.currentName();
             p.nextToken();
@@ -364,7 +369,7 @@
         }
         if (entries == null && complete) {
             // Guards against emptying the list in force by an answer that names no engines at all.
-            throw new Config.Malformed("members is missing");
+            throw new ConfigurationException("members is missing");
         }
         return new Word(number, complete, entries == null ? List.of() : entries);
     }
@@ -373,10 +378,10 @@
     private void apply(Word w, boolean first, boolean saved) {
         long number = w.number;
         boolean complete = w.complete || saved;
-        List<Config.Entry> entries = w.entries;
+        List<EndpointEntry> entries = w.entries;
         View.Position to = new View.Position("", 0, number);
         List<View.Item> items = new ArrayList<>(entries.size());
-        for (Config.Entry e : entries) {
+        for (EndpointEntry e : entries) {
             items.add(
                     e.server().state() == EndpointState.DEAD
                             ? View.Item.removed(e.server().id(), 0)
@@ -396,8 +401,8 @@
         if (complete) {
             tell(EndpointListKind.COMPLETE, view.entries());
         } else {
-            List<Config.Entry> changed = new ArrayList<>(r.delta().put());
-            r.delta().gone().forEach(id -> changed.add(Source.gone(id)));
+            List<EndpointEntry> changed = new ArrayList<>(r.delta().put());
+            r.delta().gone().forEach(id -> changed.add(EndpointSource.gone(id)));
             tell(EndpointListKind.CHANGES, changed);
         }
         journal.log(
@@ -429,7 +434,7 @@
                     why = "status " + h.status();
                 }
             }
-        } catch (JsonProcessingException | Config.Malformed e) {
+        } catch (JsonProcessingException | ConfigurationException e) {
             why = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
             unreadable = true;
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
@@ -476,7 +481,7 @@
             }
             size += Math.max(0, n);
             if (size > MOST_VALUE) {
-                throw new Config.Malformed("a list of over " + MOST_VALUE + " bytes");
+                throw new ConfigurationException("a list of over " + MOST_VALUE + " bytes");
             }
             return n;
         }
--- a/src/main/java/magpiehub/discovery/Source.java
+++ b/src/main/java/magpiehub/discovery/EndpointSource.java
@@ -3,17 +3,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.config.EndpointEntry;
+import magpiehub.dispatch.EndpointListSource;
+import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
-import magpiehub.upstream.Engines;
+import magpiehub.upstream.UpstreamPool;
 
 /** Where the list of engines comes from: one actor, whatever the dialect. */
-public interface Source extends ModuleActor.Roster {
+public interface EndpointSource extends EndpointListSource {
     /** Names the module's actor and gives it the list as this router last had it, if it did. */
-    void start(ModuleActor actor, byte[] saved);
+    void start(RequestDispatcher actor, byte[] saved);
 
     /** Whether a list is known: told since the start, or where the configuration saved one that is enough. */
     boolean known();
@@ -31,27 +32,28 @@
     void maintain(Set<String> out, Map<String, Long> back, Runnable done);
 
     /** A change in order: addresses first, so that the module never sends to an engine without one. */
-    static void tell(EndpointListKind kind, List<Config.Entry> entries, Engines engines, ModuleActor module) {
+    static void tell(
+            EndpointListKind kind, List<EndpointEntry> entries, UpstreamPool engines, RequestDispatcher module) {
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
             java.util.Set<String> ids = new java.util.HashSet<>(entries.size() * 2);
             entries.forEach(e -> ids.add(e.server().id()));
             engines.only(ids);
         }
-        for (Config.Entry e : entries) {
+        for (EndpointEntry e : entries) {
             engines.place(
                     e.server().id(),
                     e.address(),
                     e.server().state() == EndpointState.LIVE,
                     e.server().state() == EndpointState.DEAD);
         }
-        module.list(kind, entries.stream().map(Config.Entry::server).toList());
+        module.list(kind, entries.stream().map(EndpointEntry::server).toList());
     }
 
     /** What {@link #maintain} says, on its way to the source's own thread. */
     record Maintain(Set<String> out, Map<String, Long> back, Runnable done) {
         /** Tells the module what changes by it, if anything, and then that it holds. */
-        void carry(Told told, Engines engines, ModuleActor module) {
-            List<Config.Entry> all = told.operators(out, back);
+        void carry(Told told, UpstreamPool engines, RequestDispatcher module) {
+            List<EndpointEntry> all = told.operators(out, back);
             if (!all.isEmpty()) {
                 tell(EndpointListKind.SAVED, all, engines, module);
             }
@@ -60,7 +62,7 @@
     }
 
     /** An engine of which only its id is known any more. */
-    static Config.Entry gone(String id) {
-        return new Config.Entry(new Endpoint(id, 0, 0, 0, EndpointState.DEAD, 1, 0), null);
+    static EndpointEntry gone(String id) {
+        return new EndpointEntry(new Endpoint(id, 0, 0, 0, EndpointState.DEAD, 1, 0), null);
     }
 }
--- a/src/main/java/magpiehub/discovery/Entries.java
+++ b/src/main/java/magpiehub/discovery/Entries.java
@@ -6,6 +6,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointFieldNames;
+import magpiehub.config.SiteSettings;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
 
@@ -15,26 +19,26 @@
  * routers could read otherwise: {@link #strict} reading says what is wrong and leaves the rest of the list
  * alone.
  */
-final class Entries implements Config.Names {
-    private final Supplier<Config.Site> site;
+final class Entries implements EndpointFieldNames {
+    private final Supplier<SiteSettings> site;
     /** Monotonic time less Unix time (us), taken once: entries told twice must give the same start. */
     private final long offset;
 
     private final boolean strict;
 
-    private Entries(Supplier<Config.Site> site, long offset, boolean strict) {
+    private Entries(Supplier<SiteSettings> site, long offset, boolean strict) {
         this.site = site;
         this.offset = offset;
         this.strict = strict;
     }
 
     /** Entries as the platform tells them, believed as they stand; {@code now} is monotonic (us). */
-    static Entries platform(Supplier<Config.Site> site, long now) {
+    static Entries platform(Supplier<SiteSettings> site, long now) {
         return new Entries(site, now - System.currentTimeMillis() * 1000, false);
     }
 
     /** Entries that people and scripts write: each is checked by itself. */
-    static Entries strict(Supplier<Config.Site> site, long now) {
+    static Entries strict(Supplier<SiteSettings> site, long now) {
         return new Entries(site, now - System.currentTimeMillis() * 1000, true);
     }
 
@@ -72,23 +76,23 @@
          * The entry.
          *
          * @param name the id where the fields give none
-         * @throws Config.Malformed saying which field is wrong
+         * @throws ConfigurationException saying which field is wrong
          */
-        Config.Entry entry(String name) {
+        EndpointEntry entry(String name) {
             String id = texts.getOrDefault("id", name);
             if (id == null || id.isEmpty() || id.length() > 256) {
-                throw new Config.Malformed("id is missing or too long");
+                throw new ConfigurationException("id is missing or too long");
             }
             String address = texts.get("host_port");
             if (address == null) {
-                throw new Config.Malformed("host_port is missing");
+                throw new ConfigurationException("host_port is missing");
             }
             Config.address(address);
             double size = number("size", 1);
             if (!(size > 0) || size > 1e6) {
-                throw new Config.Malformed("size must be above 0");
+                throw new ConfigurationException("size must be above 0");
             }
-            return new Config.Entry(
+            return new EndpointEntry(
                     new Endpoint(
                             id,
                             place("locality", site.get().zones()),
@@ -105,7 +109,7 @@
             try {
                 return v == null ? absent : Double.parseDouble(v);
             } catch (NumberFormatException e) {
-                throw new Config.Malformed(field + " must be a number: " + v);
+                throw new ConfigurationException(field + " must be a number: " + v);
             }
         }
 
@@ -120,7 +124,7 @@
                 i = Integer.parseInt(v);
             }
             if (i < 0 || i >= Math.max(1, all.size())) {
-                throw new Config.Malformed(field + " is none of " + all + ": " + v);
+                throw new ConfigurationException(field + " is none of " + all + ": " + v);
             }
             return i;
         }
@@ -140,19 +144,19 @@
      * {@code {"id":"s-1","host_port":"10.1.0.18:8080","locality":"a","phase":"Ready","size":1.0}}.
      *
      * @param name the id where the text gives none
-     * @throws Config.Malformed saying which field is wrong
+     * @throws ConfigurationException saying which field is wrong
      */
-    Config.Entry read(byte[] json, String name) throws IOException {
+    EndpointEntry read(byte[] json, String name) throws IOException {
         if (json.length > 64 * 1024) {
-            throw new Config.Malformed("larger than 64 KiB");
+            throw new ConfigurationException("larger than 64 KiB");
         }
         try (JsonParser p = Config.JSON.createParser(json)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
-                throw new Config.Malformed("must be an object");
+                throw new ConfigurationException("must be an object");
             }
             Fields f = new Fields().read(p);
             if (p.currentToken() != JsonToken.END_OBJECT || p.nextToken() != null) {
-                throw new Config.Malformed("must be one whole object");
+                throw new ConfigurationException("must be one whole object");
             }
             return f.entry(name);
         }
@@ -178,7 +182,7 @@
         if (p.currentToken().isNumeric()) {
             return p.getIntValue();
         }
-        Config.Site now = site.get();
+        SiteSettings now = site.get();
         return (field.equals("zone") ? now.zones() : now.kinds()).indexOf(Config.text(p, field));
     }
 
@@ -190,7 +194,7 @@
             case "Gone" -> EndpointState.DEAD;
             default -> {
                 if (strict) {
-                    throw new Config.Malformed("phase is none of Ready, Terminating, Gone: " + word);
+                    throw new ConfigurationException("phase is none of Ready, Terminating, Gone: " + word);
                 }
                 // Guards against sending work to an engine in a phase that this program does not know.
                 yield EndpointState.DRAINING;
@@ -204,7 +208,7 @@
     }
 
     /** The inverse of {@link Fields}, for a list kept on disk. */
-    Map<String, Object> write(Config.Entry e) {
+    Map<String, Object> write(EndpointEntry e) {
         Endpoint s = e.server();
         Map<String, Object> m = new java.util.LinkedHashMap<>();
         m.put("id", s.id());
--- a/src/main/java/magpiehub/discovery/Etcd.java
+++ b/src/main/java/magpiehub/discovery/Etcd.java
@@ -11,6 +11,8 @@
 import java.util.Arrays;
 import java.util.List;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.http.Http;
 
 /**
@@ -159,7 +161,7 @@
             return null;
         }
         try {
-            Config.Facts f = Config.facts(text.substring(brace).getBytes(StandardCharsets.UTF_8), "error");
+            ConfigurationObject f = Config.facts(text.substring(brace).getBytes(StandardCharsets.UTF_8), "error");
             return new Failure((int) f.number("code", 0), f.text("message", f.text("error", "")));
         } catch (IOException | RuntimeException x) {
             return null;
@@ -173,7 +175,7 @@
 
     static void members(JsonParser p, Members to) throws IOException {
         if (p.currentToken() != JsonToken.START_OBJECT) {
-            throw new Config.Malformed("an object was due");
+            throw new ConfigurationException("an object was due");
         }
         while (p.nextToken() == JsonToken.FIELD_NAME) {
             String name = p.currentName();
@@ -188,20 +190,20 @@
             p.nextToken();
             members(p, to);
             if (p.nextToken() != null) {
-                throw new Config.Malformed("more than one value");
+                throw new ConfigurationException("more than one value");
             }
         }
     }
 
     private static void array(JsonParser p, Members each) throws IOException {
         if (p.currentToken() != JsonToken.START_ARRAY) {
-            throw new Config.Malformed("an array was due");
+            throw new ConfigurationException("an array was due");
         }
         while (p.nextToken() == JsonToken.START_OBJECT) {
             each.member(p, "");
         }
         if (p.currentToken() != JsonToken.END_ARRAY) {
-            throw new Config.Malformed("must hold objects only");
+            throw new ConfigurationException("must hold objects only");
         }
     }
 
@@ -287,7 +289,7 @@
             }
         });
         if (page.header.number() <= 0) {
-            throw new Config.Malformed("an answer without a revision");
+            throw new ConfigurationException("an answer without a revision");
         }
         return page;
     }
@@ -323,7 +325,7 @@
                 }
             });
             if (at != null && !at.history().equals(p.header.history())) {
-                throw new Config.Malformed("the pages of one list are of two clusters");
+                throw new ConfigurationException("the pages of one list are of two clusters");
             }
             at = at == null ? p.header : at;
             for (KeyValue kv : p.kvs) {
@@ -419,7 +421,7 @@
                 switch (name) {
                     case "result" -> members(q, (r, field) -> result(r, field, l));
                     case "error" -> {
-                        Config.Facts f = new Config.Facts(Config.object(q), "error");
+                        ConfigurationObject f = new ConfigurationObject(Config.object(q), "error");
                         l.error = new Failure((int) f.number("grpc_code", f.number("code", 0)), f.text("message", ""));
                     }
                     default -> q.skipChildren();
@@ -451,7 +453,7 @@
                     }
                 });
                 if (kv[0] == null || kv[0].mod <= 0) {
-                    throw new Config.Malformed("an event without a key and its revision");
+                    throw new ConfigurationException("an event without a key and its revision");
                 }
                 l.puts.add(kv[0]);
                 l.removed.add(delete[0]);
@@ -489,7 +491,7 @@
         if (l.fragment) {
             // Half of a revision is no list that ever was.
             if (burst.size() > 1_000_000) {
-                throw new Config.Malformed("fragments without end");
+                throw new ConfigurationException("fragments without end");
             }
             return;
         }
--- a/src/main/java/magpiehub/discovery/LastList.java
+++ b/src/main/java/magpiehub/discovery/LastList.java
@@ -16,6 +16,7 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
 
 /**
  * The last list on disk, for a start without a registry. The file is a line
@@ -48,7 +49,7 @@
     }
 
     /** Writes beside the file, forces it to the disk, and renames it; {@code now} is Unix time (ms). */
-    void write(List<Config.Entry> list, View.Position at, long now) throws IOException {
+    void write(List<EndpointEntry> list, View.Position at, long now) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream(list.size() * 160 + 256);
         try (var g = Config.JSON.createGenerator(body)) {
             g.writeStartObject();
@@ -56,7 +57,7 @@
             g.writeStringField("term", Long.toString(at.term()));
             g.writeStringField("position", Long.toString(at.number()));
             g.writeArrayFieldStart("members");
-            for (Config.Entry e : list) {
+            for (EndpointEntry e : list) {
                 g.writeStartObject();
                 for (Map.Entry<String, Object> f : entries.write(e).entrySet()) {
                     if (f.getValue() instanceof Double d) {
@@ -152,7 +153,7 @@
                     case "position" -> history[2] = q.getText();
                     case "members" -> {
                         while (q.nextToken() == JsonToken.START_OBJECT) {
-                            Config.Entry e = entries.new Fields().read(q).entry(null);
+                            EndpointEntry e = entries.new Fields().read(q).entry(null);
                             items.add(View.Item.of(e.server().id(), 0, e));
                         }
                     }
--- a/src/main/java/magpiehub/discovery/Membership.java
+++ b/src/main/java/magpiehub/discovery/Membership.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
 
@@ -59,7 +59,7 @@
 
     private final Options options;
     /** The registry's word on each engine, with those held against a whole list. */
-    private final Map<String, Config.Entry> members = new HashMap<>();
+    private final Map<String, EndpointEntry> members = new HashMap<>();
 
     private final Set<String> held = new HashSet<>();
     private final Map<String, Flap> flaps = new HashMap<>();
@@ -103,8 +103,8 @@
     }
 
     /** All engines as they are to be told. */
-    public List<Config.Entry> all() {
-        List<Config.Entry> all = new ArrayList<>(members.size());
+    public List<EndpointEntry> all() {
+        List<EndpointEntry> all = new ArrayList<>(members.size());
         members.values().forEach(e -> all.add(told(e)));
         return all;
     }
@@ -114,9 +114,9 @@
      *
      * @return what the module is to be told; engines that are gone are DEAD
      */
-    public List<Config.Entry> apply(View.Delta d, long now) {
-        Map<String, Config.Entry> out = new LinkedHashMap<>();
-        for (Config.Entry e : d.put()) {
+    public List<EndpointEntry> apply(View.Delta d, long now) {
+        Map<String, EndpointEntry> out = new LinkedHashMap<>();
+        for (EndpointEntry e : d.put()) {
             held.remove(e.server().id());
             place(e, now, out);
         }
@@ -146,8 +146,8 @@
      *
      * @param ids the engines that it names
      */
-    public List<Config.Entry> confirmed(Set<String> ids, long now) {
-        Map<String, Config.Entry> out = new LinkedHashMap<>();
+    public List<EndpointEntry> confirmed(Set<String> ids, long now) {
+        Map<String, EndpointEntry> out = new LinkedHashMap<>();
         for (String id : List.copyOf(held)) {
             if (!ids.contains(id)) {
                 held.remove(id);
@@ -161,12 +161,12 @@
     }
 
     /** What has come due: second reads to ask for again, and engines that may return. */
-    public List<Config.Entry> due(long now) {
+    public List<EndpointEntry> due(long now) {
         if (confirmBy <= now) {
             asked = true;
             confirmBy = now + options.confirmWithin;
         }
-        Map<String, Config.Entry> out = new LinkedHashMap<>();
+        Map<String, EndpointEntry> out = new LinkedHashMap<>();
         while (!dues.isEmpty() && dues.peek().at <= now) {
             Due d = dues.poll();
             String id = d.id;
@@ -178,7 +178,7 @@
             if (f.suppressed && p < options.reuse) {
                 f.suppressed = false;
                 suppressed--;
-                Config.Entry e = members.get(id);
+                EndpointEntry e = members.get(id);
                 if (e != null) {
                     out.put(id, e);
                 }
@@ -192,13 +192,13 @@
         return new ArrayList<>(out.values());
     }
 
-    private void place(Config.Entry e, long now, Map<String, Config.Entry> out) {
+    private void place(EndpointEntry e, long now, Map<String, EndpointEntry> out) {
         String id = e.server().id();
         if (e.server().state() == EndpointState.DEAD) {
             drop(id, now, out);
             return;
         }
-        Config.Entry old = members.put(id, e);
+        EndpointEntry old = members.put(id, e);
         if (old != null
                 && old.server().state() == EndpointState.LIVE
                 && e.server().state() != EndpointState.LIVE) {
@@ -207,8 +207,8 @@
         out.put(id, told(e));
     }
 
-    private void drop(String id, long now, Map<String, Config.Entry> out) {
-        Config.Entry old = members.remove(id);
+    private void drop(String id, long now, Map<String, EndpointEntry> out) {
+        EndpointEntry old = members.remove(id);
         if (old == null) {
             return;
         }
@@ -218,16 +218,16 @@
         out.put(id, with(old, EndpointState.DEAD));
     }
 
-    private Config.Entry told(Config.Entry e) {
+    private EndpointEntry told(EndpointEntry e) {
         Flap f = flaps.get(e.server().id());
         return f != null && f.suppressed && e.server().state() == EndpointState.LIVE
                 ? with(e, EndpointState.DRAINING)
                 : e;
     }
 
-    private static Config.Entry with(Config.Entry e, EndpointState state) {
+    private static EndpointEntry with(EndpointEntry e, EndpointState state) {
         Endpoint s = e.server();
-        return new Config.Entry(
+        return new EndpointEntry(
                 new Endpoint(s.id(), s.zone(), s.kind(), s.cell(), state, s.weight(), s.onlineSince()), e.address());
     }
 
--- a/src/main/java/magpiehub/discovery/Options.java
+++ b/src/main/java/magpiehub/discovery/Options.java
@@ -9,10 +9,12 @@
 import java.util.Set;
 import java.util.TreeSet;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
 
 /**
  * What {@code deploy/registry.json} says. It owns the names, units, defaults and bounds of those settings. It
- * must never guess: a field that is unknown, of the wrong type or out of bounds is {@link Config.Malformed}
+ * must never guess: a field that is unknown, of the wrong type or out of bounds is {@link ConfigurationException}
  * with the file's and the field's name. {@code docs/ops/registry.md} describes each field.
  *
  * @param kind etcd, consul-health or consul-kv
@@ -65,13 +67,13 @@
             return of(
                     Config.facts(Files.readAllBytes(file), name),
                     file.toAbsolutePath().getParent());
-        } catch (Config.Malformed e) {
-            throw e.getMessage().startsWith(name) ? e : new Config.Malformed(name + ": " + e.getMessage());
+        } catch (ConfigurationException e) {
+            throw e.getMessage().startsWith(name) ? e : new ConfigurationException(name + ": " + e.getMessage());
         }
     }
 
     /** Settings out of their fields; files in them are meant from a folder. */
-    static Options of(Config.Facts f, Path folder) throws IOException {
+    static Options of(ConfigurationObject f, Path folder) throws IOException {
         Reading r = new Reading(f);
         String kind = r.text("kind", "");
         if (!Set.of("etcd", "consul-health", "consul-kv").contains(kind)) {
@@ -172,15 +174,15 @@
 
     /** One object of the file: fields asked for are known, all others are faults. */
     private static final class Reading {
-        private final Config.Facts f;
+        private final ConfigurationObject f;
         private final Set<String> known = new TreeSet<>();
 
-        Reading(Config.Facts f) {
+        Reading(ConfigurationObject f) {
             this.f = f;
         }
 
-        Config.Malformed wrong(String field, String why) {
-            return new Config.Malformed(f.path() + "." + field + " " + why);
+        ConfigurationException wrong(String field, String why) {
+            return new ConfigurationException(f.path() + "." + field + " " + why);
         }
 
         String text(String field, String absent) {
@@ -220,7 +222,7 @@
             for (String a : f.texts(field)) {
                 try {
                     all.add(Config.address(a));
-                } catch (Config.Malformed e) {
+                } catch (ConfigurationException e) {
                     throw wrong(field, e.getMessage());
                 }
             }
--- a/src/main/java/magpiehub/discovery/Registry.java
+++ b/src/main/java/magpiehub/discovery/Registry.java
@@ -9,10 +9,14 @@
 import java.util.function.Supplier;
 import javax.net.ssl.SSLContext;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.routing.EndpointListKind;
-import magpiehub.upstream.Engines;
+import magpiehub.telemetry.EventLog;
+import magpiehub.upstream.UpstreamPool;
 
 /**
  * The actor that keeps the list of engines with a key-value registry. It owns the {@link View}, the
@@ -24,7 +28,7 @@
  *
  * <p>While a new registry has not told its list (SIGHUP), the old one's words still count.
  */
-public final class Registry implements Source {
+public final class Registry implements EndpointSource {
     private static final int MAILBOX_BYTES = 16 << 20;
     /** A list that keeps coming is waited for, but not for ever; and at first only for so long that another
      *  endpoint can tell its own within the 6 s after which what a registry has counts as told (us). */
@@ -68,7 +72,7 @@
 
     /** Where the list goes: in order, from this actor's thread. */
     interface Out {
-        void tell(EndpointListKind kind, List<Config.Entry> entries);
+        void tell(EndpointListKind kind, List<EndpointEntry> entries);
     }
 
     private record Ask() {}
@@ -321,16 +325,16 @@
 
     private final Entries entries;
     private final Told told = new Told();
-    private final Engines engines;
+    private final UpstreamPool engines;
     private final Out out;
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
+    private final MonotonicClock clock;
+    private final EventLog journal;
     private final Mailbox<Object> mailbox;
     private final long seed;
     private final AtomicLong bytes = new AtomicLong();
     private final View view = new View();
     private Membership membership;
-    private ModuleActor module;
+    private RequestDispatcher module;
     private Session current;
     private Session former;
     private Options options;
@@ -350,10 +354,10 @@
     /** An actor for a registry that {@code options} describes. */
     public Registry(
             Options options,
-            Supplier<Config.Site> site,
-            Engines engines,
-            Mailbox.Clock clock,
-            ModuleActor.Journal journal,
+            Supplier<SiteSettings> site,
+            UpstreamPool engines,
+            MonotonicClock clock,
+            EventLog journal,
             long seed) {
         this(options, site, engines, null, clock, journal, seed);
     }
@@ -361,15 +365,16 @@
     /** {@code to} instead of engines and a module. */
     Registry(
             Options options,
-            Supplier<Config.Site> site,
-            Engines engines,
+            Supplier<SiteSettings> site,
+            UpstreamPool engines,
             Out to,
-            Mailbox.Clock clock,
-            ModuleActor.Journal journal,
+            MonotonicClock clock,
+            EventLog journal,
             long seed) {
         this.options = options;
         this.entries = Entries.strict(site, clock.micros());
-        this.out = to != null ? to : (kind, list) -> Source.tell(kind, told.source(kind, list), engines, module);
+        this.out =
+                to != null ? to : (kind, list) -> EndpointSource.tell(kind, told.source(kind, list), engines, module);
         this.engines = engines;
         this.clock = clock;
         this.journal = journal;
@@ -389,7 +394,7 @@
 
     /** {@code saved} is not used: the last list of this source is in a file of its own. */
     @Override
-    public void start(ModuleActor actor, byte[] saved) {
+    public void start(RequestDispatcher actor, byte[] saved) {
         module = actor;
         now = clock.micros();
         if (options.listFile() != null) {
@@ -399,7 +404,7 @@
         try {
             current = new Session(options, now);
         } catch (IOException e) {
-            throw new Config.Malformed("registry.json: " + e.getMessage());
+            throw new ConfigurationException("registry.json: " + e.getMessage());
         }
         begin("registry", this::run);
     }
@@ -836,7 +841,7 @@
         Session fresh;
         try {
             fresh = new Session(to, now);
-        } catch (IOException | Config.Malformed e) {
+        } catch (IOException | ConfigurationException e) {
             journal.log("registry-move-failed", "error", String.valueOf(e.getMessage()));
             return;
         }
@@ -858,7 +863,7 @@
 
     // ---- What the module is told ----------------------------------------------------------------------
     private void deliver(View.Delta d) {
-        List<Config.Entry> changes = membership.apply(d, now);
+        List<EndpointEntry> changes = membership.apply(d, now);
         if (membership.confirm()) {
             journal.count("membership_doubts");
             journal.log(
@@ -892,7 +897,7 @@
         }
     }
 
-    private void tell(List<Config.Entry> changes) {
+    private void tell(List<EndpointEntry> changes) {
         if (!changes.isEmpty()) {
             out.tell(EndpointListKind.CHANGES, changes);
         }
@@ -981,7 +986,7 @@
         }
         lastSaved = now;
         savedVersion = view.version();
-        List<Config.Entry> list = view.entries();
+        List<EndpointEntry> list = view.entries();
         View.Position at = view.position();
         java.nio.file.Path file = options.listFile();
         disk.poll();
--- a/src/main/java/magpiehub/discovery/Told.java
+++ b/src/main/java/magpiehub/discovery/Told.java
@@ -9,7 +9,7 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
-import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
@@ -21,7 +21,7 @@
  * machine, and belongs to its source's thread. It must never tell an engine that the source does not list.
  */
 public final class Told {
-    private final Map<String, Config.Entry> said = new HashMap<>();
+    private final Map<String, EndpointEntry> said = new HashMap<>();
     private Set<String> out = Set.of();
     /** When each engine was called back, on the monotonic clock (us). */
     private Map<String, Long> back = Map.of();
@@ -34,13 +34,13 @@
     }
 
     /** A list or changes as the source tells them; returns what the module is told. */
-    public List<Config.Entry> source(EndpointListKind kind, List<Config.Entry> entries) {
+    public List<EndpointEntry> source(EndpointListKind kind, List<EndpointEntry> entries) {
         if (kind != EndpointListKind.CHANGES) {
             said.clear();
         }
-        List<Config.Entry> told = new ArrayList<>(entries.size());
+        List<EndpointEntry> told = new ArrayList<>(entries.size());
         List<String> ids = new ArrayList<>(entries.size());
-        for (Config.Entry e : entries) {
+        for (EndpointEntry e : entries) {
             if (e.server().state() == EndpointState.DEAD) {
                 said.remove(e.server().id());
             } else {
@@ -55,12 +55,12 @@
 
     /** The operators' word, whole. Returns what the module is told, as a list from before: the whole list,
      *  for a change would say that the source tells changes just now; empty where nothing changes. */
-    public List<Config.Entry> operators(Set<String> engines, Map<String, Long> calledBack) {
+    public List<EndpointEntry> operators(Set<String> engines, Map<String, Long> calledBack) {
         Set<String> touched = new HashSet<>(out);
         touched.addAll(engines);
         touched.addAll(back.keySet());
         touched.addAll(calledBack.keySet());
-        Map<String, Config.Entry> before = new HashMap<>();
+        Map<String, EndpointEntry> before = new HashMap<>();
         for (String id : touched) {
             before.put(id, folded(said.get(id)));
         }
@@ -73,7 +73,7 @@
         return same ? List.of() : said.values().stream().map(this::folded).toList();
     }
 
-    private Config.Entry folded(Config.Entry e) {
+    private EndpointEntry folded(EndpointEntry e) {
         if (e == null) {
             return null;
         }
@@ -83,7 +83,7 @@
         if (!banned && since == null) {
             return e;
         }
-        return new Config.Entry(
+        return new EndpointEntry(
                 new Endpoint(
                         s.id(),
                         s.zone(),
--- a/src/main/java/magpiehub/discovery/View.java
+++ b/src/main/java/magpiehub/discovery/View.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
 import magpiehub.routing.EndpointState;
 
 /**
@@ -43,8 +43,8 @@
      * @param entry the engine; null if the key was removed or can't be read
      * @param unreadable why it can't be read, empty if it can but names no engine in service; null otherwise
      */
-    public record Item(String key, long mod, Config.Entry entry, String unreadable) {
-        public static Item of(String key, long mod, Config.Entry entry) {
+    public record Item(String key, long mod, EndpointEntry entry, String unreadable) {
+        public static Item of(String key, long mod, EndpointEntry entry) {
             return new Item(key, mod, entry, null);
         }
 
@@ -58,7 +58,7 @@
 
         /** An entry as its value has it; a key whose engine is told to be gone is there, but not in the list.
          *  */
-        public static Item read(String key, long mod, Config.Entry entry) {
+        public static Item read(String key, long mod, EndpointEntry entry) {
             return entry.server().state() == EndpointState.DEAD ? new Item(key, mod, null, "") : of(key, mod, entry);
         }
     }
@@ -86,7 +86,7 @@
      * @param put engines that are new or have changed
      * @param gone ids of engines that are no longer there
      */
-    public record Delta(long version, boolean whole, boolean another, List<Config.Entry> put, List<String> gone) {
+    public record Delta(long version, boolean whole, boolean another, List<EndpointEntry> put, List<String> gone) {
         public boolean isEmpty() {
             return put.isEmpty() && gone.isEmpty();
         }
@@ -95,7 +95,7 @@
     /** A verdict; {@code delta} is null unless it is APPLIED, {@code why} is a word for the log. */
     public record Result(Verdict verdict, Delta delta, String why) {}
 
-    private record Held(Config.Entry entry, long mod) {}
+    private record Held(EndpointEntry entry, long mod) {}
 
     /** What {@link #checked} says of a watch whose endpoint is not the one to read the list from. */
     static final String MUTE = "the watch is mute";
@@ -162,14 +162,14 @@
     }
 
     /** An engine as the list has it, or null. */
-    public Config.Entry get(String id) {
+    public EndpointEntry get(String id) {
         String key = owner.get(id);
         return key == null ? null : byKey.get(key).entry;
     }
 
     /** The whole list, in no order. */
-    public List<Config.Entry> entries() {
-        List<Config.Entry> all = new ArrayList<>(owner.size());
+    public List<EndpointEntry> entries() {
+        List<EndpointEntry> all = new ArrayList<>(owner.size());
         owner.values().forEach(k -> all.add(byKey.get(k).entry));
         return all;
     }
@@ -233,7 +233,7 @@
             repeats += items.size();
             return new Result(Verdict.OLD, null, "older than the list");
         }
-        Map<String, Config.Entry> before = new LinkedHashMap<>();
+        Map<String, EndpointEntry> before = new LinkedHashMap<>();
         for (Item i : items) {
             if (i.mod != 0 && i.mod <= at.number) {
                 repeats++;
@@ -348,14 +348,14 @@
         owner = new HashMap<>(items.size() * 2);
         rivals = new HashMap<>();
         left = new LinkedHashMap<>();
-        Map<String, Config.Entry> nothing = new HashMap<>();
+        Map<String, EndpointEntry> nothing = new HashMap<>();
         newest.clear();
         List<Item> inOrder = new ArrayList<>(items);
         inOrder.sort(java.util.Comparator.comparingLong(Item::mod));
         for (Item i : inOrder) {
             apply(withAddress(i, oldKeys), nothing);
         }
-        Map<String, Config.Entry> before = new LinkedHashMap<>();
+        Map<String, EndpointEntry> before = new LinkedHashMap<>();
         oldOwner.forEach((id, key) -> before.put(id, oldKeys.get(key).entry));
         owner.keySet().forEach(id -> before.putIfAbsent(id, null));
         return delta(before, true, another);
@@ -366,11 +366,11 @@
         Held old = i.entry == null || i.entry.address() != null ? null : known.get(i.key);
         return old == null || old.entry.address() == null
                 ? i
-                : Item.of(i.key, i.mod, new Config.Entry(i.entry.server(), old.entry.address()));
+                : Item.of(i.key, i.mod, new EndpointEntry(i.entry.server(), old.entry.address()));
     }
 
     /** Applies one change; {@code before} takes each touched id as it was. */
-    private void apply(Item change, Map<String, Config.Entry> before) {
+    private void apply(Item change, Map<String, EndpointEntry> before) {
         Item i = withAddress(change, byKey);
         Held old = byKey.get(i.key);
         if (old != null
@@ -436,7 +436,7 @@
                 : l != null && l.mod == i.mod && l.unreadable.equals(i.unreadable);
     }
 
-    private void release(String key, String id, Map<String, Config.Entry> before) {
+    private void release(String key, String id, Map<String, EndpointEntry> before) {
         touch(id, before);
         byKey.remove(key);
         Set<String> r = rivals.get(id);
@@ -457,17 +457,17 @@
         }
     }
 
-    private void touch(String id, Map<String, Config.Entry> before) {
+    private void touch(String id, Map<String, EndpointEntry> before) {
         if (!before.containsKey(id)) {
             before.put(id, get(id));
         }
     }
 
-    private Delta delta(Map<String, Config.Entry> before, boolean whole, boolean another) {
-        List<Config.Entry> put = new ArrayList<>();
+    private Delta delta(Map<String, EndpointEntry> before, boolean whole, boolean another) {
+        List<EndpointEntry> put = new ArrayList<>();
         List<String> gone = new ArrayList<>();
         before.forEach((id, old) -> {
-            Config.Entry now = get(id);
+            EndpointEntry now = get(id);
             if (now == null && old != null) {
                 gone.add(id);
             } else if (now != null && !now.equals(old)) {
--- a/src/main/java/magpiehub/discovery/Wire.java
+++ b/src/main/java/magpiehub/discovery/Wire.java
@@ -17,8 +17,9 @@
 import javax.net.ssl.SSLSocket;
 import javax.net.ssl.SSLSocketFactory;
 import javax.net.ssl.TrustManagerFactory;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 
@@ -52,7 +53,7 @@
     final String endpoint;
     private final Socket plain = new Socket();
     private final SSLContext tls;
-    private final Mailbox.Clock clock;
+    private final MonotonicClock clock;
     private final AtomicLong bytes;
     private volatile Socket socket = plain;
     private volatile long heard;
@@ -60,7 +61,7 @@
     private Http.Input in;
 
     /** A connection that {@link #open} makes; {@code bytes} takes the count of what is read. */
-    Wire(String endpoint, SSLContext tls, Mailbox.Clock clock, AtomicLong bytes) {
+    Wire(String endpoint, SSLContext tls, MonotonicClock clock, AtomicLong bytes) {
         this.endpoint = endpoint;
         this.tls = tls;
         this.clock = clock;
@@ -84,14 +85,15 @@
                 store.setCertificateEntry("ca" + n++, certificate);
             }
             if (n == 0) {
-                throw new Config.Malformed(authorities + " holds no certificate");
+                throw new ConfigurationException(authorities + " holds no certificate");
             }
             TrustManagerFactory f = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
             f.init(store);
             c.init(null, f.getTrustManagers(), null);
             return c;
         } catch (GeneralSecurityException e) {
-            throw new Config.Malformed((authorities == null ? "TLS" : authorities.toString()) + ": " + e.getMessage());
+            throw new ConfigurationException(
+                    (authorities == null ? "TLS" : authorities.toString()) + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/magpiehub/dispatch/ModuleActor.java
+++ b/src/main/java/magpiehub/dispatch/RequestDispatcher.java
@@ -8,15 +8,18 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.routing.AttemptOutcome;
+import magpiehub.routing.ConnectFailureZoneHealth;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.LoadReport;
 import magpiehub.routing.RoutingActions;
+import magpiehub.routing.RoutingPolicy;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.routing.RoutingSettings;
-import magpiehub.routing.Rules;
-import magpiehub.routing.Zones;
+import magpiehub.routing.ZoneHealth;
+import magpiehub.telemetry.EventLog;
 
 /**
  * The module's actor: the sole owner of the decision module, of the open requests, of their attempts and of
@@ -25,33 +28,10 @@
  * does itself, since no decision is in them: it closes an attempt's connection before anything else may
  * happen to the request, and it answers a request that the module has let run past its deadline.
  */
-public final class ModuleActor {
-    /** The client of one request. Each request gets one of these calls at most, from the module's thread. */
-    public interface Client {
-        /** Turned away; a retry is harmless, and welcome after so long. */
-        void refuse(long retryAfter);
-
-        /** Failed, with no promise. */
-        void fail(String why);
-
-        /** A running stream is ended so that its client asks for the rest elsewhere. */
-        void move();
-
-        /** Whether it has closed its connection, known from the moment that its end was read. Any thread. */
-        boolean gone();
-    }
-
-    /** One attempt as the engines' side holds it. */
-    public interface Handle {
-        /** The stream belongs to the client: whatever has come and comes may be passed on. */
-        void grant();
-
-        /** Closes the attempt's connection before it returns, so that no second copy can be out. */
-        void abort();
-    }
+public final class RequestDispatcher {
 
     /** Before an attempt is handed over, and where that failed: there is nothing to close. */
-    private static final Handle NOTHING = new Handle() {
+    private static final AttemptHandle NOTHING = new AttemptHandle() {
         @Override
         public void grant() {}
 
@@ -59,34 +39,6 @@
         public void abort() {}
     };
 
-    /** The engines. Called from the module's thread only; must not block it. */
-    public interface Fleet {
-        Handle start(Attempt attempt);
-
-        void probe(String server);
-
-        void closeIdle(String server);
-
-        /** The list as the module has it now. */
-        void list(EndpointListKind kind, List<Endpoint> servers);
-    }
-
-    /** Discovery: each call is answered by one {@link #list}. Must not block the module's thread. */
-    public interface Roster {
-        void watch();
-
-        void unwatch();
-
-        void fetch();
-    }
-
-    /** What is counted and logged, by name; the ops package gives it a form. */
-    public interface Journal {
-        void count(String name);
-
-        void log(String what, String... namesAndValues);
-    }
-
     /** One attempt at a request. Its engine's side reads it; all else is the module's. */
     public static final class Attempt {
         public final String server;
@@ -96,7 +48,7 @@
         private final Open open;
         private final int number;
         private final long sentAt;
-        private Handle handle = NOTHING;
+        private AttemptHandle handle = NOTHING;
         private boolean over;
 
         private Attempt(Open open, int number, String server, long sentAt, long until) {
@@ -111,7 +63,7 @@
          *  has gone. Asked right before an attempt's bytes go out: a word of the end may still be on its way
          *  through mailboxes, and nothing may begin for somebody who has left. */
         public Object work() {
-            Client c = open.client;
+            ClientCallback c = open.client;
             return c == null || c.gone() ? null : open.work;
         }
     }
@@ -120,14 +72,14 @@
     private static final class Open {
         final RoutingRequest request;
         /** Both are let go of as soon as it is over: timers hold the rest of this until the deadline. */
-        Client client;
+        ClientCallback client;
 
         volatile Object work;
         final List<Attempt> attempts = new ArrayList<>(2);
         Attempt begun;
         boolean answered;
 
-        Open(RoutingRequest request, Client client, Object work) {
+        Open(RoutingRequest request, ClientCallback client, Object work) {
             this.request = request;
             this.client = client;
             this.work = work;
@@ -152,16 +104,16 @@
     private static final long PUSHED_AGAIN = 250_000;
 
     private final Mailbox<Runnable> mailbox;
-    private final Mailbox.Clock clock;
-    private final Fleet fleet;
-    private final Roster roster;
-    private final Journal journal;
+    private final MonotonicClock clock;
+    private final UpstreamFleet fleet;
+    private final EndpointListSource roster;
+    private final EventLog journal;
     private final Map<String, Open> requests = new HashMap<>();
     private final PriorityQueue<Due> timers =
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private int mostHeld;
     private long comeBack;
-    private final Rules rules;
+    private final RoutingPolicy rules;
     private RoutingSettings settings;
     private long order;
     private long now;
@@ -171,20 +123,25 @@
     private boolean shuttingDown;
 
     /** An actor over ports; it does nothing until {@link #turn} or {@link #run} is called. */
-    public ModuleActor(
-            RoutingSettings settings, long seed, Mailbox.Clock clock, Fleet fleet, Roster roster, Journal journal) {
-        this(settings, seed, clock, fleet, roster, journal, new Zones.Plain());
+    public RequestDispatcher(
+            RoutingSettings settings,
+            long seed,
+            MonotonicClock clock,
+            UpstreamFleet fleet,
+            EndpointListSource roster,
+            EventLog journal) {
+        this(settings, seed, clock, fleet, roster, journal, new ConnectFailureZoneHealth());
     }
 
     /** The same with what is known of zones. */
-    public ModuleActor(
+    public RequestDispatcher(
             RoutingSettings settings,
             long seed,
-            Mailbox.Clock clock,
-            Fleet fleet,
-            Roster roster,
-            Journal journal,
-            Zones zones) {
+            MonotonicClock clock,
+            UpstreamFleet fleet,
+            EndpointListSource roster,
+            EventLog journal,
+            ZoneHealth zones) {
         this.clock = clock;
         this.fleet = fleet;
         this.roster = roster;
@@ -192,7 +149,7 @@
         this.mailbox = new Mailbox<>(clock, MAILBOX_BYTES);
         hold(settings);
         this.now = clock.micros();
-        this.rules = new Rules(settings, seed, new Decisions(), now, zones);
+        this.rules = new RoutingPolicy(settings, seed, new Decisions(), now, zones);
     }
 
     private void hold(RoutingSettings s) {
@@ -260,7 +217,7 @@
     }
 
     /** A client's request; false if there is no room, and then the caller answers it. */
-    public boolean take(RoutingRequest request, Client client, Object work, int bytes) {
+    public boolean take(RoutingRequest request, ClientCallback client, Object work, int bytes) {
         return mailbox.post(() -> taken(request, client, work), bytes);
     }
 
@@ -269,7 +226,7 @@
         mailbox.post(() -> left(id));
     }
 
-    /** The first event of an attempt has come. It may be passed on only after {@link Handle#grant}. */
+    /** The first event of an attempt has come. It may be passed on only after {@link AttemptHandle#grant}. */
     public void begun(Attempt a) {
         mailbox.post(() -> first(a));
     }
@@ -331,7 +288,7 @@
     private void answerUnstarted(Open o) {
         boolean harmless = rules.mayRefuse(o.request.id());
         o.attempts.forEach(this::stop);
-        Client client = answer(o, harmless ? "refused" : "failed");
+        ClientCallback client = answer(o, harmless ? "refused" : "failed");
         if (harmless) {
             client.refuse(comeBack);
         } else {
@@ -341,7 +298,7 @@
     }
 
     // ---- Events ---------------------------------------------------------------------------------------
-    private void taken(RoutingRequest r, Client client, Object work) {
+    private void taken(RoutingRequest r, ClientCallback client, Object work) {
         if (client.gone()) {
             journal.count("taken");
             journal.count("answered_abandoned");
@@ -424,8 +381,8 @@
     }
 
     /** Ends a request; returns its client for the one last word, if it is owed one. */
-    private Client answer(Open o, String how) {
-        Client client = o.client;
+    private ClientCallback answer(Open o, String how) {
+        ClientCallback client = o.client;
         o.answered = true;
         o.work = null;
         o.client = null;
@@ -494,7 +451,7 @@
         public void refuse(String id, long retryAfter) {
             Open o = requests.get(id);
             if (o != null && o.begun == null) {
-                o.attempts.forEach(ModuleActor.this::stop);
+                o.attempts.forEach(RequestDispatcher.this::stop);
                 answer(o, "refused").refuse(retryAfter > 0 ? retryAfter : comeBack);
             }
         }
@@ -503,7 +460,7 @@
         public void fail(String id) {
             Open o = requests.get(id);
             if (o != null && o.begun == null) {
-                o.attempts.forEach(ModuleActor.this::stop);
+                o.attempts.forEach(RequestDispatcher.this::stop);
                 answer(o, "failed").fail("given up");
             }
         }
--- a/src/main/java/magpiehub/downstream/Clients.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -16,14 +16,18 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
+import magpiehub.concurrent.ActorThreadPool;
+import magpiehub.concurrent.CachedThreadPool;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.concurrent.ThreadCache;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.dispatch.ClientCallback;
+import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
-import magpiehub.protocol.Front;
-import magpiehub.streaming.Ledger.Ending;
+import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.streaming.StreamOutcomes.Ending;
 import magpiehub.streaming.Streams;
+import magpiehub.telemetry.EventLog;
 
 /**
  * The clients' side: one listener with its front, and the connections that it accepts. Each connection has a
@@ -33,7 +37,7 @@
  * never answer a request twice, write an end to a stream that is not whole, or make anybody but its own
  * client wait.
  */
-public final class Clients {
+public final class ClientListener {
     /** What waits for one client at most, beside the part of its stream that it may leave untaken. */
     private static final int MAILBOX_BYTES = 512 * 1024;
     /** Requests that a client may have sent ahead of their answers. */
@@ -77,16 +81,16 @@
     private static final long EMPTY_AFTER = 1_600_000;
     private static final long SIGN = 1_000_000;
 
-    private final Front front;
-    private final ModuleActor module;
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
+    private final ProtocolAdapter front;
+    private final RequestDispatcher module;
+    private final MonotonicClock clock;
+    private final EventLog journal;
     private final BooleanSupplier ready;
     private final Supplier<String> counters;
     private final int most;
-    private final Door door;
-    private final Mailbox.Crew crew;
-    private final ThreadCache readers = new ThreadCache("client-reader");
+    private final ListenerSocket door;
+    private final ActorThreadPool crew;
+    private final CachedThreadPool readers = new CachedThreadPool("client-reader");
     private final Streams streams;
     private final long mailboxBytes;
     private final Set<Connection> open = ConcurrentHashMap.newKeySet();
@@ -102,16 +106,16 @@
     private volatile long emptyBy;
 
     /** A listener that is bound but accepts nothing until {@link #start}. */
-    public Clients(
-            Door door,
-            Front front,
-            ModuleActor module,
-            Mailbox.Clock clock,
-            ModuleActor.Journal journal,
+    public ClientListener(
+            ListenerSocket door,
+            ProtocolAdapter front,
+            RequestDispatcher module,
+            MonotonicClock clock,
+            EventLog journal,
             BooleanSupplier ready,
             Supplier<String> counters,
             int most,
-            Mailbox.Crew crew,
+            ActorThreadPool crew,
             Streams streams) {
         this.door = door;
         this.crew = crew;
@@ -355,13 +359,13 @@
     private record Failed(Exchange exchange, String why) {}
 
     /** One request of a connection, as the module and the engines' side know it. */
-    private static final class Exchange implements ModuleActor.Client, Front.Sink {
+    private static final class Exchange implements ClientCallback, ProtocolAdapter.Sink {
         final Connection connection;
-        final Front.Call call;
+        final ProtocolAdapter.Call call;
         final Streams.Flow flow;
         boolean begun;
 
-        Exchange(Connection connection, Front.Call call, Streams.Flow flow) {
+        Exchange(Connection connection, ProtocolAdapter.Call call, Streams.Flow flow) {
             this.connection = connection;
             this.call = call;
             this.flow = flow;
@@ -621,11 +625,11 @@
                 for (; m != null && !ended; m = out.length() < 16 * 1024 && ends == null ? mailbox.poll() : null) {
                     handle(m);
                 }
-                Mailbox.Crew.mayBlock(true);
+                ActorThreadPool.mayBlock(true);
                 try {
                     out.flush(to, () -> streams.passed(flow, 0));
                 } finally {
-                    Mailbox.Crew.mayBlock(false);
+                    ActorThreadPool.mayBlock(false);
                 }
                 written();
                 if (lingering && !socket.isOutputShutdown()) {
@@ -874,7 +878,7 @@
                 over(true);
                 return;
             }
-            Front.Call call;
+            ProtocolAdapter.Call call;
             try {
                 call = front.read(a.head, a.body, a.at);
             } catch (Http.Bad e) {
--- a/src/main/java/magpiehub/downstream/Door.java
+++ b/src/main/java/magpiehub/downstream/ListenerSocket.java
@@ -15,7 +15,7 @@
  * a newer process share. It owns the socket. It must never take a connection once it is closed, nor close
  * what belongs to the platform: connections that nobody has taken stay there for the next process.
  */
-public abstract class Door {
+public abstract class ListenerSocket {
     /** Connections that wait to be accepted at most. */
     private static final int BACKLOG = 512;
 
@@ -32,7 +32,7 @@
     abstract boolean shared();
 
     /** A socket of this process's own. */
-    public static Door bind(InetSocketAddress listen) throws IOException {
+    public static ListenerSocket bind(InetSocketAddress listen) throws IOException {
         ServerSocket server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(listen, BACKLOG);
@@ -40,7 +40,7 @@
     }
 
     /** The listening socket that this process was started with as its descriptor 0. */
-    public static Door inherited() throws IOException {
+    public static ListenerSocket inherited() throws IOException {
         Channel c;
         try {
             c = System.inheritedChannel();
@@ -56,7 +56,7 @@
         return new Inherited(s);
     }
 
-    private static final class Own extends Door {
+    private static final class Own extends ListenerSocket {
         private final ServerSocket server;
 
         Own(ServerSocket server) {
@@ -91,7 +91,7 @@
 
     /** Never blocks in accept: whether it may is a property of the one socket that both processes use, and of
      *  two that wait for one client, the loser would wait on inside the call, for one client too many. */
-    private static final class Inherited extends Door {
+    private static final class Inherited extends ListenerSocket {
         private final ServerSocketChannel server;
         private final Selector selector = Selector.open();
         private volatile boolean closed;
--- a/src/main/java/magpiehub/http/Http.java
+++ b/src/main/java/magpiehub/http/Http.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Predicate;
-import magpiehub.protocol.Front;
+import magpiehub.protocol.ProtocolAdapter;
 
 /**
  * HTTP/1.1 as bytes: reading heads, bodies and the events of a stream from one buffer a connection, and
@@ -624,7 +624,8 @@
 
     /** An answer that says why there is no other, and when to come back if that is known. */
     public static void error(Output out, int status, String json, long retryAfter, boolean close) {
-        String[] more = retryAfter > 0 ? new String[] {"Retry-After", Front.seconds(retryAfter)} : new String[0];
+        String[] more =
+                retryAfter > 0 ? new String[] {"Retry-After", ProtocolAdapter.seconds(retryAfter)} : new String[0];
         answer(out, status, "application/json", json.getBytes(StandardCharsets.UTF_8), close, more);
     }
 
--- a/src/main/java/magpiehub/lifecycle/Rehearsal.java
+++ b/src/main/java/magpiehub/lifecycle/ClassArchiveTrainer.java
@@ -19,7 +19,7 @@
  * CPU. It owns the peers' two answers. It must never be part of a router that serves: the command
  * {@code rehearse} runs it and ends.
  */
-public final class Rehearsal {
+public final class ClassArchiveTrainer {
     private static final int LONGEST_MS = 10_000;
     private static final String LIST =
             """
@@ -40,7 +40,7 @@
     private static final String USAGE = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,"
             + "\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n";
 
-    private Rehearsal() {}
+    private ClassArchiveTrainer() {}
 
     /** What a router is to serve with; its peers answer until the process ends. */
     public static Map<String, String> begin() throws IOException {
--- a/src/main/java/magpiehub/lifecycle/SettingsReload.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -5,11 +5,13 @@
 import java.util.List;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
+import magpiehub.config.RouterConfiguration;
+import magpiehub.config.SiteSettings;
 import magpiehub.discovery.Discovery;
+import magpiehub.discovery.EndpointSource;
 import magpiehub.discovery.Options;
 import magpiehub.discovery.Registry;
-import magpiehub.discovery.Source;
-import magpiehub.telemetry.Log;
+import magpiehub.telemetry.SyslogEventLog;
 
 /**
  * Reads the configuration again on each SIGHUP. A file is taken whole or not at all: one that can't be used
@@ -17,21 +19,21 @@
  * differs is named in the log, since it takes a restart. Runs on a thread of its own until that is
  * interrupted.
  */
-public final class SettingsReload implements Runnable {
+public final class ConfigurationReloader implements Runnable {
     /** Hands new settings to the parts of the router, in an order that suits them. */
     public interface Target {
-        void apply(Config.Site later) throws IOException;
+        void apply(SiteSettings later) throws IOException;
     }
 
     private static final String SETTINGS_PREFIX = "settings.";
 
-    private final Config.Router started;
+    private final RouterConfiguration started;
     private final Mailbox<Object> hangups;
-    private final Source discovery;
+    private final EndpointSource discovery;
     private final Path registryFile;
-    private final Log log;
+    private final SyslogEventLog log;
     private final Target target;
-    private Config.Router inForce;
+    private RouterConfiguration inForce;
 
     /**
      * A reload that has not begun.
@@ -40,12 +42,12 @@
      * @param hangups gets one message for each SIGHUP
      * @param registryFile where an installation may name a registry of its own
      */
-    public SettingsReload(
-            Config.Router started,
+    public ConfigurationReloader(
+            RouterConfiguration started,
             Mailbox<Object> hangups,
-            Source discovery,
+            EndpointSource discovery,
             Path registryFile,
-            Log log,
+            SyslogEventLog log,
             Target target) {
         this.started = started;
         this.inForce = started;
@@ -73,7 +75,7 @@
 
     private void reload() {
         try {
-            Config.Router next = Config.reread(System.getenv(), inForce);
+            RouterConfiguration next = Config.reread(System.getenv(), inForce);
             Options registry = Options.read(registryFile);
             List<String> changed = inForce.changes(next);
             changed.removeIf(name -> !name.startsWith(SETTINGS_PREFIX));
@@ -100,7 +102,7 @@
     }
 
     /** Whether the source of the list is one that can be followed to where the new file says. */
-    private boolean follow(Config.Router next, Options registry) {
+    private boolean follow(RouterConfiguration next, Options registry) {
         if (discovery instanceof Registry client && registry != null) {
             client.move(registry);
             return true;
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Supplier;
-import magpiehub.admin.Operators;
-import magpiehub.concurrent.Mailbox;
-import magpiehub.config.Config;
+import magpiehub.admin.AdminCommandHandler;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.SiteSettings;
 import magpiehub.discovery.Announcer;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.downstream.Clients;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.downstream.ClientListener;
 import magpiehub.routing.RequestClass;
-import magpiehub.store.Store;
-import magpiehub.telemetry.Log;
+import magpiehub.store.KeyValueStore;
+import magpiehub.telemetry.SyslogEventLog;
 
 /**
  * Ends the process in order once it is told to: new connections are accepted for a moment, then the ones that
@@ -56,26 +56,26 @@
         }
     }
 
-    private final List<Clients> fronts;
-    private final ModuleActor module;
-    private final Supplier<Config.Site> site;
-    private final Log log;
-    private final Store store;
+    private final List<ClientListener> fronts;
+    private final RequestDispatcher module;
+    private final Supplier<SiteSettings> site;
+    private final SyslogEventLog log;
+    private final KeyValueStore store;
     private final String name;
     private final Supplier<Announcer> announcer;
-    private final Operators operators;
+    private final AdminCommandHandler operators;
 
     /** A shutdown that has not begun; {@code store}, what {@code announcer} gives, and {@code operators} may
      *  be null where an installation has none. */
     public GracefulShutdown(
-            List<Clients> fronts,
-            ModuleActor module,
-            Supplier<Config.Site> site,
-            Log log,
-            Store store,
+            List<ClientListener> fronts,
+            RequestDispatcher module,
+            Supplier<SiteSettings> site,
+            SyslogEventLog log,
+            KeyValueStore store,
             String name,
             Supplier<Announcer> announcer,
-            Operators operators) {
+            AdminCommandHandler operators) {
         this.fronts = fronts;
         this.module = module;
         this.site = site;
@@ -91,7 +91,7 @@
         try {
             boolean succeeded = operators != null
                     && operators.succeeded()
-                    && fronts.stream().anyMatch(Clients::shared);
+                    && fronts.stream().anyMatch(ClientListener::shared);
             log.log("stopping", "held", Integer.toString(module.held()), "succeeded", Boolean.toString(succeeded));
             Phases phases = Phases.of(site.get().settings().classes());
             if (succeeded) {
@@ -113,9 +113,9 @@
 
     /** A successor process takes what comes from now on; clients here move over little by little. */
     private void handOver(Phases phases) throws IOException {
-        for (Clients c : fronts) {
+        for (ClientListener c : fronts) {
             c.stopAccepting();
-            c.empty(Mailbox.Clock.SYSTEM.micros() + phases.keep * 1000);
+            c.empty(MonotonicClock.SYSTEM.micros() + phases.keep * 1000);
         }
     }
 
@@ -134,20 +134,20 @@
         boolean accepting = true;
         boolean keeping = !handedOver;
         boolean waiting = true;
-        long begun = Mailbox.Clock.SYSTEM.micros();
+        long begun = MonotonicClock.SYSTEM.micros();
         while (accepting || fronts.stream().anyMatch(c -> c.open() > 0)) {
             Thread.sleep(TICK_MS);
             // By the clock: a process that is held to its share sleeps longer than it says.
-            long ms = (Mailbox.Clock.SYSTEM.micros() - begun) / 1000;
+            long ms = (MonotonicClock.SYSTEM.micros() - begun) / 1000;
             if (accepting && ms >= phases.accept) {
                 accepting = false;
-                for (Clients c : fronts) {
+                for (ClientListener c : fronts) {
                     c.stopAccepting();
                 }
             }
             if (keeping && ms >= phases.keep) {
                 keeping = false;
-                fronts.forEach(Clients::closeIdle);
+                fronts.forEach(ClientListener::closeIdle);
             }
             if (waiting && ms >= phases.finish) {
                 waiting = false;
--- a/src/main/java/magpiehub/protocol/MessagesFront.java
+++ b/src/main/java/magpiehub/protocol/MessagesProtocol.java
@@ -11,10 +11,12 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Supplier;
 import magpiehub.config.Config;
-import magpiehub.config.Config.Facts;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.config.SiteSettings;
 import magpiehub.http.Http;
 import magpiehub.routing.RoutingRequest;
-import magpiehub.store.Store;
+import magpiehub.store.KeyValueStore;
 
 /**
  * The messages API's form: {@code POST /v1/messages}, answered with {@code message_start},
@@ -24,7 +26,7 @@
  * decides nothing: class, deadline,
  * attempts and outcome are the core's, as for the platform's front.
  */
-public final class MessagesFront implements Front {
+public final class MessagesProtocol implements ProtocolAdapter {
     private static final String PATH = "/v1/messages";
     /** The one header of this dialect that means the same to engines, in lower case. */
     private static final String IDEMPOTENCY_KEY = "idempotency-key";
@@ -40,10 +42,11 @@
             if (!Files.exists(file)) {
                 return null;
             }
-            Facts f = Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+            ConfigurationObject f =
+                    Config.facts(Files.readAllBytes(file), file.getFileName().toString());
             String listen = f.text("listen", null);
             if (listen == null) {
-                throw new Config.Malformed(file.getFileName() + " gives no address in \"listen\"");
+                throw new ConfigurationException(file.getFileName() + " gives no address in \"listen\"");
             }
             return new Options(
                     Config.address(listen),
@@ -53,12 +56,12 @@
         }
     }
 
-    private final Supplier<Config.Site> site;
+    private final Supplier<SiteSettings> site;
     private final Options options;
     /** Null where the store is off. */
-    private final Store store;
+    private final KeyValueStore store;
 
-    public MessagesFront(Supplier<Config.Site> site, Options options, Store store) {
+    public MessagesProtocol(Supplier<SiteSettings> site, Options options, KeyValueStore store) {
         this.site = site;
         this.options = options;
         this.store = store;
@@ -67,10 +70,10 @@
     // ---- Requests -------------------------------------------------------------------------------------
     @Override
     public Call read(Http.Head head, byte[] body, long at) throws Http.Bad {
-        PlatformFront.posted(head, PATH);
+        PlatformProtocol.posted(head, PATH);
         try {
             return translated(head, Config.facts(body, "request"), at);
-        } catch (Config.Malformed e) {
+        } catch (ConfigurationException e) {
             throw new Http.Bad(400, e.getMessage());
         } catch (Http.Bad e) {
             throw e;
@@ -79,10 +82,10 @@
         }
     }
 
-    private Call translated(Http.Head head, Facts f, long at) throws Http.Bad {
+    private Call translated(Http.Head head, ConfigurationObject f, long at) throws Http.Bad {
         String model = f.text("model", null);
         double most = f.number("max_tokens", 0);
-        List<Facts> messages = f.objects("messages");
+        List<ConfigurationObject> messages = f.objects("messages");
         if (model == null || most < 1 || messages.isEmpty()) {
             throw new Http.Bad(400, "model, max_tokens and messages are required");
         }
@@ -108,7 +111,7 @@
             b.append("{\"role\":\"system\",\"content\":").append(quoted(system)).append("},");
         }
         String opening = null;
-        for (Facts m : messages) {
+        for (ConfigurationObject m : messages) {
             String role = m.text("role", "");
             if (!role.equals("user") && !role.equals("assistant")) {
                 throw new Http.Bad(400, "messages.role must be user or assistant");
@@ -127,22 +130,22 @@
         if (body.length > Http.MOST_BODY) {
             throw new Http.Bad(413, "body too large");
         }
-        String cls = PlatformFront.name(head.get("X-Call-Class"));
-        Config.Site now = site.get();
-        int c = PlatformFront.cls(now, cls != null ? cls : classOf(model));
-        String tenant = PlatformFront.name(head.get("X-Caller"));
+        String cls = PlatformProtocol.name(head.get("X-Call-Class"));
+        SiteSettings now = site.get();
+        int c = PlatformProtocol.cls(now, cls != null ? cls : classOf(model));
+        String tenant = PlatformProtocol.name(head.get("X-Caller"));
         String id = head.get("X-Call-Id");
         String route = head.get("X-Route-Hash");
         String budget = head.get("X-Budget-Ms");
         long wait = budget != null
-                ? PlatformFront.budget(budget)
+                ? PlatformProtocol.budget(budget)
                 : now.settings().classes().get(c).deadline();
         // A conversation is known by its opening: each turn brings all that went before.
         long session = route != null
-                ? PlatformFront.whole(route, 16, "X-Route-Hash")
+                ? PlatformProtocol.whole(route, 16, "X-Route-Hash")
                 : hash(f.object("metadata").text("user_id", "") + '\n' + system + '\n' + opening);
         RoutingRequest r = new RoutingRequest(
-                id != null ? PlatformFront.id(id) : newId(),
+                id != null ? PlatformProtocol.id(id) : newId(),
                 c,
                 now.tenant(tenant != null ? tenant : options.tenant),
                 session,
@@ -165,13 +168,13 @@
     }
 
     /** A text, or the texts of a list of blocks; other blocks are not what these engines take. */
-    private static String text(Facts f, String key) throws Http.Bad {
+    private static String text(ConfigurationObject f, String key) throws Http.Bad {
         Object v = f.map().get(key);
         if (v == null || v instanceof String) {
             return v == null ? "" : (String) v;
         }
         StringBuilder b = new StringBuilder();
-        for (Facts block : f.objects(key)) {
+        for (ConfigurationObject block : f.objects(key)) {
             if (!block.text("type", "").equals("text")) {
                 throw new Http.Bad(400, key + " may hold text blocks only");
             }
@@ -235,7 +238,7 @@
         private long made;
 
         Translated(RoutingRequest request, byte[] headers, byte[] body, String model, boolean stream) {
-            super(request, PlatformFront.PATH, headers, body);
+            super(request, PlatformProtocol.PATH, headers, body);
             this.model = model;
             this.stream = stream;
         }
@@ -275,10 +278,10 @@
                 }
                 return;
             }
-            Facts f;
+            ConfigurationObject f;
             try {
-                f = Config.facts(Front.data(event).getBytes(StandardCharsets.UTF_8), "event");
-                for (Facts choice : f.objects("choices")) {
+                f = Config.facts(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event");
+                for (ConfigurationObject choice : f.objects("choices")) {
                     String text = choice.object("delta").text("content", "");
                     finished |= !choice.text("finish_reason", "").isEmpty();
                     stop = switch (choice.text("finish_reason", "")) {
@@ -295,12 +298,12 @@
                         whole.append(text);
                     }
                 }
-                Facts usage = f.object("usage");
+                ConfigurationObject usage = f.object("usage");
                 read = (long) usage.number("prompt_tokens", read);
                 made = (long) usage.number("completion_tokens", made);
                 kept = Math.min(
                         read, (long) usage.object("prompt_tokens_details").number("cached_tokens", kept));
-            } catch (IOException | Config.Malformed e) {
+            } catch (IOException | ConfigurationException e) {
                 // An event that is none of ours says nothing in this dialect; the engines' side counts it.
                 return;
             }
@@ -349,16 +352,16 @@
             if (stream) {
                 out.chunk(("event: error\ndata: " + error(500, why) + "\n\n").getBytes(StandardCharsets.UTF_8));
             } else {
-                MessagesFront.this.error(out, 500, why, 0, true);
+                MessagesProtocol.this.error(out, 500, why, 0, true);
             }
         }
 
         private static String reason(byte[] error) {
             try {
-                return Config.facts(Front.data(error).getBytes(StandardCharsets.UTF_8), "event")
+                return Config.facts(ProtocolAdapter.data(error).getBytes(StandardCharsets.UTF_8), "event")
                         .object("error")
                         .text("message", "no reason given");
-            } catch (IOException | Config.Malformed e) {
+            } catch (IOException | ConfigurationException e) {
                 return "no reason given";
             }
         }
--- a/src/main/java/magpiehub/protocol/PlatformFront.java
+++ b/src/main/java/magpiehub/protocol/PlatformProtocol.java
@@ -11,6 +11,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import magpiehub.config.Config;
+import magpiehub.config.SiteSettings;
 import magpiehub.http.Http;
 import magpiehub.routing.RoutingRequest;
 
@@ -18,7 +19,7 @@
  * The platform's own protocol: its headers in the module's terms, and the engine's events passed on as they
  * are. It owns the header names. It must never change a byte of an event or of what engines are sent.
  */
-public final class PlatformFront implements Front {
+public final class PlatformProtocol implements ProtocolAdapter {
     /** What the router itself reads or says anew, and the codings that a client takes: the router reads the
      *  events that it passes on. Engines get everything else that a client says of its request, such as the
      *  key by which they drop repeats. In lower case. */
@@ -36,9 +37,9 @@
 
     static final String PATH = "/v1/chat/completions";
     private static final int WARM_ROUNDS = 60;
-    private final Supplier<Config.Site> site;
+    private final Supplier<SiteSettings> site;
 
-    public PlatformFront(Supplier<Config.Site> site) {
+    public PlatformProtocol(Supplier<SiteSettings> site) {
         this.site = site;
     }
 
@@ -100,7 +101,7 @@
     }
 
     /** The request that the platform's headers describe. */
-    static RoutingRequest request(Config.Site site, Http.Head head, long at) throws Http.Bad {
+    static RoutingRequest request(SiteSettings site, Http.Head head, long at) throws Http.Bad {
         String id = id(need(head, "X-Call-Id"));
         long budget = budget(need(head, "X-Budget-Ms"));
         String tenant = name(head.only("X-Caller"));
@@ -148,7 +149,7 @@
     }
 
     /** A class that there is: the module is never asked to judge another. */
-    static int cls(Config.Site site, String name) throws Http.Bad {
+    static int cls(SiteSettings site, String name) throws Http.Bad {
         int c = site.cls(name);
         if (c < 0) {
             throw new Http.Bad(400, "no such class");
--- a/src/main/java/magpiehub/protocol/Front.java
+++ b/src/main/java/magpiehub/protocol/ProtocolAdapter.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import magpiehub.http.Http;
 import magpiehub.routing.RoutingRequest;
-import magpiehub.streaming.Ledger;
+import magpiehub.streaming.StreamOutcomes;
 import magpiehub.streaming.Streams;
 
 /**
@@ -12,7 +12,7 @@
  * step of an answer its bytes. A front owns the words of its dialect and nothing else. It must never keep
  * state beyond one call, touch a socket, or decide what becomes of a request.
  */
-public interface Front {
+public interface ProtocolAdapter {
     /** Reads a request whose last byte has come; {@code at} is when its first byte came. */
     Call read(Http.Head head, byte[] body, long at) throws Http.Bad;
 
@@ -90,7 +90,7 @@
         void end();
 
         /** The stream broke; {@code error} is the engine's error event, or null. */
-        void broken(byte[] error, Ledger.Ending why);
+        void broken(byte[] error, StreamOutcomes.Ending why);
 
         /** The stream's account. */
         Streams.Flow flow();
--- a/src/main/java/magpiehub/routing/Asking.java
+++ b/src/main/java/magpiehub/routing/EndpointPollSchedule.java
@@ -6,7 +6,7 @@
  * could tell counts as told 6 s later, whatever happened before. The longest wait, a connection and an answer
  * that has queued for as long as discovery lets calls queue fit into that together. It knows no clock.
  */
-final class Asking {
+final class EndpointPollSchedule {
     /** Base of the wait after a watch was lost, and after each further failure (us). Half of it always, and
      *  nearly as much by chance: a fleet that lost discovery together is to come back spread out. The
      *  longest, with a second in vain for a connection, leaves half of the 6 s for an answer that waits. */
@@ -23,7 +23,7 @@
     private long at;
 
     /** Nothing is known yet; the first call is due at a time. */
-    Asking(long first) {
+    EndpointPollSchedule(long first) {
         at = first;
     }
 
--- a/src/main/java/magpiehub/routing/Rules.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -8,7 +8,6 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.routing.State.*;
-import magpiehub.routing.Zones.Sign;
 
 /**
  * The decision module, one per node. What it deals in, its types, events and actions, is in the package comment.
@@ -21,7 +20,7 @@
  * is an exception to that path and says at its place what it guards against; docs/design.md lists them.
  * No clock but the events', no randomness but the seed's, nothing shared with other nodes.
  */
-public final class Rules implements RoutingEvents {
+public final class RoutingPolicy implements RoutingEvents {
     // ---- Settings: each with its unit and reason --------------------------------------------------------
     /** Replicas in one deque at most; a prefix that needs more is spread by session over the whole ring. */
     private static final int MOST_WARM = 8;
@@ -128,7 +127,7 @@
     private int readyCount;
     private int ejectedCount;
     private int inflight;
-    private final Asking asking;
+    private final EndpointPollSchedule asking;
     private final Table mappings = new Table(MOST_WARM, MOST_MAPPINGS, MAPPING_IDLE);
     private long lastMiss;
     private long rotation;
@@ -144,7 +143,7 @@
     private double meanService;
     private double[] meanFirst = {};
     private double[] meanWhole = {};
-    private final Zones zones;
+    private final ZoneHealth zones;
     private int zoneCount;
     private boolean[] shutZones = new boolean[0];
     /** The place of the request in hand in its zones' work, 0 to 1: the same for a whole conversation. */
@@ -174,12 +173,12 @@
     private long warmAt = NEVER / 2;
 
     /** A node that has just started and knows nothing. */
-    public Rules(RoutingSettings settings, long seed, RoutingActions actions, long now) {
-        this(settings, seed, actions, now, new Zones.Plain());
+    public RoutingPolicy(RoutingSettings settings, long seed, RoutingActions actions, long now) {
+        this(settings, seed, actions, now, new ConnectFailureZoneHealth());
     }
 
     /** The same with what is known of zones. */
-    public Rules(RoutingSettings settings, long seed, RoutingActions actions, long now, Zones zones) {
+    public RoutingPolicy(RoutingSettings settings, long seed, RoutingActions actions, long now, ZoneHealth zones) {
         this.s = settings;
         this.out = actions;
         this.seed = seed;
@@ -195,7 +194,7 @@
         lastCheck = now;
         lastMiss = now;
         // Discovery serves callers in turn: first calls spread out.
-        asking = new Asking(
+        asking = new EndpointPollSchedule(
                 now + (long) (random() * Math.min(s.guarantees().askWithin() / 2, 250_000L * s.instances())));
         out.timer(now + SWEEP, 1);
     }
@@ -779,7 +778,7 @@
         good += worth;
         bad += 1 - worth;
         double ratio = took / Math.max(20_000, mean);
-        told(a.replica, Sign.ANSWERED, took, ratio);
+        told(a.replica, ZoneEvidence.ANSWERED, took, ratio);
         overdue(a.replica, ratio);
         if (a.replica.entry.zone() == s.myZone()) {
             ownPace += (Math.min(4, ratio) - ownPace) * 0.03;
@@ -842,7 +841,7 @@
             }
             case ERROR -> eject(r, false);
             case RESET -> {
-                told(r, Sign.BROKEN, took, 1);
+                told(r, ZoneEvidence.BROKEN, took, 1);
                 broken(r, 1);
             }
             case SPOILT -> broken(r, SPOILT_COUNTS);
@@ -853,14 +852,14 @@
             }
             case TIMEOUT -> {
                 bad++;
-                told(r, Sign.SILENCE, took, 1);
+                told(r, ZoneEvidence.SILENCE, took, 1);
                 overdue(r, 10);
             }
             default -> {}
         }
         if (o == AttemptOutcome.OK || o == AttemptOutcome.FULL || o == AttemptOutcome.ERROR) {
             r.heard = now;
-            told(r, o == AttemptOutcome.ERROR ? Sign.ERROR : Sign.ANSWERED, took, 1);
+            told(r, o == AttemptOutcome.ERROR ? ZoneEvidence.ERROR : ZoneEvidence.ANSWERED, took, 1);
         }
     }
 
@@ -874,12 +873,12 @@
         }
     }
 
-    private void told(Replica r, Sign sign, long took, double ratio) {
+    private void told(Replica r, ZoneEvidence sign, long took, double ratio) {
         zones.told(now, zone(r.entry.zone()), r.id, sign, took, ratio);
     }
 
     private void unreachable(Replica r, long took) {
-        told(r, Sign.NO_CONNECTION, took, 1);
+        told(r, ZoneEvidence.NO_CONNECTION, took, 1);
         eject(r, true);
     }
 
@@ -904,7 +903,7 @@
             for (Attempt a : r.waiting) {
                 if (!a.done && !a.begun && !a.silent && now - a.sentAt > silent) {
                     a.silent = true;
-                    told(r, Sign.SILENCE, now - a.sentAt, 1);
+                    told(r, ZoneEvidence.SILENCE, now - a.sentAt, 1);
                 }
             }
         }
@@ -999,14 +998,14 @@
             r.heard = now;
             reported(r, load);
             if (zones.plans()) {
-                told(r, Sign.ANSWERED, took, 1);
+                told(r, ZoneEvidence.ANSWERED, took, 1);
             }
         }
         if (r != null && (o == AttemptOutcome.CONNECT_FAILED || o == AttemptOutcome.RESET)) {
             unreachable(r, took);
         }
         if (r != null && o == AttemptOutcome.TIMEOUT && zones.plans()) {
-            told(r, Sign.SILENCE, took, 1);
+            told(r, ZoneEvidence.SILENCE, took, 1);
         }
     }
 
--- a/src/main/java/magpiehub/routing/State.java
+++ b/src/main/java/magpiehub/routing/State.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the decision module remembers: plain fields that only {@link Rules} reads and writes,
+/** What the decision module remembers: plain fields that only {@link RoutingPolicy} reads and writes,
  * and the handling of a deque. */
 final class State {
 
@@ -34,7 +34,7 @@
         boolean trialOut;
         long ejectedUntil;
         long busyUntil;
-        long coldSince = Rules.NEVER;
+        long coldSince = RoutingPolicy.NEVER;
         double coldTokens;
         double coldPlace;
         long coldAt;
@@ -46,7 +46,7 @@
             this.id = id;
             long h = 0;
             for (int i = 0; i < id.length(); i++) {
-                h = Rules.mix(h * 31 + id.charAt(i) + 1);
+                h = RoutingPolicy.mix(h * 31 + id.charAt(i) + 1);
             }
             hash = h;
         }
@@ -66,7 +66,7 @@
             List<Map.Entry<Long, Replica>> all = new ArrayList<>();
             for (Replica r : members) {
                 for (int j = Math.max(1, (int) Math.round(POINTS * r.part)); j > 0; j--) {
-                    all.add(Map.entry(Rules.mix(r.hash + j * 0x632be59bd9b4e019L), r));
+                    all.add(Map.entry(RoutingPolicy.mix(r.hash + j * 0x632be59bd9b4e019L), r));
                 }
             }
             all.sort(Map.Entry.comparingByKey());
@@ -98,7 +98,7 @@
         long demandAt;
         long used;
         /** When the newest entry was first served. */
-        long settledAt = Rules.NEVER;
+        long settledAt = RoutingPolicy.NEVER;
 
         Mapping newer;
         Mapping older;
@@ -129,13 +129,13 @@
             System.arraycopy(deque, 0, deque, 1, size);
             deque[0] = r;
             size++;
-            settledAt = Rules.NEVER;
+            settledAt = RoutingPolicy.NEVER;
             r.keys++;
         }
 
         /** The key's place on a ring; the two id spaces are apart. */
         long place() {
-            return Rules.mix(key * 2 + (session ? 1 : 0));
+            return RoutingPolicy.mix(key * 2 + (session ? 1 : 0));
         }
 
         Mapping(long key, boolean session, int most) {
--- a/src/main/java/magpiehub/simulator/WarmUp.java
+++ b/src/main/java/magpiehub/simulator/JitWarmUp.java
@@ -10,20 +10,20 @@
  * Plays a made-up exchange through a throw-away adapter before the first real batch, so that parsing and
  * decisions are compiled when they are needed. Nothing of it is kept: the adapter and its node are dropped.
  */
-public final class WarmUp {
+public final class JitWarmUp {
     /** Rounds for the adapter, whose CPU time is measured, and for a router, whose clients wait for it. */
     public static final int MANY = 2500;
 
     public static final int FEW = 100;
     private static final int SERVERS = 24;
 
-    private WarmUp() {}
+    private JitWarmUp() {}
 
     /** Plays it. */
     public static void run(int rounds) throws IOException {
         byte[] script = script(rounds);
         PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
-        new Drill(new ByteArrayInputStream(script), OutputStream.nullOutputStream(), nowhere).run();
+        new SimulatorAdapter(new ByteArrayInputStream(script), OutputStream.nullOutputStream(), nowhere).run();
     }
 
     private static byte[] script(int rounds) {
--- a/src/main/java/magpiehub/simulator/Drill.java
+++ b/src/main/java/magpiehub/simulator/SimulatorAdapter.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.Map;
 import magpiehub.config.Config;
-import magpiehub.config.Config.Malformed;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointFieldNames;
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
@@ -21,15 +24,15 @@
 import magpiehub.routing.LoadReport;
 import magpiehub.routing.RoutingActions;
 import magpiehub.routing.RoutingEvents;
+import magpiehub.routing.RoutingPolicy;
 import magpiehub.routing.RoutingRequest;
-import magpiehub.routing.Rules;
 
 /**
  * The wire adapter: reads batches of events, hands each to the node it names, writes the reply. It translates
  * words and units and decides nothing. A reply leaves in one piece, so malformed input leaves nothing half
  * written.
  */
-public final class Drill {
+public final class SimulatorAdapter {
     private final InputStream in;
     private final OutputStream out;
     private final PrintStream err;
@@ -73,7 +76,7 @@
     private List<Endpoint> servers;
 
     /** An adapter between two streams; complaints go to the third. */
-    public Drill(InputStream in, OutputStream out, PrintStream err) {
+    public SimulatorAdapter(InputStream in, OutputStream out, PrintStream err) {
         this.in = in;
         this.out = out;
         this.err = err;
@@ -89,10 +92,10 @@
                 }
             }
             if (inBatch) {
-                throw new Malformed("the input ended inside a batch");
+                throw new ConfigurationException("the input ended inside a batch");
             }
             return 0;
-        } catch (Malformed e) {
+        } catch (ConfigurationException e) {
             return complain(e.getMessage());
         } catch (JsonParseException e) {
             return complain(e.getOriginalMessage());
@@ -133,7 +136,7 @@
         }
         try {
             dispatch();
-        } catch (Malformed e) {
+        } catch (ConfigurationException e) {
             throw e;
         } catch (RuntimeException | StackOverflowError e) {
             e.printStackTrace(err);
@@ -153,7 +156,9 @@
             field = "facts";
             check(facts != null, "is missing");
             nodes.put(
-                    who, new Rules(Config.site(new Config.Facts(facts, "facts")).settings(), seed, new Sink(who), now));
+                    who,
+                    new RoutingPolicy(
+                            Config.site(new ConfigurationObject(facts, "facts")).settings(), seed, new Sink(who), now));
             return;
         }
         if (message.equals("EXIT")) {
@@ -192,7 +197,7 @@
             case "STATUS_BACK" -> node.probed(now, need(engine, "engine"), outcome(reason), micros(took), load);
             case "MESSAGE" -> node.message(now, peer, payload);
             case "PEERS_KNOWN" -> node.list(now, listKind(need(kind, "kind")), servers);
-            default -> throw new Malformed("is no message of this wire");
+            default -> throw new ConfigurationException("is no message of this wire");
         }
     }
 
@@ -259,7 +264,7 @@
                 case "payload" -> payload = base64(text());
                 case "facts" -> facts = Config.object(p);
                 case "nodesList" -> servers = Config.entries(p, NAMES).stream()
-                        .map(Config.Entry::server)
+                        .map(EndpointEntry::server)
                         .toList();
                 default -> p.skipChildren();
             }
@@ -296,7 +301,7 @@
     }
 
     /** The fields of an entry as this wire names them. */
-    private static final Config.Names NAMES = new Config.Names() {
+    private static final EndpointFieldNames NAMES = new EndpointFieldNames() {
         @Override
         public String field(String name) {
             return switch (name) {
@@ -322,7 +327,7 @@
                 case "live" -> EndpointState.LIVE;
                 case "quiescing" -> EndpointState.DRAINING;
                 case "dead" -> EndpointState.DEAD;
-                default -> throw new Malformed("state is no state: " + word);
+                default -> throw new ConfigurationException("state is no state: " + word);
             };
         }
 
@@ -342,7 +347,7 @@
 
     private static void check(boolean fine, String otherwise) {
         if (!fine) {
-            throw new Malformed(otherwise);
+            throw new ConfigurationException(otherwise);
         }
     }
 
@@ -382,7 +387,7 @@
         try {
             return Base64.getDecoder().decode(s);
         } catch (IllegalArgumentException e) {
-            throw new Malformed("is not base64");
+            throw new ConfigurationException("is not base64");
         }
     }
 
@@ -392,7 +397,7 @@
             case "Complete" -> EndpointListKind.COMPLETE;
             case "Persisted" -> EndpointListKind.SAVED;
             case "Error" -> EndpointListKind.ERROR;
-            default -> throw new Malformed("is no kind of list: " + word);
+            default -> throw new ConfigurationException("is no kind of list: " + word);
         };
     }
 
@@ -406,7 +411,7 @@
             case 10 -> AttemptOutcome.RESET;
             case 1 -> AttemptOutcome.CANCELLED;
             case 9 -> AttemptOutcome.MOOT;
-            default -> throw new Malformed("reason is no outcome: " + code);
+            default -> throw new ConfigurationException("reason is no outcome: " + code);
         };
     }
 
--- a/src/main/java/magpiehub/sites/Plan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -10,26 +10,29 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.routing.Zones;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.routing.ZoneEvidence;
+import magpiehub.routing.ZoneHealth;
+import magpiehub.telemetry.EventLog;
 
 /**
  * The plan for the loss of a site, where {@code deploy/site.json} asks for it: the zones that the decision
  * module
- * asks about are sites of {@link Sites}. It owns the file's names, the log lines and the figures. All but the
+ * asks about are sites of {@link SiteHealthTracker}. It owns the file's names, the log lines and the figures. All but the
  * operators' word and the figures is the module's thread's; it must never choose a replica.
  */
-public final class Plan implements Zones {
+public final class SiteFailoverPlan implements ZoneHealth {
     /** What a file may set; all of it has a default. */
     private static final Set<String> KEYS =
             Set.of("windowMs", "engines", "slow", "trialMs", "longestMs", "stepMs", "gentleMs", "memoryMs", "freshMs");
 
-    private final Sites.Settings settings;
+    private final SiteHealthTracker.Settings settings;
     private final long seed;
     private final int own;
-    private final ModuleActor.Journal journal;
+    private final EventLog journal;
     private final List<String> names;
-    private Sites sites;
+    private SiteHealthTracker sites;
     private long[] shutSince;
     /** Sites that operators have given up, by name; and how each stands, for whoever asks. */
     private final Set<String> out = ConcurrentHashMap.newKeySet();
@@ -37,29 +40,30 @@
     private final Map<String, String> standing = new ConcurrentHashMap<>();
 
     /** {@code names} are the zones of the list in their order, {@code own} this router's. */
-    public Plan(Sites.Settings settings, List<String> names, int own, long seed, ModuleActor.Journal journal) {
+    public SiteFailoverPlan(
+            SiteHealthTracker.Settings settings, List<String> names, int own, long seed, EventLog journal) {
         this.settings = settings;
         this.names = List.copyOf(names);
-        names.forEach(n -> standing.put(n, word(Sites.State.WHOLE)));
+        names.forEach(n -> standing.put(n, word(SiteHealthTracker.State.WHOLE)));
         this.own = own;
         this.seed = seed;
         this.journal = journal;
     }
 
     /** What a file says; null if there is none, and then nothing is planned. */
-    public static Sites.Settings read(Path file) throws IOException {
+    public static SiteHealthTracker.Settings read(Path file) throws IOException {
         if (!Files.exists(file)) {
             return null;
         }
-        Config.Facts f =
+        ConfigurationObject f =
                 Config.facts(Files.readAllBytes(file), file.getFileName().toString());
         for (String k : f.map().keySet()) {
             if (!KEYS.contains(k)) {
-                throw new Config.Malformed(f.path() + "." + k + " is not known");
+                throw new ConfigurationException(f.path() + "." + k + " is not known");
             }
         }
-        Sites.Settings u = Sites.Settings.USUAL;
-        return new Sites.Settings(
+        SiteHealthTracker.Settings u = SiteHealthTracker.Settings.USUAL;
+        return new SiteHealthTracker.Settings(
                 time(f, "windowMs", u.window()),
                 (int) above(f, "engines", u.engines()),
                 above(f, "slow", u.slow()),
@@ -71,14 +75,14 @@
                 time(f, "freshMs", u.fresh()));
     }
 
-    private static long time(Config.Facts f, String key, long absent) {
+    private static long time(ConfigurationObject f, String key, long absent) {
         return Config.micros(above(f, key, absent / 1000.0));
     }
 
-    private static double above(Config.Facts f, String key, double absent) {
+    private static double above(ConfigurationObject f, String key, double absent) {
         double v = f.number(key, absent);
         if (!(v >= 1) || v > 1e9) {
-            throw new Config.Malformed(f.path() + "." + key + " must be a number from 1 to 1e9");
+            throw new ConfigurationException(f.path() + "." + key + " must be a number from 1 to 1e9");
         }
         return v;
     }
@@ -87,7 +91,7 @@
     @Override
     public void number(int zones) {
         if (sites == null) {
-            sites = new Sites(settings, zones, own, seed);
+            sites = new SiteHealthTracker(settings, zones, own, seed);
             shutSince = new long[zones];
             java.util.Arrays.fill(shutSince, Long.MAX_VALUE);
         }
@@ -99,7 +103,7 @@
     }
 
     @Override
-    public void told(long now, int zone, String replica, Sign sign, long took, double ratio) {
+    public void told(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
         if (knows(zone)) {
             sites.sign(now, zone, replica, sign, took, ratio);
             look(now);
@@ -159,7 +163,7 @@
     }
 
     private void look(long now) {
-        for (Sites.Change c : sites.changes()) {
+        for (SiteHealthTracker.Change c : sites.changes()) {
             String name = name(c.site());
             journal.count("site_" + c.to().name().toLowerCase(Locale.ROOT));
             journal.log(
@@ -179,15 +183,15 @@
     }
 
     private String standing(int i, long now) {
-        Sites.State s = sites.state(i);
+        SiteHealthTracker.State s = sites.state(i);
         return word(s)
-                + (s == Sites.State.WHOLE
+                + (s == SiteHealthTracker.State.WHOLE
                         ? ""
                         : " share=" + Math.round(100 * sites.share(i, now)) + "% cause="
                                 + sites.cause(i).name().toLowerCase(Locale.ROOT));
     }
 
-    private static String word(Sites.State s) {
+    private static String word(SiteHealthTracker.State s) {
         return s.name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/magpiehub/sites/Sites.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import magpiehub.routing.Zones.Sign;
+import magpiehub.routing.ZoneEvidence;
 
 /**
  * What one router holds of each site, a failure domain of the list with its engines and the paths to it:
@@ -17,7 +17,7 @@
  * alone where the router may be the one that is cut off, nor because all are slow, and never choose an
  * engine.
  */
-public final class Sites {
+public final class SiteHealthTracker {
     /** How a site stands. */
     public enum State {
         WHOLE,
@@ -91,7 +91,7 @@
         State state = State.WHOLE;
         Cause cause = Cause.PASSED;
         /** Engines that failed since the last answer, and how; when the first and the last was told. */
-        final Map<String, Sign> failed = new LinkedHashMap<>();
+        final Map<String, ZoneEvidence> failed = new LinkedHashMap<>();
 
         long firstFailure = NEVER;
         long lastFailure = NEVER;
@@ -142,7 +142,7 @@
     private final SplittableRandom random;
 
     /** Sites that are whole; {@code own} is the router's, -1 if it has none. */
-    public Sites(Settings settings, int number, int own, long seed) {
+    public SiteHealthTracker(Settings settings, int number, int own, long seed) {
         this.s = settings;
         this.own = own;
         this.random = new SplittableRandom(seed);
@@ -238,13 +238,13 @@
     // ---- Events ---------------------------------------------------------------------------------------
     /** An attempt that was sent so long ago (us) has told something; {@code ratio} is its first token's time
      *  against the usual. */
-    public void sign(long now, int site, String engine, Sign sign, long took, double ratio) {
+    public void sign(long now, int site, String engine, ZoneEvidence sign, long took, double ratio) {
         Site x = sites[site];
-        if (sign == Sign.ANSWERED) {
+        if (sign == ZoneEvidence.ANSWERED) {
             answered(now, now - took, site, ratio >= s.slow);
         } else {
             // A connection that ends under a request tells of an engine that is not there.
-            failed(now, now - took, site, engine, sign == Sign.BROKEN ? Sign.NO_CONNECTION : sign);
+            failed(now, now - took, site, engine, sign == ZoneEvidence.BROKEN ? ZoneEvidence.NO_CONNECTION : sign);
         }
         judge(now);
     }
@@ -311,9 +311,9 @@
         x.shut = false;
     }
 
-    private void failed(long now, long sent, int site, String engine, Sign sign) {
+    private void failed(long now, long sent, int site, String engine, ZoneEvidence sign) {
         Site x = sites[site];
-        if (x.failed.values().stream().anyMatch(k -> (k == Sign.ERROR) != (sign == Sign.ERROR))) {
+        if (x.failed.values().stream().anyMatch(k -> (k == ZoneEvidence.ERROR) != (sign == ZoneEvidence.ERROR))) {
             forget(x); // Who answers with an error can be reached: the two don't add up.
         }
         if (x.firstFailure == NEVER) {
@@ -329,12 +329,12 @@
 
     /** What the evidence against a site comes to: its commonest kind. */
     private static Cause kind(Site x) {
-        int[] n = new int[Sign.values().length];
+        int[] n = new int[ZoneEvidence.values().length];
         x.failed.values().forEach(k -> n[k.ordinal()]++);
-        return n[Sign.NO_CONNECTION.ordinal()] >= n[Sign.SILENCE.ordinal()]
-                        && n[Sign.NO_CONNECTION.ordinal()] >= n[Sign.ERROR.ordinal()]
+        return n[ZoneEvidence.NO_CONNECTION.ordinal()] >= n[ZoneEvidence.SILENCE.ordinal()]
+                        && n[ZoneEvidence.NO_CONNECTION.ordinal()] >= n[ZoneEvidence.ERROR.ordinal()]
                 ? Cause.NO_CONNECTION
-                : n[Sign.SILENCE.ordinal()] >= n[Sign.ERROR.ordinal()] ? Cause.SILENCE : Cause.ERRORS;
+                : n[ZoneEvidence.SILENCE.ordinal()] >= n[ZoneEvidence.ERROR.ordinal()] ? Cause.SILENCE : Cause.ERRORS;
     }
 
     /** Engines that must have failed for the whole evidence. */
--- a/src/main/java/magpiehub/store/Store.java
+++ b/src/main/java/magpiehub/store/KeyValueStore.java
@@ -7,7 +7,7 @@
  * by every replica in the end; until then each answers from what it has heard. It must never be needed to
  * route a request.
  */
-public interface Store extends AutoCloseable {
+public interface KeyValueStore extends AutoCloseable {
     /** A key's value here and now; null if it has none. */
     String get(String key);
 
--- a/src/main/java/magpiehub/store/ReplicatedStore.java
+++ b/src/main/java/magpiehub/store/LastWriteWinsStore.java
@@ -16,8 +16,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentSkipListMap;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.telemetry.EventLog;
 
 /**
  * A replica of the store in memory: a map whose every entry has a stamp, a count and the name of the replica
@@ -28,7 +31,7 @@
  * writes nothing to disk: what it holds lives as long as one replica does. It promises no order between keys
  * and no agreement: of two writes at once, one is lost everywhere.
  */
-public final class ReplicatedStore implements Store {
+public final class LastWriteWinsStore implements KeyValueStore {
     private static final long REDIAL = 500_000;
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final int MAILBOX_BYTES = 4 << 20;
@@ -107,8 +110,8 @@
     }
 
     private final String name;
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
+    private final MonotonicClock clock;
+    private final EventLog journal;
     private final ServerSocket server = new ServerSocket();
     private final Map<String, Entry> map = new ConcurrentSkipListMap<>();
     private final List<Link> links = new ArrayList<>();
@@ -118,7 +121,7 @@
     private volatile boolean closed;
 
     /** A replica of a name of its own that listens at an address and knows its peers' addresses. */
-    public ReplicatedStore(String name, InetSocketAddress listen, Mailbox.Clock clock, ModuleActor.Journal journal)
+    public LastWriteWinsStore(String name, InetSocketAddress listen, MonotonicClock clock, EventLog journal)
             throws IOException {
         this.name = name;
         this.clock = clock;
@@ -135,18 +138,19 @@
 
     /** A replica as a file of the deployment's describes it; null if there is none, and then the store is
      * off. */
-    public static ReplicatedStore read(Path file, String name, Mailbox.Clock clock, ModuleActor.Journal journal)
+    public static LastWriteWinsStore read(Path file, String name, MonotonicClock clock, EventLog journal)
             throws IOException {
         if (!Files.exists(file)) {
             return null;
         }
-        Config.Facts f =
+        ConfigurationObject f =
                 Config.facts(Files.readAllBytes(file), file.getFileName().toString());
         String listen = f.text("listen", null);
         if (listen == null) {
-            throw new Config.Malformed(file.getFileName() + " gives no address in \"listen\"");
+            throw new ConfigurationException(file.getFileName() + " gives no address in \"listen\"");
         }
-        ReplicatedStore s = new ReplicatedStore(name, Config.socketAddress(Config.address(listen)), clock, journal);
+        LastWriteWinsStore s =
+                new LastWriteWinsStore(name, Config.socketAddress(Config.address(listen)), clock, journal);
         f.texts("peers").forEach(s::join);
         return s;
     }
@@ -235,7 +239,7 @@
                     }
                     continue;
                 }
-                Config.Facts f = Config.facts(line.toByteArray(), "store");
+                ConfigurationObject f = Config.facts(line.toByteArray(), "store");
                 line.reset();
                 String key = f.text("key", null);
                 String by = f.text("by", null);
@@ -276,7 +280,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        accepted.forEach(ReplicatedStore::end);
+        accepted.forEach(LastWriteWinsStore::end);
         synchronized (this) {
             for (Link l : links) {
                 Mailbox<byte[]> to = l.lines;
--- a/src/main/java/magpiehub/streaming/Budget.java
+++ b/src/main/java/magpiehub/streaming/BufferBudget.java
@@ -13,7 +13,7 @@
  * than {@link #GRACE}. Where bytes run short, a stream in step is never ended: the one that is furthest
  * behind for longest is, by bytes held times the time since it fell behind.
  */
-public final class Budget {
+public final class BufferBudget {
     /** What a stream that keeps up may hold (bytes): a few events, and what one write takes. */
     public static final int STEP = 48 * 1024;
     /** A stream that fell behind only now has not had the time to catch up (us). */
@@ -76,7 +76,7 @@
     private long most;
 
     /** A budget of so many bytes. */
-    public Budget(long total) {
+    public BufferBudget(long total) {
         if (total < STEP) {
             throw new IllegalArgumentException("a budget below one stream's step");
         }
--- a/src/main/java/magpiehub/streaming/Pace.java
+++ b/src/main/java/magpiehub/streaming/StallDetector.java
@@ -14,7 +14,7 @@
  * A limit is a multiple of the engine's own slowest gaps. Where the fleet as a whole has become slower,
  * limits grow with it: a shared slowness is no stall.
  */
-public final class Pace {
+public final class StallDetector {
     /** Limits (us): never sooner than {@code floor}, never later than {@code ceiling}; {@code factor} times
      *  the gap that 99 of 100 stay below. */
     public record Options(long floor, long ceiling, double factor) {
@@ -90,7 +90,7 @@
     private final Gaps usual = new Gaps(USUAL_AT);
     private final Gaps lately = new Gaps(NOW_AT);
 
-    public Pace(Options options) {
+    public StallDetector(Options options) {
         this.options = options;
     }
 
--- a/src/main/java/magpiehub/streaming/Allowances.java
+++ b/src/main/java/magpiehub/streaming/StreamLimits.java
@@ -10,12 +10,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.routing.RequestClass;
 
 /**
  * What {@code deploy/streams.json} says, or what holds without it. It owns the names, units, defaults and
  * bounds of those settings, and must never guess: an unknown field, a wrong type or a value out of bounds is
- * {@link Config.Malformed} with the file's and the field's name. {@code docs/ops/streams.md} describes each.
+ * {@link ConfigurationException} with the file's and the field's name. {@code docs/ops/streams.md} describes each.
  *
  * @param budget bytes that all streams together may hold between their engines' sockets and their clients'
  * @param sendBuffer the system's send buffer of a client's socket (bytes); 0 leaves it to the system
@@ -23,8 +25,13 @@
  * @param logAll whether whole streams get a line in the log, too
  * @param classes a class's own, by its number in the settings
  */
-public record Allowances(
-        long budget, int sendBuffer, boolean halfClose, boolean logAll, Pace.Options pace, List<PerClass> classes) {
+public record StreamLimits(
+        long budget,
+        int sendBuffer,
+        boolean halfClose,
+        boolean logAll,
+        StallDetector.Options pace,
+        List<PerClass> classes) {
     /**
      * What one class of requests may take.
      *
@@ -45,24 +52,24 @@
     private static final long FOR_EVER_MS = 86_400_000;
 
     /** What holds without a file: today's values, and an eighth of the heap for all streams. */
-    public static Allowances none(List<RequestClass> classes, long heap) {
-        return of(new Config.Facts(Map.of(), "streams.json"), classes, heap);
+    public static StreamLimits none(List<RequestClass> classes, long heap) {
+        return of(new ConfigurationObject(Map.of(), "streams.json"), classes, heap);
     }
 
     /** The file's settings; {@link #none} if there is no such file. {@code heap}: the JVM's limit (bytes). */
-    public static Allowances read(Path file, List<RequestClass> classes, long heap) throws IOException {
+    public static StreamLimits read(Path file, List<RequestClass> classes, long heap) throws IOException {
         if (!Files.exists(file)) {
             return none(classes, heap);
         }
         String name = file.getFileName().toString();
         try {
             return of(Config.facts(Files.readAllBytes(file), name), classes, heap);
-        } catch (Config.Malformed e) {
-            throw e.getMessage().startsWith(name) ? e : new Config.Malformed(name + ": " + e.getMessage());
+        } catch (ConfigurationException e) {
+            throw e.getMessage().startsWith(name) ? e : new ConfigurationException(name + ": " + e.getMessage());
         }
     }
 
-    public static Allowances of(Config.Facts f, List<RequestClass> classes, long heap) {
+    public static StreamLimits of(ConfigurationObject f, List<RequestClass> classes, long heap) {
         Reading r = new Reading(f, "");
         long budget = r.number("budget_kb", Math.max(1024, heap / 8 / KB), 256, heap / 2 / KB) * KB;
         long sendBuffer = r.number("send_buffer_kb", 0, 0, 4096) * KB;
@@ -73,10 +80,10 @@
         double factor = r.number("stall_factor", 8, 2, 1000);
         PerClass all = perClass(r, new PerClass(BUFFER_KB * KB, PAUSE_MS * MS, FOR_EVER_MS * MS, FOR_EVER_MS * MS));
         Map<String, PerClass> own = new LinkedHashMap<>();
-        Config.Facts named = f.object("classes");
+        ConfigurationObject named = f.object("classes");
         for (String c : named.map().keySet()) {
             if (classes.stream().noneMatch(k -> k.name().equals(c))) {
-                throw new Config.Malformed("classes." + c + " is not a class of this site's");
+                throw new ConfigurationException("classes." + c + " is not a class of this site's");
             }
             Reading of = new Reading(named.object(c), "classes." + c + ".");
             own.put(c, perClass(of, all));
@@ -87,12 +94,12 @@
         for (RequestClass c : classes) {
             byNumber.add(own.getOrDefault(c.name(), all));
         }
-        return new Allowances(
+        return new StreamLimits(
                 budget,
                 (int) sendBuffer,
                 halfClose,
                 logAll,
-                new Pace.Options(floor, ceiling, factor),
+                new StallDetector.Options(floor, ceiling, factor),
                 List.copyOf(byNumber));
     }
 
@@ -106,11 +113,11 @@
 
     /** Fields that are read are known; any other is a mistake. */
     private static final class Reading {
-        private final Config.Facts facts;
+        private final ConfigurationObject facts;
         private final String path;
         private final Set<String> known = new TreeSet<>();
 
-        Reading(Config.Facts facts, String path) {
+        Reading(ConfigurationObject facts, String path) {
             this.facts = facts;
             this.path = path;
         }
@@ -119,7 +126,7 @@
             known.add(name);
             double v = facts.number(name, or);
             if (v != Math.rint(v) || v < least || v > most) {
-                throw new Config.Malformed(path + name + " must be a whole number from " + least + " to " + most);
+                throw new ConfigurationException(path + name + " must be a whole number from " + least + " to " + most);
             }
             return (long) v;
         }
@@ -127,7 +134,7 @@
         void nothingElse(Set<String> more) {
             for (String name : facts.map().keySet()) {
                 if (!known.contains(name) && !more.contains(name)) {
-                    throw new Config.Malformed(path + name + " is not a setting of this file");
+                    throw new ConfigurationException(path + name + " is not a setting of this file");
                 }
             }
         }
--- a/src/main/java/magpiehub/streaming/Ledger.java
+++ b/src/main/java/magpiehub/streaming/StreamOutcomes.java
@@ -9,7 +9,7 @@
  * has exactly one: the first one told counts, and a second is a fault that is counted too. It must never do
  * I/O or read a clock. An instance belongs to one lock or one thread.
  */
-public final class Ledger {
+public final class StreamOutcomes {
     /** Why a stream ended. */
     public enum Ending {
         /** The client's socket has taken all of a whole stream. */
--- a/src/main/java/magpiehub/streaming/Streams.java
+++ b/src/main/java/magpiehub/streaming/Streams.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import java.util.Set;
-import magpiehub.concurrent.Mailbox;
-import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.SiteSettings;
 import magpiehub.routing.RequestClass;
 import magpiehub.routing.Tenant;
-import magpiehub.streaming.Ledger.Ending;
+import magpiehub.streaming.StreamOutcomes.Ending;
+import magpiehub.telemetry.EventLog;
 
 /**
- * The streams under way, as the actors on both their sides see them: one lock round the {@link Budget}, the
- * {@link Pace} and the {@link Ledger}. It owns that lock and the wait of an engine's reader for room. It must
+ * The streams under way, as the actors on both their sides see them: one lock round the {@link BufferBudget}, the
+ * {@link StallDetector} and the {@link StreamOutcomes}. It owns that lock and the wait of an engine's reader for room. It must
  * never decide by itself (those modules do), touch a socket, or make anybody wait but the reader of the very
  * engine whose bytes find no room.
  */
@@ -27,7 +27,7 @@
 
     /** One stream, from its request to its one ending. */
     public static final class Flow {
-        private Budget.Account account;
+        private BufferBudget.Account account;
         private final int cls;
         private final int tenant;
         private final String id;
@@ -60,45 +60,45 @@
     /** Guards all of the below; readers wait on it for room. */
     private final Object lock = new Object();
 
-    private volatile Allowances allowances;
+    private volatile StreamLimits allowances;
     private volatile List<RequestClass> classes;
     private volatile List<Tenant> tenants;
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
-    private final Budget budget;
-    private final Pace pace;
-    private final Ledger ledger = new Ledger();
+    private final MonotonicClock clock;
+    private final EventLog journal;
+    private final BufferBudget budget;
+    private final StallDetector pace;
+    private final StreamOutcomes ledger = new StreamOutcomes();
     private int waiting;
 
     /** For a site's classes and tenants. */
-    public Streams(Allowances allowances, Config.Site site, Mailbox.Clock clock, ModuleActor.Journal journal) {
+    public Streams(StreamLimits allowances, SiteSettings site, MonotonicClock clock, EventLog journal) {
         settings(allowances, site);
         this.clock = clock;
         this.journal = journal;
-        this.budget = new Budget(allowances.budget());
-        this.pace = new Pace(allowances.pace());
+        this.budget = new BufferBudget(allowances.budget());
+        this.pace = new StallDetector(allowances.pace());
     }
 
     /** What holds from now on: classes and tenants keep their places. The budget and the pace are those of
      *  the start. */
-    public final void settings(Allowances later, Config.Site site) {
+    public final void settings(StreamLimits later, SiteSettings site) {
         allowances = later;
         classes = site.settings().classes();
         tenants = site.settings().tenants();
     }
 
-    public Allowances allowances() {
+    public StreamLimits allowances() {
         return allowances;
     }
 
-    private Allowances.PerClass of(int cls) {
+    private StreamLimits.PerClass of(int cls) {
         return allowances.classes().get(cls);
     }
 
     /** The most that one client may leave untaken, over all classes (bytes). */
     public long largestBuffer() {
         return allowances.classes().stream()
-                .mapToLong(Allowances.PerClass::buffer)
+                .mapToLong(StreamLimits.PerClass::buffer)
                 .max()
                 .orElse(0);
     }
@@ -208,7 +208,7 @@
             }
             long now = clock.micros();
             budget.came(f.account, bytes, now);
-            Budget.Account a = budget.victim(now);
+            BufferBudget.Account a = budget.victim(now);
             if (a != null) {
                 worst = (Flow) a.owner;
                 worst.cutFor(Ending.READER_BEHIND);
@@ -281,7 +281,7 @@
                 limit = pace.limit(engine, now);
             }
         }
-        Allowances.PerClass own = of(f.cls);
+        StreamLimits.PerClass own = of(f.cls);
         long silence = resume ? limit : Math.max(limit, own.hold());
         return Math.min(Math.max(heardAt, f.waitedUntil) + silence, Math.max(eventAt, f.waitedUntil) + own.comments());
     }
--- a/src/main/java/magpiehub/telemetry/Log.java
+++ b/src/main/java/magpiehub/telemetry/SyslogEventLog.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.concurrent.MonotonicClock;
 
 /**
  * The log and the counters. Log lines are RFC 5424 messages with structured data; a thread of its own writes
  * them, so that a reader of standard error who has stopped reading stops nobody else. Counters are read on
  * request and at exit. It owns the form of both. It must never make its caller wait, or throw.
  */
-public final class Log implements ModuleActor.Journal {
+public final class SyslogEventLog implements EventLog {
     /** Facility local0. */
     private static final int FACILITY = 16;
 
@@ -40,11 +40,11 @@
     private final Map<String, LongAdder> counters = new ConcurrentHashMap<>();
 
     /** A log for a router of some name; lines leave once {@link #start} is called. */
-    public Log(PrintStream to, String host, long pid) {
+    public SyslogEventLog(PrintStream to, String host, long pid) {
         this.to = to;
         this.host = name(host, 255);
         this.pid = pid;
-        this.lines = new Mailbox<>(Mailbox.Clock.SYSTEM, MAILBOX_BYTES);
+        this.lines = new Mailbox<>(MonotonicClock.SYSTEM, MAILBOX_BYTES);
     }
 
     public void start() {
--- a/src/main/java/magpiehub/upstream/Reports.java
+++ b/src/main/java/magpiehub/upstream/LoadReportParser.java
@@ -3,6 +3,8 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.config.LoadReportSettings;
 import magpiehub.routing.LoadReport;
 
 /**
@@ -10,14 +12,14 @@
  * of a probe. It owns their form and the fields that the settings name. It must never harm an answer: what
  * can't be read, lacks a field, or holds one that is negative or no number is no report.
  */
-final class Reports {
+final class LoadReportParser {
     static final String HEADER = "X-Load-Report";
     private static final byte[] COMMENT = (": " + HEADER + ":").getBytes(StandardCharsets.US_ASCII);
     private static final int LONGEST = 1024;
 
-    private final Config.Telemetry said;
+    private final LoadReportSettings said;
 
-    Reports(Config.Telemetry said) {
+    LoadReportParser(LoadReportSettings said) {
         this.said = said;
     }
 
@@ -37,7 +39,7 @@
             return null;
         }
         try {
-            Config.Facts f = Config.facts(json.getBytes(StandardCharsets.UTF_8), "report");
+            ConfigurationObject f = Config.facts(json.getBytes(StandardCharsets.UTF_8), "report");
             for (String name : said.fields()) {
                 if (!(f.number(name, Double.NaN) >= 0) || Double.isInfinite(f.number(name, 0))) {
                     return null;
@@ -57,7 +59,7 @@
         }
     }
 
-    private double value(Config.Facts f, String name) {
+    private double value(ConfigurationObject f, String name) {
         return said.fields().contains(name) ? f.number(name, Double.NaN) : Double.NaN;
     }
 
--- a/src/main/java/magpiehub/upstream/EngineEvent.java
+++ b/src/main/java/magpiehub/upstream/StreamEvent.java
@@ -3,17 +3,18 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.Config;
-import magpiehub.protocol.Front;
+import magpiehub.config.ConfigurationException;
+import magpiehub.protocol.ProtocolAdapter;
 
 /**
  * What one event of an engine's stream tells the router: an error, the tokens found in the engine's cache, or
  * the end. An event is the bytes between two empty lines, and passes on to the client as it came.
  */
-final class EngineEvent {
+final class StreamEvent {
     /** The most of an event that is logged (bytes). */
     private static final int MOST_LOGGED = 120;
 
-    private EngineEvent() {}
+    private StreamEvent() {}
 
     private static boolean contains(byte[] b, String word) {
         int n = word.length();
@@ -37,7 +38,7 @@
         String text = new String(event, StandardCharsets.UTF_8);
         return text.startsWith("event: error")
                 || text.contains("\nevent: error")
-                || Front.data(event).replace(" ", "").startsWith("{\"error\"");
+                || ProtocolAdapter.data(event).replace(" ", "").startsWith("{\"error\"");
     }
 
     /** An event of the engines' dialect, or a comment. */
@@ -45,7 +46,7 @@
         return event.length == 0
                 || event[0] == ':'
                 || contains(event, "\"choices\"")
-                || Front.data(event).equals("[DONE]");
+                || ProtocolAdapter.data(event).equals("[DONE]");
     }
 
     /** Prompt tokens found kept, where the event tells it; else -1. */
@@ -54,11 +55,11 @@
             return -1;
         }
         try {
-            return (long) Config.facts(Front.data(event).getBytes(StandardCharsets.UTF_8), "event")
+            return (long) Config.facts(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event")
                     .object("usage")
                     .object("prompt_tokens_details")
                     .number("cached_tokens", -1);
-        } catch (IOException | Config.Malformed e) {
+        } catch (IOException | ConfigurationException e) {
             return -1; // An answer's text may hold the word too.
         }
     }
