--- a/src/main/java/magpiehub/upstream/Engines.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -11,20 +11,26 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import magpiehub.concurrent.ActorThreadPool;
+import magpiehub.concurrent.CachedThreadPool;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.concurrent.ThreadCache;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.dispatch.ModuleActor.Attempt;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.AttemptHandle;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.dispatch.RequestDispatcher.Attempt;
+import magpiehub.dispatch.UpstreamFleet;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
-import magpiehub.protocol.Front;
+import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.LoadReport;
-import magpiehub.streaming.Ledger;
+import magpiehub.streaming.StreamOutcomes;
 import magpiehub.streaming.Streams;
+import magpiehub.telemetry.EventLog;
 
 /**
  * The engines' side: where each engine listens, a pool of connections for each, and the relay of one answer
@@ -35,7 +41,7 @@
  * request out on two connections, pass on an event before the module has granted the stream, or take bytes
  * behind one answer for the next.
  */
-public final class Engines implements ModuleActor.Fleet {
+public final class UpstreamPool implements UpstreamFleet {
     /** Bytes that wait for one connection's actor; a whole answer is far smaller. */
     private static final int MAILBOX_BYTES = 512 * 1024;
     /** Part of the engines' idle time after which a connection is retired: a request written later than the
@@ -56,29 +62,29 @@
     /** Where an engine listens now, and whether it takes new work. */
     private record Place(String hostPort, boolean takes) {}
 
-    private final Mailbox.Clock clock;
-    private final ModuleActor.Journal journal;
+    private final MonotonicClock clock;
+    private final EventLog journal;
     private volatile int connectTimeoutMs;
     private volatile long retireAfter;
     private final int most;
     private volatile boolean resume;
-    private volatile Reports reports;
+    private volatile LoadReportParser reports;
     private final Streams streams;
     private final Map<String, Place> places = new ConcurrentHashMap<>();
     private final Map<String, ArrayDeque<Connection>> idle = new HashMap<>();
-    private final Mailbox.Crew crew;
-    private final ThreadCache readers = new ThreadCache("engine-reader");
+    private final ActorThreadPool crew;
+    private final CachedThreadPool readers = new CachedThreadPool("engine-reader");
     private final Set<Connection> open = ConcurrentHashMap.newKeySet();
     private int connections;
-    private ModuleActor module;
+    private RequestDispatcher module;
 
     /** Pools of at most so many connections together. */
-    public Engines(
-            Config.Site site,
+    public UpstreamPool(
+            SiteSettings site,
             int most,
-            Mailbox.Clock clock,
-            ModuleActor.Journal journal,
-            Mailbox.Crew crew,
+            MonotonicClock clock,
+            EventLog journal,
+            ActorThreadPool crew,
             Streams streams) {
         this.crew = crew;
         this.streams = streams;
@@ -89,15 +95,15 @@
     }
 
     /** What the settings say of engines, from now on. Any thread. */
-    public final void settings(Config.Site site) {
+    public final void settings(SiteSettings site) {
         connectTimeoutMs = (int) Math.max(1, site.settings().limits().connectTimeout() / 1000);
         retireAfter = Math.max(1, (long) (site.idleClose() * RETIRE_AT));
         resume = site.settings().resume();
-        reports = new Reports(site.telemetry());
+        reports = new LoadReportParser(site.telemetry());
     }
 
     /** Names the module's actor; before anything else is called. */
-    public void module(ModuleActor actor) {
+    public void module(RequestDispatcher actor) {
         this.module = actor;
     }
 
@@ -143,7 +149,7 @@
 
     // ---- The pools: the module's thread ---------------------------------------------------------------
     @Override
-    public ModuleActor.Handle start(Attempt attempt) {
+    public AttemptHandle start(Attempt attempt) {
         ArrayDeque<Connection> free = idle.get(attempt.server);
         Connection c = free == null ? null : rested(free);
         Lease lease = new Lease(attempt);
@@ -242,7 +248,7 @@
                     AttemptOutcome o = AttemptOutcome.RESET;
                     boolean sent = false;
                     LoadReport load = null;
-                    Reports told = reports;
+                    LoadReportParser told = reports;
                     try (Socket s = new Socket()) {
                         connect(s, server);
                         s.setSoTimeout(PROBE_TIMEOUT_MS);
@@ -270,7 +276,7 @@
                 .start();
     }
 
-    private LoadReport load(Reports told, String text) {
+    private LoadReport load(LoadReportParser told, String text) {
         LoadReport l = told.read(text);
         journal.count(l == null ? "load_reports_unreadable" : "load_reports");
         return l;
@@ -287,7 +293,7 @@
 
     // ---- One attempt ----------------------------------------------------------------------------------
     /** The module's hold on an attempt: whoever closes it first, its socket is closed once and at once. */
-    private static final class Lease implements ModuleActor.Handle {
+    private static final class Lease implements AttemptHandle {
         final Attempt attempt;
         Connection connection;
         private Socket socket;
@@ -371,7 +377,7 @@
         private Socket socket;
         private String connectedTo;
         private Lease lease;
-        private Front.Sink sink;
+        private ProtocolAdapter.Sink sink;
         private boolean begun;
         private boolean granted;
         private final ArrayDeque<byte[]> pending = new ArrayDeque<>(2);
@@ -486,7 +492,7 @@
             report = null;
             lastEvent = null;
             Object work = l.attempt.work();
-            if (!(work instanceof Front.Call call)) {
+            if (!(work instanceof ProtocolAdapter.Call call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
             }
@@ -537,7 +543,7 @@
             if (!takes()) {
                 return;
             }
-            if (!(lease.attempt.work() instanceof Front.Call call)) {
+            if (!(lease.attempt.work() instanceof ProtocolAdapter.Call call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
             }
@@ -567,7 +573,7 @@
             fail(AttemptOutcome.CONNECT_FAILED);
         }
 
-        private byte[] request(Front.Call call, Attempt a) {
+        private byte[] request(ProtocolAdapter.Call call, Attempt a) {
             // Connecting may have taken a while since this turn began: the engine is told what is left now.
             long left = Math.max(1, (a.until - clock.micros()) / 1000);
             return new Http.Output()
@@ -606,7 +612,7 @@
             if (outcome != null) {
                 return false;
             }
-            if (EngineEvent.isError(bytes)) {
+            if (StreamEvent.isError(bytes)) {
                 journal.log("engine-error-event", "engine", server, "begun", Boolean.toString(begun));
                 drop();
                 if (!begun) {
@@ -623,10 +629,10 @@
             }
             heardAt = now;
             eventAt = begun && bytes[0] == ':' ? eventAt : now;
-            long k = EngineEvent.kept(bytes);
+            long k = StreamEvent.kept(bytes);
             kept = k >= 0 ? k : kept;
             if (reports.inAnswers()) {
-                String r = Reports.comment(bytes);
+                String r = LoadReportParser.comment(bytes);
                 report = r != null ? r : report;
             }
             lastEvent = bytes;
@@ -667,10 +673,10 @@
             if (!e.reusable) {
                 drop();
             }
-            if (lastEvent != null && !EngineEvent.known(lastEvent)) {
+            if (lastEvent != null && !StreamEvent.known(lastEvent)) {
                 // The framing says that the stream is whole, whatever its last event is called.
                 journal.count("unknown_last_events");
-                journal.log("unknown-last-event", "engine", server, "event", EngineEvent.brief(lastEvent));
+                journal.log("unknown-last-event", "engine", server, "event", StreamEvent.brief(lastEvent));
             }
             start();
             outcome = AttemptOutcome.OK;
@@ -709,10 +715,10 @@
             if (!granted || outcome == null || lease == null) {
                 return;
             }
-            Front.Sink client = sink;
-            Ledger.Ending ending = outcome == AttemptOutcome.ERROR
-                    ? Ledger.Ending.ENGINE_ERROR
-                    : silent ? Ledger.Ending.ENGINE_STALLED : Ledger.Ending.ENGINE_BROKE;
+            ProtocolAdapter.Sink client = sink;
+            StreamOutcomes.Ending ending = outcome == AttemptOutcome.ERROR
+                    ? StreamOutcomes.Ending.ENGINE_ERROR
+                    : silent ? StreamOutcomes.Ending.ENGINE_STALLED : StreamOutcomes.Ending.ENGINE_BROKE;
             over(outcome);
             if (outcome == AttemptOutcome.OK) {
                 client.end();
@@ -819,6 +825,6 @@
     }
 
     private String reported(Http.Head h) {
-        return reports.inAnswers() ? h.get(Reports.HEADER) : null;
+        return reports.inAnswers() ? h.get(LoadReportParser.HEADER) : null;
     }
 }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -22,19 +22,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Pattern;
+import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
+import magpiehub.config.SiteSettings;
 import magpiehub.discovery.Discovery;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.downstream.Clients;
-import magpiehub.downstream.Door;
-import magpiehub.protocol.Front;
-import magpiehub.protocol.MessagesFront;
-import magpiehub.protocol.PlatformFront;
-import magpiehub.streaming.Allowances;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.downstream.ClientListener;
+import magpiehub.downstream.ListenerSocket;
+import magpiehub.protocol.MessagesProtocol;
+import magpiehub.protocol.PlatformProtocol;
+import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
-import magpiehub.telemetry.Log;
-import magpiehub.upstream.Engines;
+import magpiehub.telemetry.SyslogEventLog;
+import magpiehub.upstream.UpstreamPool;
 
 /**
  * Plays a recorded exchange against the program on loopback sockets: the clients, engines and discovery of a
@@ -45,7 +48,7 @@
     private static final int PATIENCE_MS = 60_000;
 
     /** Goes forward only when told; whoever waits for it looks again every little while. */
-    static final class DrivenClock implements Mailbox.Clock {
+    static final class DrivenClock implements MonotonicClock {
         final AtomicLong now = new AtomicLong(1_000_000_000_000L);
 
         @Override
@@ -117,12 +120,13 @@
 
     final DrivenClock clock = new DrivenClock();
     final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    private final Log log = new Log(new PrintStream(logged, true, StandardCharsets.UTF_8), "test", 1);
+    private final SyslogEventLog log =
+            new SyslogEventLog(new PrintStream(logged, true, StandardCharsets.UTF_8), "test", 1);
     private final Map<String, Peer> peers = new LinkedHashMap<>();
-    private Clients clients;
+    private ClientListener clients;
     private Discovery discovery;
     private Thread module;
-    private ModuleActor actor;
+    private RequestDispatcher actor;
     private CountDownLatch held;
     private boolean messages;
     private int most = 64;
@@ -164,29 +168,38 @@
         String settings = Files.readString(Path.of("src/test/resources/" + siteFile));
         settings = resume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
         settings = pushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
-        Config.Site site = Config.site(Config.facts(settings.getBytes(), "settings"));
+        SiteSettings site = Config.site(Config.facts(settings.getBytes(), "settings"));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
         Peer d = peers.computeIfAbsent("d", k -> new Peer());
         d.server = new ServerSocket(0, 8, any.getAddress());
-        Mailbox.Crew crew = new Mailbox.Crew();
+        ActorThreadPool crew = new ActorThreadPool();
         streams = new Streams(
-                Allowances.of(
+                StreamLimits.of(
                         Config.facts(allowances.getBytes(), "streams.json"),
                         site.settings().classes(),
                         64 << 20),
                 site,
                 clock,
                 log);
-        Engines engines = new Engines(site, 64, clock, log, crew, streams);
+        UpstreamPool engines = new UpstreamPool(site, 64, clock, log, crew, streams);
         engines.start();
         discovery = new Discovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock, log, 7);
-        actor = new ModuleActor(site.settings(), 7, clock, engines, discovery, log);
+        actor = new RequestDispatcher(site.settings(), 7, clock, engines, discovery, log);
         engines.module(actor);
-        Front front = messages
-                ? new MessagesFront(() -> site, new MessagesFront.Options("", "chat", "", Map.of()), null)
-                : new PlatformFront(() -> site);
-        clients = new Clients(
-                Door.bind(any), front, actor, clock, log, discovery::known, log::counters, most, crew, streams);
+        ProtocolAdapter front = messages
+                ? new MessagesProtocol(() -> site, new MessagesProtocol.Options("", "chat", "", Map.of()), null)
+                : new PlatformProtocol(() -> site);
+        clients = new ClientListener(
+                ListenerSocket.bind(any),
+                front,
+                actor,
+                clock,
+                log,
+                discovery::known,
+                log::counters,
+                most,
+                crew,
+                streams);
         clients.start();
         log.start();
         discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes());
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -22,6 +22,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.http.Http;
 
 /**
@@ -89,7 +90,7 @@
         private static void after(long us, String name, Runnable then) {
             Mailbox.thread(name, () -> {
                         try {
-                            new Mailbox<>(Mailbox.Clock.SYSTEM, 1).take(Mailbox.Clock.SYSTEM.micros() + us);
+                            new Mailbox<>(MonotonicClock.SYSTEM, 1).take(MonotonicClock.SYSTEM.micros() + us);
                             then.run();
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -6,6 +6,7 @@
 import java.io.IOException;
 import java.util.List;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import org.junit.Assume;
 import org.junit.Test;
 
@@ -18,11 +19,11 @@
         private Hammer() {}
 
         public static void main(String[] args) throws IOException {
-            Mailbox<Object> box = new Mailbox<>(Mailbox.Clock.SYSTEM, 1);
+            Mailbox<Object> box = new Mailbox<>(MonotonicClock.SYSTEM, 1);
             Mailbox.thread("taker", () -> {
                         try {
                             for (int i = 0; i < TAKES; i++) {
-                                box.take(Mailbox.Clock.SYSTEM.micros() + 30 + i % 90);
+                                box.take(MonotonicClock.SYSTEM.micros() + 30 + i % 90);
                                 while (box.poll() != null) {
                                     continue;
                                 }
--- a/src/test/java/magpiehub/admin/ConsoleTest.java
+++ b/src/test/java/magpiehub/admin/AdminServerTest.java
@@ -11,13 +11,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.telemetry.EventLog;
 import org.junit.Before;
 import org.junit.Test;
 
 /** The console's form: one whole line a connection, and nobody waits for anybody else. */
-public class ConsoleTest {
-    private final ModuleActor.Journal silent = new ModuleActor.Journal() {
+public class AdminServerTest {
+    private final EventLog silent = new EventLog() {
         @Override
         public void count(String name) {}
 
@@ -25,11 +25,11 @@
         public void log(String what, String... namesAndValues) {}
     };
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
-    private Console console;
+    private AdminServer console;
 
     @Before
     public void listen() throws IOException {
-        console = new Console(new InetSocketAddress(loopback, 0), l -> "SUCCESS " + l, silent);
+        console = new AdminServer(new InetSocketAddress(loopback, 0), l -> "SUCCESS " + l, silent);
         console.start();
     }
 
@@ -73,7 +73,7 @@
     public void callersWithoutALineDelayNobody() throws IOException {
         List<Socket> silentOnes = new ArrayList<>();
         try {
-            for (int i = 0; i < 2 * Console.MOST; i++) {
+            for (int i = 0; i < 2 * AdminServer.MOST; i++) {
                 Socket s = connect();
                 s.getOutputStream().write("sta".getBytes(StandardCharsets.US_ASCII));
                 silentOnes.add(s);
@@ -101,7 +101,7 @@
 
     @Test
     public void aCallThatFailsInsideIsAnswered() throws IOException {
-        Console broken = new Console(
+        AdminServer broken = new AdminServer(
                 new InetSocketAddress(loopback, 0),
                 l -> {
                     throw new IllegalStateException("x");
--- a/src/test/java/magpiehub/admin/MaintenanceTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateTest.java
@@ -12,20 +12,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.admin.Maintenance.Held;
-import magpiehub.admin.Maintenance.Verdict;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.admin.MaintenanceState.Held;
+import magpiehub.admin.MaintenanceState.Verdict;
+import magpiehub.telemetry.EventLog;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
 /** What calls mean, and the file that keeps it. */
-public class MaintenanceTest {
+public class MaintenanceStateTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
     private final List<String> logged = new ArrayList<>();
-    private final ModuleActor.Journal journal = new ModuleActor.Journal() {
+    private final EventLog journal = new EventLog() {
         @Override
         public void count(String name) {}
 
@@ -37,7 +37,7 @@
     private final Held two = Held.NOTHING.listed(List.of("a", "b"));
 
     private static Verdict call(Held h, String line) {
-        return Maintenance.call(h, line, true, 1000);
+        return MaintenanceState.call(h, line, true, 1000);
     }
 
     @Test
@@ -73,8 +73,8 @@
             assertNotNull(line, v.refused());
             assertSame(line, two, v.after());
         }
-        assertNotNull(Maintenance.call(two, "status", false, 0).refused());
-        assertNull(Maintenance.call(two, "standby", false, 0).refused());
+        assertNotNull(MaintenanceState.call(two, "status", false, 0).refused());
+        assertNull(MaintenanceState.call(two, "standby", false, 0).refused());
     }
 
     @Test
@@ -89,19 +89,19 @@
     public void idsAreForgottenFromTheFirstAndNeverOnesTakenOut() {
         Held out = call(two, "maint-on a").after();
         List<String> many = new ArrayList<>();
-        for (int i = 0; i < Maintenance.MOST_LISTED; i++) {
+        for (int i = 0; i < MaintenanceState.MOST_LISTED; i++) {
             many.add("e" + i);
         }
         Held full = out.listed(many);
-        assertEquals(Maintenance.MOST_LISTED, full.listed().size());
+        assertEquals(MaintenanceState.MOST_LISTED, full.listed().size());
         assertTrue(full.listed().contains("a"));
         assertTrue(!full.listed().contains("b"));
     }
 
     @Test
     public void twoProcessesShareOneFile() throws Exception {
-        StateFile old = new StateFile(folder.getRoot().toPath(), "n/1", journal);
-        StateFile fresh = new StateFile(folder.getRoot().toPath(), "n/1", journal);
+        MaintenanceStateFile old = new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", journal);
+        MaintenanceStateFile fresh = new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", journal);
         assertNull(old.read());
         Held h =
                 old.change(two, x -> call(x.serving(7, List.of()), "maint-on a").after());
@@ -117,7 +117,7 @@
     @Test
     public void aTornOrForeignFileIsLoggedAndReadAsNone() throws Exception {
         Path root = folder.getRoot().toPath();
-        StateFile f = new StateFile(root, "n", journal);
+        MaintenanceStateFile f = new MaintenanceStateFile(root, "n", journal);
         f.change(two, x -> call(x, "maint-on a").after());
         Path file = root.resolve("magpiehub-n.operators");
         byte[] whole = Files.readAllBytes(file);
@@ -138,35 +138,37 @@
                 "the next change writes it anew",
                 Set.of("b"),
                 f.change(two, x -> call(x, "maint-on b").after()).banned());
-        assertEquals(Set.of("b"), new StateFile(root, "n", journal).read().banned());
+        assertEquals(
+                Set.of("b"), new MaintenanceStateFile(root, "n", journal).read().banned());
     }
 
     @Test
     public void sitesAreGivenUpAndTakenBackWhereTheyArePlannedForAndNeverAllOfThem() throws Exception {
         Map<String, String> sites = new java.util.TreeMap<>(Map.of("a", "whole", "b", "lost share=0% cause=list"));
-        assertTrue(Maintenance.call(two, "site-out a", true, 0).refused().startsWith("unknown call; status, m"));
-        Held out = Maintenance.call(two, "site-out a", true, 0, sites).after();
+        assertTrue(MaintenanceState.call(two, "site-out a", true, 0).refused().startsWith("unknown call; status, m"));
+        Held out = MaintenanceState.call(two, "site-out a", true, 0, sites).after();
         assertEquals(Set.of("a"), out.sites());
-        assertSame(out, Maintenance.call(out, "site-out a", true, 0, sites).after());
+        assertSame(out, MaintenanceState.call(out, "site-out a", true, 0, sites).after());
         assertEquals(
                 "it is the last site that is not out",
-                Maintenance.call(out, "site-out b", true, 0, sites).refused());
+                MaintenanceState.call(out, "site-out b", true, 0, sites).refused());
         assertEquals(
                 "no site of that name; there are a, b",
-                Maintenance.call(out, "site-out c", true, 0, sites).refused());
+                MaintenanceState.call(out, "site-out c", true, 0, sites).refused());
         assertEquals(
                 "site-in takes one name",
-                Maintenance.call(out, "site-in", true, 0, sites).refused());
+                MaintenanceState.call(out, "site-in", true, 0, sites).refused());
         assertEquals(
                 "a whole; b lost share=0% cause=list",
-                Maintenance.call(out, "site-status", true, 0, sites).said());
+                MaintenanceState.call(out, "site-status", true, 0, sites).said());
         assertEquals(
                 "b lost share=0% cause=list",
-                Maintenance.call(out, "site-status b", true, 0, sites).said());
-        assertEquals("kept over a restart", out, StateFile.parse(StateFile.format(out)));
+                MaintenanceState.call(out, "site-status b", true, 0, sites).said());
+        assertEquals("kept over a restart", out, MaintenanceStateFile.parse(MaintenanceStateFile.format(out)));
         assertEquals(
                 Set.of(),
-                Maintenance.call(out, "site-in a", true, 0, sites).after().sites());
-        assertTrue(Maintenance.call(out, "nothing", true, 0, sites).refused().contains("site-out NAME"));
+                MaintenanceState.call(out, "site-in a", true, 0, sites).after().sites());
+        assertTrue(
+                MaintenanceState.call(out, "nothing", true, 0, sites).refused().contains("site-out NAME"));
     }
 }
--- a/src/test/java/magpiehub/concurrent/ThreadCacheTest.java
+++ b/src/test/java/magpiehub/concurrent/CachedThreadPoolTest.java
@@ -13,11 +13,11 @@
 
 /** Threads that are used again, never twice at once, and never lost between two pieces of work. */
 @Timeout(60)
-class ThreadCacheTest {
+class CachedThreadPoolTest {
     private static final long LONG_STAY = 30_000_000;
 
     /** Runs one piece after another; returns the threads that did it. */
-    private static Set<Thread> oneByOne(ThreadCache cache, int pieces) throws InterruptedException {
+    private static Set<Thread> oneByOne(CachedThreadPool cache, int pieces) throws InterruptedException {
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < pieces; i++) {
             CountDownLatch done = new CountDownLatch(1);
@@ -33,12 +33,12 @@
     @Test
     void aThreadThatHasFinishedTakesTheNextWork() throws InterruptedException {
         // A thread may still be on its way back to the idle ones when the next work comes.
-        assertTrue(oneByOne(new ThreadCache("t", LONG_STAY), 1000).size() < 100);
+        assertTrue(oneByOne(new CachedThreadPool("t", LONG_STAY), 1000).size() < 100);
     }
 
     @Test
     void workThatBlocksHoldsUpNoOther() throws InterruptedException {
-        ThreadCache cache = new ThreadCache("t", LONG_STAY);
+        CachedThreadPool cache = new CachedThreadPool("t", LONG_STAY);
         CountDownLatch all = new CountDownLatch(50);
         for (int i = 0; i < 50; i++) {
             cache.execute(() -> {
@@ -55,7 +55,7 @@
 
     @Test
     void aThreadEndsOnceNothingHasComeForAWhile() throws InterruptedException {
-        for (Thread t : oneByOne(new ThreadCache("t", 1000), 1)) {
+        for (Thread t : oneByOne(new CachedThreadPool("t", 1000), 1)) {
             t.join(30_000);
             assertEquals(Thread.State.TERMINATED, t.getState());
         }
@@ -64,7 +64,7 @@
     /** Work that comes in the very moment in which the thread gives up waiting is done, once. */
     @Test
     void workThatCrossesTheEndOfAThreadIsDoneOnce() throws InterruptedException {
-        ThreadCache cache = new ThreadCache("t", 0);
+        CachedThreadPool cache = new CachedThreadPool("t", 0);
         AtomicInteger done = new AtomicInteger();
         CountDownLatch all = new CountDownLatch(20_000);
         for (int i = 0; i < 20_000; i++) {
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -28,7 +28,7 @@
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private Config.Router read(String json) throws IOException {
+    private RouterConfiguration read(String json) throws IOException {
         Path file = folder.newFile().toPath();
         Files.writeString(file, json.replace('\'', '"'));
         return Config.router(Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_NAME", "from-variable"));
@@ -36,12 +36,13 @@
 
     private void bad(String json, String message) {
         assertEquals(
-                message, assertThrows(Config.Malformed.class, () -> read(json)).getMessage());
+                message,
+                assertThrows(ConfigurationException.class, () -> read(json)).getMessage());
     }
 
     @Test
     public void variablesGoBeforeTheFile() throws IOException {
-        Config.Router r = read(GOOD);
+        RouterConfiguration r = read(GOOD);
         assertEquals(
                 "from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " " + r.sockets());
         assertEquals(-1, r.site().cls("d"));
@@ -65,7 +66,7 @@
         bad(GOOD + "{}", "config holds more than one value");
         assertEquals(
                 "ROUTER_CONFIG is not set",
-                assertThrows(Config.Malformed.class, () -> Config.router(Map.of()))
+                assertThrows(ConfigurationException.class, () -> Config.router(Map.of()))
                         .getMessage());
     }
 
@@ -73,7 +74,7 @@
      * not. */
     @Test
     public void aLaterFileLacksNothing() throws IOException {
-        Config.Router now = read(GOOD);
+        RouterConfiguration now = read(GOOD);
         java.util.Map<String, Object> later =
                 read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).file();
         assertEquals(null, Config.lacking(now.file(), later, "config"));
@@ -86,13 +87,13 @@
 
     @Test
     public void classesKeepTheirPlacesOverFiles() {
-        Config.Site one = site("{'name':'a','deadlineMs':1},{'name':'b','deadlineMs':2}");
-        Config.Site two = one.followedBy(
+        SiteSettings one = site("{'name':'a','deadlineMs':1},{'name':'b','deadlineMs':2}");
+        SiteSettings two = one.followedBy(
                 site("{'name':'b','deadlineMs':2},{'name':'c','deadlineMs':3}," + "{'name':'a','deadlineMs':9}"));
         assertEquals("1 2 3", two.cls("b") + " " + two.cls("c") + " " + two.cls("a"));
         assertEquals(1000, two.settings().classes().get(0).deadline());
         assertEquals(9000, two.settings().classes().get(3).deadline());
-        Config.Site three = two.followedBy(site("{'name':'a','deadlineMs':1}"));
+        SiteSettings three = two.followedBy(site("{'name':'a','deadlineMs':1}"));
         assertEquals(
                 "as at first: its first place again, no fifth",
                 "0 -1 4",
@@ -127,7 +128,7 @@
         }
     }
 
-    private static Config.Site site(String classes) {
+    private static SiteSettings site(String classes) {
         try {
             return Config.site(Config.facts(
                     ("{'classes':[" + classes + "]}").replace('\'', '"').getBytes(), "settings"));
--- a/src/test/java/magpiehub/discovery/DiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/DiscoveryTest.java
@@ -9,13 +9,16 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicInteger;
+import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.streaming.Allowances;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
-import magpiehub.telemetry.Log;
-import magpiehub.upstream.Engines;
+import magpiehub.telemetry.SyslogEventLog;
+import magpiehub.upstream.UpstreamPool;
 import org.junit.Test;
 
 /** The platform's discovery where the process itself is short of something. */
@@ -26,20 +29,20 @@
     /** A call that finds no thread to be read on has failed like any other: the next one begins in time. */
     @Test
     public void aCallThatFindsNoThreadIsFollowedByAnother() throws Exception {
-        Config.Site site =
+        SiteSettings site =
                 Config.site(Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
-        Log log = new Log(System.err, "test", 1);
-        Mailbox.Clock clock = Mailbox.Clock.SYSTEM;
+        SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
+        MonotonicClock clock = MonotonicClock.SYSTEM;
         AtomicInteger calls = new AtomicInteger();
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             server.setSoTimeout(ASKED_AGAIN_MS);
-            Engines engines = new Engines(
+            UpstreamPool engines = new UpstreamPool(
                     site,
                     8,
                     clock,
                     log,
-                    new Mailbox.Crew(),
-                    new Streams(Allowances.none(site.settings().classes(), 64 << 20), site, clock, log));
+                    new ActorThreadPool(),
+                    new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, clock, log));
             Discovery discovery =
                     new Discovery("127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
                         if (calls.incrementAndGet() == 1) {
@@ -47,7 +50,7 @@
                         }
                         Mailbox.thread("reader", read).start();
                     });
-            ModuleActor module = new ModuleActor(site.settings(), 7, clock, engines, discovery, log);
+            RequestDispatcher module = new RequestDispatcher(site.settings(), 7, clock, engines, discovery, log);
             engines.module(module);
             discovery.start(module, null);
             Thread thread = Mailbox.thread("module", module::run);
--- a/src/test/java/magpiehub/discovery/MembershipTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
 import org.junit.Test;
@@ -20,15 +20,15 @@
     private static final Membership.Options GUARDED =
             new Membership.Options(0.3, 2, 1_500_000, 10 * S, 3, 1, 60 * S, 0.5);
 
-    private static Config.Entry engine(int i, EndpointState state) {
-        return new Config.Entry(new Endpoint("e" + i, 0, 0, 0, state, 1, 0), "10.0.0.1:" + (1 + i));
+    private static EndpointEntry engine(int i, EndpointState state) {
+        return new EndpointEntry(new Endpoint("e" + i, 0, 0, 0, state, 1, 0), "10.0.0.1:" + (1 + i));
     }
 
-    private static View.Delta whole(List<Config.Entry> put, List<String> gone) {
+    private static View.Delta whole(List<EndpointEntry> put, List<String> gone) {
         return new View.Delta(1, true, false, put, gone);
     }
 
-    private static View.Delta change(List<Config.Entry> put, List<String> gone) {
+    private static View.Delta change(List<EndpointEntry> put, List<String> gone) {
         return new View.Delta(1, false, false, put, gone);
     }
 
@@ -48,7 +48,7 @@
         return IntStream.range(from, to).mapToObj(i -> "e" + i).toList();
     }
 
-    private static String states(List<Config.Entry> told) {
+    private static String states(List<EndpointEntry> told) {
         return told.stream()
                 .map(e -> e.server().id() + " " + e.server().state())
                 .sorted()
@@ -82,7 +82,7 @@
         Membership m = of(10);
         assertEquals(10, m.apply(change(List.of(), ids(0, 10)), S).size());
         Membership d = of(10);
-        List<Config.Entry> drains = new ArrayList<>();
+        List<EndpointEntry> drains = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             drains.add(engine(i, EndpointState.DRAINING));
         }
--- a/src/test/java/magpiehub/discovery/PartsTest.java
+++ b/src/test/java/magpiehub/discovery/PartsTest.java
@@ -9,8 +9,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.TreeSet;
-import magpiehub.concurrent.Mailbox;
-import magpiehub.config.Config;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
@@ -26,7 +27,8 @@
     private String fault(String json) throws Exception {
         Path file = folder.getRoot().toPath().resolve("registry.json");
         Files.writeString(file, json);
-        return assertThrows(Config.Malformed.class, () -> Options.read(file)).getMessage();
+        return assertThrows(ConfigurationException.class, () -> Options.read(file))
+                .getMessage();
     }
 
     @Test
@@ -130,7 +132,7 @@
         Entries entries = Entries.strict(Rig.site(), 0);
         LastList list = new LastList(file, entries);
         assertNull(list.read(0, S));
-        List<Config.Entry> fleet = List.of(
+        List<EndpointEntry> fleet = List.of(
                 entries.read(Rig.engine(7, "Ready").getBytes(), "e7"),
                 entries.read(Rig.engine(8, "Terminating").getBytes(), "e8"));
         list.write(fleet, new View.Position("c", 3, 9), 5_000);
@@ -226,7 +228,7 @@
                                 ",\"announce\":{\"prefix\":" + "\"routers/\",\"service\":\"routers\",\"ttl_ms\":1000}"),
                         "n1",
                         "127.0.0.1:9",
-                        Mailbox.Clock.SYSTEM,
+                        MonotonicClock.SYSTEM,
                         journal,
                         1);
                 a.start();
--- a/src/test/java/magpiehub/discovery/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -14,12 +14,17 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
+import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.streaming.Allowances;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
-import magpiehub.upstream.Engines;
+import magpiehub.telemetry.EventLog;
+import magpiehub.upstream.UpstreamPool;
 
 /**
  * The proof of the registry client: views and whole clients follow a stand-in that changes, compacts, breaks
@@ -34,7 +39,7 @@
     private static final long LATE = 2_400_000;
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static final Mailbox.Clock CLOCK = Mailbox.Clock.SYSTEM;
+    private static final MonotonicClock CLOCK = MonotonicClock.SYSTEM;
     /** Each change's number in the order of the truth stands in its entry's cell. */
     private static final String ENTRY =
             "{\"host_port\":\"127.0.0.1:%d\",\"phase\":\"%s\",\"cell\":%d,\"locality\":\"a\"}";
@@ -108,7 +113,7 @@
     private static final AtomicLong SAMPLES = new AtomicLong();
 
     /** One client and the check of all that its view tells. */
-    private static final class Follower implements Registry.Tap, ModuleActor.Journal {
+    private static final class Follower implements Registry.Tap, EventLog {
         final Truth truth;
         final Registry registry;
         final Map<String, Integer> has = new HashMap<>();
@@ -139,18 +144,18 @@
                 return;
             }
             // A whole client: membership, the module and its engines, as a router has them.
-            Config.Site site = Config.site(Config.facts(
+            SiteSettings site = Config.site(Config.facts(
                     ("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]," + "\"classes\":[{\"name\":\"c\"}]}").getBytes(),
                     "settings"));
-            Engines engines = new Engines(
+            UpstreamPool engines = new UpstreamPool(
                     site,
                     64,
                     CLOCK,
                     this,
-                    new Mailbox.Crew(),
-                    new Streams(Allowances.none(site.settings().classes(), 64 << 20), site, CLOCK, this));
+                    new ActorThreadPool(),
+                    new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, CLOCK, this));
             registry = new Registry(options, () -> site, engines, CLOCK, this, seed);
-            ModuleActor module = new ModuleActor(site.settings(), seed, CLOCK, engines, registry, this);
+            RequestDispatcher module = new RequestDispatcher(site.settings(), seed, CLOCK, engines, registry, this);
             engines.module(module);
             registry.tap = this;
             registry.start(module, null);
@@ -170,7 +175,7 @@
             }
             position = v.position().number();
             long now = CLOCK.micros();
-            for (Config.Entry e : r.delta().put()) {
+            for (EndpointEntry e : r.delta().put()) {
                 String id = e.server().id();
                 int cell = e.server().cell();
                 Integer had = has.put(id, cell);
--- a/src/test/java/magpiehub/discovery/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -11,24 +11,27 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.SiteSettings;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
+import magpiehub.telemetry.EventLog;
 
 /** A client of the registry and what it was told, for tests and the proof. */
 final class Rig {
     private Rig() {}
 
-    static final class Client implements ModuleActor.Journal, Registry.Tap, AutoCloseable {
+    static final class Client implements EventLog, Registry.Tap, AutoCloseable {
         final Registry registry;
         /** What the module would have: engines told and not gone. */
-        final Map<String, Config.Entry> fleet = new ConcurrentHashMap<>();
+        final Map<String, EndpointEntry> fleet = new ConcurrentHashMap<>();
 
         final Map<String, Integer> counts = new ConcurrentHashMap<>();
         final StringBuffer logged = new StringBuffer();
-        private final Map<String, Config.Entry> shadow = new HashMap<>();
+        private final Map<String, EndpointEntry> shadow = new HashMap<>();
         volatile String fault = "";
 
         Client(Options options) throws IOException {
@@ -43,7 +46,7 @@
                                             .map(e -> e.server().id())
                                             .toList());
                         }
-                        for (Config.Entry e : list) {
+                        for (EndpointEntry e : list) {
                             if (e.server().state() == EndpointState.DEAD) {
                                 fleet.remove(e.server().id());
                             } else {
@@ -51,7 +54,7 @@
                             }
                         }
                     },
-                    Mailbox.Clock.SYSTEM,
+                    MonotonicClock.SYSTEM,
                     this,
                     7);
             registry.tap = this;
@@ -64,7 +67,7 @@
             if (r.delta() == null) {
                 return;
             }
-            for (Config.Entry e : r.delta().put()) {
+            for (EndpointEntry e : r.delta().put()) {
                 if (e.equals(shadow.put(e.server().id(), e))) {
                     fault = "repeated " + e;
                 }
@@ -117,7 +120,7 @@
         return s.substring(0, Math.min(500, s.length()));
     }
 
-    private static Map<String, String> addresses(Map<String, Config.Entry> fleet) {
+    private static Map<String, String> addresses(Map<String, EndpointEntry> fleet) {
         Map<String, String> m = new TreeMap<>();
         fleet.forEach((id, e) -> m.put(
                 id, e.address() + " " + e.server().state() + " " + e.server().cell()));
@@ -129,7 +132,7 @@
         Map<String, String> m = new TreeMap<>();
         of.at(Long.MAX_VALUE, StandIn.PREFIX).forEach((k, v) -> {
             try {
-                Config.Facts f = Config.facts(v.value(), "value");
+                ConfigurationObject f = Config.facts(v.value(), "value");
                 m.put(
                         f.text("id", k.substring(StandIn.PREFIX.length())),
                         Config.address(f.text("host_port", ""))
@@ -142,8 +145,8 @@
         return m;
     }
 
-    static Supplier<Config.Site> site() throws IOException {
-        Config.Site s =
+    static Supplier<SiteSettings> site() throws IOException {
+        SiteSettings s =
                 Config.site(Config.facts("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(), "settings"));
         return () -> s;
     }
--- a/src/test/java/magpiehub/discovery/StandIn.java
+++ b/src/test/java/magpiehub/discovery/StandIn.java
@@ -19,6 +19,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 
@@ -322,7 +323,7 @@
         }
 
         // ---- etcd ---------------------------------------------------------------------------------
-        private void etcd(Http.Head h, String path, Config.Facts f, OutputStream out)
+        private void etcd(Http.Head h, String path, ConfigurationObject f, OutputStream out)
                 throws IOException, InterruptedException {
             if (path.equals("/v3/auth/authenticate")) {
                 boolean right = f.text("password", "").equals(password);
@@ -375,7 +376,7 @@
             g.writeEndObject();
         }
 
-        private static String text(Config.Facts f, String key) {
+        private static String text(ConfigurationObject f, String key) {
             return new String(Base64.getDecoder().decode(f.text(key, "")), StandardCharsets.UTF_8);
         }
 
@@ -389,7 +390,7 @@
             }
         }
 
-        private void range(Config.Facts f, OutputStream out) throws IOException {
+        private void range(ConfigurationObject f, OutputStream out) throws IOException {
             String from = text(f, "key");
             String end = text(f, "range_end");
             boolean newest = f.text("sort_target", "").equals("MOD");
@@ -452,7 +453,7 @@
             cutTo(out, o.take());
         }
 
-        private void watch(Config.Facts f, OutputStream out) throws IOException, InterruptedException {
+        private void watch(ConfigurationObject f, OutputStream out) throws IOException, InterruptedException {
             long next = Long.parseLong(f.text("start_revision", "0"));
             String prefix = text(f, "key");
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
@@ -524,7 +525,7 @@
             return e.json[0];
         }
 
-        private void lease(String path, Config.Facts f, OutputStream out) throws IOException {
+        private void lease(String path, ConfigurationObject f, OutputStream out) throws IOException {
             synchronized (StandIn.this) {
                 long id = Long.parseLong(f.text("ID", f.text("lease", "0")));
                 Set<String> held = leases.get(id);
@@ -659,13 +660,13 @@
         }
 
         private byte[] instance(String id, Version v) throws IOException {
-            Config.Facts f;
+            ConfigurationObject f;
             try {
                 f = Config.facts(v.value, "value");
             } catch (IOException | RuntimeException e) {
                 f = Config.facts("{\"host_port\":\"nowhere:x\"}".getBytes(), "value");
             }
-            Config.Facts e = f;
+            ConfigurationObject e = f;
             String[] address = (e.text("host_port", "") + ":x").split(":");
             String phase = e.text("phase", "Ready");
             return Etcd.json(g -> {
--- a/src/test/java/magpiehub/discovery/ToldTest.java
+++ b/src/test/java/magpiehub/discovery/ToldTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
@@ -17,21 +17,21 @@
 public class ToldTest {
     private final Told told = new Told();
 
-    private static Config.Entry entry(String id, EndpointState state, long since) {
-        return new Config.Entry(new Endpoint(id, 0, 0, 0, state, 1, since), "h:1");
+    private static EndpointEntry entry(String id, EndpointState state, long since) {
+        return new EndpointEntry(new Endpoint(id, 0, 0, 0, state, 1, since), "h:1");
     }
 
-    private static EndpointState state(List<Config.Entry> list, String id) {
+    private static EndpointState state(List<EndpointEntry> list, String id) {
         return find(list, id).state();
     }
 
-    private static long since(List<Config.Entry> list, String id) {
+    private static long since(List<EndpointEntry> list, String id) {
         return find(list, id).onlineSince();
     }
 
-    private static Endpoint find(List<Config.Entry> list, String id) {
+    private static Endpoint find(List<EndpointEntry> list, String id) {
         return list.stream()
-                .map(Config.Entry::server)
+                .map(EndpointEntry::server)
                 .filter(s -> s.id().equals(id))
                 .findFirst()
                 .orElseThrow();
@@ -42,7 +42,7 @@
         told.source(
                 EndpointListKind.COMPLETE,
                 List.of(entry("a", EndpointState.LIVE, 0), entry("b", EndpointState.LIVE, 0)));
-        List<Config.Entry> all = told.operators(Set.of("a"), Map.of());
+        List<EndpointEntry> all = told.operators(Set.of("a"), Map.of());
         assertEquals(2, all.size());
         assertEquals(EndpointState.DRAINING, state(all, "a"));
         assertEquals(EndpointState.LIVE, state(all, "b"));
@@ -68,7 +68,7 @@
     public void whoIsCalledBackHasStartedNoEarlierThanThat() {
         told.source(EndpointListKind.COMPLETE, List.of(entry("a", EndpointState.LIVE, 0)));
         told.operators(Set.of("a"), Map.of());
-        List<Config.Entry> back = told.operators(Set.of(), Map.of("a", 900L));
+        List<EndpointEntry> back = told.operators(Set.of(), Map.of("a", 900L));
         assertEquals(EndpointState.LIVE, state(back, "a"));
         assertEquals(900, since(back, "a"));
         // The list may tell the restart late, and a later one counts by itself.
--- a/src/test/java/magpiehub/discovery/ViewTest.java
+++ b/src/test/java/magpiehub/discovery/ViewTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
 import magpiehub.discovery.View.Item;
 import magpiehub.discovery.View.Position;
 import magpiehub.discovery.View.Verdict;
@@ -20,8 +20,8 @@
 
 /** The view, driven directly. */
 public class ViewTest {
-    static Config.Entry entry(String id, String address, double size) {
-        return new Config.Entry(new Endpoint(id, 0, 0, 0, EndpointState.LIVE, size, 0), address);
+    static EndpointEntry entry(String id, String address, double size) {
+        return new EndpointEntry(new Endpoint(id, 0, 0, 0, EndpointState.LIVE, size, 0), address);
     }
 
     private static Item item(String key, long mod) {
@@ -178,8 +178,8 @@
     @Test
     public void deltasAddUpToTheList() {
         SplittableRandom r = new SplittableRandom(11);
-        Map<String, Config.Entry> truth = new HashMap<>();
-        Map<String, Config.Entry> rebuilt = new HashMap<>();
+        Map<String, EndpointEntry> truth = new HashMap<>();
+        Map<String, EndpointEntry> rebuilt = new HashMap<>();
         View v = new View();
         long n = 0;
         List<Item> burst = new ArrayList<>();
@@ -205,7 +205,7 @@
                 burst.clear();
             }
             if (result != null) {
-                for (Config.Entry e : result.delta().put()) {
+                for (EndpointEntry e : result.delta().put()) {
                     assertFalse("repeated", e.equals(rebuilt.put(e.server().id(), e)));
                 }
                 result.delta().gone().forEach(id -> assertTrue(rebuilt.remove(id) != null));
--- a/src/test/java/magpiehub/discovery/WatchesTest.java
+++ b/src/test/java/magpiehub/discovery/WatchesTest.java
@@ -15,9 +15,9 @@
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
 import magpiehub.routing.QuietActions;
+import magpiehub.routing.RoutingPolicy;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.routing.RoutingSettings;
-import magpiehub.routing.Rules;
 import org.junit.Test;
 
 /** The calls for the list, with the module that asks for them, against a discovery in virtual time: whatever
@@ -147,7 +147,7 @@
 
     private static final class Router extends QuietActions implements Watches.Host {
         final Fleet fleet;
-        final Rules rules;
+        final RoutingPolicy rules;
         final Watches watches;
         final List<long[]> timers = new ArrayList<>();
         final List<String> sent = new ArrayList<>();
@@ -162,7 +162,7 @@
         Router(Fleet fleet, RoutingSettings s, long seed) {
             this.fleet = fleet;
             watches = new Watches("a", this, seed);
-            rules = new Rules(s, seed, this, fleet.now);
+            rules = new RoutingPolicy(s, seed, this, fleet.now);
         }
 
         void step() {
--- a/src/test/java/magpiehub/dispatch/ModuleActorTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -13,19 +13,20 @@
 import magpiehub.routing.RoutingLimits;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.routing.RoutingSettings;
+import magpiehub.telemetry.EventLog;
 import org.junit.Test;
 
 /** The module's actor over ports that note the order of what it does, on a clock of the test's own. */
-public class ModuleActorTest {
+public class RequestDispatcherTest {
     private final List<String> done = new ArrayList<>();
-    private final List<ModuleActor.Attempt> attempts = new ArrayList<>();
+    private final List<RequestDispatcher.Attempt> attempts = new ArrayList<>();
     private boolean fleetFails;
     private boolean moduleFails;
     private boolean clientGone;
     private boolean leavesInTheTurn;
     private int watches;
     private long now = 1_000_000;
-    private final ModuleActor.Client client = new ModuleActor.Client() {
+    private final ClientCallback client = new ClientCallback() {
         @Override
         public void refuse(long retryAfter) {
             done.add("refuse at " + now + (retryAfter > 0 ? "" : " with no time to return"));
@@ -46,15 +47,15 @@
             return clientGone;
         }
     };
-    private final ModuleActor.Fleet fleet = new ModuleActor.Fleet() {
+    private final UpstreamFleet fleet = new UpstreamFleet() {
         @Override
-        public ModuleActor.Handle start(ModuleActor.Attempt a) {
+        public AttemptHandle start(RequestDispatcher.Attempt a) {
             if (fleetFails) {
                 throw new IllegalStateException("made to fail");
             }
             attempts.add(a);
             done.add("start " + a.server);
-            return new ModuleActor.Handle() {
+            return new AttemptHandle() {
                 @Override
                 public void grant() {
                     done.add("grant " + a.server);
@@ -76,7 +77,7 @@
         @Override
         public void list(EndpointListKind kind, List<Endpoint> servers) {}
     };
-    private final ModuleActor.Roster roster = new ModuleActor.Roster() {
+    private final EndpointListSource roster = new EndpointListSource() {
         @Override
         public void watch() {
             watches++;
@@ -88,7 +89,7 @@
         @Override
         public void fetch() {}
     };
-    private final ModuleActor.Journal journal = new ModuleActor.Journal() {
+    private final EventLog journal = new EventLog() {
         @Override
         public void count(String name) {
             clientGone |= leavesInTheTurn && name.equals("taken");
@@ -100,10 +101,10 @@
         @Override
         public void log(String what, String... namesAndValues) {}
     };
-    private ModuleActor actor = actor(Bench.settings(1));
+    private RequestDispatcher actor = actor(Bench.settings(1));
 
-    private ModuleActor actor(RoutingSettings settings) {
-        return new ModuleActor(settings, 7, () -> now, fleet, roster, journal);
+    private RequestDispatcher actor(RoutingSettings settings) {
+        return new RequestDispatcher(settings, 7, () -> now, fleet, roster, journal);
     }
 
     private void turns() throws InterruptedException {
--- a/src/test/java/magpiehub/routing/Bench.java
+++ b/src/test/java/magpiehub/routing/Bench.java
@@ -24,16 +24,16 @@
     int watches;
     long now = S;
     final RoutingSettings settings;
-    final Rules node;
+    final RoutingPolicy node;
     private int ids;
 
     Bench(RoutingSettings settings) {
-        this(settings, new Zones.Plain());
+        this(settings, new ConnectFailureZoneHealth());
     }
 
-    Bench(RoutingSettings settings, Zones zones) {
+    Bench(RoutingSettings settings, ZoneHealth zones) {
         this.settings = settings;
-        node = new Rules(settings, 42, this, now, zones);
+        node = new RoutingPolicy(settings, 42, this, now, zones);
     }
 
     public static RequestClass cls(Idempotency effect, DeduplicationScope group) {
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -114,7 +114,7 @@
         final int me;
         final Map<String, RoutingRequest> open = new HashMap<>();
         final Map<String, Integer> tries = new HashMap<>();
-        Rules rules;
+        RoutingPolicy rules;
         long timer;
 
         Router(Fleet fleet, int me) {
@@ -127,7 +127,7 @@
             RoutingSettings t = Bench.settings(fleet.shares.length);
             Guarantees g = new Guarantees(8_000, 10 * S, COLD, FALL, FACTOR, START, 2 * S);
             open.clear();
-            rules = new Rules(
+            rules = new RoutingPolicy(
                     new RoutingSettings(
                             me,
                             fleet.shares.length,
@@ -170,7 +170,7 @@
         public void send(String id, String server, long timeout) {
             fleet.sent.computeIfAbsent(server, k -> new ArrayList<>()).add(fleet.now);
             int n = tries.merge(id, 1, Integer::sum) - 1;
-            Rules to = rules;
+            RoutingPolicy to = rules;
             RoutingRequest r = open.get(id);
             int how = fleet.random.nextInt(100);
             if (how < 4) { // Fails, and is tried elsewhere.
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.sites.Plan;
-import magpiehub.sites.Sites;
+import magpiehub.sites.SiteFailoverPlan;
+import magpiehub.sites.SiteHealthTracker;
+import magpiehub.telemetry.EventLog;
 
 /**
  * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the decision module
@@ -84,7 +84,7 @@
     private record Planned(long at, long order, Runnable event) {}
 
     private final Random random;
-    private final Rules module;
+    private final RoutingPolicy module;
     private final MessageDigest digest = sha256();
     private final PriorityQueue<Planned> agenda =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
@@ -108,8 +108,8 @@
         settings = drawSettings();
         meanGap = 2_000 + random.nextInt(60_000);
         reportsLoad = random.nextBoolean();
-        Zones zones = seed % 3 == 0 && settings.zones() > 1 ? plannedZones(seed) : new Zones.Plain();
-        module = new Rules(settings, seed, this, now, zones);
+        ZoneHealth zones = seed % 3 == 0 && settings.zones() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
+        module = new RoutingPolicy(settings, seed, this, now, zones);
         int fleet = 4 + random.nextInt(28);
         for (int i = 0; i < fleet; i++) {
             addEngine(random.nextInt(6) == 0 ? now : 0);
@@ -162,12 +162,12 @@
     }
 
     // ---- Settings and the fleet -------------------------------------------------------------------------
-    private Zones plannedZones(long seed) {
+    private ZoneHealth plannedZones(long seed) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < settings.zones(); i++) {
             names.add("zone" + i);
         }
-        return new Plan(Sites.Settings.USUAL, names, settings.myZone(), seed, new ModuleActor.Journal() {
+        return new SiteFailoverPlan(SiteHealthTracker.Settings.USUAL, names, settings.myZone(), seed, new EventLog() {
             @Override
             public void count(String name) {
                 record("count", name);
--- a/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -11,7 +11,7 @@
     void oneRequestFromStartToEnd() {
         Bench actions = new Bench(Bench.settings(1));
         long now = 2_000_000;
-        Rules rules = new Rules(actions.settings, 7, actions, now);
+        RoutingPolicy rules = new RoutingPolicy(actions.settings, 7, actions, now);
         rules.list(now, EndpointListKind.SAVED, List.of(Bench.server("10.0.0.1:9000")));
         rules.request(
                 now, new RoutingRequest("a1", 0, 0, 17, 4, now + 4_000_000, 0, 1800, 1200, 256, false, false, false));
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -50,7 +50,7 @@
         final List<Asked> all = new ArrayList<>();
         final RequestClass[] classes;
         final int replicas;
-        final Rules rules;
+        final RoutingPolicy rules;
         long now = 100 * SECOND;
 
         Day(long seed) {
@@ -72,7 +72,7 @@
                         random.nextBoolean() ? 0 : random.nextDouble());
             }
             replicas = 4 + random.nextInt(9);
-            rules = new Rules(Bench.settings(1, classes), seed, this, now);
+            rules = new RoutingPolicy(Bench.settings(1, classes), seed, this, now);
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < replicas; i++) {
                 list.add(Bench.server("10.0.0." + i + ":" + random.nextInt(9000)));
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -36,7 +36,7 @@
 
         final Random rnd;
         final RoutingSettings s;
-        final Rules node;
+        final RoutingPolicy node;
         final Map<String, Job> jobs = new HashMap<>();
         final List<Job> live = new ArrayList<>();
         final Map<String, Endpoint> known = new HashMap<>();
@@ -74,7 +74,7 @@
                     rnd.nextBoolean(),
                     tenants,
                     classes.toArray(new RequestClass[0]));
-            node = new Rules(s, seed, this, now);
+            node = new RoutingPolicy(s, seed, this, now);
         }
 
         @Override
--- a/src/test/java/magpiehub/routing/RulesTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The ordinary path step by step, and each exception to it. */
-class RulesTest {
+class RoutingPolicyTest {
     private static final long S = Bench.S;
 
     private static String[] names(int n) {
--- a/src/test/java/magpiehub/routing/ZonesTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -12,9 +12,9 @@
 import org.junit.Test;
 
 /** What the decisions make of zones that are planned for: what is told, and what a share of 0 means. */
-public class ZonesTest {
+public class ZoneHealthTest {
     /** Zones that stand as the test says. */
-    private static final class Said implements Zones {
+    private static final class Said implements ZoneHealth {
         final double[] share = {1, 1};
         final long[] shut = {Long.MAX_VALUE, Long.MAX_VALUE};
         final List<String> told = new ArrayList<>();
@@ -25,7 +25,7 @@
         public void number(int zones) {}
 
         @Override
-        public void told(long now, int zone, String replica, Sign sign, long took, double ratio) {
+        public void told(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
             told.add(replica + " " + sign);
         }
 
--- a/src/test/java/magpiehub/simulator/DrillTest.java
+++ b/src/test/java/magpiehub/simulator/SimulatorAdapterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter on hand-written batches, good and bad. */
-class DrillTest {
+class SimulatorAdapterTest {
     private static final String START =
             """
             {"ROUND":{"atTimeMs":1000.5}}
@@ -31,7 +31,7 @@
     private void play(String text) throws IOException {
         ByteArrayOutputStream o = new ByteArrayOutputStream();
         ByteArrayOutputStream e = new ByteArrayOutputStream();
-        status = new Drill(
+        status = new SimulatorAdapter(
                         new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)),
                         o,
                         new PrintStream(e, true, StandardCharsets.UTF_8))
--- a/src/test/java/magpiehub/sites/PlanTest.java
+++ b/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
@@ -11,23 +11,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
-import magpiehub.routing.Zones.Sign;
+import magpiehub.config.ConfigurationException;
+import magpiehub.routing.ZoneEvidence;
+import magpiehub.telemetry.EventLog;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
 /** The plan's file, its word to the module, its log and the operators' word. */
-public class PlanTest {
+public class SiteFailoverPlanTest {
     private static final long S = 1_000_000;
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
     private final List<String> logged = new ArrayList<>();
-    private final Plan plan =
-            new Plan(Sites.Settings.USUAL, List.of("north", "south", "west"), 0, 1, new ModuleActor.Journal() {
+    private final SiteFailoverPlan plan = new SiteFailoverPlan(
+            SiteHealthTracker.Settings.USUAL, List.of("north", "south", "west"), 0, 1, new EventLog() {
                 @Override
                 public void count(String name) {
                     logged.add(name);
@@ -39,19 +39,19 @@
                 }
             });
 
-    private Sites.Settings read(String json) throws Exception {
+    private SiteHealthTracker.Settings read(String json) throws Exception {
         Path f = folder.newFile().toPath();
         Files.writeString(f, json);
-        return Plan.read(f);
+        return SiteFailoverPlan.read(f);
     }
 
     @Test
     public void theFileSetsWhatItNamesAndAWrongOneIsTurnedDown() throws Exception {
-        assertNull(Plan.read(folder.getRoot().toPath().resolve("none.json")));
-        assertEquals(Sites.Settings.USUAL, read("{}"));
+        assertNull(SiteFailoverPlan.read(folder.getRoot().toPath().resolve("none.json")));
+        assertEquals(SiteHealthTracker.Settings.USUAL, read("{}"));
         assertEquals(2_500_000, read("{\"trialMs\":2500}").trial());
         for (String bad : List.of("{\"trial\":1}", "{\"engines\":0}", "{\"slow\":\"x\"}", "{\"stepMs\":-1}", "{")) {
-            assertThrows(bad, Config.Malformed.class, () -> read(bad));
+            assertThrows(bad, ConfigurationException.class, () -> read(bad));
         }
     }
 
@@ -62,8 +62,8 @@
             plan.listed(0, i, 8);
         }
         for (int i = 0; i < 6; i++) {
-            plan.told(S + i * 10_000, 1, "s" + i, Sign.NO_CONNECTION, 1_000, 1);
-            plan.told(S + i * 10_000 + 5_000, 2, "w" + i, Sign.ANSWERED, 400, 1);
+            plan.told(S + i * 10_000, 1, "s" + i, ZoneEvidence.NO_CONNECTION, 1_000, 1);
+            plan.told(S + i * 10_000 + 5_000, 2, "w" + i, ZoneEvidence.ANSWERED, 400, 1);
         }
         assertEquals(0, plan.names().indexOf("north"));
         assertTrue(
@@ -76,7 +76,7 @@
         plan.tick(2 * S);
         assertEquals("lost share=0% cause=no_connection", plan.standing().get("south"));
         assertTrue(plan.figures().contains("site_south lost share=0% cause=no_connection\n"));
-        plan.told(4 * S, 1, "s1", Sign.ANSWERED, 1_000, 1);
+        plan.told(4 * S, 1, "s1", ZoneEvidence.ANSWERED, 1_000, 1);
         assertEquals(Long.MAX_VALUE, plan.shutSince(1));
         assertTrue("a tenth first", plan.takes(4 * S, 1, 0.09) && !plan.takes(4 * S, 1, 0.11));
     }
--- a/src/test/java/magpiehub/sites/SitesTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -4,19 +4,19 @@
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
 
-import magpiehub.routing.Zones.Sign;
-import magpiehub.sites.Sites.Cause;
-import magpiehub.sites.Sites.State;
+import magpiehub.routing.ZoneEvidence;
+import magpiehub.sites.SiteHealthTracker.Cause;
+import magpiehub.sites.SiteHealthTracker.State;
 import org.junit.Test;
 
 /** The machine driven directly: three sites, the router's own is 0. */
-public class SitesTest {
-    private static final Sites.Settings S = Sites.Settings.USUAL;
+public class SiteHealthTrackerTest {
+    private static final SiteHealthTracker.Settings S = SiteHealthTracker.Settings.USUAL;
     private static final long MS = 1_000;
-    private final Sites sites = new Sites(S, 3, 0, 7);
+    private final SiteHealthTracker sites = new SiteHealthTracker(S, 3, 0, 7);
     private long now = 1_000_000_000;
 
-    private void fail(int site, int engines, Sign sign) {
+    private void fail(int site, int engines, ZoneEvidence sign) {
         for (int i = 0; i < engines; i++) {
             now += 10 * MS;
             sites.sign(now, site, site + "." + i, sign, 5 * MS, 0);
@@ -25,7 +25,7 @@
 
     private void answer(int site) {
         now += 10 * MS;
-        sites.sign(now, site, site + ".9", Sign.ANSWERED, 5 * MS, 1);
+        sites.sign(now, site, site + ".9", ZoneEvidence.ANSWERED, 5 * MS, 1);
     }
 
     private void pass(long us) {
@@ -36,21 +36,21 @@
     }
 
     private void lose(int site) {
-        fail(site, S.engines() - 1, Sign.NO_CONNECTION);
+        fail(site, S.engines() - 1, ZoneEvidence.NO_CONNECTION);
         answer(3 - site);
-        fail(site, S.engines(), Sign.NO_CONNECTION);
+        fail(site, S.engines(), ZoneEvidence.NO_CONNECTION);
         answer(3 - site);
         assertEquals(State.LOST, sites.state(site));
     }
 
     @Test
     public void aSiteIsLostOnceEnoughEnginesFailAndAnotherSiteAnswers() {
-        fail(1, 2, Sign.NO_CONNECTION);
+        fail(1, 2, ZoneEvidence.NO_CONNECTION);
         assertEquals(State.DOUBTED, sites.state(1));
         assertEquals(0.5, sites.share(1, now), 0);
         assertEquals("the rest of the evidence is asked for", S.engines() + 1, sites.checks(1));
         assertEquals(0, sites.checks(1));
-        fail(1, S.engines(), Sign.NO_CONNECTION);
+        fail(1, S.engines(), ZoneEvidence.NO_CONNECTION);
         assertEquals("nobody has told a loss from a cut yet", State.DOUBTED, sites.state(1));
         assertEquals(0, sites.share(1, now), 0);
         assertEquals("so the third site is asked", 1, sites.checks(2));
@@ -58,7 +58,7 @@
         assertEquals("the paths may have come back meanwhile", State.DOUBTED, sites.state(1));
         assertEquals("so it is asked once more", 1, sites.checks(1));
         assertEquals(0, sites.checks(1));
-        fail(1, 1, Sign.NO_CONNECTION);
+        fail(1, 1, ZoneEvidence.NO_CONNECTION);
         answer(2);
         assertEquals(State.LOST, sites.state(1));
         assertEquals(Cause.NO_CONNECTION, sites.cause(1));
@@ -69,14 +69,14 @@
     @Test
     public void theEndOfACutLosesNobody() {
         for (int i = 0; i < S.engines(); i++) {
-            fail(1, i + 1, Sign.NO_CONNECTION);
-            fail(2, i + 1, Sign.NO_CONNECTION);
+            fail(1, i + 1, ZoneEvidence.NO_CONNECTION);
+            fail(2, i + 1, ZoneEvidence.NO_CONNECTION);
             answer(0);
         }
         answer(2);
         // Sent before that answer came, told after it.
         now += 10 * MS;
-        sites.sign(now, 1, "1.1", Sign.NO_CONNECTION, 100 * MS, 0);
+        sites.sign(now, 1, "1.1", ZoneEvidence.NO_CONNECTION, 100 * MS, 0);
         assertEquals(State.DOUBTED, sites.state(1));
         assertEquals(1, sites.checks(1));
         answer(1);
@@ -85,7 +85,7 @@
 
     @Test
     public void theOwnSiteIsNoWitness() {
-        fail(1, S.engines(), Sign.NO_CONNECTION);
+        fail(1, S.engines(), ZoneEvidence.NO_CONNECTION);
         answer(0);
         assertEquals(State.DOUBTED, sites.state(1));
         assertEquals(0, sites.share(1, now), 0);
@@ -95,8 +95,8 @@
     @Test
     public void whoIsCutOffCallsNobodyLost() {
         for (int i = 0; i < S.engines(); i++) {
-            fail(1, i + 1, Sign.NO_CONNECTION);
-            fail(2, i + 1, Sign.NO_CONNECTION);
+            fail(1, i + 1, ZoneEvidence.NO_CONNECTION);
+            fail(2, i + 1, ZoneEvidence.NO_CONNECTION);
             answer(0);
         }
         pass(10_000_000);
@@ -112,8 +112,8 @@
 
     @Test
     public void twoOfThreeAreLostOnceTheListSaysSo() {
-        fail(1, S.engines(), Sign.SILENCE);
-        fail(2, S.engines(), Sign.SILENCE);
+        fail(1, S.engines(), ZoneEvidence.SILENCE);
+        fail(2, S.engines(), ZoneEvidence.SILENCE);
         answer(0);
         sites.listed(now, 1, 0, 20_000_000);
         assertEquals("an old list says nothing", State.DOUBTED, sites.state(1));
@@ -127,9 +127,9 @@
 
     @Test
     public void theOwnSiteCanBeLost() {
-        fail(0, S.engines(), Sign.NO_CONNECTION);
+        fail(0, S.engines(), ZoneEvidence.NO_CONNECTION);
         answer(1);
-        fail(0, 1, Sign.NO_CONNECTION);
+        fail(0, 1, ZoneEvidence.NO_CONNECTION);
         answer(1);
         assertEquals(State.LOST, sites.state(0));
     }
@@ -139,19 +139,25 @@
         for (int i = 0; i < 40; i++) {
             for (int site = 0; site < 3; site++) {
                 now += 20 * MS;
-                sites.sign(now, site, site + "." + i % 8, i % 3 == 0 ? Sign.SILENCE : Sign.ANSWERED, 5 * MS, 9);
+                sites.sign(
+                        now,
+                        site,
+                        site + "." + i % 8,
+                        i % 3 == 0 ? ZoneEvidence.SILENCE : ZoneEvidence.ANSWERED,
+                        5 * MS,
+                        9);
             }
         }
         for (int site = 0; site < 3; site++) {
             assertTrue(sites.state(site) == State.WHOLE || sites.state(site) == State.DOUBTED);
         }
         // A silent site beside slow ones is not lost either, and one beside a brisk one is.
-        fail(1, S.engines(), Sign.SILENCE);
-        sites.sign(now + 1, 2, "2.1", Sign.ANSWERED, 5 * MS, 9);
-        fail(1, 1, Sign.SILENCE);
+        fail(1, S.engines(), ZoneEvidence.SILENCE);
+        sites.sign(now + 1, 2, "2.1", ZoneEvidence.ANSWERED, 5 * MS, 9);
+        fail(1, 1, ZoneEvidence.SILENCE);
         assertEquals(State.DOUBTED, sites.state(1));
         answer(2);
-        fail(1, 1, Sign.SILENCE);
+        fail(1, 1, ZoneEvidence.SILENCE);
         answer(2);
         assertEquals(State.LOST, sites.state(1));
     }
@@ -161,7 +167,7 @@
         for (int i = 0; i < 60; i++) {
             answer(2);
             now += 20 * MS;
-            sites.sign(now, 1, "1." + i % 8, Sign.ANSWERED, 5 * MS, 30);
+            sites.sign(now, 1, "1." + i % 8, ZoneEvidence.ANSWERED, 5 * MS, 30);
         }
         assertEquals(State.DOUBTED, sites.state(1));
         assertEquals(Cause.SLOW, sites.cause(1));
@@ -173,7 +179,7 @@
     @Test
     public void aFewBadEnginesAreNoLoss() {
         for (int i = 0; i < 50; i++) {
-            fail(1, 3, Sign.ERROR);
+            fail(1, 3, ZoneEvidence.ERROR);
             answer(2);
         }
         assertTrue(sites.state(1) != State.LOST && sites.share(1, now) > 0);
@@ -183,7 +189,7 @@
 
     @Test
     public void oldEvidencePasses() {
-        fail(1, 2, Sign.NO_CONNECTION);
+        fail(1, 2, ZoneEvidence.NO_CONNECTION);
         pass(S.window() + 100 * MS);
         assertEquals(State.WHOLE, sites.state(1));
         assertEquals(Cause.PASSED, sites.cause(1));
@@ -217,7 +223,7 @@
         for (int i = 0; i < 4; i++) {
             answer(2);
             now += 10 * MS;
-            sites.sign(now, 1, "1." + i, Sign.ANSWERED, 5 * MS, 9);
+            sites.sign(now, 1, "1." + i, ZoneEvidence.ANSWERED, 5 * MS, 9);
         }
         sites.tick(now);
         assertEquals(0.25, sites.share(1, now), 0);
@@ -256,10 +262,10 @@
         assertEquals(1, sites.share(1, now), 0);
         now += S.gentle() / 2;
         assertEquals(0.5, sites.share(1, now), 0.01);
-        fail(2, S.engines(), Sign.NO_CONNECTION);
-        fail(1, S.engines(), Sign.NO_CONNECTION);
+        fail(2, S.engines(), ZoneEvidence.NO_CONNECTION);
+        fail(1, S.engines(), ZoneEvidence.NO_CONNECTION);
         answer(1);
-        fail(2, 1, Sign.NO_CONNECTION);
+        fail(2, 1, ZoneEvidence.NO_CONNECTION);
         answer(1);
         assertEquals("another site is lost meanwhile", State.LOST, sites.state(2));
         pass(S.gentle());
--- a/src/test/java/magpiehub/store/StoreTest.java
+++ b/src/test/java/magpiehub/store/KeyValueStoreTest.java
@@ -13,24 +13,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import magpiehub.concurrent.Mailbox;
-import magpiehub.telemetry.Log;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.telemetry.SyslogEventLog;
 import org.junit.After;
 import org.junit.Test;
 
 /** Replicas on loopback: what they promise, and no more. */
-public class StoreTest {
-    private final List<ReplicatedStore> all = new ArrayList<>();
-    private final Log log = new Log(System.err, "test", 1);
+public class KeyValueStoreTest {
+    private final List<LastWriteWinsStore> all = new ArrayList<>();
+    private final SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
 
-    private ReplicatedStore replica(String name, int port) throws IOException {
-        ReplicatedStore s = new ReplicatedStore(
-                name, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), Mailbox.Clock.SYSTEM, log);
+    private LastWriteWinsStore replica(String name, int port) throws IOException {
+        LastWriteWinsStore s = new LastWriteWinsStore(
+                name, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), MonotonicClock.SYSTEM, log);
         all.add(s);
         return s;
     }
 
-    private static void join(ReplicatedStore from, ReplicatedStore to) {
+    private static void join(LastWriteWinsStore from, LastWriteWinsStore to) {
         from.join("127.0.0.1:" + to.port());
     }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    private static void say(ReplicatedStore to, String line) throws IOException {
+    private static void say(LastWriteWinsStore to, String line) throws IOException {
         try (Socket s = new Socket("127.0.0.1", to.port())) {
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         }
@@ -49,14 +49,14 @@
 
     @After
     public void end() {
-        all.forEach(ReplicatedStore::close);
+        all.forEach(LastWriteWinsStore::close);
     }
 
     @Test
     public void writesReachReplicasThatNobodyDialsDirectly() throws IOException {
-        ReplicatedStore a = replica("a", 0);
-        ReplicatedStore b = replica("b", 0);
-        ReplicatedStore c = replica("c", 0);
+        LastWriteWinsStore a = replica("a", 0);
+        LastWriteWinsStore b = replica("b", 0);
+        LastWriteWinsStore c = replica("c", 0);
         a.put("before", "1");
         join(a, b);
         join(b, c);
@@ -70,8 +70,8 @@
 
     @Test
     public void writesAtOnceEndAlikeEverywhere() throws IOException {
-        ReplicatedStore a = replica("a", 0);
-        ReplicatedStore b = replica("b", 0);
+        LastWriteWinsStore a = replica("a", 0);
+        LastWriteWinsStore b = replica("b", 0);
         a.put("k", "from a");
         b.put("k", "from b");
         join(a, b);
@@ -82,7 +82,7 @@
 
     @Test
     public void anOlderWriteBringsNothingBack() throws IOException {
-        ReplicatedStore a = replica("a", 0);
+        LastWriteWinsStore a = replica("a", 0);
         a.put("k", "1");
         a.put("k", null);
         say(
@@ -95,20 +95,20 @@
 
     @Test
     public void aReplicaThatComesBackEmptyIsToldEverything() throws IOException {
-        ReplicatedStore a = replica("a", 0);
-        ReplicatedStore b = replica("b", 0);
+        LastWriteWinsStore a = replica("a", 0);
+        LastWriteWinsStore b = replica("b", 0);
         join(a, b);
         a.put("k", "1");
         await(() -> b.get("k") != null);
         int port = b.port();
         b.close();
-        ReplicatedStore again = replica("b", port);
+        LastWriteWinsStore again = replica("b", port);
         await(() -> "1".equals(again.get("k")));
     }
 
     @Test
     public void anOperatorsWriteGetsItsStampFromTheReplica() throws IOException {
-        ReplicatedStore a = replica("a", 0);
+        LastWriteWinsStore a = replica("a", 0);
         a.put("k", "1");
         say(a, "{\"key\":\"k\",\"value\":\"2\"}");
         await(() -> "2".equals(a.get("k")));
@@ -116,7 +116,7 @@
 
     @Test
     public void rubbishEndsItsOwnLinkOnly() throws IOException {
-        ReplicatedStore a = replica("a", 0);
+        LastWriteWinsStore a = replica("a", 0);
         say(a, "{\"key\":");
         say(a, "{\"key\":\"k\",\"count\":\"x\",\"by\":\"z\"}");
         say(a, "{\"key\":\"k\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
--- a/src/test/java/magpiehub/streaming/ModulesTest.java
+++ b/src/test/java/magpiehub/streaming/ModulesTest.java
@@ -11,10 +11,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
 import magpiehub.routing.DeduplicationScope;
 import magpiehub.routing.Idempotency;
 import magpiehub.routing.RequestClass;
-import magpiehub.streaming.Ledger.Ending;
+import magpiehub.streaming.StreamOutcomes.Ending;
 import org.junit.Test;
 
 /** The streams' modules, driven directly. */
@@ -25,10 +26,10 @@
     // ---- Budget ---------------------------------------------------------------------------------------
     @Test
     public void theFurthestBehindForLongestGoesFirstAndNeverOneInStep() {
-        Budget b = new Budget(1 << 20);
-        Budget.Account stuck = b.open("stuck", 1 << 20, 0);
-        Budget.Account slow = b.open("slow", 1 << 20, 0);
-        Budget.Account fine = b.open("fine", 1 << 20, 0);
+        BufferBudget b = new BufferBudget(1 << 20);
+        BufferBudget.Account stuck = b.open("stuck", 1 << 20, 0);
+        BufferBudget.Account slow = b.open("slow", 1 << 20, 0);
+        BufferBudget.Account fine = b.open("fine", 1 << 20, 0);
         b.came(stuck, 500_000, 0);
         b.came(slow, 540_000, 3 * S);
         assertNull("nothing is short", b.victim(3 * S));
@@ -39,7 +40,7 @@
         b.close(slow);
         assertTrue(b.room(fine));
         // All short of bytes, all in step: their engines wait, nobody goes.
-        List<Budget.Account> many = new ArrayList<>();
+        List<BufferBudget.Account> many = new ArrayList<>();
         for (int i = 0; b.held() < b.total(); i++) {
             many.add(b.open(i, 1 << 20, 5 * S));
             b.came(many.get(i), 40_000, 5 * S);
@@ -50,14 +51,14 @@
 
     @Test
     public void newStreamsAreRefusedBeforeTheBudgetIsOverrun() {
-        Budget b = new Budget(10 * Budget.STEP);
+        BufferBudget b = new BufferBudget(10 * BufferBudget.STEP);
         int n = 0;
         for (; b.admits(0); n++) {
             b.open(n, 1 << 20, 0);
         }
-        assertEquals(10 * Budget.STEP / Budget.PLEDGE, n);
-        Budget c = new Budget(10 * Budget.STEP);
-        c.came(c.open("large", 1 << 20, 0), 10 * Budget.STEP - 1, 0);
+        assertEquals(10 * BufferBudget.STEP / BufferBudget.PLEDGE, n);
+        BufferBudget c = new BufferBudget(10 * BufferBudget.STEP);
+        c.came(c.open("large", 1 << 20, 0), 10 * BufferBudget.STEP - 1, 0);
         assertFalse("what one in step holds counts as it is", c.admits(0));
         assertTrue("for one that stays behind, room is made", c.admits(S));
     }
@@ -65,14 +66,14 @@
     @Test
     public void everyByteIsCountedOnce() {
         SplittableRandom r = new SplittableRandom(8);
-        Budget b = new Budget(4 << 20);
-        List<Budget.Account> open = new ArrayList<>();
+        BufferBudget b = new BufferBudget(4 << 20);
+        List<BufferBudget.Account> open = new ArrayList<>();
         for (int i = 0; i < 200_000; i++) {
             long now = i * 100L;
             if (open.isEmpty() || r.nextInt(50) == 0 && b.admits(now)) {
                 open.add(b.open(i, 256 << 10, now));
             }
-            Budget.Account a = open.get(r.nextInt(open.size()));
+            BufferBudget.Account a = open.get(r.nextInt(open.size()));
             switch (r.nextInt(8)) {
                 case 0, 1, 2 -> {
                     if (b.room(a)) {
@@ -88,18 +89,18 @@
                     }
                 }
             }
-            long sum = open.stream().mapToLong(Budget.Account::held).sum();
+            long sum = open.stream().mapToLong(BufferBudget.Account::held).sum();
             assertEquals(sum, b.held());
-            assertTrue("overrun", sum <= b.total() + open.size() * (Budget.STEP / 4 + 30_000L));
+            assertTrue("overrun", sum <= b.total() + open.size() * (BufferBudget.STEP / 4 + 30_000L));
         }
-        Budget.Account a = b.open("", 1, 0);
+        BufferBudget.Account a = b.open("", 1, 0);
         assertThrows(IllegalStateException.class, () -> b.passed(a, 1, 0));
     }
 
     @Test
     public void aReaderIsStuckOnceNothingMovesThoughBytesWait() {
-        Budget b = new Budget(1 << 20);
-        Budget.Account a = b.open("", 1 << 20, 0);
+        BufferBudget b = new BufferBudget(1 << 20);
+        BufferBudget.Account a = b.open("", 1 << 20, 0);
         assertEquals("nothing waits", 0, a.stuckFor(100 * S));
         b.came(a, 100, 100 * S);
         assertEquals("the time before bytes came is not the reader's", 2 * S, a.stuckFor(102 * S));
@@ -110,9 +111,9 @@
     }
 
     // ---- Pace -----------------------------------------------------------------------------------------
-    private static final Pace.Options LEARNS = new Pace.Options(500 * MS, 10 * S, 8);
+    private static final StallDetector.Options LEARNS = new StallDetector.Options(500 * MS, 10 * S, 8);
 
-    private static long feed(Pace p, int engines, long from, int events, long gap, SplittableRandom r) {
+    private static long feed(StallDetector p, int engines, long from, int events, long gap, SplittableRandom r) {
         long now = from;
         for (int i = 0; i < events; i++) {
             for (int e = 0; e < engines; e++) {
@@ -126,12 +127,12 @@
 
     @Test
     public void oneSilentEngineIsAStallWithinASecondOrTwo() {
-        Pace p = new Pace(LEARNS);
+        StallDetector p = new StallDetector(LEARNS);
         assertEquals("nothing is known yet", 10 * S, p.limit("e0", 0));
         long now = feed(p, 8, 0, 300, 60 * MS, new SplittableRandom(1));
         long limit = p.limit("e0", now + S);
         assertTrue("" + limit, limit >= 500 * MS && limit <= 2 * S);
-        Pace bursts = new Pace(LEARNS);
+        StallDetector bursts = new StallDetector(LEARNS);
         feed(bursts, 1, 0, 300, 60 * MS, new SplittableRandom(2));
         for (int i = 0; i < 5000; i++) {
             bursts.heard("e0", 5, now);
@@ -141,7 +142,7 @@
 
     @Test
     public void sharedSlownessIsNoStall() {
-        Pace p = new Pace(LEARNS);
+        StallDetector p = new StallDetector(LEARNS);
         SplittableRandom r = new SplittableRandom(3);
         long now = feed(p, 8, 0, 2000, 100 * MS, r);
         long before = p.limit("e0", now + 10 * S);
@@ -152,20 +153,23 @@
 
     @Test
     public void aStreamWhoseEngineGoesOnWithOthersIsGivenLonger() {
-        Pace p = new Pace(LEARNS);
+        StallDetector p = new StallDetector(LEARNS);
         long now = feed(p, 2, 0, 300, 60 * MS, new SplittableRandom(4));
         p.begun("e0", now);
         p.begun("e0", now);
         long alone = p.limit("e0", now + 5 * S);
         p.heard("e0", 60 * MS, now + 5 * S);
         assertTrue(p.limit("e0", now + 5 * S) >= 2 * alone - 1);
-        assertEquals("off, the ceiling alone counts", S, new Pace(new Pace.Options(S, S, 8)).limit("e0", 0));
+        assertEquals(
+                "off, the ceiling alone counts",
+                S,
+                new StallDetector(new StallDetector.Options(S, S, 8)).limit("e0", 0));
     }
 
     // ---- Ledger ---------------------------------------------------------------------------------------
     @Test
     public void eachStreamHasOneEnding() {
-        Ledger l = new Ledger();
+        StreamOutcomes l = new StreamOutcomes();
         l.begun();
         assertEquals(1, l.open());
         assertTrue(l.ended(null, Ending.WHOLE));
@@ -193,17 +197,17 @@
         return new RequestClass(name, Idempotency.PURE, DeduplicationScope.ALL, 0, true, 0, 0, 0, 0, 0, 0, 0);
     }
 
-    private static Allowances of(String json) throws Exception {
-        return Allowances.of(Config.facts(json.getBytes(), "streams.json"), CLASSES, 64 << 20);
+    private static StreamLimits of(String json) throws Exception {
+        return StreamLimits.of(Config.facts(json.getBytes(), "streams.json"), CLASSES, 64 << 20);
     }
 
     private static String fault(String json) {
-        return assertThrows(Config.Malformed.class, () -> of(json)).getMessage();
+        return assertThrows(ConfigurationException.class, () -> of(json)).getMessage();
     }
 
     @Test
     public void allowancesNameTheFieldThatIsWrong() throws Exception {
-        Allowances a = of("{\"pause_ms\":20000,\"classes\":{\"bulk\":{\"buffer_kb\":2048}}}");
+        StreamLimits a = of("{\"pause_ms\":20000,\"classes\":{\"bulk\":{\"buffer_kb\":2048}}}");
         assertEquals(20 * S, a.classes().get(0).pause());
         assertEquals(512 << 10, a.classes().get(0).buffer());
         assertEquals(2 << 20, a.classes().get(1).buffer());
@@ -211,7 +215,8 @@
         assertEquals("an eighth of the heap", 8 << 20, a.budget());
         assertFalse(a.pace().learns());
         assertTrue(of("{\"silence_ms\":4000,\"stall_least_ms\":800}").pace().learns());
-        Allowances example = Allowances.read(java.nio.file.Path.of("deploy/streams.example.json"), CLASSES, 64 << 20);
+        StreamLimits example =
+                StreamLimits.read(java.nio.file.Path.of("deploy/streams.example.json"), CLASSES, 64 << 20);
         assertTrue(example.pace().learns());
         assertTrue(fault("{\"pause\":1}").contains("pause is not a setting"));
         assertTrue(fault("{\"budget_kb\":60000}").contains("budget_kb must be a whole number"));
--- a/src/test/java/magpiehub/streaming/StreamsProof.java
+++ b/src/test/java/magpiehub/streaming/StreamsProof.java
@@ -495,7 +495,7 @@
         t.join();
         logged.await(5, TimeUnit.SECONDS);
         long sum = 0;
-        for (Ledger.Ending e : Ledger.Ending.values()) {
+        for (StreamOutcomes.Ending e : StreamOutcomes.Ending.values()) {
             java.util.regex.Matcher m = java.util.regex.Pattern.compile(" " + e.counter() + "=\"(\\d+)\"")
                     .matcher(lastCounters);
             sum += m.find() ? Long.parseLong(m.group(1)) : 0;
@@ -550,7 +550,7 @@
             long stopped = p.stopped(healthy / 4, troubled / 4);
             long endings = 0;
             StringBuilder by = new StringBuilder();
-            for (Ledger.Ending e : Ledger.Ending.values()) {
+            for (StreamOutcomes.Ending e : StreamOutcomes.Ending.values()) {
                 long n = c.getOrDefault(e.counter(), 0L);
                 endings += n;
                 by.append(n == 0 ? "" : " " + e.name().toLowerCase(java.util.Locale.ROOT) + "=" + n);
--- a/src/test/java/magpiehub/streaming/StreamsTest.java
+++ b/src/test/java/magpiehub/streaming/StreamsTest.java
@@ -4,9 +4,10 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.telemetry.Log;
+import magpiehub.config.SiteSettings;
+import magpiehub.telemetry.SyslogEventLog;
 import org.junit.Test;
 
 /** The account of streams under its lock, with the moments between two of its steps forced by the clock. */
@@ -16,7 +17,7 @@
     private static final int BUFFER = 64 * 1024;
 
     /** Time passes only in waits; at each reading an engine's actor looks whether the stream is silent. */
-    private static final class Crossing implements Mailbox.Clock {
+    private static final class Crossing implements MonotonicClock {
         private long now = 1000 * S;
         private Runnable look = () -> {};
         private Runnable whileWaiting = () -> {};
@@ -42,11 +43,11 @@
     public void anEngineThatIsNotListenedToIsNeverSilent() throws Exception {
         Crossing clock = new Crossing();
         byte[] settings = Files.readAllBytes(Path.of("src/test/resources/site.json"));
-        Config.Site site = Config.site(Config.facts(settings, "site"));
+        SiteSettings site = Config.site(Config.facts(settings, "site"));
         String allowed = "{\"buffer_kb\":" + BUFFER / 1024 + ",\"pause_ms\":" + 2 * PAUSE / 1000 + "}";
-        Allowances allowances = Allowances.of(
+        StreamLimits allowances = StreamLimits.of(
                 Config.facts(allowed.getBytes(), "streams"), site.settings().classes(), 64 << 20);
-        Streams streams = new Streams(allowances, site, clock, new Log(System.err, "test", 1));
+        Streams streams = new Streams(allowances, site, clock, new SyslogEventLog(System.err, "test", 1));
         Streams.Flow flow = streams.open(0, 0, "r", () -> {});
         streams.begun(flow, "e");
         long heardAt = clock.now;
--- a/src/test/java/magpiehub/telemetry/LogTest.java
+++ b/src/test/java/magpiehub/telemetry/SyslogEventLogTest.java
@@ -7,9 +7,9 @@
 
 /** Log lines against RFC 5424's grammar: what would end a value, a name or the message early is not let
  * out. */
-public class LogTest {
+public class SyslogEventLogTest {
     private static final Instant AT = Instant.parse("2026-12-01T10:00:00.5Z");
-    private final Log log = new Log(System.err, "n 3", 7);
+    private final SyslogEventLog log = new SyslogEventLog(System.err, "n 3", 7);
 
     @Test
     public void valuesAreEscapedAndNamesAreClean() {
--- a/src/test/java/magpiehub/upstream/EnginesTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -15,31 +15,36 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.dispatch.ModuleActor;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.ClientCallback;
+import magpiehub.dispatch.EndpointListSource;
+import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.http.Http;
-import magpiehub.protocol.Front;
-import magpiehub.protocol.PlatformFront;
+import magpiehub.protocol.PlatformProtocol;
+import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
-import magpiehub.streaming.Allowances;
-import magpiehub.streaming.Ledger;
+import magpiehub.streaming.StreamLimits;
+import magpiehub.streaming.StreamOutcomes;
 import magpiehub.streaming.Streams;
-import magpiehub.telemetry.Log;
+import magpiehub.telemetry.SyslogEventLog;
 import org.junit.After;
 import org.junit.Test;
 
 /** What no recorded exchange can time: a list that changes between the decision and the write. */
-public class EnginesTest {
-    private final Log log = new Log(System.err, "test", 1);
+public class UpstreamPoolTest {
+    private final SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
     private volatile CompletableFuture<String> answer = new CompletableFuture<>();
     private volatile boolean gone;
     private Thread thread;
-    private Config.Site site;
+    private SiteSettings site;
     private Streams streams;
-    private ModuleActor module;
+    private RequestDispatcher module;
 
     @After
     public void stop() {
@@ -114,7 +119,7 @@
     private static void serve(ServerSocket engine, String last) throws IOException {
         engine.setSoTimeout(60_000);
         try (Socket s = engine.accept()) {
-            Http.Input in = new Http.Input(s.getInputStream(), Mailbox.Clock.SYSTEM::micros);
+            Http.Input in = new Http.Input(s.getInputStream(), MonotonicClock.SYSTEM::micros);
             assertTrue(in.await());
             in.body(in.head(true));
             String event = "data: {\"choices\":[]}\n\n";
@@ -128,7 +133,7 @@
     }
 
     /** The client's side of a stream: does something the moment it is told of the end. */
-    private final class AskAgain implements Front.Sink {
+    private final class AskAgain implements ProtocolAdapter.Sink {
         private final Streams.Flow flow = streams.open(0, -1, "1", () -> {});
         private final Runnable atTheEnd;
 
@@ -145,7 +150,7 @@
         }
 
         @Override
-        public void broken(byte[] error, Ledger.Ending why) {
+        public void broken(byte[] error, StreamOutcomes.Ending why) {
             atTheEnd.run();
         }
 
@@ -155,7 +160,7 @@
         }
     }
 
-    private final ModuleActor.Client client = new ModuleActor.Client() {
+    private final ClientCallback client = new ClientCallback() {
         @Override
         public void refuse(long retryAfter) {
             answer.complete("refused");
@@ -176,7 +181,7 @@
             return gone;
         }
     };
-    private final ModuleActor.Roster roster = new ModuleActor.Roster() {
+    private final EndpointListSource roster = new EndpointListSource() {
         @Override
         public void watch() {}
 
@@ -194,9 +199,9 @@
                         .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
                         .getBytes(),
                 "settings"));
-        streams = new Streams(Allowances.none(site.settings().classes(), 64 << 20), site, Mailbox.Clock.SYSTEM, log);
-        Engines engines = new Engines(site, 8, Mailbox.Clock.SYSTEM, log, new Mailbox.Crew(), streams);
-        module = new ModuleActor(site.settings(), 7, Mailbox.Clock.SYSTEM, engines, roster, log);
+        streams = new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
+        UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
+        module = new RequestDispatcher(site.settings(), 7, MonotonicClock.SYSTEM, engines, roster, log);
         engines.module(module);
         thread = Mailbox.thread("module", module::run);
         thread.start();
@@ -205,14 +210,14 @@
     }
 
     /** A request, always with the same id; false if the module has no room for it. */
-    private boolean take(Front.Sink sink) {
+    private boolean take(ProtocolAdapter.Sink sink) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
-        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes()), Mailbox.Clock.SYSTEM::micros);
+        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes()), MonotonicClock.SYSTEM::micros);
         try {
             assertTrue(in.await());
             Http.Head head = in.head(true);
-            Front.Call call = new PlatformFront(() -> site).read(head, in.body(head), in.firstAt());
+            ProtocolAdapter.Call call = new PlatformProtocol(() -> site).read(head, in.body(head), in.firstAt());
             call.sink(sink);
             return module.take(call.request, client, call, 2);
         } catch (IOException e) {
