--- a/src/main/java/magpiehub/discovery/Announcer.java
+++ b/src/main/java/magpiehub/discovery/Announcer.java
@@ -257,7 +257,7 @@
             Consul.drain(w.content(w.ask(method, path, body, 0, "X-Consul-Token", options.secret())));
         } catch (Wire.Refused e) {
             // 404 by today's documentation; agents before 1.12 said 500 and named the missing check.
-            if (e.status == 404 || e.status == 500 && e.getMessage().contains("TTL")) {
+            if (e.status == 404 || (e.status == 500 && e.getMessage().contains("TTL"))) {
                 throw new Lost();
             }
             throw e;
--- a/src/main/java/magpiehub/discovery/Etcd.java
+++ b/src/main/java/magpiehub/discovery/Etcd.java
@@ -121,7 +121,7 @@
                 if (login == null
                         || i > 0
                         || w.closed()
-                        || e.status != 401 && (f == null || f.code != UNAUTHENTICATED)) {
+                        || (e.status != 401 && (f == null || f.code != UNAUTHENTICATED))) {
                     throw f != null && f.code == OUT_OF_RANGE ? f : e;
                 }
                 token = null;
--- a/src/main/java/magpiehub/discovery/View.java
+++ b/src/main/java/magpiehub/discovery/View.java
@@ -419,7 +419,7 @@
         for (Item i = newest.peekLast(); i != null; i = newest.peekLast()) {
             Held h = byKey.get(i.key);
             Item l = left.get(i.key);
-            if (h != null && h.mod == i.mod || l != null && l.mod == i.mod) {
+            if ((h != null && h.mod == i.mod) || (l != null && l.mod == i.mod)) {
                 return i;
             }
             newest.removeLast();
--- a/src/main/java/magpiehub/discovery/Watches.java
+++ b/src/main/java/magpiehub/discovery/Watches.java
@@ -133,7 +133,7 @@
         boolean was = c == live;
         live = was ? null : live;
         // One that is older than another has only said what that one will say.
-        if (newest || was && asked.isEmpty()) {
+        if (newest || (was && asked.isEmpty())) {
             host.failed(c, why);
         }
     }
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -288,7 +288,7 @@
      *  somewhere else at once. */
     private void letGoIdle(long now) {
         long by = emptyBy;
-        if (by == 0 || standbySince != 0 && !sentAway()) {
+        if (by == 0 || (standbySince != 0 && !sentAway())) {
             return;
         }
         List<Connection> quiet = new ArrayList<>();
--- a/src/main/java/magpiehub/http/Http.java
+++ b/src/main/java/magpiehub/http/Http.java
@@ -125,7 +125,7 @@
         /** Whether the sender closes after this message. */
         public boolean closes() {
             String version = start[0].startsWith("HTTP/") ? start[0] : start[2];
-            return has("Connection", "close") || version.equals("HTTP/1.0") && !has("Connection", "keep-alive");
+            return has("Connection", "close") || (version.equals("HTTP/1.0") && !has("Connection", "keep-alive"));
         }
     }
 
@@ -236,7 +236,7 @@
                         pos += seen + 1;
                         for (int i = 0; i < length && !any; i++) {
                             char c = s.charAt(i);
-                            if (c < ' ' && c != '\t' || c == 0x7f) {
+                            if ((c < ' ' && c != '\t') || c == 0x7f) {
                                 throw new Bad(400, "control character in " + what);
                             }
                         }
@@ -264,7 +264,7 @@
                     && (start.length != 3
                             || !token(start[0])
                             || start[1].isEmpty()
-                            || !start[2].equals("HTTP/1.1") && !start[2].equals("HTTP/1.0"))) {
+                            || (!start[2].equals("HTTP/1.1") && !start[2].equals("HTTP/1.0")))) {
                 throw new Bad(400, "malformed request line");
             }
             if (!request
@@ -521,9 +521,9 @@
     static boolean token(String s) {
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
-            if (!(c >= 'a' && c <= 'z'
-                    || c >= 'A' && c <= 'Z'
-                    || c >= '0' && c <= '9'
+            if (!((c >= 'a' && c <= 'z')
+                    || (c >= 'A' && c <= 'Z')
+                    || (c >= '0' && c <= '9')
                     || "!#$%&'*+-.^_`|~".indexOf(c) >= 0)) {
                 return false;
             }
@@ -583,7 +583,7 @@
         }
 
         private boolean endsBlank() {
-            return n >= 2 && buf[n - 2] == '\n' || n >= 4 && buf[n - 2] == '\r' && buf[n - 3] == '\n';
+            return (n >= 2 && buf[n - 2] == '\n') || (n >= 4 && buf[n - 2] == '\r' && buf[n - 3] == '\n');
         }
 
         /** The bytes; what follows starts anew. */
--- a/src/main/java/magpiehub/protocol/MessagesProtocol.java
+++ b/src/main/java/magpiehub/protocol/MessagesProtocol.java
@@ -188,7 +188,7 @@
         for (int i = 0; i < s.length(); i++) {
             h = (h ^ s.charAt(i)) * 0x100000001b3L;
         }
-        return (h ^ h >>> 32) & ID_MASK | 1;
+        return ((h ^ h >>> 32) & ID_MASK) | 1;
     }
 
     private static String newId() {
@@ -299,10 +299,10 @@
                     }
                 }
                 ConfigurationObject usage = f.object("usage");
-                read = (long) usage.number("prompt_tokens", read);
-                made = (long) usage.number("completion_tokens", made);
+                read = (long) usage.number("prompt_tokens", (double) read);
+                made = (long) usage.number("completion_tokens", (double) made);
                 kept = Math.min(
-                        read, (long) usage.object("prompt_tokens_details").number("cached_tokens", kept));
+                        read, (long) usage.object("prompt_tokens_details").number("cached_tokens", (double) kept));
             } catch (IOException | ConfigurationException e) {
                 // An event that is none of ours says nothing in this dialect; the engines' side counts it.
                 return;
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -449,7 +449,7 @@
             }
         }
         boolean known = m != null && m.size >= most;
-        if (known || m != null && m.size > 0 && !h.attempts.isEmpty()) {
+        if (known || (m != null && m.size > 0 && !h.attempts.isEmpty())) {
             // A session enters the deque at its own place, so that its next turn finds its tokens there.
             boolean rotate = m.session || h.r.session() == 0;
             int start = 0;
@@ -545,7 +545,7 @@
     }
 
     private boolean reachable(Replica r) {
-        return r.ready && (!r.ejected || now >= r.ejectedUntil && !r.trialOut) && takes(r);
+        return r.ready && (!r.ejected || (now >= r.ejectedUntil && !r.trialOut)) && takes(r);
     }
 
     /** Is it open to ordinary traffic now: reachable, not full a moment ago, no heap of this node's work? */
@@ -554,11 +554,11 @@
         // While the fleet is short a key stays: elsewhere its tokens would be read anew and push the next one
         // over. Where few are found anyway, as after a release, a short queue is worth more than the place.
         return reachable(r)
-                && (strained() && keptPart >= FEW_KEPT
-                        || !waits(r)
+                && ((strained() && keptPart >= FEW_KEPT)
+                        || (!waits(r)
                                 && now >= r.busyUntil
                                 && r.inflight < r.limit
-                                && r.inflight < HEAPED_MORE + HEAPED * mean);
+                                && r.inflight < HEAPED_MORE + HEAPED * mean));
     }
 
     /** Has this node asked it for something that should have begun by now? A first token tells of a slow
@@ -679,7 +679,7 @@
     private boolean mayRetry(Held h, Attempt a, AttemptOutcome o, long took) {
         if (h.streaming
                 || o == AttemptOutcome.MOOT
-                || o == AttemptOutcome.CANCELLED && !a.givenUp
+                || (o == AttemptOutcome.CANCELLED && !a.givenUp)
                 || h.r.deadline() - now < SWEEP
                 || h.attempts.size() >= Math.min(MOST_TRIES, h.mostAttempts(s.limits()))) {
             return false;
@@ -729,8 +729,8 @@
         }
         Endpoint was = first.replica.entry;
         return c.group() == DeduplicationScope.ALL
-                || c.group() == DeduplicationScope.ZONE && to.entry.zone() == was.zone()
-                || c.group() == DeduplicationScope.CELL && to.entry.cell() == was.cell();
+                || (c.group() == DeduplicationScope.ZONE && to.entry.zone() == was.zone())
+                || (c.group() == DeduplicationScope.CELL && to.entry.cell() == was.cell());
     }
 
     /** Whether a request may be answered as refused now, whatever became of its attempts. */
@@ -739,11 +739,12 @@
     }
 
     private boolean mayRefuse(Held h) {
-        if (h.r.cls() < 0 || h.r.cls() >= s.classes().size() || h.open == 0 && h.mayHaveRun == null) {
+        if (h.r.cls() < 0 || h.r.cls() >= s.classes().size() || (h.open == 0 && h.mayHaveRun == null)) {
             return true;
         }
         RequestClass c = s.classes().get(h.r.cls());
-        return c.effect() == Idempotency.PURE || c.effect() == Idempotency.TOKEN && c.group() == DeduplicationScope.ALL;
+        return c.effect() == Idempotency.PURE
+                || (c.effect() == Idempotency.TOKEN && c.group() == DeduplicationScope.ALL);
     }
 
     /** The final answer when there is nothing better: refused if a retry is harmless, else failed. */
@@ -770,7 +771,7 @@
     private void firstToken(Held h, Attempt a, long took) {
         int c = h.r.cls();
         double mean = meanFirst[c] == 0 ? took : meanFirst[c];
-        meanFirst[c] = learnt(mean, took);
+        meanFirst[c] = learnt(mean, (double) took);
         a.replica.heard = now;
         // A late answer that still earns a part is bad by the rest only.
         double worth =
@@ -828,7 +829,7 @@
                     r.limit += 1 / r.limit;
                 }
                 double mean = meanWhole[h.r.cls()] == 0 ? took : meanWhole[h.r.cls()];
-                meanWhole[h.r.cls()] = learnt(mean, took);
+                meanWhole[h.r.cls()] = learnt(mean, (double) took);
                 // A stream that takes long tells of a slow replica too, but answers differ in length.
                 if (took > SLOW_RATIO * mean) {
                     r.slow += (Math.min(10, took / mean) - r.slow) * 0.25;
@@ -970,8 +971,8 @@
      *  can't be reached at all. When the time is over, one request is let through as a trial. */
     private void eject(Replica r, boolean always) {
         if (!r.ready
-                || r.ejected && now < r.ejectedUntil
-                || !r.ejected && !always && ejectedCount + 1 > MOST_EJECTED * readyCount) {
+                || (r.ejected && now < r.ejectedUntil)
+                || (!r.ejected && !always && ejectedCount + 1 > MOST_EJECTED * readyCount)) {
             return;
         }
         ejectedCount += r.ejected ? 0 : 1;
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -295,7 +295,7 @@
         x.bad += slow ? 1 : 0;
         boolean shut = x.shut;
         forget(x);
-        if (x.state == State.LOST || x.state == State.DOUBTED && shut && now - x.since > s.step) {
+        if (x.state == State.LOST || (x.state == State.DOUBTED && shut && now - x.since > s.step)) {
             // It has been without work for a while: what it kept is gone, or everybody comes back at once.
             returning(now, site, Cause.ANSWERED);
         } else if (x.state == State.DOUBTED && (x.cause != Cause.SLOW || !slow) && !unlisted(x, now)) {
@@ -452,7 +452,7 @@
         } else if (x.state == State.WHOLE
                 && (unlisted
                         || failed >= (kind(x) == Cause.ERRORS ? DOUBT_ERRORS : DOUBT)
-                        || x.slowInRow >= s.engines && !sharedSlowness(site, now))) {
+                        || (x.slowInRow >= s.engines && !sharedSlowness(site, now)))) {
             change(now, site, State.DOUBTED, unlisted ? Cause.LIST : failed > 0 ? kind(x) : Cause.SLOW);
         } else if (x.state == State.DOUBTED
                 && !x.shut
--- a/src/main/java/magpiehub/store/LastWriteWinsStore.java
+++ b/src/main/java/magpiehub/store/LastWriteWinsStore.java
@@ -40,7 +40,7 @@
     /** A written value, null once removed: a removal is kept, or an older write would bring the key back. */
     private record Entry(String value, long count, String by) {
         boolean after(Entry other) {
-            return other == null || count > other.count || count == other.count && by.compareTo(other.by) > 0;
+            return other == null || count > other.count || (count == other.count && by.compareTo(other.by) > 0);
         }
     }
 
--- a/src/main/java/magpiehub/streaming/BufferBudget.java
+++ b/src/main/java/magpiehub/streaming/BufferBudget.java
@@ -115,7 +115,7 @@
 
     /** Whether the engine's next bytes may be read now; else the engine waits. */
     public boolean room(Account a) {
-        return a.closed || a.held < a.allowance && (held < total || a.held < STEP / 4);
+        return a.closed || (a.held < a.allowance && (held < total || a.held < STEP / 4));
     }
 
     /** Bytes have come from the engine. */
--- a/src/main/java/magpiehub/streaming/StallDetector.java
+++ b/src/main/java/magpiehub/streaming/StallDetector.java
@@ -150,10 +150,10 @@
         if (!options.learns() || slowest == 0) {
             return options.ceiling;
         }
-        double limit = Math.max(options.floor, options.factor * slowest) * shared();
+        double limit = Math.max((double) options.floor, options.factor * slowest) * shared();
         if (e.streams > 1 && now - e.heardAt < limit / 2) {
             limit *= 2;
         }
-        return (long) Math.min(options.ceiling, limit);
+        return (long) Math.min((double) options.ceiling, limit);
     }
 }
--- a/src/main/java/magpiehub/streaming/StreamLimits.java
+++ b/src/main/java/magpiehub/streaming/StreamLimits.java
@@ -124,7 +124,7 @@
 
         long number(String name, long or, long least, long most) {
             known.add(name);
-            double v = facts.number(name, or);
+            double v = facts.number(name, (double) or);
             if (v != Math.rint(v) || v < least || v > most) {
                 throw new ConfigurationException(path + name + " must be a whole number from " + least + " to " + most);
             }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -1,5 +1,6 @@
 package magpiehub;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -168,14 +169,14 @@
         String settings = Files.readString(Path.of("src/test/resources/" + siteFile));
         settings = resume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
         settings = pushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
-        SiteSettings site = Config.site(Config.facts(settings.getBytes(), "settings"));
+        SiteSettings site = Config.site(Config.facts(settings.getBytes(UTF_8), "settings"));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
         Peer d = peers.computeIfAbsent("d", k -> new Peer());
         d.server = new ServerSocket(0, 8, any.getAddress());
         ActorThreadPool crew = new ActorThreadPool();
         streams = new Streams(
                 StreamLimits.of(
-                        Config.facts(allowances.getBytes(), "streams.json"),
+                        Config.facts(allowances.getBytes(UTF_8), "streams.json"),
                         site.settings().classes(),
                         64 << 20),
                 site,
@@ -202,7 +203,7 @@
                 streams);
         clients.start();
         log.start();
-        discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes());
+        discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes(UTF_8));
         module = Mailbox.thread("module", actor::run);
         module.start();
     }
@@ -365,7 +366,7 @@
             }
             default -> throw new IllegalArgumentException("no such step");
         }
-        if (what.equals(">") && rest.isEmpty() && !p.toSend.toString().contains("@LEN")) {
+        if (what.equals(">") && rest.isEmpty() && !p.toSend.toString(UTF_8).contains("@LEN")) {
             p.flush();
         }
     }
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -213,7 +213,8 @@
                     }
                 }
             } catch (IOException e) {
-                wrong.addAndGet(over || e.getMessage() != null && e.getMessage().contains("refused") ? 0 : 1);
+                wrong.addAndGet(
+                        over || (e.getMessage() != null && e.getMessage().contains("refused")) ? 0 : 1);
             } catch (InterruptedException e) {
                 return;
             }
--- a/src/test/java/magpiehub/admin/MaintenanceStateTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateTest.java
@@ -1,5 +1,6 @@
 package magpiehub.admin;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotNull;
 import static org.junit.Assert.assertNull;
@@ -124,8 +125,8 @@
         for (byte[] bad : List.of(
                 new byte[0],
                 java.util.Arrays.copyOf(whole, whole.length / 2),
-                "{\"form\":\"other\"}".getBytes(),
-                "[]".getBytes(),
+                "{\"form\":\"other\"}".getBytes(UTF_8),
+                "[]".getBytes(UTF_8),
                 new byte[] {0, 1, 2})) {
             Files.write(root.resolve("next"), bad);
             Files.move(root.resolve("next"), file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -1,5 +1,6 @@
 package magpiehub.config;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertThrows;
@@ -131,7 +132,7 @@
     private static SiteSettings site(String classes) {
         try {
             return Config.site(Config.facts(
-                    ("{'classes':[" + classes + "]}").replace('\'', '"').getBytes(), "settings"));
+                    ("{'classes':[" + classes + "]}").replace('\'', '"').getBytes(UTF_8), "settings"));
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
--- a/src/test/java/magpiehub/discovery/PartsTest.java
+++ b/src/test/java/magpiehub/discovery/PartsTest.java
@@ -1,5 +1,6 @@
 package magpiehub.discovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNull;
 import static org.junit.Assert.assertThrows;
@@ -133,8 +134,8 @@
         LastList list = new LastList(file, entries);
         assertNull(list.read(0, S));
         List<EndpointEntry> fleet = List.of(
-                entries.read(Rig.engine(7, "Ready").getBytes(), "e7"),
-                entries.read(Rig.engine(8, "Terminating").getBytes(), "e8"));
+                entries.read(Rig.engine(7, "Ready").getBytes(UTF_8), "e7"),
+                entries.read(Rig.engine(8, "Terminating").getBytes(UTF_8), "e8"));
         list.write(fleet, new View.Position("c", 3, 9), 5_000);
         LastList.Kept kept = list.read(6_000, 10 * S);
         assertEquals(fleet, kept.items().stream().map(View.Item::entry).toList());
--- a/src/test/java/magpiehub/discovery/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -1,5 +1,7 @@
 package magpiehub.discovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
@@ -145,7 +147,8 @@
             }
             // A whole client: membership, the module and its engines, as a router has them.
             SiteSettings site = Config.site(Config.facts(
-                    ("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]," + "\"classes\":[{\"name\":\"c\"}]}").getBytes(),
+                    ("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]," + "\"classes\":[{\"name\":\"c\"}]}")
+                            .getBytes(UTF_8),
                     "settings"));
             UpstreamPool engines = new UpstreamPool(
                     site,
@@ -564,7 +567,7 @@
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", registry.addresses())
                 + "\"],\"prefix\":\"" + StandIn.PREFIX + "\",\"service\":\"engines\""
                 + (whole ? ",\"list_file\":\"" + list + "\"" : "") + "}";
-        return Options.of(Config.facts(json.getBytes(), "registry.json"), Path.of("."));
+        return Options.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     private static Result dialect(boolean etcd, long seed, int engines, int changes, int views, int whole, long settle)
@@ -661,7 +664,7 @@
             r.bad.add(n + " lag");
         }
         // Measured where enough of them lost it together to have a spread.
-        if (spread[0] <= 0 || followers.size() >= 50 && width < 750) {
+        if (spread[0] <= 0 || (followers.size() >= 50 && width < 750)) {
             r.bad.add(n + " spread");
         }
         registry.close();
--- a/src/test/java/magpiehub/discovery/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -1,5 +1,6 @@
 package magpiehub.discovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertTrue;
 
 import java.io.IOException;
@@ -147,7 +148,7 @@
 
     static Supplier<SiteSettings> site() throws IOException {
         SiteSettings s =
-                Config.site(Config.facts("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(), "settings"));
+                Config.site(Config.facts("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(UTF_8), "settings"));
         return () -> s;
     }
 
@@ -163,7 +164,7 @@
                 + "\"backoff_base_ms\":20,\"backoff_cap_ms\":200,\"least_interval_ms\":20,"
                 + "\"check_every_ms\":200,\"timeout_ms\":2000,\"membership\":{\"flap_half_life_ms\":0}"
                 + more + "}";
-        return Options.of(Config.facts(json.getBytes(), "registry.json"), Path.of("."));
+        return Options.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     static void await(BooleanSupplier what, java.util.function.Supplier<String> otherwise) {
--- a/src/test/java/magpiehub/discovery/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -1,5 +1,6 @@
 package magpiehub.discovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static magpiehub.ServeTest.hangUp;
 import static magpiehub.ServeTest.until;
 import static org.junit.Assert.assertEquals;
@@ -82,7 +83,7 @@
                     client.getOutputStream()
                             .write(("POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
                                             + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}")
-                                    .getBytes());
+                                    .getBytes(UTF_8));
                     try (Socket at = engine.accept()) {
                         until(
                                 new BufferedReader(new InputStreamReader(at.getInputStream(), StandardCharsets.UTF_8)),
@@ -90,7 +91,7 @@
                         at.getOutputStream()
                                 .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                                 + "9\r\ndata: x\n\n\r\n0\r\n\r\n")
-                                        .getBytes());
+                                        .getBytes(UTF_8));
                         assertEquals(
                                 "HTTP/1.1 200 OK",
                                 new BufferedReader(
--- a/src/test/java/magpiehub/discovery/StandIn.java
+++ b/src/test/java/magpiehub/discovery/StandIn.java
@@ -1,5 +1,7 @@
 package magpiehub.discovery;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -312,7 +314,7 @@
         private void answer(Http.Head h, String path, String query, byte[] body, OutputStream out)
                 throws IOException, InterruptedException {
             if (fault == Fault.REFUSING) {
-                send(out, 429, "Retry-After: 0.2\r\n", "{}".getBytes());
+                send(out, 429, "Retry-After: 0.2\r\n", "{}".getBytes(UTF_8));
             } else if (path.startsWith("/v3/")) {
                 etcd(h, path, Config.facts(body, "call"), out);
             } else if (path.startsWith("/v1/agent")) {
@@ -340,12 +342,12 @@
                                         ? "{\"header\":{},\"token\":\"token." + logins + "\"}"
                                         : "{\"error\":\"authentication failed, "
                                                 + "invalid user ID or password\",\"code\":3}")
-                                .getBytes());
+                                .getBytes(UTF_8));
                 return;
             }
             synchronized (StandIn.this) {
                 if (fault == Fault.UNAUTHORISED
-                        || password != null && !tokens.contains(String.valueOf(h.get("Authorization")))) {
+                        || (password != null && !tokens.contains(String.valueOf(h.get("Authorization"))))) {
                     error(out, 401, 16, "etcdserver: invalid auth token");
                     return;
                 }
@@ -364,7 +366,7 @@
                     "",
                     ("{\"error\":\"" + message + "\",\"code\":" + code + ",\"message\":\"" + message
                                     + "\",\"details\":[]}")
-                            .getBytes());
+                            .getBytes(UTF_8));
         }
 
         private void header(JsonGenerator g) throws IOException {
@@ -456,7 +458,7 @@
         private void watch(ConfigurationObject f, OutputStream out) throws IOException, InterruptedException {
             long next = Long.parseLong(f.text("start_revision", "0"));
             String prefix = text(f, "key");
-            out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
+            out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
             String created = cluster;
             synchronized (StandIn.this) {
                 line(out, g -> {
@@ -536,7 +538,7 @@
                                 out,
                                 200,
                                 "",
-                                ("{\"ID\":\"" + rev * 7 + "\",\"TTL\":\"" + f.text("TTL", "") + "\"}").getBytes());
+                                ("{\"ID\":\"" + rev * 7 + "\",\"TTL\":\"" + f.text("TTL", "") + "\"}").getBytes(UTF_8));
                     }
                     case "/v3/kv/put" -> {
                         if (held == null) {
@@ -544,17 +546,17 @@
                             return;
                         }
                         held.add(text(f, "key"));
-                        send(out, 200, "", "{}".getBytes());
+                        send(out, 200, "", "{}".getBytes(UTF_8));
                     }
                     case "/v3/lease/keepalive" -> send(
                             out,
                             200,
                             "",
                             ("{\"result\":{\"ID\":\"" + id + "\"" + (held == null ? "" : ",\"TTL\":\"10\"") + "}}\n")
-                                    .getBytes());
+                                    .getBytes(UTF_8));
                     default -> {
                         leases.remove(id);
-                        send(out, 200, "", "{}".getBytes());
+                        send(out, 200, "", "{}".getBytes(UTF_8));
                     }
                 }
                 StandIn.this.notifyAll();
@@ -575,17 +577,17 @@
                     known = services.contains(id);
                 }
             }
-            send(out, known ? 200 : 404, "", known ? new byte[0] : "Unknown check".getBytes());
+            send(out, known ? 200 : 404, "", known ? new byte[0] : "Unknown check".getBytes(UTF_8));
         }
 
         private void consul(Http.Head h, String path, String query, OutputStream out)
                 throws IOException, InterruptedException {
-            if (fault == Fault.UNAUTHORISED || password != null && !password.equals(h.get("X-Consul-Token"))) {
-                send(out, 403, "", "Permission denied".getBytes());
+            if (fault == Fault.UNAUTHORISED || (password != null && !password.equals(h.get("X-Consul-Token")))) {
+                send(out, 403, "", "Permission denied".getBytes(UTF_8));
                 return;
             }
             if (fault == Fault.NO_LEADER) {
-                send(out, 200, "X-Consul-Index: " + rev + "\r\nX-Consul-KnownLeader: false\r\n", "[]".getBytes());
+                send(out, 200, "X-Consul-Index: " + rev + "\r\nX-Consul-KnownLeader: false\r\n", "[]".getBytes(UTF_8));
                 return;
             }
             Map<String, String> q = new HashMap<>();
@@ -595,13 +597,13 @@
             long index = Long.parseLong(q.getOrDefault("index", "0"));
             long until = System.nanoTime()
                     + Long.parseLong(q.getOrDefault("wait", "60000ms").replace("ms", "")) * 1_000_000;
-            byte[] body = "[]".getBytes();
+            byte[] body = "[]".getBytes(UTF_8);
             Map<String, Version> all = null;
             long at;
             boolean health = path.startsWith("/v1/health");
             synchronized (StandIn.this) {
                 long left = (until - System.nanoTime()) / 1_000_000;
-                while (index > 0 && index == visible() && left > 0 || index > 0 && fault == Fault.MUTE) {
+                while ((index > 0 && index == visible() && left > 0) || (index > 0 && fault == Fault.MUTE)) {
                     StandIn.this.wait(Math.max(1, left));
                     left = (until - System.nanoTime()) / 1_000_000;
                 }
@@ -664,7 +666,7 @@
             try {
                 f = Config.facts(v.value, "value");
             } catch (IOException | RuntimeException e) {
-                f = Config.facts("{\"host_port\":\"nowhere:x\"}".getBytes(), "value");
+                f = Config.facts("{\"host_port\":\"nowhere:x\"}".getBytes(UTF_8), "value");
             }
             ConfigurationObject e = f;
             String[] address = (e.text("host_port", "") + ":x").split(":");
--- a/src/test/java/magpiehub/discovery/WatchesTest.java
+++ b/src/test/java/magpiehub/discovery/WatchesTest.java
@@ -106,7 +106,7 @@
                         };
                 if (l.closed) {
                     d.queue.remove(l);
-                } else if (timedOut || l.fate != null && now - l.begun >= after) {
+                } else if (timedOut || (l.fate != null && now - l.begun >= after)) {
                     d.queue.remove(l);
                     l.router.ended(l);
                 }
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -275,7 +275,7 @@
                 actor.shutDown(false);
                 turns();
                 boolean harmless =
-                        effect == Idempotency.PURE || effect == Idempotency.TOKEN && group == DeduplicationScope.ALL;
+                        effect == Idempotency.PURE || (effect == Idempotency.TOKEN && group == DeduplicationScope.ALL);
                 assertEquals(
                         effect + " " + group,
                         List.of("start a", "abort a", (harmless ? "refuse" : "fail") + " at 1000000"),
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -460,7 +460,7 @@
         if (phase == Phase.RESETS && percent < 30) {
             return percent < 20 ? AttemptOutcome.RESET : AttemptOutcome.SPOILT;
         }
-        if (engine.inFlight > 12 || phase == Phase.OVERLOAD && percent < 30) {
+        if (engine.inFlight > 12 || (phase == Phase.OVERLOAD && percent < 30)) {
             return AttemptOutcome.FULL;
         }
         if (percent < 4) {
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -89,7 +89,7 @@
             assertTrue(s.limits().parallel() || j.open() == 0, "two at once");
             for (int i = 0; i < j.at.size(); i++) {
                 AttemptOutcome o = j.ended.get(i);
-                if (j.c.effect() == Idempotency.PURE || o != null && o.neverRan) {
+                if (j.c.effect() == Idempotency.PURE || (o != null && o.neverRan)) {
                     continue;
                 }
                 assertEquals(Idempotency.TOKEN, j.c.effect(), "a side effect may happen twice");
@@ -97,8 +97,8 @@
                 Endpoint was = everKnown.get(j.at.get(i));
                 assertTrue(
                         j.c.group() == DeduplicationScope.ALL
-                                || j.c.group() == DeduplicationScope.ZONE && was.zone() == e.zone()
-                                || j.c.group() == DeduplicationScope.CELL && was.cell() == e.cell(),
+                                || (j.c.group() == DeduplicationScope.ZONE && was.zone() == e.zone())
+                                || (j.c.group() == DeduplicationScope.CELL && was.cell() == e.cell()),
                         "outside the group");
             }
             if (e.onlineSince() > 0 && now - e.onlineSince() < s.guarantees().fall()) {
@@ -119,8 +119,8 @@
             for (int i = 0; refused && i < j.at.size(); i++) {
                 assertTrue(
                         j.c.effect() == Idempotency.PURE
-                                || j.ended.get(i) != null && j.ended.get(i).neverRan
-                                || j.c.effect() == Idempotency.TOKEN && j.c.group() == DeduplicationScope.ALL,
+                                || (j.ended.get(i) != null && j.ended.get(i).neverRan)
+                                || (j.c.effect() == Idempotency.TOKEN && j.c.group() == DeduplicationScope.ALL),
                         "refused what may have run");
             }
             assertEquals(-1, j.begun, "ended a stream that runs");
--- a/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -247,7 +247,7 @@
             }
             long waited = now - began;
             assertTrue(waited <= 1.25 * S.longest());
-            assertTrue(waited >= 0.75 * Math.min(S.longest(), S.trial() << 2 * flap));
+            assertTrue(waited >= 0.75 * Math.min(S.longest(), S.trial() << (2 * flap)));
             assertTrue(flap > 3 || waited > before);
             before = waited;
             assertFalse("one trial at a time", sites.tryNow(1, now));
--- a/src/test/java/magpiehub/streaming/ModulesTest.java
+++ b/src/test/java/magpiehub/streaming/ModulesTest.java
@@ -1,5 +1,6 @@
 package magpiehub.streaming;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertNull;
@@ -70,7 +71,7 @@
         List<BufferBudget.Account> open = new ArrayList<>();
         for (int i = 0; i < 200_000; i++) {
             long now = i * 100L;
-            if (open.isEmpty() || r.nextInt(50) == 0 && b.admits(now)) {
+            if (open.isEmpty() || (r.nextInt(50) == 0 && b.admits(now))) {
                 open.add(b.open(i, 256 << 10, now));
             }
             BufferBudget.Account a = open.get(r.nextInt(open.size()));
@@ -198,7 +199,7 @@
     }
 
     private static StreamLimits of(String json) throws Exception {
-        return StreamLimits.of(Config.facts(json.getBytes(), "streams.json"), CLASSES, 64 << 20);
+        return StreamLimits.of(Config.facts(json.getBytes(UTF_8), "streams.json"), CLASSES, 64 << 20);
     }
 
     private static String fault(String json) {
--- a/src/test/java/magpiehub/streaming/StreamsProof.java
+++ b/src/test/java/magpiehub/streaming/StreamsProof.java
@@ -1,5 +1,7 @@
 package magpiehub.streaming;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -146,13 +148,13 @@
                 id = h.get("X-Call-Id");
                 Trouble t = Trouble.valueOf(id.substring(id.indexOf('-') + 1));
                 OutputStream out = s.getOutputStream();
-                out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
+                out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
                 if (!tell(t, out)) {
                     // Nothing more from here: what remains is to see the router's end of it.
                     int b = s.getInputStream().read();
                     throw new IOException("after silence " + b);
                 }
-                out.write("0\r\n\r\n".getBytes());
+                out.write("0\r\n\r\n".getBytes(UTF_8));
             }
         } catch (IOException | InterruptedException e) {
             Long left = leftAt.remove(id);
@@ -181,7 +183,7 @@
         }
         switch (t) {
             case DRIBBLES -> {
-                out.write("40\r\n".getBytes());
+                out.write("40\r\n".getBytes(UTF_8));
                 for (int i = 0; i < 30; i++) {
                     out.write("data: dribble dribble dribble drib".charAt(i));
                     TimeUnit.MILLISECONDS.sleep(200);
@@ -189,7 +191,7 @@
             }
             case COMMENTS -> {
                 for (int i = 0; i < 40; i++) {
-                    chunk(out, ": still here\n\n".getBytes());
+                    chunk(out, ": still here\n\n".getBytes(UTF_8));
                     TimeUnit.MILLISECONDS.sleep(200);
                 }
             }
@@ -212,7 +214,7 @@
                     .write(("POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
                                     + "\r\nX-Call-Class: chat\r\nX-Route-Hash: " + Integer.toHexString(id.hashCode())
                                     + "\r\nX-Budget-Ms: 8000\r\nContent-Length: 2\r\n\r\n{}")
-                            .getBytes());
+                            .getBytes(UTF_8));
             Http.Input in = new Http.Input(s.getInputStream(), () -> System.nanoTime() / 1000);
             if (!in.await()) {
                 cutOff.incrementAndGet();
@@ -304,7 +306,7 @@
                 && Arrays.equals(same, 0, same.length, s, 0, same.length)
                 && (!all || same.length == s.length);
         boolean mayBeWhole = t == Trouble.NONE || t == Trouble.PAUSES || t == Trouble.LARGE;
-        if (!good || all && !mayBeWhole) {
+        if (!good || (all && !mayBeWhole)) {
             wrong.incrementAndGet();
         }
     }
@@ -375,11 +377,11 @@
                         while (true) {
                             Socket s = discovery.accept();
                             s.getOutputStream()
-                                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").getBytes());
+                                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").getBytes(UTF_8));
                             Mailbox.thread("watch", () -> {
                                         try {
                                             while (true) {
-                                                s.getOutputStream().write("1\r\n\n\r\n".getBytes());
+                                                s.getOutputStream().write("1\r\n\n\r\n".getBytes(UTF_8));
                                                 TimeUnit.SECONDS.sleep(1);
                                             }
                                         } catch (IOException | InterruptedException e) {
@@ -437,7 +439,7 @@
     private Map<String, Long> counters() throws IOException {
         try (Socket s = new Socket("127.0.0.1", port)) {
             s.setSoTimeout(10_000);
-            s.getOutputStream().write("GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n".getBytes());
+            s.getOutputStream().write("GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n".getBytes(UTF_8));
             String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             Map<String, Long> m = new TreeMap<>();
             for (String l : text.substring(text.indexOf("\r\n\r\n") + 4).split("\n")) {
@@ -609,7 +611,7 @@
                     "reader's end " + at(closing, 0.99) + " us, late " + p.late);
             check(
                     bad,
-                    healthy < 50 || ratio <= 1.2 && at(crowd, 0.99) <= 1.2 * at(alone, 0.99),
+                    healthy < 50 || (ratio <= 1.2 && at(crowd, 0.99) <= 1.2 * at(alone, 0.99)),
                     "gap of healthy streams");
         } finally {
             for (ServerSocket s : p.engines) {
--- a/src/test/java/magpiehub/streaming/StreamsTest.java
+++ b/src/test/java/magpiehub/streaming/StreamsTest.java
@@ -1,5 +1,6 @@
 package magpiehub.streaming;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertTrue;
 
 import java.nio.file.Files;
@@ -46,7 +47,9 @@
         SiteSettings site = Config.site(Config.facts(settings, "site"));
         String allowed = "{\"buffer_kb\":" + BUFFER / 1024 + ",\"pause_ms\":" + 2 * PAUSE / 1000 + "}";
         StreamLimits allowances = StreamLimits.of(
-                Config.facts(allowed.getBytes(), "streams"), site.settings().classes(), 64 << 20);
+                Config.facts(allowed.getBytes(UTF_8), "streams"),
+                site.settings().classes(),
+                64 << 20);
         Streams streams = new Streams(allowances, site, clock, new SyslogEventLog(System.err, "test", 1));
         Streams.Flow flow = streams.open(0, 0, "r", () -> {});
         streams.begun(flow, "e");
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -1,5 +1,6 @@
 package magpiehub.upstream;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -128,7 +129,7 @@
                                     + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(event.length())
                                     + "\r\n"
                                     + event + "\r\n" + last)
-                            .getBytes());
+                            .getBytes(UTF_8));
         }
     }
 
@@ -197,7 +198,7 @@
         site = Config.site(Config.facts(
                 Files.readString(Path.of("src/test/resources/site.json"))
                         .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
-                        .getBytes(),
+                        .getBytes(UTF_8),
                 "settings"));
         streams = new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
         UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
@@ -213,7 +214,7 @@
     private boolean take(ProtocolAdapter.Sink sink) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
-        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes()), MonotonicClock.SYSTEM::micros);
+        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM::micros);
         try {
             assertTrue(in.await());
             Http.Head head = in.head(true);
