--- a/lab/src/main/java/magpiehub/lab/Clients.java
+++ b/lab/src/main/java/magpiehub/lab/Clients.java
@@ -462,7 +462,7 @@
                 }
                 done[0] |= s.contains("[DONE]");
             });
-            if (done[1] || done[0] && next[0] != max || !done[0]) {
+            if (done[1] || (done[0] && next[0] != max) || !done[0]) {
                 c.socket.close();
                 return End.SPOILT; // Ended in order, and it is not one engine's whole stream.
             }
--- a/lab/src/main/java/magpiehub/lab/Discovery.java
+++ b/lab/src/main/java/magpiehub/lab/Discovery.java
@@ -1,5 +1,7 @@
 package magpiehub.lab;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetSocketAddress;
@@ -160,7 +162,7 @@
             while (in.await()) {
                 Http.Head h = in.head(true);
                 if (!h.start[1].startsWith("/discovery/hosts")) {
-                    s.getOutputStream().write("HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n".getBytes());
+                    s.getOutputStream().write("HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n".getBytes(UTF_8));
                 } else if (h.start[1].contains("follow=1")) {
                     follow(router, site, s.getOutputStream(), since(h.start[1]));
                     return;
@@ -168,12 +170,12 @@
                     byte[] b;
                     synchronized (this) {
                         long upTo = tellable(EngineSite.micros(), new long[1]);
-                        b = list(router, site, 0, upTo, true).getBytes();
+                        b = list(router, site, 0, upTo, true).getBytes(UTF_8);
                     }
                     s.getOutputStream()
                             .write(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" + "Content-Length: "
                                             + b.length + "\r\n\r\n")
-                                    .getBytes());
+                                    .getBytes(UTF_8));
                     s.getOutputStream().write(b);
                 }
             }
@@ -193,7 +195,8 @@
     }
 
     private void follow(int router, int site, OutputStream to, long since) throws IOException {
-        to.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
+        to.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+                .getBytes(UTF_8));
         long sent = since;
         boolean first = true;
         boolean whole = true;
@@ -214,20 +217,21 @@
                 if (torn) {
                     torn = false;
                     line = line.isEmpty() ? "{\"revision\":" : line.substring(0, line.length() / 2);
-                    to.write((Integer.toHexString(line.length() + 9) + "\r\n" + line).getBytes());
+                    to.write((Integer.toHexString(line.length() + 9) + "\r\n" + line).getBytes(UTF_8));
                     return;
                 }
                 sent = Math.max(sent, upTo);
                 first = false;
             }
-            byte[] b = (line + "\n").getBytes();
-            to.write((Integer.toHexString(b.length) + "\r\n").getBytes());
+            byte[] b = (line + "\n").getBytes(UTF_8);
+            to.write((Integer.toHexString(b.length) + "\r\n").getBytes(UTF_8));
             to.write(b);
-            to.write("\r\n".getBytes());
+            to.write("\r\n".getBytes(UTF_8));
         }
     }
 
     /** The entries that changed after a revision, or all. Called with the lock held; notes what it tells. */
+    @SuppressWarnings("ReferenceEquality") // Whether it is the newest entry itself, not one like it.
     private String list(int router, int site, long after, long upTo, boolean whole) {
         StringBuilder l = new StringBuilder("{\"revision\":")
                 .append(upTo)
--- a/lab/src/main/java/magpiehub/lab/EngineSite.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSite.java
@@ -242,6 +242,7 @@
     }
 
     /** Waits on a monitor that is held, for so long (us) at most; 0 until it is told. */
+    @SuppressWarnings("WaitNotInLoop") // Callers look at their condition again in a loop.
     static void pause(Object monitor, long us) {
         try {
             if (us == 0) {
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -536,7 +536,7 @@
         List<Processes.Proc> to = new ArrayList<>();
         for (Clients.Target t : targets) {
             boolean there = f.site() < 0 || t.site() == f.site();
-            if (there && (f.target().equals("site") || f.target().equals("routers"))
+            if ((there && (f.target().equals("site") || f.target().equals("routers")))
                     || f.target().equals(t.name())) {
                 to.add(routers.get(t.router()));
             }
@@ -554,9 +554,9 @@
         return paths.stream()
                 .filter(p -> f.paths().equals("all") || p.name.startsWith(f.paths()))
                 .filter(p -> f.site() < 0
-                        || p.from == f.site() && (f.to() < 0 ? p.to != p.from : p.to == f.to())
-                        || f.to() < 0 && p.to == f.site() && p.from != p.to
-                        || f.to() >= 0 && p.to == f.site() && p.from == f.to())
+                        || (p.from == f.site() && (f.to() < 0 ? p.to != p.from : p.to == f.to()))
+                        || (f.to() < 0 && p.to == f.site() && p.from != p.to)
+                        || (f.to() >= 0 && p.to == f.site() && p.from == f.to()))
                 .toList();
     }
 
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -71,7 +71,7 @@
             Path root = Fleet.root();
             jar = jar == null ? root.resolve("target/magpiehub.jar") : jar;
             out = out == null ? root.resolve("target/lab/" + s.name + "-" + s.seed) : out;
-            if (!Files.isReadable(jar) || base != null && !Files.isReadable(base)) {
+            if (!Files.isReadable(jar) || (base != null && !Files.isReadable(base))) {
                 throw new Scenario.Wrong("no jar: " + (Files.isReadable(jar) ? base : jar));
             }
             Map<String, String> files = site == null ? Map.of() : Map.of("site.json", site);
--- a/lab/src/main/java/magpiehub/lab/Processes.java
+++ b/lab/src/main/java/magpiehub/lab/Processes.java
@@ -102,7 +102,7 @@
                     }
                 })
                 .start();
-        process.onExit().thenAccept(x -> {
+        var unused = process.onExit().thenAccept(x -> {
             synchronized (p) {
                 if (!over && p.process == process && !p.dead) {
                     p.dead = true;
@@ -124,7 +124,7 @@
                     boolean asks = signal.equals("QUIT");
                     p.hit = asks ? p.hit : now;
                     p.dead = signal.equals("KILL") || signal.equals("TERM");
-                    p.stopped = signal.equals("STOP") || asks && p.stopped;
+                    p.stopped = signal.equals("STOP") || (asks && p.stopped);
                     pids.append(' ').append(p.process.pid());
                 }
             }
@@ -181,7 +181,7 @@
                     samples.add(s);
                 }
             } catch (IOException | java.io.UncheckedIOException e) {
-                continue; // It has ended meanwhile.
+                // The process has ended meanwhile: it has no sample.
             }
         }
     }
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -192,7 +192,7 @@
 
     /** Stands as the path and the process behind it say. */
     private synchronized void apply() throws IOException {
-        Door now = closed || down && !path.drops() ? Door.REFUSES : path.drops() ? Door.DROPS : Door.OPEN;
+        Door now = closed || (down && !path.drops()) ? Door.REFUSES : path.drops() ? Door.DROPS : Door.OPEN;
         if (now == door) {
             return;
         }
--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -87,7 +87,7 @@
         }
 
         boolean down(long t) {
-            return t >= from && t < until || again != Long.MAX_VALUE && t >= again && t < again + 3_000_000;
+            return (t >= from && t < until) || (again != Long.MAX_VALUE && t >= again && t < again + 3_000_000);
         }
 
         /** Whether a router of a site can't get through to another. */
@@ -113,6 +113,7 @@
         return all;
     }
 
+    @SuppressWarnings("EnumOrdinal") // A digest over changes: names would be as good, but give another one.
     private static Result router(Scenario c, int own, SplittableRandom r) {
         Result result = new Result();
         SiteHealthTracker m = new SiteHealthTracker(S, c.sites, own, r.nextLong());
@@ -165,8 +166,8 @@
                                 ch.cause().ordinal(),
                                 ch.at());
                 changes[ch.site()]++;
-                boolean right =
-                        truth && ch.site() == c.site || c.fault == Fault.CUT && ch.site() == c.site && own != c.site;
+                boolean right = (truth && ch.site() == c.site)
+                        || (c.fault == Fault.CUT && ch.site() == c.site && own != c.site);
                 result.lostWrongly += ch.to() == State.LOST && !right ? 1 : 0;
             }
             boolean hit = truth ? true : c.fault == Fault.CUT && own != c.site;
@@ -200,7 +201,7 @@
         } else if (engine < c.badPart * ENGINES / c.sites) {
             due.add(new Due(t + 20_000, t, to, id, ZoneEvidence.ERROR, 0));
         } else {
-            boolean slow = c.down(t) && (c.fault == Fault.ALL_SLOW || c.fault == Fault.SLOW && to == c.site);
+            boolean slow = c.down(t) && (c.fault == Fault.ALL_SLOW || (c.fault == Fault.SLOW && to == c.site));
             double ratio =
                     slow ? 2.9 * (0.5 + r.nextDouble()) * (c.fault == Fault.SLOW ? 10 : 1) : 0.5 + r.nextDouble();
             due.add(new Due(t + (long) (100_000 * ratio), t, to, id, ZoneEvidence.ANSWERED, ratio));
--- a/lab/src/main/java/magpiehub/lab/Verdict.java
+++ b/lab/src/main/java/magpiehub/lab/Verdict.java
@@ -180,7 +180,7 @@
                 "changes of a router's word on a site, for each event",
                 String.format(Locale.ROOT, "%.1f", (double) changes() / events),
                 "at most " + CHANGES,
-                changes() <= CHANGES * events));
+                changes() <= (long) CHANGES * events));
         for (Loss l : losses) {
             String name = o.scenario().sites.get(l.site).name();
             double share = served(l.from, l.until, l.site);
--- a/src/main/java/magpiehub/http/Http.java
+++ b/src/main/java/magpiehub/http/Http.java
@@ -9,7 +9,6 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Predicate;
-import magpiehub.protocol.ProtocolAdapter;
 
 /**
  * HTTP/1.1 as bytes: reading heads, bodies and the events of a stream from one buffer a connection, and
@@ -624,11 +623,16 @@
 
     /** An answer that says why there is no other, and when to come back if that is known. */
     public static void error(Output out, int status, String json, long retryAfter, boolean close) {
-        String[] more =
-                retryAfter > 0 ? new String[] {"Retry-After", ProtocolAdapter.seconds(retryAfter)} : new String[0];
+        String[] more = retryAfter > 0 ? new String[] {"Retry-After", seconds(retryAfter)} : new String[0];
         answer(out, status, "application/json", json.getBytes(StandardCharsets.UTF_8), close, more);
     }
 
+    /** Whole and thousandth seconds for {@code Retry-After}, never zero. */
+    private static String seconds(long micros) {
+        long ms = Math.max(1, (micros + 999) / 1000);
+        return ms / 1000 + "." + String.format(Locale.ROOT, "%03d", ms % 1000);
+    }
+
     /** The head of an answer that is a stream of events. */
     public static void streamHead(Output out, boolean close) {
         out.text("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"
--- a/src/main/java/magpiehub/protocol/ProtocolAdapter.java
+++ b/src/main/java/magpiehub/protocol/ProtocolAdapter.java
@@ -1,7 +1,6 @@
 package magpiehub.protocol;
 
 import java.nio.charset.StandardCharsets;
-import java.util.Locale;
 import magpiehub.http.Http;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.streaming.StreamOutcomes;
@@ -96,12 +95,6 @@
         Streams.Flow flow();
     }
 
-    /** Seconds with three decimals, never zero. */
-    static String seconds(long micros) {
-        long ms = Math.max(1, (micros + 999) / 1000);
-        return ms / 1000 + "." + String.format(Locale.ROOT, "%03d", ms % 1000);
-    }
-
     /** The event's data: what stands behind its {@code data:} fields. */
     static String data(byte[] event) {
         StringBuilder d = new StringBuilder();
--- a/src/main/java/magpiehub/streaming/BufferBudget.java
+++ b/src/main/java/magpiehub/streaming/BufferBudget.java
@@ -138,7 +138,7 @@
     /** Bytes were taken by the client's socket. */
     public void passed(Account a, long bytes, long now) {
         if (!a.closed) {
-            less(a, bytes, now);
+            less(a, bytes);
             a.passed += bytes;
             a.movedAt = now;
         }
@@ -147,11 +147,11 @@
     /** Bytes that had come were let go of: an attempt that the client never saw. */
     public void dropped(Account a, long bytes, long now) {
         if (!a.closed) {
-            less(a, bytes, now);
+            less(a, bytes);
         }
     }
 
-    private void less(Account a, long bytes, long now) {
+    private void less(Account a, long bytes) {
         if (bytes < 0 || bytes > a.held) {
             throw new IllegalStateException(bytes + " bytes taken of " + a.held);
         }
--- a/src/main/java/magpiehub/streaming/Streams.java
+++ b/src/main/java/magpiehub/streaming/Streams.java
@@ -10,10 +10,9 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * The streams under way, as the actors on both their sides see them: one lock round the {@link BufferBudget}, the
- * {@link StallDetector} and the {@link StreamOutcomes}. It owns that lock and the wait of an engine's reader for room. It must
- * never decide by itself (those modules do), touch a socket, or make anybody wait but the reader of the very
- * engine whose bytes find no room.
+ * The streams in progress, as the actors on both their sides see them: one lock around the {@link BufferBudget}, the
+ * {@link StallDetector} and the {@link StreamOutcomes}, which make the decisions. It never touches a socket, and makes
+ * nobody wait but the reader of the very engine whose bytes find no room.
  */
 public final class Streams {
     /** How long an engine's reader waits before it looks again by itself (us). */
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -539,6 +539,7 @@
             readers.execute(() -> read(s, to));
         }
 
+        @SuppressWarnings("NonAtomicVolatileUpdate") // Only the connection's own turns write the count.
         private void write() {
             if (!takes()) {
                 return;
--- a/src/test/java/magpiehub/FullHouseTest.java
+++ b/src/test/java/magpiehub/FullHouseTest.java
@@ -135,6 +135,7 @@
         return ServeTest.reader(s).readLine();
     }
 
+    @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
     private void idleClientsFill(int sockets) throws Exception {
         List<Socket> idle = new ArrayList<>();
         StringBuffer seen = new StringBuffer();
@@ -167,7 +168,10 @@
                         // No more are let in, or it was closed to make room.
                     }
                 }
-                long files = Files.list(Path.of("/proc/" + p.pid() + "/fd")).count();
+                long files;
+                try (var descriptors = Files.list(Path.of("/proc/" + p.pid() + "/fd"))) {
+                    files = descriptors.count();
+                }
                 assertTrue(files + " descriptors of " + sockets, files <= sockets);
                 long back = System.nanoTime();
                 try (ServerSocket again = new ServerSocket(at, 8, HERE)) {
@@ -211,6 +215,7 @@
     }
 
     /** With a list of its own, whatever discovery does; without one, as soon as a slow one has told it. */
+    @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
     @Test
     public void aRestartedRouterIsReadyInTime() throws Exception {
         List<Process> all = new ArrayList<>();
@@ -257,6 +262,7 @@
             d.close();
             return;
         }
+        @SuppressWarnings("ModifiedButNotUsed") // Keeps the sockets reachable, and so open.
         List<Socket> open = new ArrayList<>();
         Thread t = new Thread(() -> {
             while (!d.isClosed()) {
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -58,6 +58,7 @@
         }
 
         @Override
+        @SuppressWarnings("WaitNotInLoop") // Callers look at the clock again in a loop.
         public void await(Object monitor, long until) throws InterruptedException {
             monitor.wait(1);
         }
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -351,7 +351,7 @@
                         Long.parseLong(f[12]),
                         waits));
             } catch (IOException | java.io.UncheckedIOException e) {
-                continue; // It has ended meanwhile.
+                // The thread has ended meanwhile.
             }
         }
         return all;
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -25,7 +25,7 @@
                             for (int i = 0; i < TAKES; i++) {
                                 box.take(MonotonicClock.SYSTEM.micros() + 30 + i % 90);
                                 while (box.poll() != null) {
-                                    continue;
+                                    // Takes all there is.
                                 }
                             }
                             System.exit(0);
--- a/src/test/java/magpiehub/streaming/StreamsProof.java
+++ b/src/test/java/magpiehub/streaming/StreamsProof.java
@@ -377,7 +377,7 @@
                         while (true) {
                             Socket s = discovery.accept();
                             s.getOutputStream()
-                                    .write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").getBytes(UTF_8));
+                                    .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
                             Mailbox.thread("watch", () -> {
                                         try {
                                             while (true) {
