--- /dev/null
+++ b/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
@@ -0,0 +1,76 @@
+package magpiehub.admin;
+
+import static org.junit.Assert.assertArrayEquals;
+import static org.junit.Assert.assertEquals;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import magpiehub.telemetry.EventLog;
+import org.junit.Rule;
+import org.junit.Test;
+import org.junit.rules.TemporaryFolder;
+
+/**
+ * Reads a state file that the program of 2 December 2026 wrote, before its classes were rearranged: a router
+ * that is upgraded finds such a file.
+ */
+public class MaintenanceStateFileTest {
+    private static final MaintenanceState.Held RECORDED = new MaintenanceState.Held(
+            7,
+            true,
+            Set.of("engine-1"),
+            Map.of("engine-2", 1796224634921L),
+            Set.of("engine-1", "engine-2", "engine \"three\" \u00fc"),
+            Set.of(30430L),
+            Set.of("south"));
+
+    @Rule
+    public final TemporaryFolder folder = new TemporaryFolder();
+
+    private final EventLog failOnFault = new EventLog() {
+        @Override
+        public void count(String name) {
+            throw new AssertionError(name);
+        }
+
+        @Override
+        public void log(String what, String... namesAndValues) {
+            throw new AssertionError(what + " " + String.join(" ", namesAndValues));
+        }
+    };
+
+    private static byte[] recordedFile() throws IOException {
+        try (InputStream in = MaintenanceStateFileTest.class.getResourceAsStream("/maintenance-state.json")) {
+            return in.readAllBytes();
+        }
+    }
+
+    @Test
+    public void parsesTheRecordedFile() throws IOException {
+        assertEquals(RECORDED, MaintenanceStateFile.parse(recordedFile()));
+    }
+
+    @Test
+    public void formatsTheParsedFileByteForByte() throws IOException {
+        assertArrayEquals(recordedFile(), MaintenanceStateFile.format(MaintenanceStateFile.parse(recordedFile())));
+    }
+
+    @Test
+    public void findsTheFileByTheRoutersNameAndChangesIt() throws IOException {
+        Path path = folder.getRoot().toPath().resolve("magpiehub-router_1.operators");
+        Files.write(path, recordedFile());
+        MaintenanceStateFile file = new MaintenanceStateFile(folder.getRoot().toPath(), "router/1", failOnFault);
+        assertEquals(RECORDED, file.read());
+        file.change(MaintenanceState.Held.NOTHING, held -> held.serving(8, List.of(30430L)));
+        String expected = new String(recordedFile(), StandardCharsets.UTF_8)
+                .replace("\"version\":7", "\"version\":8")
+                .replace("\"routers\":[30430]", "\"routers\":[8]");
+        assertEquals(expected, Files.readString(path));
+    }
+}
