--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -12,6 +12,7 @@
 import java.util.function.Supplier;
 import magpiehub.admin.AdminCommandHandler;
 import magpiehub.admin.AdminServer;
+import magpiehub.admin.MaintenanceActions;
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
@@ -186,11 +187,11 @@
         Runtime.getRuntime().addShutdownHook(new Thread(shutdown));
         if (operators != null) {
             operators.start();
-            AdminServer console = new AdminServer(Config.socketAddress(r.console()), operators::call, log);
+            AdminServer console = new AdminServer(Config.socketAddress(r.console()), operators::handle, log);
             console.start();
             log.log("console", "listen", at(r.console(), console.port()));
             // An older process ends once this one says yes, and looks then for who takes its clients.
-            operators.serving();
+            operators.onServing();
         }
         clients.start();
         String listen = at(r.listen(), clients.port());
@@ -229,43 +230,44 @@
         }
         String tmp = System.getenv("TMPDIR");
         long offset = clock.micros() - System.currentTimeMillis() * 1000;
-        AdminCommandHandler.Hands hands = new AdminCommandHandler.Hands() {
+        MaintenanceActions actions = new MaintenanceActions() {
             @Override
-            public boolean ready() {
+            public boolean isReady() {
                 return ready.getAsBoolean();
             }
 
             @Override
-            public void engines(Set<String> out, Map<String, Long> back, Runnable done) {
+            public void setReplicasOutOfService(
+                    Set<String> outOfService, Map<String, Long> returnedAtUnixMillis, Runnable whenApplied) {
                 Map<String, Long> at = new HashMap<>();
-                back.forEach((id, ms) -> at.put(id, offset + ms * 1000));
-                source.maintain(out, at, done);
+                returnedAtUnixMillis.forEach((id, ms) -> at.put(id, offset + ms * 1000));
+                source.maintain(outOfService, at, whenApplied);
             }
 
             @Override
-            public Map<String, String> sites() {
+            public Map<String, String> siteStatus() {
                 return plan == null ? Map.of() : plan.standing();
             }
 
             @Override
-            public void sites(Set<String> out) {
+            public void setWithdrawnSites(Set<String> names) {
                 if (plan != null) {
-                    plan.out(out);
+                    plan.out(names);
                 }
             }
 
             @Override
-            public void standby(boolean on) {
-                fronts.forEach(c -> c.standby(on));
+            public void setStandby(boolean standby) {
+                fronts.forEach(c -> c.standby(standby));
             }
         };
         AdminCommandHandler operators = new AdminCommandHandler(
                 Path.of(tmp == null || tmp.isEmpty() ? System.getProperty("java.io.tmpdir") : tmp),
                 r.name(),
-                hands,
+                actions,
                 clock,
                 log);
-        source.told().listed(operators::listed);
+        source.told().listed(operators::onListed);
         return operators;
     }
 }
--- a/src/main/java/magpiehub/admin/AdminCommandHandler.java
+++ b/src/main/java/magpiehub/admin/AdminCommandHandler.java
@@ -3,83 +3,78 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Collection;
-import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.function.UnaryOperator;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.telemetry.EventLog;
 
 /**
- * Carries out what operators say: asks {@link MaintenanceState} what a call means, keeps that in the file that
- * both processes of an upgrade share, and hands it on. It owns the order: a call is granted only once it
- * is kept and nothing more can go against it in this process, and what another process was told is
- * followed within a tenth of a second. It must never decide where a request goes, or make the router wait.
+ * Executes operator commands: updates the {@link MaintenanceState}, stores it in the file that both processes of an
+ * upgrade share, and applies it to the router through {@link MaintenanceActions}.
+ *
+ * <p>A command is answered with success only once it is stored and no request of this process can start any more that
+ * goes against it. What the other process stores is applied here within a tenth of a second. Safe for use by several
+ * threads; no method waits for the router's own threads but {@link #handle}.
  */
 public final class AdminCommandHandler {
-    /** What the router does at the operators' word. */
-    public interface Hands {
-        /** Whether this process can serve. */
-        boolean ready();
-
-        /** The engines that are out, and those called back, with when (Unix time, ms); {@code done} runs once
-         *  no attempt can start any more that goes against it. */
-        void engines(Set<String> banned, Map<String, Long> back, Runnable done);
-
-        /** How each site stands, by name; empty where no loss of a site is planned for. */
-        default Map<String, String> sites() {
-            return Map.of();
-        }
-
-        /** Gives these sites up, and takes all others back. */
-        default void sites(Set<String> out) {}
-
-        /** Sends clients away, or takes them again. */
-        void standby(boolean on);
-    }
+    /** How often the file is read: a command to the other process is to be applied here within a second. */
+    private static final long FILE_POLL_MICROS = 100_000;
 
-    /** How often the file is looked at (us): a call on the other process is to be followed within a second.
-     */
-    private static final long POLL = 100_000;
-    /** How long a call waits for the module, and, during an upgrade, for the other process (ms). */
-    private static final long PATIENCE_MS = 700;
+    /** How long a command may take to be applied in this process. */
+    private static final long APPLY_TIMEOUT_MILLIS = 700;
 
-    private static final long OTHER_MS = 2 * POLL / 1000;
+    /** How long the other process of an upgrade is given to read the file. */
+    private static final long OTHER_PROCESS_MILLIS = 2 * FILE_POLL_MICROS / 1000;
 
     private final MaintenanceStateFile file;
-    private final Hands hands;
+    private final MaintenanceActions actions;
     private final MonotonicClock clock;
-    private final EventLog journal;
-    private final long self = ProcessHandle.current().pid();
-    private final Set<String> listed = ConcurrentHashMap.newKeySet();
-    private MaintenanceState.Held held = MaintenanceState.Held.NOTHING;
-    private volatile boolean fresh;
-
-    /** Nothing is read, written or carried out until {@link #start}. */
-    public AdminCommandHandler(Path folder, String router, Hands hands, MonotonicClock clock, EventLog journal) {
-        this.file = new MaintenanceStateFile(folder, router, journal);
-        this.hands = hands;
+    private final EventLog log;
+    private final ServingProcesses processes = new ServingProcesses();
+    /** Every id that the endpoint list has named to this process. */
+    private final Set<String> listedIds = ConcurrentHashMap.newKeySet();
+    /** The state that was last applied. Guarded by this. */
+    private MaintenanceState state = MaintenanceState.INITIAL;
+    /** Whether {@link #listedIds} holds ids that are not stored yet. */
+    private volatile boolean hasUnstoredIds;
+
+    /**
+     * What came of a command.
+     *
+     * @param result the command's meaning and answer
+     * @param storeFailure why the new state could not be stored; null if it was stored or did not change
+     * @param isAnotherProcessServing whether another process has to apply the new state as well
+     */
+    private record Execution(CommandResult result, Exception storeFailure, boolean isAnotherProcessServing) {}
+
+    /** Creates a handler that reads, writes and applies nothing until {@link #start}. */
+    public AdminCommandHandler(
+            Path folder, String routerName, MaintenanceActions actions, MonotonicClock clock, EventLog log) {
+        this.file = new MaintenanceStateFile(folder, routerName, log);
+        this.actions = actions;
         this.clock = clock;
-        this.journal = journal;
+        this.log = log;
     }
 
-    /** Takes over what the file holds, then follows it. */
+    /** Applies the stored state, and from then on follows the file on a thread of its own. */
     public void start() {
-        follow();
-        Mailbox.thread("operators", this::run).start();
+        followFile();
+        Mailbox.thread("operators", this::pollFile).start();
     }
 
-    private void run() {
-        Mailbox<Object> nothing = new Mailbox<>(clock, 0);
+    private void pollFile() {
+        Mailbox<Object> timer = new Mailbox<>(clock, 0);
         try {
             while (true) {
-                nothing.take(clock.micros() + POLL);
-                follow();
-                if (fresh) {
-                    fresh = false;
-                    keep(h -> h.listed(listed));
+                timer.take(clock.micros() + FILE_POLL_MICROS);
+                followFile();
+                if (hasUnstoredIds) {
+                    hasUnstoredIds = false;
+                    changeState(stored -> stored.withListed(listedIds));
                 }
             }
         } catch (InterruptedException e) {
@@ -87,130 +82,139 @@
         }
     }
 
-    /** Engines that the list has named. Any thread. */
-    public void listed(Collection<String> ids) {
-        if (listed.addAll(ids)) {
-            fresh = true;
+    /** Notes ids that the endpoint list names: commands are accepted for these. */
+    public void onListed(Collection<String> ids) {
+        if (listedIds.addAll(ids)) {
+            hasUnstoredIds = true;
         }
     }
 
-    /** This process serves from now on; it is the newest. */
-    public void serving() {
-        keep(h -> h.serving(self, h.routers().stream().filter(p -> !alive(p)).toList()));
+    /** Records that this process serves from now on, as the newest. */
+    public void onServing() {
+        changeState(stored -> stored.withServing(processes.ownPid(), processes.ended(stored)));
     }
 
-    /** This process has ended its service. */
-    public void ended() {
-        keep(h -> h.without(self));
+    /** Records that this process has ended its service. */
+    public void onServiceEnded() {
+        changeState(stored -> stored.withoutServing(processes.ownPid()));
     }
 
-    /** Whether another process has begun to serve after this one. */
-    public boolean succeeded() {
-        MaintenanceState.Held h = file.read();
-        return h != null
-                && !h.routers().isEmpty()
-                && others(h)
-                && h.routers().stream().reduce((a, b) -> b).orElse(self) != self;
+    /** Whether another process began to serve after this one and is alive: it takes over the clients. */
+    public boolean hasSuccessor() {
+        MaintenanceState stored = file.read();
+        return stored != null && processes.isAnotherAlive(stored) && processes.isAnotherNewest(stored);
     }
 
-    private boolean others(MaintenanceState.Held h) {
-        return h.routers().stream().anyMatch(p -> p != self && alive(p));
+    private synchronized void changeState(UnaryOperator<MaintenanceState> change) {
+        try {
+            apply(file.change(state, change), () -> {});
+        } catch (IOException | RuntimeException e) {
+            logStoreFailure(e);
+        }
     }
 
-    private static boolean alive(long pid) {
-        return ProcessHandle.of(pid).isPresent();
+    private void logStoreFailure(Exception e) {
+        log.count("operators_file_failures");
+        log.log("operators-file-failed", "error", e.toString());
     }
 
-    private synchronized void keep(java.util.function.UnaryOperator<MaintenanceState.Held> how) {
-        try {
-            take(file.change(held, how), () -> {});
-        } catch (IOException | RuntimeException e) {
-            unsaved(e);
+    private synchronized void followFile() {
+        MaintenanceState stored = file.read();
+        if (stored != null && stored.version() > state.version()) {
+            apply(stored, () -> {});
         }
     }
 
-    private void unsaved(Exception e) {
-        journal.count("operators_file_failures");
-        journal.log("operators-file-failed", "error", e.toString());
+    /** Makes a state the current one, and passes on what differs from the one before. Called with the lock held. */
+    private void apply(MaintenanceState next, Runnable whenApplied) {
+        MaintenanceState previous = state;
+        state = next;
+        if (previous.standby() != next.standby()) {
+            actions.setStandby(next.standby());
+            log.log(next.standby() ? "standby" : "active");
+        }
+        if (!previous.withdrawnSites().equals(next.withdrawnSites())) {
+            actions.setWithdrawnSites(next.withdrawnSites());
+            log.log("sites", "out", String.join(" ", next.withdrawnSites()));
+        }
+        if (!previous.outOfService().equals(next.outOfService())
+                || !previous.returnedAtUnixMillis().equals(next.returnedAtUnixMillis())) {
+            actions.setReplicasOutOfService(next.outOfService(), next.returnedAtUnixMillis(), whenApplied);
+            log.log("maintenance", "out", String.join(" ", next.outOfService()));
+        } else {
+            whenApplied.run();
+        }
     }
 
-    private synchronized void follow() {
-        MaintenanceState.Held h = file.read();
-        if (h != null && h.version() > held.version()) {
-            take(h, () -> {});
+    /** Executes one command line and returns its answer, a line without its end. Waits until the command is applied. */
+    public String handle(String line) {
+        log.count("console_calls");
+        CountDownLatch applied = new CountDownLatch(1);
+        Execution execution = execute(line, applied);
+        CommandResult result = execution.result();
+        if (result.isRejected()) {
+            log.count("console_refused");
+            return AdminAnswers.failure(result.text());
+        }
+        if (result.isQuery()) {
+            return AdminAnswers.success(result.text());
         }
+        if (!awaitApplied(applied, execution.isAnotherProcessServing())) {
+            return AdminAnswers.failure("not yet carried out; call again");
+        }
+        log.log("console-call", "call", line, "answer", result.text());
+        Exception failure = execution.storeFailure();
+        return failure == null
+                ? AdminAnswers.success(result.text())
+                : AdminAnswers.failure(result.text() + ", but not kept for an upgrade: " + failure.getMessage());
     }
 
-    /** Hands on what differs. */
-    private void take(MaintenanceState.Held h, Runnable done) {
-        MaintenanceState.Held old = held;
-        held = h;
-        if (old.standby() != h.standby()) {
-            hands.standby(h.standby());
-            journal.log(h.standby() ? "standby" : "active");
+    private synchronized Execution execute(String line, CountDownLatch applied) {
+        MaintenanceState before = state.withListed(listedIds);
+        CommandContext context =
+                new CommandContext(actions.isReady(), System.currentTimeMillis(), actions.siteStatus());
+        CommandResult result = AdminCommandInterpreter.execute(before, line, context);
+        if (result.isRejected() || result.isQuery()) {
+            return new Execution(result, null, false);
         }
-        if (!old.sites().equals(h.sites())) {
-            hands.sites(h.sites());
-            journal.log("sites", "out", String.join(" ", h.sites()));
-        }
-        if (!old.banned().equals(h.banned()) || !old.back().equals(h.back())) {
-            hands.engines(h.banned(), h.back(), done);
-            journal.log("maintenance", "out", String.join(" ", h.banned()));
+        Exception storeFailure = null;
+        if (result.state().version() == before.version()) {
+            // Nothing changes; but an earlier command's change may still be on its way to the router's threads.
+            actions.setReplicasOutOfService(state.outOfService(), state.returnedAtUnixMillis(), applied::countDown);
         } else {
-            done.run();
+            storeFailure = storeAndApply(line, context, result, applied);
         }
+        return new Execution(result, storeFailure, processes.isAnotherAlive(state));
     }
 
-    /** Answers one call. Any thread. */
-    public String call(String line) {
-        journal.count("console_calls");
-        CountDownLatch done = new CountDownLatch(1);
-        MaintenanceState.Verdict v;
-        boolean others;
-        Exception failure = null;
-        synchronized (this) {
-            MaintenanceState.Held known = held.listed(listed);
-            Map<String, String> sites = hands.sites();
-            v = MaintenanceState.call(known, line, hands.ready(), System.currentTimeMillis(), sites);
-            if (v.refused() != null) {
-                journal.count("console_refused");
-                return "FAILURE " + v.refused();
-            }
-            if (v.asks()) {
-                return "SUCCESS " + v.said();
-            }
-            if (v.after() == known) {
-                // Nothing changes; but what holds may still be on its way to the module.
-                hands.engines(held.banned(), held.back(), done::countDown);
-            } else {
-                try {
-                    long now = System.currentTimeMillis();
-                    take(
-                            file.change(held, h -> MaintenanceState.call(h.listed(listed), line, true, now, sites)
-                                    .after()),
-                            done::countDown);
-                } catch (IOException | RuntimeException e) {
-                    // It is carried out all the same; that it won't outlast this process is said.
-                    unsaved(e);
-                    failure = e;
-                    take(v.after(), done::countDown);
-                }
-            }
-            others = others(held);
+    /** Executes the command on what the file holds by now. Returns why that could not be stored, or null. */
+    private Exception storeAndApply(String line, CommandContext context, CommandResult result, CountDownLatch applied) {
+        try {
+            MaintenanceState stored = file.change(
+                    state, latest -> AdminCommandInterpreter.execute(latest.withListed(listedIds), line, context)
+                            .state());
+            apply(stored, applied::countDown);
+            return null;
+        } catch (IOException | RuntimeException e) {
+            // The command is applied all the same; its answer says that it won't outlast this process.
+            logStoreFailure(e);
+            apply(result.state(), applied::countDown);
+            return e;
         }
+    }
+
+    /** Whether the command was applied in time; waits for the other process of an upgrade as well. */
+    private static boolean awaitApplied(CountDownLatch applied, boolean isAnotherProcessServing) {
         try {
-            if (!done.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
-                return "FAILURE not yet carried out; call again";
+            if (!applied.await(APPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+                return false;
             }
-            if (others) {
-                Thread.sleep(OTHER_MS); // The other process follows the file meanwhile.
+            if (isAnotherProcessServing) {
+                Thread.sleep(OTHER_PROCESS_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        journal.log("console-call", "call", line, "answer", v.said());
-        return failure == null
-                ? "SUCCESS " + v.said()
-                : "FAILURE " + v.said() + ", but not kept for an upgrade: " + failure.getMessage();
+        return true;
     }
 }
--- a/src/main/java/magpiehub/admin/AdminServer.java
+++ b/src/main/java/magpiehub/admin/AdminServer.java
@@ -1,11 +1,9 @@
 package magpiehub.admin;
 
 import java.io.IOException;
-import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashSet;
 import java.util.Set;
@@ -15,161 +13,126 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * The operators' door: a listener of its own, one line to a connection, one line back. It owns its
- * connections and the form of a call. It must never make one caller wait for another, take a call that has
- * not come whole, or hold more than a few connections and a few hundred bytes of each: when too many are
- * there, the one that has been there longest goes.
+ * The listener for operator commands: each connection sends one line, gets a one-line answer, and is closed.
+ *
+ * <p>Each connection has a thread of its own, so a slow caller delays no other. The number of connections and the
+ * bytes read from each are bounded; when one too many arrives, the oldest is closed.
  */
 public final class AdminServer {
-    /** Connections at most, and bytes of a line. */
-    static final int MOST = 24;
+    /** Most connections open at once. */
+    static final int MAX_CONNECTIONS = 24;
 
-    static final int MOST_LINE = 512;
-    /** How long a caller may take for its line, and then to close its side (ms). */
-    private static final int PATIENCE_MS = 5_000;
+    /** Connections that the kernel queues until they are accepted. */
+    private static final int ACCEPT_BACKLOG = 128;
 
-    private static final int LINGER_MS = 500;
+    /** How long a caller may take to close its side once it has its answer. */
+    private static final int LINGER_MILLIS = 500;
 
     private final ServerSocket server = new ServerSocket();
-    private final UnaryOperator<String> calls;
-    private final EventLog journal;
-    /** In the order of their coming. */
-    private final Set<Socket> callers = new LinkedHashSet<>();
+    private final UnaryOperator<String> commandHandler;
+    private final EventLog log;
+    /** Open connections, the oldest first. Guarded by itself. */
+    private final Set<Socket> connections = new LinkedHashSet<>();
 
-    /** A listener that is bound and answers nothing until {@link #start}; {@code calls} answers one line. */
-    public AdminServer(InetSocketAddress listen, UnaryOperator<String> calls, EventLog journal) throws IOException {
-        this.calls = calls;
-        this.journal = journal;
+    /**
+     * Binds the listener; nothing is accepted until {@link #start}.
+     *
+     * @param commandHandler answers one command line; called from several threads at once
+     */
+    public AdminServer(InetSocketAddress listenAddress, UnaryOperator<String> commandHandler, EventLog log)
+            throws IOException {
+        this.commandHandler = commandHandler;
+        this.log = log;
         server.setReuseAddress(true);
-        server.bind(listen, 128);
+        server.bind(listenAddress, ACCEPT_BACKLOG);
     }
 
+    /** The port that the listener is bound to. */
     public int port() {
         return server.getLocalPort();
     }
 
+    /** Starts to accept connections, on a thread of its own. */
     public void start() {
-        Mailbox.thread("console", this::accept).start();
+        Mailbox.thread("console", this::acceptConnections).start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!server.isClosed()) {
-            Socket s = null;
+            Socket accepted = null;
             try {
-                s = server.accept();
-                admit(s);
-                Socket caller = s;
-                Mailbox.thread("console-caller", () -> serve(caller)).start();
+                accepted = server.accept();
+                register(accepted);
+                Socket connection = accepted;
+                Mailbox.thread("console-caller", () -> serve(connection)).start();
             } catch (IOException | OutOfMemoryError e) {
-                journal.count("console_accept_failures");
-                if (s != null) {
-                    leave(s);
+                // OutOfMemoryError: no further thread can be started.
+                log.count("console_accept_failures");
+                if (accepted != null) {
+                    close(accepted);
                 }
             }
         }
     }
 
-    private void admit(Socket s) {
+    /** Adds a connection, and closes the oldest one if there are too many. */
+    private void register(Socket connection) {
         Socket oldest = null;
-        synchronized (callers) {
-            callers.add(s);
-            if (callers.size() > MOST) {
-                oldest = callers.iterator().next();
-                callers.remove(oldest);
+        synchronized (connections) {
+            connections.add(connection);
+            if (connections.size() > MAX_CONNECTIONS) {
+                oldest = connections.iterator().next();
+                connections.remove(oldest);
             }
         }
         if (oldest != null) {
-            journal.count("console_callers_shed");
+            log.count("console_callers_shed");
             Sockets.closeQuietly(oldest);
         }
     }
 
-    private void leave(Socket s) {
-        synchronized (callers) {
-            callers.remove(s);
+    private void close(Socket connection) {
+        synchronized (connections) {
+            connections.remove(connection);
         }
-        Sockets.closeQuietly(s);
+        Sockets.closeQuietly(connection);
     }
 
-    private void serve(Socket s) {
+    private void serve(Socket connection) {
         try {
-            s.setTcpNoDelay(true);
-            String answer;
-            try {
-                String line = line(s);
-                answer = calls.apply(line);
-            } catch (Malformed e) {
-                journal.count("console_malformed");
-                answer = "FAILURE " + e.getMessage();
-            } catch (RuntimeException | OutOfMemoryError e) {
-                journal.count("console_exceptions");
-                journal.log("console-exception", "error", e.toString());
-                answer = "FAILURE internal error";
-            }
-            s.getOutputStream().write((answer + "\n").getBytes(StandardCharsets.UTF_8));
-            s.shutdownOutput();
-            // What the caller still sends is read, or a reset would destroy the answer on its way.
-            byte[] rest = new byte[256];
-            long until = System.nanoTime() + LINGER_MS * 1_000_000L;
-            for (int n = 0; n >= 0 && System.nanoTime() < until; ) {
-                s.setSoTimeout(LINGER_MS);
-                n = s.getInputStream().read(rest);
-            }
+            connection.setTcpNoDelay(true);
+            String answer = answer(connection);
+            connection.getOutputStream().write((answer + "\n").getBytes(StandardCharsets.UTF_8));
+            connection.shutdownOutput();
+            discardInput(connection);
         } catch (IOException e) {
-            // The caller has gone, or had to go.
+            // The caller closed the connection, or it was closed as the oldest one.
         } finally {
-            leave(s);
+            close(connection);
         }
     }
 
-    /** What is no call: the reason. */
-    private static final class Malformed extends IOException {
-        private static final long serialVersionUID = 1L;
-
-        Malformed(String why) {
-            super(why);
+    private String answer(Socket connection) throws IOException {
+        try {
+            return commandHandler.apply(CommandLineReader.read(connection));
+        } catch (MalformedCommandLineException e) {
+            log.count("console_malformed");
+            return AdminAnswers.failure(e.getMessage());
+        } catch (RuntimeException | OutOfMemoryError e) {
+            log.count("console_exceptions");
+            log.log("console-exception", "error", e.toString());
+            return AdminAnswers.failure("internal error");
         }
     }
 
-    /** The one line that a connection may send, without its end. */
-    private static String line(Socket s) throws IOException {
-        InputStream in = s.getInputStream();
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        byte[] b = new byte[MOST_LINE];
-        int n = 0;
-        int end = -1;
-        while (end < 0) {
-            long left = (until - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
-                throw new Malformed("no whole line in time");
-            }
-            s.setSoTimeout((int) left);
-            int got;
-            try {
-                got = in.read(b, n, b.length - n);
-            } catch (SocketTimeoutException e) {
-                throw new Malformed("no whole line in time");
-            }
-            if (got < 0) {
-                throw new Malformed(n == 0 ? "no line" : "the line has no end");
-            }
-            for (int i = n; i < n + got && end < 0; i++) {
-                end = b[i] == '\n' ? i : -1;
-            }
-            n += got;
-            if (end < 0 && n == b.length) {
-                throw new Malformed("the line is longer than " + MOST_LINE + " bytes");
-            }
-        }
-        if (end + 1 < n) {
-            throw new Malformed("one line to a connection");
-        }
-        int length = end > 0 && b[end - 1] == '\r' ? end - 1 : end;
-        for (int i = 0; i < length; i++) {
-            if (b[i] < ' ' || b[i] == 0x7f) {
-                throw new Malformed("the line is no printable ASCII");
-            }
+    /** Reads what the caller still sends: closing with unread input would reset the connection and lose the answer. */
+    private static void discardInput(Socket connection) throws IOException {
+        byte[] discarded = new byte[256];
+        long deadlineNanos = System.nanoTime() + LINGER_MILLIS * 1_000_000L;
+        int count = 0;
+        while (count >= 0 && System.nanoTime() < deadlineNanos) {
+            connection.setSoTimeout(LINGER_MILLIS);
+            count = connection.getInputStream().read(discarded);
         }
-        return new String(b, 0, length, StandardCharsets.US_ASCII);
     }
 }
--- /dev/null
+++ b/src/main/java/magpiehub/admin/MaintenanceStateCodec.java
@@ -0,0 +1,104 @@
+package magpiehub.admin;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
+
+/**
+ * The stored form of a {@link MaintenanceState}: one JSON object. Earlier and later versions of the router read and
+ * write the same file during an upgrade, so the form must stay as it is.
+ */
+final class MaintenanceStateCodec {
+    /** Marks the file as this program's, in this form. */
+    private static final String FORM = "magpiehub-operators-1";
+
+    private MaintenanceStateCodec() {}
+
+    /**
+     * Parses a stored state. Keys that are absent take their value in {@link MaintenanceState#INITIAL}.
+     *
+     * @throws ConfigurationException if the text is no JSON object of this form
+     */
+    static MaintenanceState parse(byte[] json) throws IOException {
+        ConfigurationObject object = Config.facts(json, "operators");
+        if (!object.text("form", "").equals(FORM)) {
+            throw new ConfigurationException("not a file of this program's");
+        }
+        return new MaintenanceState(
+                (long) object.number("version", 0),
+                object.flag("standby", false),
+                new LinkedHashSet<>(object.texts("banned")),
+                parseReturns(object),
+                new LinkedHashSet<>(object.texts("listed")),
+                parseProcesses(object),
+                new LinkedHashSet<>(object.texts("sites")));
+    }
+
+    private static Map<String, Long> parseReturns(ConfigurationObject object) {
+        Map<String, Long> returnedAtUnixMillis = new LinkedHashMap<>();
+        for (ConfigurationObject returned : object.objects("back")) {
+            returnedAtUnixMillis.put(returned.text("id", ""), (long) returned.number("at", 0));
+        }
+        return returnedAtUnixMillis;
+    }
+
+    private static Set<Long> parseProcesses(ConfigurationObject object) {
+        Set<Long> processes = new LinkedHashSet<>();
+        for (Double process : object.numbers("routers")) {
+            processes.add(process.longValue());
+        }
+        return processes;
+    }
+
+    static byte[] format(MaintenanceState state) throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        try (JsonGenerator json = Config.JSON.createGenerator(out)) {
+            json.writeStartObject();
+            json.writeStringField("form", FORM);
+            json.writeNumberField("version", state.version());
+            json.writeBooleanField("standby", state.standby());
+            writeTexts(json, "banned", state.outOfService());
+            writeReturns(json, state.returnedAtUnixMillis());
+            writeTexts(json, "listed", state.listedIds());
+            writeTexts(json, "sites", state.withdrawnSites());
+            writeProcesses(json, state.servingProcesses());
+            json.writeEndObject();
+        }
+        return out.toByteArray();
+    }
+
+    private static void writeTexts(JsonGenerator json, String name, Collection<String> texts) throws IOException {
+        json.writeArrayFieldStart(name);
+        for (String text : texts) {
+            json.writeString(text);
+        }
+        json.writeEndArray();
+    }
+
+    private static void writeReturns(JsonGenerator json, Map<String, Long> returnedAtUnixMillis) throws IOException {
+        json.writeArrayFieldStart("back");
+        for (Map.Entry<String, Long> returned : returnedAtUnixMillis.entrySet()) {
+            json.writeStartObject();
+            json.writeStringField("id", returned.getKey());
+            json.writeNumberField("at", returned.getValue());
+            json.writeEndObject();
+        }
+        json.writeEndArray();
+    }
+
+    private static void writeProcesses(JsonGenerator json, Collection<Long> processes) throws IOException {
+        json.writeArrayFieldStart("routers");
+        for (long process : processes) {
+            json.writeNumber(process);
+        }
+        json.writeEndArray();
+    }
+}
--- a/src/main/java/magpiehub/admin/MaintenanceStateFile.java
+++ b/src/main/java/magpiehub/admin/MaintenanceStateFile.java
@@ -1,7 +1,5 @@
 package magpiehub.admin;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -10,144 +8,101 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.Map;
-import java.util.Set;
+import java.nio.file.attribute.BasicFileAttributes;
+import java.nio.file.attribute.FileTime;
 import java.util.function.UnaryOperator;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
-import magpiehub.config.ConfigurationObject;
 import magpiehub.telemetry.EventLog;
 
 /**
- * What operators have said, as a file that outlives a process and that both processes of an upgrade share. It
- * owns the file's form: one JSON object, written beside and renamed, changed under a lock on a second
- * file. It must never fail a start: a file that is torn, or not its own, is logged and read as if it were
- * not there.
+ * The file that keeps a {@link MaintenanceState} across restarts and shares it between the two router processes of an
+ * upgrade.
+ *
+ * <p>A change is made under a lock on a second file, written to a temporary file and renamed, so a reader sees either
+ * the old state or the new one. A file that is truncated or not this program's is logged and treated as absent: it must
+ * not keep a router from starting. Safe for use by several threads.
  */
 final class MaintenanceStateFile {
-    private static final String FORM = "magpiehub-operators-1";
-    private static final long LONGEST = 4 << 20;
+    /** Largest file that is read, in bytes. */
+    private static final long MAX_FILE_BYTES = 4 << 20;
+
+    /** Identifies one version of the file: it is only ever replaced as a whole, which gives it another key. */
+    private record FileVersion(Object key, FileTime modified, long size) {
+        static FileVersion of(Path path) throws IOException {
+            BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
+            return new FileVersion(attributes.fileKey(), attributes.lastModifiedTime(), attributes.size());
+        }
+    }
 
     private final Path file;
-    private final Path beside;
-    private final Path lock;
-    private final EventLog journal;
-    private Object lastStamp;
-    private MaintenanceState.Held last;
+    private final Path temporaryFile;
+    private final Path lockFile;
+    private final EventLog log;
+    /** The version that was last read or written; null if there was no file. */
+    private FileVersion lastVersion;
+    /** What that version holds; null if there was no file, or it could not be read. */
+    private MaintenanceState lastState;
 
-    MaintenanceStateFile(Path folder, String router, EventLog journal) {
-        String name = "magpiehub-" + router.replaceAll("[^A-Za-z0-9._-]", "_");
+    MaintenanceStateFile(Path folder, String routerName, EventLog log) {
+        String name = "magpiehub-" + routerName.replaceAll("[^A-Za-z0-9._-]", "_");
         this.file = folder.resolve(name + ".operators");
-        this.beside =
+        this.temporaryFile =
                 folder.resolve(name + ".operators." + ProcessHandle.current().pid());
-        this.lock = folder.resolve(name + ".lock");
-        this.journal = journal;
+        this.lockFile = folder.resolve(name + ".lock");
+        this.log = log;
     }
 
-    /** What the file holds; null if there is none that can be used. Read anew only once it has been
-     * replaced. */
-    synchronized MaintenanceState.Held read() {
+    /** Returns what the file holds, or null if there is no usable file. A version is parsed, and logged, only once. */
+    synchronized MaintenanceState read() {
         try {
-            Object stamp = stamp();
-            if (!stamp.equals(lastStamp)) {
-                lastStamp = stamp; // A bad file is named once.
-                last = null;
-                if (Files.size(file) > LONGEST) {
-                    throw new ConfigurationException("too long");
-                }
-                last = parse(Files.readAllBytes(file));
+            FileVersion version = FileVersion.of(file);
+            if (!version.equals(lastVersion)) {
+                // Remembered before it is parsed, so that an unusable file is logged only once.
+                lastVersion = version;
+                lastState = null;
+                lastState = parseFile();
             }
-            return last;
+            return lastState;
         } catch (NoSuchFileException e) {
-            lastStamp = null;
-            last = null;
+            lastVersion = null;
+            lastState = null;
         } catch (IOException | RuntimeException e) {
-            journal.count("operators_file_unreadable");
-            journal.log("operators-file-unreadable", "file", file.toString(), "error", String.valueOf(e.getMessage()));
+            log.count("operators_file_unreadable");
+            log.log("operators-file-unreadable", "file", file.toString(), "error", String.valueOf(e.getMessage()));
         }
         return null;
     }
 
-    /** The file is only ever replaced whole: another one is another file. */
-    private Object stamp() throws IOException {
-        var a = Files.readAttributes(file, java.nio.file.attribute.BasicFileAttributes.class);
-        return java.util.Arrays.asList(a.fileKey(), a.lastModifiedTime(), a.size());
-    }
-
-    /** Changes what the file holds, whichever process changed it last. {@code known} is what this process
-     *  goes by if there is no file that can be used. */
-    synchronized MaintenanceState.Held change(MaintenanceState.Held known, UnaryOperator<MaintenanceState.Held> how)
-            throws IOException {
-        try (FileChannel c = FileChannel.open(lock, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-                FileLock l = c.lock()) {
-            MaintenanceState.Held was = read();
-            MaintenanceState.Held now = how.apply(was == null ? known : was);
-            if (!now.equals(was)) {
-                Files.write(beside, format(now));
-                Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-                lastStamp = stamp();
-                last = now;
-            }
-            return now;
-        }
-    }
-
-    static MaintenanceState.Held parse(byte[] json) throws IOException {
-        ConfigurationObject f = Config.facts(json, "operators");
-        if (!f.text("form", "").equals(FORM)) {
-            throw new ConfigurationException("not a file of this program's");
-        }
-        Map<String, Long> back = new LinkedHashMap<>();
-        for (ConfigurationObject b : f.objects("back")) {
-            back.put(b.text("id", ""), (long) b.number("at", 0));
+    private MaintenanceState parseFile() throws IOException {
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new ConfigurationException("too long");
         }
-        Set<Long> routers = new LinkedHashSet<>();
-        f.numbers("routers").forEach(d -> routers.add(d.longValue()));
-        return new MaintenanceState.Held(
-                (long) f.number("version", 0),
-                f.flag("standby", false),
-                new LinkedHashSet<>(f.texts("banned")),
-                back,
-                new LinkedHashSet<>(f.texts("listed")),
-                routers,
-                new LinkedHashSet<>(f.texts("sites")));
+        return MaintenanceStateCodec.parse(Files.readAllBytes(file));
     }
 
-    static byte[] format(MaintenanceState.Held h) throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator g = Config.JSON.createGenerator(out)) {
-            g.writeStartObject();
-            g.writeStringField("form", FORM);
-            g.writeNumberField("version", h.version());
-            g.writeBooleanField("standby", h.standby());
-            texts(g, "banned", h.banned());
-            g.writeArrayFieldStart("back");
-            for (Map.Entry<String, Long> e : h.back().entrySet()) {
-                g.writeStartObject();
-                g.writeStringField("id", e.getKey());
-                g.writeNumberField("at", e.getValue());
-                g.writeEndObject();
-            }
-            g.writeEndArray();
-            texts(g, "listed", h.listed());
-            texts(g, "sites", h.sites());
-            g.writeArrayFieldStart("routers");
-            for (long r : h.routers()) {
-                g.writeNumber(r);
+    /**
+     * Changes what the file holds, whichever process wrote it last, and returns the new state.
+     *
+     * @param ifAbsent the state to change if there is no usable file
+     * @throws IOException if the file can't be locked or written; it then holds what it held before
+     */
+    synchronized MaintenanceState change(MaintenanceState ifAbsent, UnaryOperator<MaintenanceState> change)
+            throws IOException {
+        try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock ignored = channel.lock()) {
+            MaintenanceState before = read();
+            MaintenanceState after = change.apply(before == null ? ifAbsent : before);
+            if (!after.equals(before)) {
+                write(after);
             }
-            g.writeEndArray();
-            g.writeEndObject();
+            return after;
         }
-        return out.toByteArray();
     }
 
-    private static void texts(JsonGenerator g, String name, Set<String> texts) throws IOException {
-        g.writeArrayFieldStart(name);
-        for (String t : texts) {
-            g.writeString(t);
-        }
-        g.writeEndArray();
+    private void write(MaintenanceState state) throws IOException {
+        Files.write(temporaryFile, MaintenanceStateCodec.format(state));
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        lastVersion = FileVersion.of(file);
+        lastState = state;
     }
 }
--- /dev/null
+++ b/src/main/java/magpiehub/admin/ServingProcesses.java
@@ -0,0 +1,47 @@
+package magpiehub.admin;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Which of the router processes that a {@link MaintenanceState} names are alive: there are two during an upgrade. */
+final class ServingProcesses {
+    private final long ownPid = ProcessHandle.current().pid();
+
+    long ownPid() {
+        return ownPid;
+    }
+
+    /** Whether another process that serves is alive. */
+    boolean isAnotherAlive(MaintenanceState state) {
+        for (long pid : state.servingProcesses()) {
+            if (pid != ownPid && isAlive(pid)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether another process began to serve after this one. */
+    boolean isAnotherNewest(MaintenanceState state) {
+        long newest = ownPid;
+        for (long pid : state.servingProcesses()) {
+            newest = pid;
+        }
+        return newest != ownPid;
+    }
+
+    /** The processes that have ended without removing themselves from the state. */
+    List<Long> ended(MaintenanceState state) {
+        List<Long> ended = new ArrayList<>();
+        for (long pid : state.servingProcesses()) {
+            if (!isAlive(pid)) {
+                ended.add(pid);
+            }
+        }
+        return ended;
+    }
+
+    private static boolean isAlive(long pid) {
+        return ProcessHandle.of(pid).isPresent();
+    }
+}
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -90,7 +90,7 @@
     public void run() {
         try {
             boolean succeeded = operators != null
-                    && operators.succeeded()
+                    && operators.hasSuccessor()
                     && fronts.stream().anyMatch(ClientListener::shared);
             log.log("stopping", "held", Integer.toString(module.held()), "succeeded", Boolean.toString(succeeded));
             Phases phases = Phases.of(site.get().settings().classes());
@@ -103,7 +103,7 @@
             log.log("stop-failed", "error", e.toString());
         } finally {
             if (operators != null) {
-                operators.ended();
+                operators.onServiceEnded();
             }
             log.logCounters();
             log.log("stopped", "held", Integer.toString(module.held()));
--- a/src/test/java/magpiehub/admin/AdminServerTest.java
+++ b/src/test/java/magpiehub/admin/AdminServerTest.java
@@ -15,9 +15,9 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** The console's form: one whole line a connection, and nobody waits for anybody else. */
+/** One line per connection, and no caller waits for another. */
 public class AdminServerTest {
-    private final EventLog silent = new EventLog() {
+    private final EventLog noLog = new EventLog() {
         @Override
         public void count(String name) {}
 
@@ -25,16 +25,16 @@
         public void log(String what, String... namesAndValues) {}
     };
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
-    private AdminServer console;
+    private AdminServer server;
 
     @Before
     public void listen() throws IOException {
-        console = new AdminServer(new InetSocketAddress(loopback, 0), l -> "SUCCESS " + l, silent);
-        console.start();
+        server = new AdminServer(new InetSocketAddress(loopback, 0), line -> "SUCCESS " + line, noLog);
+        server.start();
     }
 
     private Socket connect() throws IOException {
-        Socket s = new Socket(loopback, console.port());
+        Socket s = new Socket(loopback, server.port());
         s.setSoTimeout(60_000);
         return s;
     }
@@ -43,10 +43,10 @@
         return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
-    private String said(String text, boolean end) throws IOException {
+    private String send(String text, boolean closeOutput) throws IOException {
         try (Socket s = connect()) {
             s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-            if (end) {
+            if (closeOutput) {
                 s.shutdownOutput();
             }
             return answer(s);
@@ -54,44 +54,44 @@
     }
 
     @Test
-    public void oneWholeLineIsACall() throws IOException {
-        assertEquals("SUCCESS status\n", said("status\n", false));
-        assertEquals("SUCCESS maint-on e1\n", said("maint-on e1\r\n", false));
+    public void oneCompleteLineIsACommand() throws IOException {
+        assertEquals("SUCCESS status\n", send("status\n", false));
+        assertEquals("SUCCESS maint-on e1\n", send("maint-on e1\r\n", false));
     }
 
     @Test
-    public void whatIsNoCallIsToldWhy() throws IOException {
-        assertEquals("FAILURE the line has no end\n", said("stat", true));
-        assertEquals("FAILURE no line\n", said("", true));
-        assertEquals("FAILURE one line to a connection\n", said("status\nstatus\n", false));
-        assertEquals("FAILURE the line is no printable ASCII\n", said("st\u00e4tus\u0001\n", false));
-        assertEquals("FAILURE the line is longer than 512 bytes\n", said("x".repeat(2000), true));
+    public void malformedInputIsAnsweredWithTheReason() throws IOException {
+        assertEquals("FAILURE the line has no end\n", send("stat", true));
+        assertEquals("FAILURE no line\n", send("", true));
+        assertEquals("FAILURE one line to a connection\n", send("status\nstatus\n", false));
+        assertEquals("FAILURE the line is no printable ASCII\n", send("st\u00e4tus\u0001\n", false));
+        assertEquals("FAILURE the line is longer than 512 bytes\n", send("x".repeat(2000), true));
     }
 
-    /** More callers than there is room for say nothing: the next one is answered all the same. */
+    /** More connections than the limit send no complete line; the next one is answered all the same. */
     @Test
-    public void callersWithoutALineDelayNobody() throws IOException {
-        List<Socket> silentOnes = new ArrayList<>();
+    public void idleConnectionsDelayNobody() throws IOException {
+        List<Socket> idleConnections = new ArrayList<>();
         try {
-            for (int i = 0; i < 2 * AdminServer.MOST; i++) {
+            for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
                 Socket s = connect();
                 s.getOutputStream().write("sta".getBytes(StandardCharsets.US_ASCII));
-                silentOnes.add(s);
+                idleConnections.add(s);
             }
-            assertEquals("SUCCESS status\n", said("status\n", false));
+            assertEquals("SUCCESS status\n", send("status\n", false));
             // The first ones had to go; the last ones have been left alone.
-            assertTrue(gone(silentOnes.get(0)));
-            Socket last = silentOnes.get(silentOnes.size() - 1);
+            assertTrue(isClosed(idleConnections.get(0)));
+            Socket last = idleConnections.get(idleConnections.size() - 1);
             last.getOutputStream().write("tus\n".getBytes(StandardCharsets.US_ASCII));
             assertEquals("SUCCESS status\n", answer(last));
         } finally {
-            for (Socket s : silentOnes) {
+            for (Socket s : idleConnections) {
                 s.close();
             }
         }
     }
 
-    private static boolean gone(Socket s) {
+    private static boolean isClosed(Socket s) {
         try {
             return s.getInputStream().read() < 0;
         } catch (IOException e) {
@@ -100,13 +100,13 @@
     }
 
     @Test
-    public void aCallThatFailsInsideIsAnswered() throws IOException {
+    public void anExceptionIsAnsweredAsAnInternalError() throws IOException {
         AdminServer broken = new AdminServer(
                 new InetSocketAddress(loopback, 0),
-                l -> {
+                line -> {
                     throw new IllegalStateException("x");
                 },
-                silent);
+                noLog);
         broken.start();
         try (Socket s = new Socket(loopback, broken.port())) {
             s.getOutputStream().write('\n');
--- a/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
@@ -21,7 +21,7 @@
  * that is upgraded finds such a file.
  */
 public class MaintenanceStateFileTest {
-    private static final MaintenanceState.Held RECORDED = new MaintenanceState.Held(
+    private static final MaintenanceState RECORDED = new MaintenanceState(
             7,
             true,
             Set.of("engine-1"),
@@ -53,12 +53,12 @@
 
     @Test
     public void parsesTheRecordedFile() throws IOException {
-        assertEquals(RECORDED, MaintenanceStateFile.parse(recordedFile()));
+        assertEquals(RECORDED, MaintenanceStateCodec.parse(recordedFile()));
     }
 
     @Test
     public void formatsTheParsedFileByteForByte() throws IOException {
-        assertArrayEquals(recordedFile(), MaintenanceStateFile.format(MaintenanceStateFile.parse(recordedFile())));
+        assertArrayEquals(recordedFile(), MaintenanceStateCodec.format(MaintenanceStateCodec.parse(recordedFile())));
     }
 
     @Test
@@ -67,7 +67,7 @@
         Files.write(path, recordedFile());
         MaintenanceStateFile file = new MaintenanceStateFile(folder.getRoot().toPath(), "router/1", failOnFault);
         assertEquals(RECORDED, file.read());
-        file.change(MaintenanceState.Held.NOTHING, held -> held.serving(8, List.of(30430L)));
+        file.change(MaintenanceState.INITIAL, stored -> stored.withServing(8, List.of(30430L)));
         String expected = new String(recordedFile(), StandardCharsets.UTF_8)
                 .replace("\"version\":7", "\"version\":8")
                 .replace("\"routers\":[30430]", "\"routers\":[8]");
--- a/src/test/java/magpiehub/admin/MaintenanceStateTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateTest.java
@@ -9,24 +9,25 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.admin.MaintenanceState.Held;
-import magpiehub.admin.MaintenanceState.Verdict;
+import java.util.TreeMap;
 import magpiehub.telemetry.EventLog;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** What calls mean, and the file that keeps it. */
+/** The meaning of the commands, and the file that keeps the state. */
 public class MaintenanceStateTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
     private final List<String> logged = new ArrayList<>();
-    private final EventLog journal = new EventLog() {
+    private final EventLog log = new EventLog() {
         @Override
         public void count(String name) {}
 
@@ -35,30 +36,38 @@
             logged.add(what);
         }
     };
-    private final Held two = Held.NOTHING.listed(List.of("a", "b"));
+    private final MaintenanceState twoListed = MaintenanceState.INITIAL.withListed(List.of("a", "b"));
 
-    private static Verdict call(Held h, String line) {
-        return MaintenanceState.call(h, line, true, 1000);
+    private static CommandResult execute(MaintenanceState state, String line) {
+        return execute(state, line, true);
+    }
+
+    private static CommandResult execute(MaintenanceState state, String line, boolean isReady) {
+        return AdminCommandInterpreter.execute(state, line, new CommandContext(isReady, 1000, Map.of()));
+    }
+
+    private static CommandResult execute(MaintenanceState state, String line, Map<String, String> siteStatus) {
+        return AdminCommandInterpreter.execute(state, line, new CommandContext(true, 0, siteStatus));
     }
 
     @Test
-    public void repeatedCallsChangeNothingAndOneCallBackEndsTheBan() {
-        Held out = call(two, "maint-on a").after();
-        assertEquals(Set.of("a"), out.banned());
-        Verdict again = call(out, "maint-on a");
-        assertNull(again.refused());
-        assertSame(out, again.after());
-        Held back = call(again.after(), "maint-off a").after();
-        assertEquals(Set.of(), back.banned());
-        assertEquals(Map.of("a", 1000L), back.back());
-        assertSame(back, call(back, "maint-off a").after());
+    public void repeatedCommandsChangeNothingAndOneReturnEndsTheOutage() {
+        MaintenanceState out = execute(twoListed, "maint-on a").state();
+        assertEquals(Set.of("a"), out.outOfService());
+        CommandResult again = execute(out, "maint-on a");
+        assertNull(again.rejection());
+        assertSame(out, again.state());
+        MaintenanceState back = execute(again.state(), "maint-off a").state();
+        assertEquals(Set.of(), back.outOfService());
+        assertEquals(Map.of("a", 1000L), back.returnedAtUnixMillis());
+        assertSame(back, execute(back, "maint-off a").state());
         assertTrue(
                 "a ban ends what was known of the call back before it",
-                call(back, "maint-on a").after().back().isEmpty());
+                execute(back, "maint-on a").state().returnedAtUnixMillis().isEmpty());
     }
 
     @Test
-    public void whatMakesNoSenseIsRefusedAndChangesNothing() {
+    public void invalidCommandsAreRejectedAndChangeNothing() {
         for (String line : List.of(
                 "",
                 "maint-on",
@@ -70,106 +79,110 @@
                 "status a",
                 "reboot",
                 "MAINT-ON a")) {
-            Verdict v = call(two, line);
-            assertNotNull(line, v.refused());
-            assertSame(line, two, v.after());
+            CommandResult result = execute(twoListed, line);
+            assertNotNull(line, result.rejection());
+            assertSame(line, twoListed, result.state());
         }
-        assertNotNull(MaintenanceState.call(two, "status", false, 0).refused());
-        assertNull(MaintenanceState.call(two, "standby", false, 0).refused());
+        assertNotNull(execute(twoListed, "status", false).rejection());
+        assertNull(execute(twoListed, "standby", false).rejection());
     }
 
     @Test
-    public void anIdThatWasListedOnceMayBeCalledForGood() {
-        Held later = two.listed(List.of("c"));
-        assertNull(call(later, "maint-on a").refused());
-        assertTrue(call(call(two, "standby").after(), "standby").after().standby());
-        assertEquals(false, call(call(two, "standby").after(), "active").after().standby());
+    public void commandsForAnIdThatWasEverListedAreAccepted() {
+        MaintenanceState later = twoListed.withListed(List.of("c"));
+        assertNull(execute(later, "maint-on a").rejection());
+        assertTrue(execute(execute(twoListed, "standby").state(), "standby")
+                .state()
+                .standby());
+        assertEquals(
+                false,
+                execute(execute(twoListed, "standby").state(), "active").state().standby());
     }
 
     @Test
-    public void idsAreForgottenFromTheFirstAndNeverOnesTakenOut() {
-        Held out = call(two, "maint-on a").after();
+    public void theEarliestIdsAreForgottenFirstButNeverThoseOutOfService() {
+        MaintenanceState out = execute(twoListed, "maint-on a").state();
         List<String> many = new ArrayList<>();
-        for (int i = 0; i < MaintenanceState.MOST_LISTED; i++) {
+        for (int i = 0; i < MaintenanceState.MAX_LISTED_IDS; i++) {
             many.add("e" + i);
         }
-        Held full = out.listed(many);
-        assertEquals(MaintenanceState.MOST_LISTED, full.listed().size());
-        assertTrue(full.listed().contains("a"));
-        assertTrue(!full.listed().contains("b"));
+        MaintenanceState full = out.withListed(many);
+        assertEquals(MaintenanceState.MAX_LISTED_IDS, full.listedIds().size());
+        assertTrue(full.listedIds().contains("a"));
+        assertTrue(!full.listedIds().contains("b"));
     }
 
     @Test
     public void twoProcessesShareOneFile() throws Exception {
-        MaintenanceStateFile old = new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", journal);
-        MaintenanceStateFile fresh = new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", journal);
-        assertNull(old.read());
-        Held h =
-                old.change(two, x -> call(x.serving(7, List.of()), "maint-on a").after());
-        assertEquals(h, fresh.read());
-        Held then = fresh.change(
-                Held.NOTHING, x -> call(x.serving(8, List.of(9L)), "standby").after());
-        assertEquals(Set.of("a"), then.banned());
-        assertEquals(then, old.read());
-        assertEquals(List.of(7L, 8L), List.copyOf(then.routers()));
+        MaintenanceStateFile oldProcess =
+                new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", log);
+        MaintenanceStateFile newProcess =
+                new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", log);
+        assertNull(oldProcess.read());
+        MaintenanceState stored =
+                oldProcess.change(twoListed, state -> execute(state.withServing(7, List.of()), "maint-on a")
+                        .state());
+        assertEquals(stored, newProcess.read());
+        MaintenanceState changed = newProcess.change(
+                MaintenanceState.INITIAL,
+                state -> execute(state.withServing(8, List.of(9L)), "standby").state());
+        assertEquals(Set.of("a"), changed.outOfService());
+        assertEquals(changed, oldProcess.read());
+        assertEquals(List.of(7L, 8L), List.copyOf(changed.servingProcesses()));
         assertTrue(logged.isEmpty());
     }
 
     @Test
-    public void aTornOrForeignFileIsLoggedAndReadAsNone() throws Exception {
+    public void aTruncatedOrForeignFileIsLoggedAndTreatedAsAbsent() throws Exception {
         Path root = folder.getRoot().toPath();
-        MaintenanceStateFile f = new MaintenanceStateFile(root, "n", journal);
-        f.change(two, x -> call(x, "maint-on a").after());
-        Path file = root.resolve("magpiehub-n.operators");
-        byte[] whole = Files.readAllBytes(file);
+        MaintenanceStateFile file = new MaintenanceStateFile(root, "n", log);
+        file.change(twoListed, state -> execute(state, "maint-on a").state());
+        Path path = root.resolve("magpiehub-n.operators");
+        byte[] whole = Files.readAllBytes(path);
         for (byte[] bad : List.of(
                 new byte[0],
-                java.util.Arrays.copyOf(whole, whole.length / 2),
+                Arrays.copyOf(whole, whole.length / 2),
                 "{\"form\":\"other\"}".getBytes(UTF_8),
                 "[]".getBytes(UTF_8),
                 new byte[] {0, 1, 2})) {
             Files.write(root.resolve("next"), bad);
-            Files.move(root.resolve("next"), file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+            Files.move(root.resolve("next"), path, StandardCopyOption.REPLACE_EXISTING);
             logged.clear();
-            assertNull(f.read());
-            assertNull(f.read());
+            assertNull(file.read());
+            assertNull(file.read());
             assertEquals("named once", List.of("operators-file-unreadable"), logged);
         }
         assertEquals(
                 "the next change writes it anew",
                 Set.of("b"),
-                f.change(two, x -> call(x, "maint-on b").after()).banned());
+                file.change(twoListed, state -> execute(state, "maint-on b").state())
+                        .outOfService());
         assertEquals(
-                Set.of("b"), new MaintenanceStateFile(root, "n", journal).read().banned());
+                Set.of("b"), new MaintenanceStateFile(root, "n", log).read().outOfService());
     }
 
     @Test
-    public void sitesAreGivenUpAndTakenBackWhereTheyArePlannedForAndNeverAllOfThem() throws Exception {
-        Map<String, String> sites = new java.util.TreeMap<>(Map.of("a", "whole", "b", "lost share=0% cause=list"));
-        assertTrue(MaintenanceState.call(two, "site-out a", true, 0).refused().startsWith("unknown call; status, m"));
-        Held out = MaintenanceState.call(two, "site-out a", true, 0, sites).after();
-        assertEquals(Set.of("a"), out.sites());
-        assertSame(out, MaintenanceState.call(out, "site-out a", true, 0, sites).after());
+    public void sitesAreWithdrawnAndReturnedButNeverAllOfThem() throws Exception {
+        Map<String, String> sites = new TreeMap<>(Map.of("a", "whole", "b", "lost share=0% cause=list"));
+        assertTrue(execute(twoListed, "site-out a", true).rejection().startsWith("unknown call; status, m"));
+        MaintenanceState out = execute(twoListed, "site-out a", sites).state();
+        assertEquals(Set.of("a"), out.withdrawnSites());
+        assertSame(out, execute(out, "site-out a", sites).state());
         assertEquals(
                 "it is the last site that is not out",
-                MaintenanceState.call(out, "site-out b", true, 0, sites).refused());
+                execute(out, "site-out b", sites).rejection());
         assertEquals(
                 "no site of that name; there are a, b",
-                MaintenanceState.call(out, "site-out c", true, 0, sites).refused());
-        assertEquals(
-                "site-in takes one name",
-                MaintenanceState.call(out, "site-in", true, 0, sites).refused());
+                execute(out, "site-out c", sites).rejection());
+        assertEquals("site-in takes one name", execute(out, "site-in", sites).rejection());
         assertEquals(
                 "a whole; b lost share=0% cause=list",
-                MaintenanceState.call(out, "site-status", true, 0, sites).said());
+                execute(out, "site-status", sites).answer());
         assertEquals(
                 "b lost share=0% cause=list",
-                MaintenanceState.call(out, "site-status b", true, 0, sites).said());
-        assertEquals("kept over a restart", out, MaintenanceStateFile.parse(MaintenanceStateFile.format(out)));
-        assertEquals(
-                Set.of(),
-                MaintenanceState.call(out, "site-in a", true, 0, sites).after().sites());
-        assertTrue(
-                MaintenanceState.call(out, "nothing", true, 0, sites).refused().contains("site-out NAME"));
+                execute(out, "site-status b", sites).answer());
+        assertEquals("kept over a restart", out, MaintenanceStateCodec.parse(MaintenanceStateCodec.format(out)));
+        assertEquals(Set.of(), execute(out, "site-in a", sites).state().withdrawnSites());
+        assertTrue(execute(out, "nothing", sites).rejection().contains("site-out NAME"));
     }
 }
