--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -8,8 +8,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import magpiehub.routing.ZoneEvidence;
+import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.sites.SiteHealthTracker;
-import magpiehub.sites.SiteHealthTracker.State;
+import magpiehub.sites.SiteState;
+import magpiehub.sites.SiteTransition;
 
 /**
  * Many routers' machines in virtual time against drawn losses: sites of engines, some of them bad by
@@ -28,7 +30,7 @@
         NONE
     }
 
-    private static final SiteHealthTracker.Settings S = SiteHealthTracker.Settings.USUAL;
+    private static final SiteFailoverSettings S = SiteFailoverSettings.DEFAULTS;
     private static final int ROUTERS = 100;
     private static final int ENGINES = 100;
     private static final long TICK = 50_000;
@@ -80,7 +82,7 @@
             from = 4_000_000 + r.nextLong(2_000_000);
             until = from + 3_000_000 + r.nextLong(6_000_000);
             // Lost again at half of its ramp, every second time.
-            again = r.nextBoolean() ? until + 2 * S.step() : Long.MAX_VALUE;
+            again = r.nextBoolean() ? until + 2 * S.rampStepMicros() : Long.MAX_VALUE;
             badPart = r.nextDouble(0.12);
             listLate = r.nextLong(500_000, 8_000_000);
             end = until + 14_000_000;
@@ -128,10 +130,10 @@
         for (long now = 0; now < c.end; now += TICK) {
             long t = now;
             for (int site = 0; site < c.sites; site++) {
-                for (int k = m.checks(site); k > 0; k--) {
+                for (int k = m.takeHealthChecks(site); k > 0; k--) {
                     send(c, own, site, t, r, due);
                 }
-                if (m.tryNow(site, t)) {
+                if (m.takeTrial(site, t)) {
                     send(c, own, site, t, r, due);
                 }
             }
@@ -147,16 +149,16 @@
             }
             if (now % 1_000_000 == 0) {
                 gone = truth && c.down(t - c.listLate);
-                m.listed(t, c.site, gone ? 0 : ENGINES / c.sites, 100_000);
+                m.onListed(t, c.site, gone ? 0 : ENGINES / c.sites, 100_000);
             }
             for (Due d : due) {
                 if (d.at <= t) {
-                    m.sign(t, d.site, d.engine, d.sign, t - d.sent, d.ratio);
+                    m.onEvidence(t, d.site, d.engine, d.sign, t - d.sent, d.ratio);
                 }
             }
             due.removeIf(d -> d.at <= t);
-            m.tick(t);
-            for (SiteHealthTracker.Change ch : m.changes()) {
+            m.onTick(t);
+            for (SiteTransition ch : m.takeTransitions()) {
                 // By values: a constant's own hash is another one in each process.
                 result.digest = result.digest * 31
                         + java.util.Objects.hash(
@@ -164,11 +166,11 @@
                                 ch.from().ordinal(),
                                 ch.to().ordinal(),
                                 ch.cause().ordinal(),
-                                ch.at());
+                                ch.atMicros());
                 changes[ch.site()]++;
                 boolean right = (truth && ch.site() == c.site)
                         || (c.fault == Fault.CUT && ch.site() == c.site && own != c.site);
-                result.lostWrongly += ch.to() == State.LOST && !right ? 1 : 0;
+                result.lostWrongly += ch.to() == SiteState.LOST && !right ? 1 : 0;
             }
             boolean hit = truth ? true : c.fault == Fault.CUT && own != c.site;
             if (hit && shutAt < 0 && touched >= 0 && t < c.until && m.share(c.site, t) == 0) {
--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -37,7 +37,7 @@
 import magpiehub.simulator.JitWarmUp;
 import magpiehub.simulator.SimulatorAdapter;
 import magpiehub.sites.SiteFailoverPlan;
-import magpiehub.sites.SiteHealthTracker;
+import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.store.KeyValueStore;
 import magpiehub.store.LastWriteWinsStore;
 import magpiehub.streaming.StreamLimits;
@@ -117,7 +117,7 @@
         EndpointSource discovery = registry == null
                 ? new Discovery(r.discovery(), site::get, engines, clock, log, r.seed())
                 : new Registry(registry, site::get, engines, clock, log, r.seed());
-        SiteHealthTracker.Settings planned = SiteFailoverPlan.read(SITE);
+        SiteFailoverSettings planned = SiteFailoverSettings.read(SITE);
         SiteFailoverPlan plan = planned == null
                 ? null
                 : new SiteFailoverPlan(
@@ -132,7 +132,7 @@
                 plan == null ? new ConnectFailureZoneHealth() : plan);
         engines.module(module);
         Supplier<String> counters =
-                () -> log.counters() + streams.figures() + discovery.figures() + (plan == null ? "" : plan.figures());
+                () -> log.counters() + streams.figures() + discovery.figures() + (plan == null ? "" : plan.metrics());
         BooleanSupplier ready = discovery::known;
         PlatformProtocol platform = new PlatformProtocol(site::get);
         List<ClientListener> fronts = new CopyOnWriteArrayList<>();
@@ -246,13 +246,13 @@
 
             @Override
             public Map<String, String> siteStatus() {
-                return plan == null ? Map.of() : plan.standing();
+                return plan == null ? Map.of() : plan.siteStatus();
             }
 
             @Override
             public void setWithdrawnSites(Set<String> names) {
                 if (plan != null) {
-                    plan.out(names);
+                    plan.setWithdrawnSites(names);
                 }
             }
 
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -1,112 +1,81 @@
 package magpiehub.sites;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
-import magpiehub.config.Config;
-import magpiehub.config.ConfigurationException;
-import magpiehub.config.ConfigurationObject;
 import magpiehub.routing.ZoneEvidence;
 import magpiehub.routing.ZoneHealth;
 import magpiehub.telemetry.EventLog;
 
 /**
- * The plan for the loss of a site, where {@code deploy/site.json} asks for it: the zones that the decision
- * module
- * asks about are sites of {@link SiteHealthTracker}. It owns the file's names, the log lines and the figures. All but the
- * operators' word and the figures is the module's thread's; it must never choose a replica.
+ * Site failover as the routing decisions see it: each zone that they ask about is a site of a {@link SiteHealthTracker}.
+ * Also logs and counts the sites' transitions, and connects the operators.
+ *
+ * <p>The methods of {@link ZoneHealth} are called by the routing thread only. Those for operators and metrics may be
+ * called from any thread; a withdrawal takes effect at the next tick.
  */
 public final class SiteFailoverPlan implements ZoneHealth {
-    /** What a file may set; all of it has a default. */
-    private static final Set<String> KEYS =
-            Set.of("windowMs", "engines", "slow", "trialMs", "longestMs", "stepMs", "gentleMs", "memoryMs", "freshMs");
+    /** Stands for "not suspended" in {@link #shutSince}. */
+    private static final long NOT_SUSPENDED = Long.MAX_VALUE;
 
-    private final SiteHealthTracker.Settings settings;
+    private final SiteFailoverSettings settings;
     private final long seed;
-    private final int own;
-    private final EventLog journal;
-    private final List<String> names;
-    private SiteHealthTracker sites;
-    private long[] shutSince;
-    /** Sites that operators have given up, by name; and how each stands, for whoever asks. */
-    private final Set<String> out = ConcurrentHashMap.newKeySet();
-
-    private final Map<String, String> standing = new ConcurrentHashMap<>();
-
-    /** {@code names} are the zones of the list in their order, {@code own} this router's. */
+    private final int ownSite;
+    private final EventLog log;
+    private final List<String> siteNames;
+    /** Null until the number of zones is known. */
+    private SiteHealthTracker tracker;
+    /** Since when each site gets nothing but trials, or {@link #NOT_SUSPENDED}. */
+    private long[] suspendedSince;
+
+    /** Names of the sites that operators have withdrawn. */
+    private final Set<String> withdrawnSites = ConcurrentHashMap.newKeySet();
+
+    /** The status of each site by its name, as of the last tick. */
+    private final Map<String, String> siteStatus = new ConcurrentHashMap<>();
+
+    /**
+     * Creates a plan in which all sites are healthy.
+     *
+     * @param siteNames the zones of the router configuration, in their order
+     * @param ownSite the index of the router's own site, -1 if it has none
+     */
     public SiteFailoverPlan(
-            SiteHealthTracker.Settings settings, List<String> names, int own, long seed, EventLog journal) {
+            SiteFailoverSettings settings, List<String> siteNames, int ownSite, long seed, EventLog log) {
         this.settings = settings;
-        this.names = List.copyOf(names);
-        names.forEach(n -> standing.put(n, word(SiteHealthTracker.State.WHOLE)));
-        this.own = own;
+        this.siteNames = List.copyOf(siteNames);
+        for (String name : siteNames) {
+            siteStatus.put(name, SiteState.HEALTHY.label());
+        }
+        this.ownSite = ownSite;
         this.seed = seed;
-        this.journal = journal;
+        this.log = log;
     }
 
-    /** What a file says; null if there is none, and then nothing is planned. */
-    public static SiteHealthTracker.Settings read(Path file) throws IOException {
-        if (!Files.exists(file)) {
-            return null;
-        }
-        ConfigurationObject f =
-                Config.facts(Files.readAllBytes(file), file.getFileName().toString());
-        for (String k : f.map().keySet()) {
-            if (!KEYS.contains(k)) {
-                throw new ConfigurationException(f.path() + "." + k + " is not known");
-            }
-        }
-        SiteHealthTracker.Settings u = SiteHealthTracker.Settings.USUAL;
-        return new SiteHealthTracker.Settings(
-                time(f, "windowMs", u.window()),
-                (int) above(f, "engines", u.engines()),
-                above(f, "slow", u.slow()),
-                time(f, "trialMs", u.trial()),
-                time(f, "longestMs", u.longest()),
-                time(f, "stepMs", u.step()),
-                time(f, "gentleMs", u.gentle()),
-                time(f, "memoryMs", u.memory()),
-                time(f, "freshMs", u.fresh()));
-    }
-
-    private static long time(ConfigurationObject f, String key, long absent) {
-        return Config.micros(above(f, key, absent / 1000.0));
-    }
-
-    private static double above(ConfigurationObject f, String key, double absent) {
-        double v = f.number(key, absent);
-        if (!(v >= 1) || v > 1e9) {
-            throw new ConfigurationException(f.path() + "." + key + " must be a number from 1 to 1e9");
-        }
-        return v;
-    }
+    // ---- The routing thread ---------------------------------------------------------------------------
 
-    // ---- The module's thread --------------------------------------------------------------------------
     @Override
     public void number(int zones) {
-        if (sites == null) {
-            sites = new SiteHealthTracker(settings, zones, own, seed);
-            shutSince = new long[zones];
-            java.util.Arrays.fill(shutSince, Long.MAX_VALUE);
+        if (tracker == null) {
+            tracker = new SiteHealthTracker(settings, zones, ownSite, seed);
+            suspendedSince = new long[zones];
+            Arrays.fill(suspendedSince, NOT_SUSPENDED);
         }
     }
 
-    /** Zones that a later file adds are the module's, and never called lost. */
-    private boolean knows(int zone) {
-        return zone < shutSince.length;
+    /** Whether the zone is a site of the tracker. Zones that a later configuration adds are not: they are never lost. */
+    private boolean isTracked(int zone) {
+        return zone < suspendedSince.length;
     }
 
     @Override
-    public void told(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
-        if (knows(zone)) {
-            sites.sign(now, zone, replica, sign, took, ratio);
-            look(now);
+    public void told(long now, int zone, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
+        if (isTracked(zone)) {
+            tracker.onEvidence(now, zone, replica, evidence, tookMicros, latencyRatio);
+            publishTransitions(now);
         }
     }
 
@@ -114,31 +83,31 @@
     public void fresh(String replica) {}
 
     @Override
-    public void listed(long now, int zone, int live) {
-        if (knows(zone)) {
-            sites.listed(now, zone, live, 0);
-            look(now);
+    public void listed(long now, int zone, int replicas) {
+        if (isTracked(zone)) {
+            tracker.onListed(now, zone, replicas, 0);
+            publishTransitions(now);
         }
     }
 
     @Override
     public boolean takes(long now, int zone, double place) {
-        return !knows(zone) || place < sites.share(zone, now);
+        return !isTracked(zone) || place < tracker.share(zone, now);
     }
 
     @Override
     public long shutSince(int zone) {
-        return knows(zone) ? shutSince[zone] : Long.MAX_VALUE;
+        return isTracked(zone) ? suspendedSince[zone] : NOT_SUSPENDED;
     }
 
     @Override
     public boolean tries(long now, int zone) {
-        return knows(zone) && sites.tryNow(zone, now);
+        return isTracked(zone) && tracker.takeTrial(zone, now);
     }
 
     @Override
     public int checks(int zone) {
-        return knows(zone) ? sites.checks(zone) : 0;
+        return isTracked(zone) ? tracker.takeHealthChecks(zone) : 0;
     }
 
     @Override
@@ -148,78 +117,76 @@
 
     @Override
     public void tick(long now) {
-        for (int i = 0; i < names.size() && i < shutSince.length; i++) {
-            if (out.contains(names.get(i))) {
-                sites.out(now, i);
+        for (int site = 0; site < siteNames.size() && site < suspendedSince.length; site++) {
+            if (withdrawnSites.contains(siteNames.get(site))) {
+                tracker.withdraw(now, site);
             } else {
-                sites.in(now, i);
+                tracker.reinstate(now, site);
             }
         }
-        sites.tick(now);
-        look(now);
-        for (int i = 0; i < shutSince.length; i++) {
-            standing.put(name(i), standing(i, now));
+        tracker.onTick(now);
+        publishTransitions(now);
+        for (int site = 0; site < suspendedSince.length; site++) {
+            siteStatus.put(name(site), describe(site, now));
         }
     }
 
-    private void look(long now) {
-        for (SiteHealthTracker.Change c : sites.changes()) {
-            String name = name(c.site());
-            journal.count("site_" + c.to().name().toLowerCase(Locale.ROOT));
-            journal.log(
+    private void publishTransitions(long now) {
+        for (SiteTransition transition : tracker.takeTransitions()) {
+            log.count("site_" + transition.to().label());
+            log.log(
                     "site",
                     "name",
-                    name,
+                    name(transition.site()),
                     "from",
-                    word(c.from()),
+                    transition.from().label(),
                     "to",
-                    word(c.to()),
+                    transition.to().label(),
                     "cause",
-                    c.cause().name().toLowerCase(Locale.ROOT));
+                    transition.cause().label());
         }
-        for (int i = 0; i < shutSince.length; i++) {
-            shutSince[i] = sites.share(i, now) > 0 ? Long.MAX_VALUE : Math.min(shutSince[i], now);
+        for (int site = 0; site < suspendedSince.length; site++) {
+            boolean getsTraffic = tracker.share(site, now) > 0;
+            suspendedSince[site] = getsTraffic ? NOT_SUSPENDED : Math.min(suspendedSince[site], now);
         }
     }
 
-    private String standing(int i, long now) {
-        SiteHealthTracker.State s = sites.state(i);
-        return word(s)
-                + (s == SiteHealthTracker.State.WHOLE
-                        ? ""
-                        : " share=" + Math.round(100 * sites.share(i, now)) + "% cause="
-                                + sites.cause(i).name().toLowerCase(Locale.ROOT));
-    }
-
-    private static String word(SiteHealthTracker.State s) {
-        return s.name().toLowerCase(Locale.ROOT);
+    private String describe(int site, long now) {
+        SiteState state = tracker.state(site);
+        if (state == SiteState.HEALTHY) {
+            return state.label();
+        }
+        long percent = Math.round(100 * tracker.share(site, now));
+        return state.label() + " share=" + percent + "% cause="
+                + tracker.cause(site).label();
     }
 
     private String name(int site) {
-        return site < names.size() ? names.get(site) : Integer.toString(site);
+        return site < siteNames.size() ? siteNames.get(site) : Integer.toString(site);
     }
 
     // ---- Any thread -----------------------------------------------------------------------------------
-    /** The sites that operators have given up from now on; the module follows at its next turn. */
-    public void out(Set<String> given) {
-        out.retainAll(given);
-        out.addAll(given);
+
+    /** Sets which sites are withdrawn from service, by name; all others are put back. */
+    public void setWithdrawnSites(Set<String> names) {
+        withdrawnSites.retainAll(names);
+        withdrawnSites.addAll(names);
     }
 
-    /** The sites that there are. */
-    public List<String> names() {
-        return names;
+    /** The names of all sites. */
+    public List<String> siteNames() {
+        return siteNames;
     }
 
-    /** How each site stands. */
-    public Map<String, String> standing() {
-        return new TreeMap<>(standing);
+    /** The status of each site by its name: its state, and unless it is healthy its share of traffic and the cause. */
+    public Map<String, String> siteStatus() {
+        return new TreeMap<>(siteStatus);
     }
 
-    /** The same as lines for the counters. */
-    public String figures() {
-        StringBuilder b = new StringBuilder();
-        standing().forEach((name, how) -> b.append("site_" + name + " " + how + "\n"));
-        return b.toString();
+    /** The same as lines of the metrics page. */
+    public String metrics() {
+        StringBuilder lines = new StringBuilder();
+        siteStatus().forEach((name, status) -> lines.append("site_" + name + " " + status + "\n"));
+        return lines.toString();
     }
 }
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -12,7 +12,7 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import magpiehub.sites.SiteFailoverPlan;
-import magpiehub.sites.SiteHealthTracker;
+import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -167,7 +167,7 @@
         for (int i = 0; i < settings.zones(); i++) {
             names.add("zone" + i);
         }
-        return new SiteFailoverPlan(SiteHealthTracker.Settings.USUAL, names, settings.myZone(), seed, new EventLog() {
+        return new SiteFailoverPlan(SiteFailoverSettings.DEFAULTS, names, settings.myZone(), seed, new EventLog() {
             @Override
             public void count(String name) {
                 record("count", name);
