--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -164,7 +164,7 @@
         fronts.add(clients);
         // The next two are off unless a file of the deployment's gives their address; the platform has none.
         MessagesProtocol.Options options = MessagesProtocol.Options.read(Path.of("deploy/messages.json"));
-        KeyValueStore store = LastWriteWinsStore.read(Path.of("deploy/store.json"), r.name(), clock, log);
+        KeyValueStore store = LastWriteWinsStore.fromFile(Path.of("deploy/store.json"), r.name(), clock, log);
         if (options != null) {
             ClientListener messages = new ClientListener(
                     ListenerSocket.bind(Config.socketAddress(options.listen())),
--- a/src/main/java/magpiehub/store/KeyValueStore.java
+++ b/src/main/java/magpiehub/store/KeyValueStore.java
@@ -3,20 +3,20 @@
 import java.util.Map;
 
 /**
- * Where the product keeps configuration and state that its routers have in common. What is put here is seen
- * by every replica in the end; until then each answers from what it has heard. It must never be needed to
- * route a request.
+ * A key-value store that all routers share. It is eventually consistent: a write reaches every replica in the end, and
+ * until then each answers from what it has received. Safe for use by several threads.
  */
 public interface KeyValueStore extends AutoCloseable {
-    /** A key's value here and now; null if it has none. */
+    /** Returns the value of a key as this replica knows it; null if it has none. */
     String get(String key);
 
-    /** All keys with a beginning, in order. */
-    Map<String, String> under(String beginning);
+    /** Returns all entries whose keys begin with a prefix, in the order of their keys. */
+    Map<String, String> entriesWithPrefix(String prefix);
 
-    /** Gives a key a value; a null value removes it. */
+    /** Sets the value of a key; null removes the key. Does not wait for other replicas. */
     void put(String key, String value);
 
+    /** Stops this replica. */
     @Override
     void close();
 }
--- /dev/null
+++ b/src/main/java/magpiehub/store/PeerListener.java
@@ -0,0 +1,106 @@
+package magpiehub.store;
+
+import java.io.BufferedInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.function.Consumer;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Sockets;
+import magpiehub.telemetry.EventLog;
+
+/**
+ * Accepts connections of peers and operators, and reads their messages. Each connection has a thread of its own; one
+ * that sends a malformed line is closed, and the others go on.
+ */
+final class PeerListener {
+    private static final int READ_BUFFER_BYTES = 4096;
+
+    private final ServerSocket server = new ServerSocket();
+    private final Consumer<StoreMessage> receiver;
+    private final EventLog log;
+    private final Set<Socket> connections = ConcurrentHashMap.newKeySet();
+    private final Thread acceptThread;
+    private volatile boolean isClosed;
+
+    /**
+     * Binds the listener, and accepts connections from then on.
+     *
+     * @param receiver takes each message; called from several threads at once
+     */
+    PeerListener(InetSocketAddress listenAddress, Consumer<StoreMessage> receiver, EventLog log) throws IOException {
+        this.receiver = receiver;
+        this.log = log;
+        server.setReuseAddress(true);
+        server.bind(listenAddress);
+        acceptThread = Mailbox.thread("store-accept", this::acceptConnections);
+        acceptThread.start();
+    }
+
+    /** The port that the listener is bound to. */
+    int port() {
+        return server.getLocalPort();
+    }
+
+    private void acceptConnections() {
+        while (!isClosed) {
+            try {
+                Socket connection = server.accept();
+                connections.add(connection);
+                connection.setTcpNoDelay(true);
+                Mailbox.thread("store-reader", () -> readMessages(connection)).start();
+            } catch (IOException | OutOfMemoryError e) {
+                // OutOfMemoryError: no further thread can be started.
+                log.count("store_link_failures");
+            }
+        }
+    }
+
+    private void readMessages(Socket connection) {
+        try (connection) {
+            InputStream in = new BufferedInputStream(connection.getInputStream(), READ_BUFFER_BYTES);
+            for (byte[] line = readLine(in); line != null; line = readLine(in)) {
+                receiver.accept(StoreMessageCodec.decode(line));
+            }
+        } catch (IOException | RuntimeException | OutOfMemoryError e) {
+            log.count("store_link_failures");
+        } finally {
+            connections.remove(connection);
+        }
+    }
+
+    /** Returns the next line without its end; null at the end of the input, where an incomplete line is dropped. */
+    private static byte[] readLine(InputStream in) throws IOException {
+        ByteArrayOutputStream line = new ByteArrayOutputStream();
+        for (int b = in.read(); b >= 0; b = in.read()) {
+            if (b == '\n') {
+                return line.toByteArray();
+            }
+            line.write(b);
+            if (line.size() > StoreMessageCodec.MAX_LINE_BYTES) {
+                throw new IOException("line too long");
+            }
+        }
+        return null;
+    }
+
+    /** Closes the listener and all connections. Once it returns, the port is free. */
+    void close() {
+        isClosed = true;
+        try {
+            server.close();
+            // The port is free only once the accepting thread has left the kernel.
+            acceptThread.join();
+        } catch (IOException e) {
+            // The listener is unusable either way.
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        connections.forEach(Sockets::closeQuietly);
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/store/StoreMessageCodec.java
@@ -0,0 +1,60 @@
+package magpiehub.store;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
+
+/**
+ * The wire form of a {@link StoreMessage}: a line with a JSON object of the members {@code key}, {@code value} (absent
+ * if the key is removed), {@code count} (the timestamp's counter, as a string) and {@code by} (its replica). An
+ * operator's write has neither {@code count} nor {@code by}.
+ */
+final class StoreMessageCodec {
+    /** Longest line that is accepted, in bytes without its end. */
+    static final int MAX_LINE_BYTES = 256 * 1024;
+
+    private StoreMessageCodec() {}
+
+    /** Returns the line, with its end, that replicates a write. */
+    static byte[] encode(String key, VersionedValue write) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        try (JsonGenerator json = Config.JSON.createGenerator(out)) {
+            json.writeStartObject();
+            json.writeStringField("key", key);
+            if (write.value() != null) {
+                json.writeStringField("value", write.value());
+            }
+            json.writeStringField("count", Long.toString(write.timestamp().counter()));
+            json.writeStringField("by", write.timestamp().replica());
+            json.writeEndObject();
+        } catch (IOException e) {
+            // Cannot happen: the stream is in memory.
+            throw new IllegalStateException(e);
+        }
+        out.write('\n');
+        return out.toByteArray();
+    }
+
+    /**
+     * Parses a line without its end.
+     *
+     * @throws IOException if the line has no key or is no JSON
+     * @throws RuntimeException if a member has the wrong type or the counter is no number
+     */
+    static StoreMessage decode(byte[] line) throws IOException {
+        ConfigurationObject object = Config.facts(line, "store");
+        String key = object.text("key", null);
+        String replica = object.text("by", null);
+        if (key == null) {
+            throw new IOException("malformed line");
+        }
+        String value = object.text("value", null);
+        if (replica == null) {
+            return new StoreMessage.OperatorWrite(key, value);
+        }
+        long counter = Long.parseLong(object.text("count", ""));
+        return new StoreMessage.ReplicatedWrite(key, new VersionedValue(value, new LamportTimestamp(counter, replica)));
+    }
+}
--- a/src/test/java/magpiehub/store/KeyValueStoreTest.java
+++ b/src/test/java/magpiehub/store/KeyValueStoreTest.java
@@ -12,36 +12,37 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.telemetry.SyslogEventLog;
 import org.junit.After;
 import org.junit.Test;
 
-/** Replicas on loopback: what they promise, and no more. */
+/** Replicas on loopback: replication and conflict resolution. */
 public class KeyValueStoreTest {
-    private final List<LastWriteWinsStore> all = new ArrayList<>();
+    private final List<LastWriteWinsStore> replicas = new ArrayList<>();
     private final SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
 
     private LastWriteWinsStore replica(String name, int port) throws IOException {
-        LastWriteWinsStore s = new LastWriteWinsStore(
+        LastWriteWinsStore replica = new LastWriteWinsStore(
                 name, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), MonotonicClock.SYSTEM, log);
-        all.add(s);
-        return s;
+        replicas.add(replica);
+        return replica;
     }
 
-    private static void join(LastWriteWinsStore from, LastWriteWinsStore to) {
-        from.join("127.0.0.1:" + to.port());
+    private static void link(LastWriteWinsStore from, LastWriteWinsStore to) {
+        from.addPeer("127.0.0.1:" + to.port());
     }
 
-    private static void await(BooleanSupplier what) {
-        for (int i = 0; !what.getAsBoolean(); i++) {
+    private static void await(BooleanSupplier condition) {
+        for (int i = 0; !condition.getAsBoolean(); i++) {
             assertTrue("never came", i < 40_000);
-            java.util.concurrent.locks.LockSupport.parkNanos(500_000);
+            LockSupport.parkNanos(500_000);
         }
     }
 
-    private static void say(LastWriteWinsStore to, String line) throws IOException {
+    private static void send(LastWriteWinsStore to, String line) throws IOException {
         try (Socket s = new Socket("127.0.0.1", to.port())) {
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         }
@@ -49,43 +50,43 @@
 
     @After
     public void end() {
-        all.forEach(LastWriteWinsStore::close);
+        replicas.forEach(LastWriteWinsStore::close);
     }
 
     @Test
-    public void writesReachReplicasThatNobodyDialsDirectly() throws IOException {
+    public void writesReachReplicasThroughOthers() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
         LastWriteWinsStore c = replica("c", 0);
         a.put("before", "1");
-        join(a, b);
-        join(b, c);
+        link(a, b);
+        link(b, c);
         await(() -> "1".equals(c.get("before")));
         a.put("after", "2");
         await(() -> "2".equals(c.get("after")));
-        assertEquals(Map.of("after", "2"), c.under("a"));
+        assertEquals(Map.of("after", "2"), c.entriesWithPrefix("a"));
         a.put("before", null);
         await(() -> c.get("before") == null);
     }
 
     @Test
-    public void writesAtOnceEndAlikeEverywhere() throws IOException {
+    public void concurrentWritesConvergeToTheSameValue() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
         a.put("k", "from a");
         b.put("k", "from b");
-        join(a, b);
-        join(b, a);
+        link(a, b);
+        link(b, a);
         await(() -> "from b".equals(a.get("k")));
         assertEquals("the higher name wins a tie", "from b", b.get("k"));
     }
 
     @Test
-    public void anOlderWriteBringsNothingBack() throws IOException {
+    public void anOlderWriteDoesNotRestoreARemovedKey() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         a.put("k", "1");
         a.put("k", null);
-        say(
+        send(
                 a,
                 "{\"key\":\"k\",\"value\":\"0\",\"count\":\"1\",\"by\":\"z\"}\n"
                         + "{\"key\":\"mark\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
@@ -94,10 +95,10 @@
     }
 
     @Test
-    public void aReplicaThatComesBackEmptyIsToldEverything() throws IOException {
+    public void aReplicaThatRestartsEmptyReceivesAllEntries() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
-        join(a, b);
+        link(a, b);
         a.put("k", "1");
         await(() -> b.get("k") != null);
         int port = b.port();
@@ -107,19 +108,19 @@
     }
 
     @Test
-    public void anOperatorsWriteGetsItsStampFromTheReplica() throws IOException {
+    public void anOperatorsWriteGetsItsTimestampFromTheReplica() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         a.put("k", "1");
-        say(a, "{\"key\":\"k\",\"value\":\"2\"}");
+        send(a, "{\"key\":\"k\",\"value\":\"2\"}");
         await(() -> "2".equals(a.get("k")));
     }
 
     @Test
-    public void rubbishEndsItsOwnLinkOnly() throws IOException {
+    public void aMalformedLineEndsItsOwnConnectionOnly() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
-        say(a, "{\"key\":");
-        say(a, "{\"key\":\"k\",\"count\":\"x\",\"by\":\"z\"}");
-        say(a, "{\"key\":\"k\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
+        send(a, "{\"key\":");
+        send(a, "{\"key\":\"k\",\"count\":\"x\",\"by\":\"z\"}");
+        send(a, "{\"key\":\"k\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
         await(() -> "1".equals(a.get("k")));
     }
 }
