--- a/src/main/java/magpiehub/admin/AdminCommand.java
+++ b/src/main/java/magpiehub/admin/AdminCommand.java
@@ -70,7 +70,7 @@
      * @throws CommandSyntaxException if the verb is unknown or the number of arguments is wrong
      */
     static AdminCommand parse(String line, boolean hasSites) throws CommandSyntaxException {
-        String[] words = line.strip().split(" +");
+        String[] words = line.strip().split(" +", -1);
         Verb verb = Verb.BY_WORD.get(words[0]);
         if (verb == null || (verb.isForSites() && !hasSites)) {
             throw new CommandSyntaxException(words[0].isEmpty() ? "no call" : unknownCommand(hasSites));
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -15,8 +15,10 @@
  * and equal events give equal transitions. Not safe for use by several threads.
  */
 public final class SiteHealthTracker {
-    /** Failed replicas, none answering, that make a site suspect. Few, since a router that sends little waits long for
-     *  more: health checks then collect the rest of the evidence. */
+    /**
+     * Failed replicas, none answering, that make a site suspect. Few, since a router that sends little waits long for
+     * more: health checks then collect the rest of the evidence.
+     */
     private static final int SUSPECT_FAILURES = 2;
 
     /** The same if they answer with errors. More, since they can be reached and some may be faulty by themselves. */
@@ -140,11 +142,12 @@
     public void onEvidence(
             long now, int index, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
         long sentAt = now - tookMicros;
-        switch (evidence) {
-            case ANSWERED -> onAnswer(now, sentAt, sites[index], latencyRatio >= settings.slowRatio());
-                // A connection that breaks under a request says that the replica is not there.
-            case BROKEN -> onFailure(now, sentAt, sites[index], replica, ZoneEvidence.NO_CONNECTION);
-            default -> onFailure(now, sentAt, sites[index], replica, evidence);
+        if (evidence == ZoneEvidence.ANSWERED) {
+            onAnswer(now, sentAt, sites[index], latencyRatio >= settings.slowRatio());
+        } else {
+            // A connection that breaks under a request says that the replica is not there.
+            boolean isBroken = evidence == ZoneEvidence.BROKEN;
+            onFailure(now, sentAt, sites[index], replica, isBroken ? ZoneEvidence.NO_CONNECTION : evidence);
         }
         evaluateAll(now);
     }
--- a/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
+++ b/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
@@ -62,8 +62,8 @@
             plan.listed(0, i, 8);
         }
         for (int i = 0; i < 6; i++) {
-            plan.told(SECOND + i * 10_000, 1, "s" + i, ZoneEvidence.NO_CONNECTION, 1_000, 1);
-            plan.told(SECOND + i * 10_000 + 5_000, 2, "w" + i, ZoneEvidence.ANSWERED, 400, 1);
+            plan.told(SECOND + i * 10_000L, 1, "s" + i, ZoneEvidence.NO_CONNECTION, 1_000, 1);
+            plan.told(SECOND + i * 10_000L + 5_000, 2, "w" + i, ZoneEvidence.ANSWERED, 400, 1);
         }
         assertEquals(0, plan.siteNames().indexOf("north"));
         assertTrue(
--- a/src/test/java/magpiehub/store/KeyValueStoreTest.java
+++ b/src/test/java/magpiehub/store/KeyValueStoreTest.java
@@ -26,7 +26,7 @@
 
     private LastWriteWinsStore replica(String name, int port) throws IOException {
         LastWriteWinsStore replica = new LastWriteWinsStore(
-                name, new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), MonotonicClock.SYSTEM, log);
+                name, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), MonotonicClock.SYSTEM, log);
         replicas.add(replica);
         return replica;
     }
@@ -43,7 +43,7 @@
     }
 
     private static void send(LastWriteWinsStore to, String line) throws IOException {
-        try (Socket s = new Socket("127.0.0.1", to.port())) {
+        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), to.port())) {
             s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         }
     }
