--- a/src/main/java/magpiehub/admin/MaintenanceStateFile.java
+++ b/src/main/java/magpiehub/admin/MaintenanceStateFile.java
@@ -86,7 +86,6 @@
      * @param ifAbsent the state to change if there is no usable file
      * @throws IOException if the file can't be locked or written; it then holds what it held before
      */
-    @SuppressWarnings("try") // The lock is held during the change; nothing is asked of it.
     synchronized MaintenanceState change(MaintenanceState ifAbsent, UnaryOperator<MaintenanceState> change)
             throws IOException {
         try (FileChannel channel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -11,8 +11,8 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Site failover as the routing decisions see it: each zone that they ask about is a site of a {@link SiteHealthTracker}.
- * Also logs and counts the sites' transitions, and connects the operators.
+ * Site failover as the routing decisions see it: each zone is a site of a {@link SiteHealthTracker}. Also
+ * logs and counts the sites' transitions, and connects the operators.
  *
  * <p>The methods of {@link ZoneHealth} are called by the routing thread only. Those for operators and metrics may be
  * called from any thread; a withdrawal takes effect at the next tick.
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Whether the zone is a site of the tracker. Zones that a later configuration adds are not: they are never lost. */
+    /** Whether the zone is a site of the tracker. Zones that a later configuration adds are not, and never lost. */
     private boolean isTracked(int zone) {
         return zone < suspendedSince.length;
     }
--- a/src/main/java/magpiehub/store/LastWriteWinsStore.java
+++ b/src/main/java/magpiehub/store/LastWriteWinsStore.java
@@ -18,10 +18,10 @@
 /**
  * One replica of a key-value store that resolves conflicts by last write wins.
  *
- * <p>Every entry has a {@link LamportTimestamp}. Of two writes of a key the one with the later timestamp stays, wherever
- * and in whatever order they arrive, so replicas that have received the same writes hold the same entries. There is no
- * agreement between replicas and no order between keys: of two concurrent writes, one is lost everywhere. Entries are
- * in memory only; they last as long as one replica does.
+ * <p>Every entry has a {@link LamportTimestamp}. Of two writes of a key the one with the later timestamp stays,
+ * wherever and in whatever order they arrive, so replicas that have received the same writes hold the same entries.
+ * There is no agreement between replicas and no order between keys: of two concurrent writes, one is lost everywhere.
+ * Entries are in memory only; they last as long as one replica does.
  */
 public final class LastWriteWinsStore implements KeyValueStore {
     private final String replicaName;
--- a/src/main/java/magpiehub/store/PeerLink.java
+++ b/src/main/java/magpiehub/store/PeerLink.java
@@ -8,7 +8,6 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
-import magpiehub.http.Sockets;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -116,7 +115,7 @@
             // The connection has ended, like at the end of the input.
         }
         endQueue(lines);
-        Sockets.closeQuietly(connection);
+        PeerSockets.closeQuietly(connection);
     }
 
     private static void endQueue(Mailbox<byte[]> lines) {
@@ -124,11 +123,11 @@
         lines.close();
     }
 
-    /** Queues a line for the peer. Never waits: a peer that does not read is disconnected, and sent all entries later. */
+    /** Queues a line for the peer. Never waits: a peer that does not read is disconnected, and dialled again. */
     void send(byte[] line) {
         Mailbox<byte[]> lines = queue;
         if (lines != null && !lines.post(line, line.length)) {
-            Sockets.closeQuietly(socket);
+            PeerSockets.closeQuietly(socket);
         }
     }
 
@@ -140,7 +139,7 @@
         }
         Socket connection = socket;
         if (connection != null) {
-            Sockets.closeQuietly(connection);
+            PeerSockets.closeQuietly(connection);
         }
     }
 }
--- a/src/main/java/magpiehub/store/PeerListener.java
+++ b/src/main/java/magpiehub/store/PeerListener.java
@@ -11,7 +11,6 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.http.Sockets;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -101,6 +100,6 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        connections.forEach(Sockets::closeQuietly);
+        connections.forEach(PeerSockets::closeQuietly);
     }
 }
--- a/src/main/java/magpiehub/store/package-info.java
+++ b/src/main/java/magpiehub/store/package-info.java
@@ -5,7 +5,7 @@
  * takes theirs ({@code PeerListener}), and resolves conflicts by {@code LamportTimestamp}. The store is off unless
  * {@code deploy/store.json} exists, and no request needs it to be routed.
  *
- * <p>The protocol is one JSON object per line, in one direction: a replica dials each peer, sends all entries, then each
- * write as it comes. A line without a timestamp is an operator's write; see {@code StoreMessageCodec}.
+ * <p>The protocol is one JSON object per line, in one direction: a replica dials each peer, sends all entries, then
+ * each write as it comes. A line without a timestamp is an operator's write; see {@code StoreMessageCodec}.
  */
 package magpiehub.store;
