--- a/src/main/java/magpiehub/store/PeerLink.java
+++ b/src/main/java/magpiehub/store/PeerLink.java
@@ -8,6 +8,7 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
+import magpiehub.http.Sockets;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -115,7 +116,7 @@
             // The connection has ended, like at the end of the input.
         }
         endQueue(lines);
-        PeerSockets.closeQuietly(connection);
+        Sockets.closeQuietly(connection);
     }
 
     private static void endQueue(Mailbox<byte[]> lines) {
@@ -127,7 +128,7 @@
     void send(byte[] line) {
         Mailbox<byte[]> lines = queue;
         if (lines != null && !lines.post(line, line.length)) {
-            PeerSockets.closeQuietly(socket);
+            Sockets.closeQuietly(socket);
         }
     }
 
@@ -139,7 +140,7 @@
         }
         Socket connection = socket;
         if (connection != null) {
-            PeerSockets.closeQuietly(connection);
+            Sockets.closeQuietly(connection);
         }
     }
 }
--- a/src/main/java/magpiehub/store/PeerListener.java
+++ b/src/main/java/magpiehub/store/PeerListener.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Sockets;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -100,6 +101,6 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        connections.forEach(PeerSockets::closeQuietly);
+        connections.forEach(Sockets::closeQuietly);
     }
 }
