--- a/lab/src/main/java/magpiehub/lab/EngineSite.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSite.java
@@ -284,7 +284,7 @@
             return;
         }
         if (w[0].equals("add")) {
-            Served e = new Served(w[1], magpiehub.config.Config.socketAddress(w[2]), w[3].equals("cold"));
+            Served e = new Served(w[1], magpiehub.config.HostPort.toSocketAddress(w[2]), w[3].equals("cold"));
             engines.put(w[1], e);
             e.start();
             say("up " + w[1]);
--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -15,9 +15,10 @@
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
+import magpiehub.config.HostPort;
 import magpiehub.config.RouterConfiguration;
+import magpiehub.config.RouterConfigurationReader;
 import magpiehub.config.SiteSettings;
 import magpiehub.discovery.Announcer;
 import magpiehub.discovery.Discovery;
@@ -76,7 +77,10 @@
         } else if (args.length == 1 && (args[0].equals("serve") || args[0].equals("rehearse"))) {
             try {
                 boolean serves = args[0].equals("serve");
-                serve(Config.router(serves ? System.getenv() : ClassArchiveTrainer.begin()), hangups, hangupsIgnored);
+                serve(
+                        RouterConfigurationReader.read(serves ? System.getenv() : ClassArchiveTrainer.begin()),
+                        hangups,
+                        hangupsIgnored);
             } catch (IOException | RuntimeException e) {
                 // One line for whoever starts it: what is wrong, or at least what failed.
                 System.err.println("magpiehub: " + (e instanceof ConfigurationException ? e.getMessage() : e));
@@ -98,12 +102,12 @@
         }
         MonotonicClock clock = MonotonicClock.SYSTEM;
         // Requests in hand take at most a third of the descriptors on each side; clients that stay need more.
-        int forEngines = Math.max(8, r.sockets() * 3 / 8);
-        int forClients = Math.max(8, r.sockets() - OTHER_DESCRIPTORS - forEngines);
+        int forEngines = Math.max(8, r.maxSockets() * 3 / 8);
+        int forClients = Math.max(8, r.maxSockets() - OTHER_DESCRIPTORS - forEngines);
         ActorThreadPool crew = new ActorThreadPool();
         // A file of the operators' own, or today's values.
         StreamLimits allowances = StreamLimits.read(
-                STREAMS, r.site().settings().classes(), Runtime.getRuntime().maxMemory());
+                STREAMS, r.site().routing().classes(), Runtime.getRuntime().maxMemory());
         AtomicReference<SiteSettings> site = new AtomicReference<>(r.site());
         Streams streams = new Streams(allowances, r.site(), clock, log);
         UpstreamPool engines = new UpstreamPool(r.site(), forEngines, clock, log, crew, streams);
@@ -120,9 +124,9 @@
         SiteFailoverPlan plan = planned == null
                 ? null
                 : new SiteFailoverPlan(
-                        planned, r.site().zones(), r.site().settings().myZone(), r.seed(), log);
+                        planned, r.site().zones(), r.site().routing().myZone(), r.seed(), log);
         RequestDispatcher module = new RequestDispatcher(
-                r.site().settings(),
+                r.site().routing(),
                 r.seed(),
                 clock,
                 engines,
@@ -136,18 +140,18 @@
         PlatformProtocol platform = new PlatformProtocol(site::get);
         List<ClientListener> fronts = new CopyOnWriteArrayList<>();
         AdminCommandHandler operators = operators(r, fronts, discovery, ready, plan, clock, log);
-        discovery.start(module, r.known());
+        discovery.start(module, r.initialEndpoints());
         ConfigurationReloader reload = new ConfigurationReloader(r, hangups, discovery, REGISTRY, log, later -> {
-            SiteSettings next = site.get().followedBy(later);
+            SiteSettings next = site.get().updatedTo(later);
             // The fronts go by it last: whatever they number is known by then.
             streams.settings(
                     StreamLimits.read(
                             STREAMS,
-                            next.settings().classes(),
+                            next.routing().classes(),
                             Runtime.getRuntime().maxMemory()),
                     next);
             engines.settings(next);
-            module.settings(next.settings());
+            module.settings(next.routing());
             site.set(next);
         });
         Mailbox.thread("reload", reload).start();
@@ -156,8 +160,9 @@
         platform.warm();
         // Not before: a request that waits in the socket of a process that can't read it yet loses time that
         // nobody counts, for its deadline runs from when it was sent.
-        ListenerSocket door =
-                r.inherited() ? ListenerSocket.inherited() : ListenerSocket.bind(Config.socketAddress(r.listen()));
+        ListenerSocket door = r.inheritsListener()
+                ? ListenerSocket.inherited()
+                : ListenerSocket.bind(HostPort.toSocketAddress(r.listen()));
         ClientListener clients = new ClientListener(
                 door, platform, module, clock, log, ready, counters, forClients * 15 / 16 - 4, crew, streams);
         fronts.add(clients);
@@ -166,7 +171,7 @@
         KeyValueStore store = LastWriteWinsStore.read(Path.of("deploy/store.json"), r.name(), clock, log);
         if (options != null) {
             ClientListener messages = new ClientListener(
-                    ListenerSocket.bind(Config.socketAddress(options.listen())),
+                    ListenerSocket.bind(HostPort.toSocketAddress(options.listen())),
                     new MessagesProtocol(site::get, options, store),
                     module,
                     clock,
@@ -186,7 +191,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(shutdown));
         if (operators != null) {
             operators.start();
-            AdminServer console = new AdminServer(Config.socketAddress(r.console()), operators::call, log);
+            AdminServer console = new AdminServer(HostPort.toSocketAddress(r.console()), operators::call, log);
             console.start();
             log.log("console", "listen", at(r.console(), console.port()));
             // An older process ends once this one says yes, and looks then for who takes its clients.
--- a/src/main/java/magpiehub/admin/MaintenanceStateFile.java
+++ b/src/main/java/magpiehub/admin/MaintenanceStateFile.java
@@ -15,9 +15,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.Json;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -95,7 +95,7 @@
     }
 
     static MaintenanceState.Held parse(byte[] json) throws IOException {
-        ConfigurationObject f = Config.facts(json, "operators");
+        ConfigurationObject f = ConfigurationObject.parse(json, "operators");
         if (!f.text("form", "").equals(FORM)) {
             throw new ConfigurationException("not a file of this program's");
         }
@@ -117,7 +117,7 @@
 
     static byte[] format(MaintenanceState.Held h) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator g = Config.JSON.createGenerator(out)) {
+        try (JsonGenerator g = Json.FACTORY.createGenerator(out)) {
             g.writeStartObject();
             g.writeStringField("form", FORM);
             g.writeNumberField("version", h.version());
--- /dev/null
+++ b/src/main/java/magpiehub/config/ConfigurationComparison.java
@@ -0,0 +1,100 @@
+package magpiehub.config;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.TreeSet;
+
+/** Compares the configuration file in force with a later one, both as {@link Json#readObject} gives them. */
+final class ConfigurationComparison {
+    /** Keys that may come and go; any other that a file had, the next one must have too. */
+    private static final Set<String> OPTIONAL_KEYS =
+            Set.of(RouterConfigurationKeys.INITIAL_ENDPOINTS, RouterConfigurationKeys.SEED, SettingsKeys.AIM_STRETCH);
+
+    private ConfigurationComparison() {}
+
+    /**
+     * The first key that a later file lacks, as a path, or null. Guards against a file that is read while it is being
+     * written and happens to parse. In an array of objects, the keys count that all of them have.
+     */
+    static String firstMissingKey(Map<?, ?> inForce, Map<?, ?> later, String path) {
+        for (Map.Entry<?, ?> member : inForce.entrySet()) {
+            if (OPTIONAL_KEYS.contains(member.getKey())) {
+                continue;
+            }
+            String memberPath = path + "." + member.getKey();
+            Object laterValue = later.get(member.getKey());
+            if (laterValue == null && member.getValue() != null) {
+                return memberPath;
+            }
+            String missing = firstMissingInValue(member.getValue(), laterValue, memberPath);
+            if (missing != null) {
+                return missing;
+            }
+        }
+        return null;
+    }
+
+    private static String firstMissingInValue(Object inForce, Object later, String path) {
+        if (inForce instanceof Map<?, ?> members && later instanceof Map<?, ?> laterMembers) {
+            return firstMissingKey(members, laterMembers, path);
+        }
+        if (inForce instanceof List<?> values && later instanceof List<?> laterValues) {
+            return firstMissingInElements(commonMembers(values), laterValues, path);
+        }
+        return null;
+    }
+
+    private static String firstMissingInElements(Map<?, ?> required, List<?> later, String path) {
+        for (int i = 0; i < later.size(); i++) {
+            if (later.get(i) instanceof Map<?, ?> members) {
+                String missing = firstMissingKey(required, members, path + "[" + i + "]");
+                if (missing != null) {
+                    return missing;
+                }
+            }
+        }
+        return null;
+    }
+
+    /** The members of the first object whose keys all objects of the array have. */
+    private static Map<Object, Object> commonMembers(List<?> values) {
+        Map<Object, Object> common = new LinkedHashMap<>();
+        for (Object value : values) {
+            if (value instanceof Map<?, ?> members) {
+                if (value == values.get(0)) {
+                    common.putAll(members);
+                }
+                common.keySet().retainAll(members.keySet());
+            }
+        }
+        return common;
+    }
+
+    /**
+     * Adds the keys in which two files differ, in alphabetical order. Members of the file's own objects are named
+     * {@code object.key}; deeper differences count for the member that holds them.
+     */
+    static void addChangedKeys(Map<?, ?> before, Map<?, ?> after, List<String> changed) {
+        addChangedKeys(before, after, "", changed);
+    }
+
+    private static void addChangedKeys(Map<?, ?> before, Map<?, ?> after, String prefix, List<String> changed) {
+        Set<Object> keys = new TreeSet<>(before.keySet());
+        keys.addAll(after.keySet());
+        for (Object key : keys) {
+            Object valueBefore = before.get(key);
+            Object valueAfter = after.get(key);
+            boolean mayDescend = prefix.isEmpty() && !key.equals(RouterConfigurationKeys.INITIAL_ENDPOINTS);
+            if (mayDescend
+                    && valueBefore instanceof Map<?, ?> membersBefore
+                    && valueAfter instanceof Map<?, ?> membersAfter) {
+                addChangedKeys(membersBefore, membersAfter, key + ".", changed);
+            } else if (!Objects.equals(valueBefore, valueAfter)) {
+                changed.add(prefix + key);
+            }
+        }
+    }
+}
--- a/src/main/java/magpiehub/config/ConfigurationObject.java
+++ b/src/main/java/magpiehub/config/ConfigurationObject.java
@@ -1,83 +1,130 @@
 package magpiehub.config;
 
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** An object's members: absent keys take a default, values of the wrong type are malformed. */
+/**
+ * Typed access to the members of a JSON object. Absent keys (and nulls) take a default; a value of the wrong type is a
+ * {@link ConfigurationException} with its path.
+ *
+ * @param map the members as {@link Json#readObject} gives them
+ * @param path where the object stands, as the start of the paths in error messages
+ */
 public record ConfigurationObject(Map<String, Object> map, String path) {
-    private <T> T get(String key, Class<T> type) {
-        Object v = map.get(key);
-        if (v != null && !type.isInstance(v)) {
-            throw new ConfigurationException(path + "." + key + " has the wrong type");
+    /**
+     * Parses a text that holds one JSON object and nothing else.
+     *
+     * @param path the name of the text in error messages
+     * @throws ConfigurationException if it holds anything else
+     */
+    public static ConfigurationObject parse(byte[] json, String path) throws IOException {
+        try (JsonParser parser = Json.FACTORY.createParser(json)) {
+            parser.nextToken();
+            ConfigurationObject object = new ConfigurationObject(Json.readObject(parser), path);
+            if (parser.nextToken() != null) {
+                throw new ConfigurationException(path, "holds more than one value");
+            }
+            return object;
+        } catch (JsonProcessingException e) {
+            throw ConfigurationException.invalidJson(path, e.getOriginalMessage());
         }
-        return type.cast(v);
     }
 
-    public double number(String key, double absent) {
-        Double v = get(key, Double.class);
-        return v == null ? absent : v;
+    /** The number under a key. */
+    public double number(String key, double defaultValue) {
+        Double value = get(key, Double.class);
+        return value == null ? defaultValue : value;
     }
 
-    /** Of a value that has to be there, and above 0 in whole units of so much. */
-    void positive(String key, double unit) {
-        Double v = get(key, Double.class);
-        if (v == null || !(v >= unit) || v.isInfinite()) {
-            throw new ConfigurationException(
-                    path + "." + key + (v == null ? " is missing" : " must be a number above 0"));
-        }
+    /** The time under a key, given in milliseconds, in microseconds. */
+    long millisAsMicros(String key, double defaultMillis) {
+        return Milliseconds.toMicros(number(key, defaultMillis));
     }
 
-    long micros(String key, double absentMs) {
-        return Config.micros(number(key, absentMs));
+    /**
+     * Checks that a required number is there, finite and above 0.
+     *
+     * @param smallest the smallest number that is not 0 once it is rounded to the unit that the program uses
+     */
+    void requirePositive(String key, double smallest) {
+        Double value = get(key, Double.class);
+        if (value == null) {
+            throw new ConfigurationException(pathOf(key), "is missing");
+        }
+        if (!(value >= smallest) || value.isInfinite()) {
+            throw new ConfigurationException(pathOf(key), "must be a number above 0");
+        }
     }
 
-    public String text(String key, String absent) {
-        String v = get(key, String.class);
-        return v == null ? absent : v;
+    /** The text under a key. */
+    public String text(String key, String defaultValue) {
+        String value = get(key, String.class);
+        return value == null ? defaultValue : value;
     }
 
-    public boolean flag(String key, boolean absent) {
-        Boolean v = get(key, Boolean.class);
-        return v == null ? absent : v;
+    /** The truth value under a key. */
+    public boolean flag(String key, boolean defaultValue) {
+        Boolean value = get(key, Boolean.class);
+        return value == null ? defaultValue : value;
     }
 
+    /** The array under a key with values of any type; empty if the key is absent. */
     List<?> list(String key) {
-        List<?> v = get(key, List.class);
-        return v == null ? List.of() : v;
-    }
-
-    private <T> List<T> all(String key, Class<T> type, String what) {
-        List<T> r = new ArrayList<>();
-        for (Object o : list(key)) {
-            if (!type.isInstance(o)) {
-                throw new ConfigurationException(path + "." + key + " must hold " + what);
-            }
-            r.add(type.cast(o));
-        }
-        return r;
+        List<?> values = get(key, List.class);
+        return values == null ? List.of() : values;
     }
 
+    /** The array of numbers under a key; empty if the key is absent. */
     public List<Double> numbers(String key) {
-        return all(key, Double.class, "numbers");
+        return listOf(key, Double.class, "numbers");
     }
 
+    /** The array of texts under a key; empty if the key is absent. */
     public List<String> texts(String key) {
-        return all(key, String.class, "texts");
+        return listOf(key, String.class, "texts");
     }
 
+    /** The object under a key; one without members if the key is absent. */
     @SuppressWarnings("unchecked")
     public ConfigurationObject object(String key) {
-        Map<String, Object> m = get(key, Map.class);
-        return new ConfigurationObject(m == null ? Map.of() : m, path + "." + key);
+        Map<String, Object> members = get(key, Map.class);
+        return new ConfigurationObject(members == null ? Map.of() : members, pathOf(key));
     }
 
+    /** The array of objects under a key, each with the array's path; empty if the key is absent. */
     @SuppressWarnings("unchecked")
     public List<ConfigurationObject> objects(String key) {
-        List<ConfigurationObject> r = new ArrayList<>();
-        for (Map<String, Object> m : all(key, Map.class, "objects")) {
-            r.add(new ConfigurationObject(m, path + "." + key));
+        List<ConfigurationObject> objects = new ArrayList<>();
+        for (Map<String, Object> members : listOf(key, Map.class, "objects")) {
+            objects.add(new ConfigurationObject(members, pathOf(key)));
         }
-        return r;
+        return objects;
+    }
+
+    private <T> List<T> listOf(String key, Class<T> type, String typeName) {
+        List<T> values = new ArrayList<>();
+        for (Object value : list(key)) {
+            if (!type.isInstance(value)) {
+                throw new ConfigurationException(pathOf(key), "must hold " + typeName);
+            }
+            values.add(type.cast(value));
+        }
+        return values;
+    }
+
+    private <T> T get(String key, Class<T> type) {
+        Object value = map.get(key);
+        if (value != null && !type.isInstance(value)) {
+            throw new ConfigurationException(pathOf(key), "has the wrong type");
+        }
+        return type.cast(value);
+    }
+
+    private String pathOf(String key) {
+        return path + "." + key;
     }
 }
--- a/src/main/java/magpiehub/config/EndpointEntry.java
+++ b/src/main/java/magpiehub/config/EndpointEntry.java
@@ -2,5 +2,9 @@
 
 import magpiehub.routing.Endpoint;
 
-/** An entry of a list; {@code address} is null on wires where the id is the address. */
-public record EndpointEntry(Endpoint server, String address) {}
+/**
+ * An entry of an endpoint list.
+ *
+ * @param address the {@code host:port} to connect to; null in the simulator's lists, which have none
+ */
+public record EndpointEntry(Endpoint endpoint, String address) {}
--- a/src/main/java/magpiehub/config/EndpointFieldNames.java
+++ b/src/main/java/magpiehub/config/EndpointFieldNames.java
@@ -4,17 +4,22 @@
 import java.io.IOException;
 import magpiehub.routing.EndpointState;
 
-// ---- Lists of engines -----------------------------------------------------------------------------
-/** How a wire names an entry's fields and says zones, kinds, states and times. */
+/** How one sender of endpoint lists names the fields of an entry and expresses their values. */
 public interface EndpointFieldNames {
-    /** The field that a name stands for: id, zone, kind, cell, state, weight, since, address or null. */
-    String field(String name);
+    /** The field with this name in the sender's JSON; null if the program does not read it. */
+    EndpointField fieldNamed(String name);
 
-    /** A zone or kind, given as a number or a name. */
-    int number(String field, JsonParser p) throws IOException;
+    /**
+     * The index of a zone or machine type, which may be given as a number or a name.
+     *
+     * @param field {@link EndpointField#ZONE} or {@link EndpointField#MACHINE_TYPE}
+     * @param parser stands at the field's value
+     */
+    int readIndex(EndpointField field, JsonParser parser) throws IOException;
 
-    EndpointState state(String word);
+    /** The state that a word of the sender's means. */
+    EndpointState parseState(String word);
 
-    /** Clock time of a start, from the wire's number. */
-    long since(double value);
+    /** A start in microseconds of the program's clock, from the sender's number; 0 for long ago. */
+    long startedAtMicros(double value);
 }
--- a/src/main/java/magpiehub/config/LoadReportSettings.java
+++ b/src/main/java/magpiehub/config/LoadReportSettings.java
@@ -2,6 +2,10 @@
 
 import java.util.List;
 
-/** Engines' load reports: the fields of each, none where there are no reports, and whether answers carry
- *  them, or probes alone. */
-public record LoadReportSettings(List<String> fields, boolean answers) {}
+/**
+ * Where upstreams report their load.
+ *
+ * @param fields the names of the fields that a report has; empty where there are no reports
+ * @param inResponses whether every response carries a report; if not, only responses to health checks do
+ */
+public record LoadReportSettings(List<String> fields, boolean inResponses) {}
--- a/src/main/java/magpiehub/config/RouterConfiguration.java
+++ b/src/main/java/magpiehub/config/RouterConfiguration.java
@@ -4,27 +4,45 @@
 import java.util.List;
 import java.util.Map;
 
-/** A router's own configuration. {@code known} is the list as JSON, in discovery's form; {@code file} is
- *  what the file said, for comparing it with a later one. {@code console} is where operators call, null
- *  if nowhere; {@code inherited} says that the clients' listening socket is descriptor 0. */
+/**
+ * The configuration of one router.
+ *
+ * @param name the router's name, which log lines and its registration carry
+ * @param listen where clients connect, as {@code host:port}
+ * @param console where operators connect, as {@code host:port}; null if nowhere
+ * @param inheritsListener whether the clients' listening socket is inherited as descriptor 0 instead of opened
+ * @param discovery where the platform's discovery listens, as {@code host:port}; null if the file names none
+ * @param seed the seed of the routing policy's random numbers
+ * @param memoryMb the memory that the process may take (MiB)
+ * @param maxSockets the descriptors that the process may open
+ * @param initialEndpoints the endpoint list to start with, as JSON in discovery's form; null if there is none
+ * @param site the settings that it shares with the simulator
+ * @param members the file's content, for comparison with a later one
+ */
 public record RouterConfiguration(
         String name,
         String listen,
         String console,
-        boolean inherited,
+        boolean inheritsListener,
         String discovery,
         long seed,
         int memoryMb,
-        int sockets,
-        byte[] known,
+        int maxSockets,
+        byte[] initialEndpoints,
         SiteSettings site,
-        Map<String, Object> file) {
-    /** The members of the file in which a later file differs, settings by their own names. The list and
-     *  the seed belong to a start, and discovery's address is followed by itself: these don't count. */
-    public List<String> changes(RouterConfiguration later) {
-        List<String> names = new ArrayList<>();
-        Config.differences(file, later.file, "", names);
-        names.removeAll(List.of("known", "seed", "discovery", "console"));
-        return names;
+        Map<String, Object> members) {
+    /** Keys whose changes don't count: the first two matter at the start only, the others are followed by themselves. */
+    private static final List<String> IGNORED_CHANGES = List.of(
+            RouterConfigurationKeys.INITIAL_ENDPOINTS,
+            RouterConfigurationKeys.SEED,
+            RouterConfigurationKeys.DISCOVERY,
+            RouterConfigurationKeys.CONSOLE);
+
+    /** The keys in which a later file differs, in a list that the caller may change; settings as {@code settings.key}. */
+    public List<String> changedKeys(RouterConfiguration later) {
+        List<String> changed = new ArrayList<>();
+        ConfigurationComparison.addChangedKeys(members, later.members, changed);
+        changed.removeAll(IGNORED_CHANGES);
+        return changed;
     }
 }
--- a/src/main/java/magpiehub/config/SiteSettings.java
+++ b/src/main/java/magpiehub/config/SiteSettings.java
@@ -7,55 +7,75 @@
 import magpiehub.routing.RoutingSettings;
 import magpiehub.routing.Tenant;
 
-/** The module's settings, and what the hosts need besides. Times in microseconds. Classes and tenants are
- *  known by their places in the settings; places whose names are not in the two maps have vanished, and
- *  are kept for what is under way. */
+/**
+ * The settings of a site, which a router's configuration and the simulator's first message hold alike. Immutable.
+ *
+ * <p>Request classes and tenants are known by their indexes in {@link #routing}. Entries there whose names are in
+ * neither of the two maps were removed by a reload; they are kept for the requests in flight that name them.
+ *
+ * @param routing the settings of the routing policy
+ * @param zones the names of the zones; endpoints name their zone by its index
+ * @param machineTypes the names of the machine types; endpoints name theirs by its index
+ * @param idleCloseMicros how long an upstream keeps an idle connection open (microseconds)
+ * @param loadReports where upstreams report their load
+ * @param classIndexes the index of each request class in force by its name
+ * @param tenantIndexes the index of each tenant in force by its name
+ */
 public record SiteSettings(
-        RoutingSettings settings,
+        RoutingSettings routing,
         List<String> zones,
-        List<String> kinds,
-        long idleClose,
-        LoadReportSettings telemetry,
-        Map<String, Integer> classes,
-        Map<String, Integer> tenants) {
-    /** A class's number by its name; -1 if there is none, and the module turns such a request away. */
-    public int cls(String name) {
-        return classes.getOrDefault(name, -1);
+        List<String> machineTypes,
+        long idleCloseMicros,
+        LoadReportSettings loadReports,
+        Map<String, Integer> classIndexes,
+        Map<String, Integer> tenantIndexes) {
+    private static final int NONE = -1;
+
+    /** The index of the request class with this name; -1 if there is none, and its requests are rejected. */
+    public int classIndex(String name) {
+        return classIndexes.getOrDefault(name, NONE);
     }
 
-    /** A tenant's number by its name; -1 if there is none. */
-    public int tenant(String name) {
-        return tenants.getOrDefault(name, -1);
+    /** The index of the tenant with this name; -1 if there is none. */
+    public int tenantIndex(String name) {
+        return tenantIndexes.getOrDefault(name, NONE);
     }
 
-    /** What holds once a later file has come: every class and tenant that this one knows keeps its place,
-     *  and one that is new, or another under an old name, takes the next. */
-    public SiteSettings followedBy(SiteSettings later) {
-        List<RequestClass> cs = new ArrayList<>(settings.classes());
-        List<Tenant> ts = new ArrayList<>(settings.tenants());
-        RoutingSettings s = later.settings;
-        Map<String, Integer> classNames = Config.places(s.classes(), RequestClass::name, cs);
-        Map<String, Integer> tenantNames = Config.places(s.tenants(), Tenant::name, ts);
+    /**
+     * The settings once a later file is in force: its own, but with all classes and tenants of this file at their
+     * indexes. A class or tenant that is new, or another one under an old name, takes the next index.
+     */
+    public SiteSettings updatedTo(SiteSettings later) {
+        List<RequestClass> classTable = new ArrayList<>(routing.classes());
+        List<Tenant> tenantTable = new ArrayList<>(routing.tenants());
+        RoutingSettings next = later.routing;
+        Map<String, Integer> nextClassIndexes = StableIndexes.assign(next.classes(), RequestClass::name, classTable);
+        Map<String, Integer> nextTenantIndexes = StableIndexes.assign(next.tenants(), Tenant::name, tenantTable);
         return new SiteSettings(
-                new RoutingSettings(
-                        s.me(),
-                        s.instances(),
-                        s.myZone(),
-                        s.zones(),
-                        s.subscribe(),
-                        s.resume(),
-                        s.weights(),
-                        s.overShareWorth(),
-                        List.copyOf(cs),
-                        List.copyOf(ts),
-                        s.limits(),
-                        s.guarantees(),
-                        s.costs()),
+                withTables(next, List.copyOf(classTable), List.copyOf(tenantTable)),
                 later.zones,
-                later.kinds,
-                later.idleClose,
-                later.telemetry,
-                classNames,
-                tenantNames);
+                later.machineTypes,
+                later.idleCloseMicros,
+                later.loadReports,
+                nextClassIndexes,
+                nextTenantIndexes);
+    }
+
+    private static RoutingSettings withTables(
+            RoutingSettings settings, List<RequestClass> classes, List<Tenant> tenants) {
+        return new RoutingSettings(
+                settings.me(),
+                settings.instances(),
+                settings.myZone(),
+                settings.zones(),
+                settings.subscribe(),
+                settings.resume(),
+                settings.weights(),
+                settings.overShareWorth(),
+                classes,
+                tenants,
+                settings.limits(),
+                settings.guarantees(),
+                settings.costs());
     }
 }
--- /dev/null
+++ b/src/main/java/magpiehub/config/SiteSettingsParser.java
@@ -0,0 +1,180 @@
+package magpiehub.config;
+
+import java.util.ArrayList;
+import java.util.List;
+import magpiehub.routing.DeduplicationScope;
+import magpiehub.routing.Guarantees;
+import magpiehub.routing.Idempotency;
+import magpiehub.routing.RequestClass;
+import magpiehub.routing.RoutingCosts;
+import magpiehub.routing.RoutingLimits;
+import magpiehub.routing.RoutingSettings;
+import magpiehub.routing.Tenant;
+import magpiehub.routing.WeightMeaning;
+
+/** Parses the settings that a router's configuration and the simulator's first message hold alike. */
+public final class SiteSettingsParser {
+    private SiteSettingsParser() {}
+
+    /**
+     * Parses a settings object. Unknown keys are ignored; what a router requires beyond the simulator is checked by
+     * {@link RouterConfigurationReader}.
+     *
+     * @throws ConfigurationException if a value has the wrong type or is none of the words that its key allows
+     */
+    public static SiteSettings parse(ConfigurationObject settings) {
+        List<RequestClass> classes = requestClasses(settings);
+        List<Tenant> tenants = tenants(settings);
+        ConfigurationObject limits = settings.object(SettingsKeys.LIMITS);
+        return new SiteSettings(
+                routing(settings, limits, classes, tenants),
+                settings.texts(SettingsKeys.ZONES),
+                settings.texts(SettingsKeys.MACHINE_TYPES),
+                limits.millisAsMicros(SettingsKeys.IDLE_CLOSE_MS, SettingsKeys.DEFAULT_IDLE_CLOSE_MS),
+                loadReports(settings.object(SettingsKeys.TELEMETRY)),
+                StableIndexes.assign(classes, RequestClass::name, new ArrayList<>(classes)),
+                StableIndexes.assign(tenants, Tenant::name, new ArrayList<>(tenants)));
+    }
+
+    private static List<RequestClass> requestClasses(ConfigurationObject settings) {
+        ConfigurationObject familyInfo = settings.object(SettingsKeys.FAMILY_INFO);
+        List<Double> aimsPer1000 = familyInfo.numbers(SettingsKeys.AIM_PER_1000_PROMPT_TOKENS);
+        List<Double> tokenAims = familyInfo.numbers(SettingsKeys.TOKEN_AIMS_MS);
+        List<RequestClass> classes = new ArrayList<>();
+        for (ConfigurationObject requestClass : settings.objects(SettingsKeys.CLASSES)) {
+            int index = classes.size();
+            long aimPer1000Micros =
+                    index < aimsPer1000.size() ? aimsPer1000.get(index).longValue() : 0;
+            long tokenAimMicros = index < tokenAims.size() ? Milliseconds.toMicros(tokenAims.get(index)) : 0;
+            classes.add(requestClass(requestClass, aimPer1000Micros, tokenAimMicros));
+        }
+        return classes;
+    }
+
+    private static RequestClass requestClass(ConfigurationObject settings, long aimPer1000Micros, long tokenAimMicros) {
+        return new RequestClass(
+                settings.text(SettingsKeys.NAME, ""),
+                idempotency(settings.text(SettingsKeys.EFFECT, SettingsKeys.EFFECT_PURE)),
+                deduplicationScope(settings.text(SettingsKeys.GROUP, SettingsKeys.GROUP_ALL)),
+                settings.millisAsMicros(SettingsKeys.WINDOW_MS, 0),
+                settings.flag(SettingsKeys.STREAM, false),
+                settings.millisAsMicros(SettingsKeys.AIM_MS, 0),
+                aimPer1000Micros,
+                settings.number(SettingsKeys.AIM_STRETCH, 0),
+                settings.millisAsMicros(SettingsKeys.DEADLINE_MS, 0),
+                tokenAimMicros,
+                settings.number(SettingsKeys.GAIN, 1),
+                settings.number(SettingsKeys.LATE_SHARE, 0));
+    }
+
+    private static Idempotency idempotency(String effect) {
+        return switch (effect) {
+            case SettingsKeys.EFFECT_PURE -> Idempotency.PURE;
+            case "token" -> Idempotency.TOKEN;
+            case "side_effect" -> Idempotency.SIDE_EFFECT;
+            default -> throw new ConfigurationException("classes.effect", "is no effect: " + effect);
+        };
+    }
+
+    private static DeduplicationScope deduplicationScope(String group) {
+        return switch (group) {
+            case SettingsKeys.GROUP_ALL -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
+            default -> throw new ConfigurationException("classes.group", "is no group: " + group);
+        };
+    }
+
+    private static List<Tenant> tenants(ConfigurationObject settings) {
+        List<Tenant> tenants = new ArrayList<>();
+        for (ConfigurationObject account : settings.objects(SettingsKeys.ACCOUNTS)) {
+            tenants.add(new Tenant(
+                    account.text(SettingsKeys.NAME, ""),
+                    account.number(SettingsKeys.SHARE, 0),
+                    account.number(SettingsKeys.ALLOWANCE_PER_SECOND, 0)));
+        }
+        return tenants;
+    }
+
+    private static RoutingSettings routing(
+            ConfigurationObject settings,
+            ConfigurationObject limits,
+            List<RequestClass> classes,
+            List<Tenant> tenants) {
+        ConfigurationObject guarantees = settings.object(SettingsKeys.GUARANTEES);
+        ConfigurationObject costs = settings.object(SettingsKeys.COSTS);
+        return new RoutingSettings(
+                (int) settings.number(SettingsKeys.ROUTER_INDEX, 0),
+                Math.max(1, (int) settings.number(SettingsKeys.ROUTER_COUNT, 1)),
+                (int) settings.number(SettingsKeys.OWN_ZONE, 0),
+                settings.list(SettingsKeys.ZONES).size(),
+                settings.text(SettingsKeys.MEMBERSHIP_MODE, SettingsKeys.MEMBERSHIP_AUTOMATIC)
+                        .equals(SettingsKeys.MEMBERSHIP_SUBSCRIBE),
+                settings.object(SettingsKeys.FAMILY_INFO).flag(SettingsKeys.RESUME, false),
+                weightMeaning(settings.text(SettingsKeys.WEIGHTS, "none")),
+                settings.number(SettingsKeys.OVER_SHARE_WORTH, 1),
+                classes,
+                tenants,
+                limits(limits),
+                guarantees(guarantees),
+                costs(costs));
+    }
+
+    /** The meaning that a word names; an unknown word counts as none. */
+    private static WeightMeaning weightMeaning(String word) {
+        return switch (word) {
+            case "nominal" -> WeightMeaning.NOMINAL;
+            case "rough" -> WeightMeaning.ROUGH;
+            case "live" -> WeightMeaning.LIVE;
+            default -> WeightMeaning.NONE;
+        };
+    }
+
+    private static RoutingLimits limits(ConfigurationObject limits) {
+        return new RoutingLimits(
+                limits.flag(SettingsKeys.CANCEL, false),
+                limits.flag(SettingsKeys.PROBES, false),
+                limits.flag(SettingsKeys.PEERS, false),
+                limits.flag(SettingsKeys.PARALLEL_ATTEMPTS, false),
+                limits.flag(SettingsKeys.RETRY_AFTER, false),
+                (int) limits.number(SettingsKeys.MAX_ATTEMPTS, 1),
+                (int) limits.number(SettingsKeys.MAX_IN_FLIGHT, SettingsKeys.DEFAULT_MAX_IN_FLIGHT),
+                limits.millisAsMicros(SettingsKeys.MAX_RETRY_AFTER_MS, 0),
+                limits.millisAsMicros(SettingsKeys.CONNECT_TIMEOUT_MS, SettingsKeys.DEFAULT_CONNECT_TIMEOUT_MS));
+    }
+
+    private static Guarantees guarantees(ConfigurationObject guarantees) {
+        return new Guarantees(
+                guarantees.millisAsMicros(SettingsKeys.ANSWER_SLACK_MS, 0),
+                guarantees.millisAsMicros(SettingsKeys.POLL_WITHIN_MS, SettingsKeys.DEFAULT_POLL_WITHIN_MS),
+                guarantees.millisAsMicros(SettingsKeys.WARM_UP_MS, 0),
+                guarantees.millisAsMicros(SettingsKeys.FALL_MS, SettingsKeys.DEFAULT_FALL_MS),
+                guarantees.number(SettingsKeys.OVERLOAD_FACTOR, SettingsKeys.DEFAULT_OVERLOAD_FACTOR),
+                guarantees.number(SettingsKeys.START_CAPACITY, 1),
+                guarantees.millisAsMicros(SettingsKeys.STOP_SENDING_WITHIN_MS, 0));
+    }
+
+    private static RoutingCosts costs(ConfigurationObject costs) {
+        return new RoutingCosts(
+                costs.number(SettingsKeys.CROSS_ZONE, 0),
+                costs.number(SettingsKeys.WASTE, 0),
+                costs.number(SettingsKeys.PROBE, 0),
+                costs.number(SettingsKeys.LATE_FAILURE, 0),
+                costs.number(SettingsKeys.CONNECTION, 0),
+                costs.number(SettingsKeys.HANDSHAKE, 0));
+    }
+
+    private static LoadReportSettings loadReports(ConfigurationObject telemetry) {
+        String source = telemetry.text(SettingsKeys.REPORT_SOURCE, SettingsKeys.REPORT_SOURCE_NONE);
+        boolean isKnown = source.equals(SettingsKeys.REPORT_SOURCE_NONE)
+                || source.equals(SettingsKeys.REPORT_SOURCE_RESPONSES)
+                || source.equals(SettingsKeys.REPORT_SOURCE_HEALTH_CHECKS);
+        if (!isKnown) {
+            throw new ConfigurationException("telemetry.how", "is unknown: " + source);
+        }
+        boolean hasReports = !source.equals(SettingsKeys.REPORT_SOURCE_NONE);
+        return new LoadReportSettings(
+                hasReports ? telemetry.texts(SettingsKeys.REPORT_FIELDS) : List.of(),
+                source.equals(SettingsKeys.REPORT_SOURCE_RESPONSES));
+    }
+}
--- a/src/main/java/magpiehub/discovery/Consul.java
+++ b/src/main/java/magpiehub/discovery/Consul.java
@@ -11,9 +11,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.Json;
 import magpiehub.http.Http;
 import magpiehub.routing.EndpointState;
 
@@ -139,7 +139,7 @@
         if (h.status() == 404) {
             drain(in);
         } else {
-            try (JsonParser p = Config.JSON.createParser(in)) {
+            try (JsonParser p = Json.FACTORY.createParser(in)) {
                 if (p.nextToken() != JsonToken.START_ARRAY) {
                     throw new ConfigurationException("an array was due");
                 }
@@ -234,7 +234,7 @@
                 (host.isEmpty() ? node.getOrDefault("Address", "") : host) + ":" + service.getOrDefault("Port", ""));
         try {
             EndpointEntry e = f.entry(id);
-            if (critical[0] && e.server().state() == EndpointState.LIVE) {
+            if (critical[0] && e.endpoint().state() == EndpointState.LIVE) {
                 f.set("phase", "Terminating");
                 e = f.entry(id);
             }
--- a/src/main/java/magpiehub/discovery/Discovery.java
+++ b/src/main/java/magpiehub/discovery/Discovery.java
@@ -17,9 +17,11 @@
 import java.util.function.Supplier;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointListParser;
+import magpiehub.config.HostPort;
+import magpiehub.config.Json;
 import magpiehub.config.SiteSettings;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.http.Http;
@@ -129,7 +131,7 @@
     public void start(RequestDispatcher actor, byte[] saved) {
         module = actor;
         if (saved != null) {
-            try (JsonParser p = Config.JSON.createParser(saved)) {
+            try (JsonParser p = Json.FACTORY.createParser(saved)) {
                 p.nextToken();
                 apply(word(p), true, true);
             } catch (IOException | ConfigurationException e) {
@@ -142,7 +144,7 @@
     @Override
     public boolean known() {
         // Where lists are pushed, what the agent has counts as told from the first moment.
-        return known && (heard || site.get().settings().subscribe());
+        return known && (heard || site.get().routing().subscribe());
     }
 
     @Override
@@ -345,7 +347,7 @@
         // takes seconds to tell them all, and their clients would wait for it.
         heard |= kind != EndpointListKind.SAVED;
         known |= kind != EndpointListKind.SAVED
-                || entries.stream().anyMatch(e -> e.server().state() == EndpointState.LIVE);
+                || entries.stream().anyMatch(e -> e.endpoint().state() == EndpointState.LIVE);
         EndpointSource.tell(kind, told.source(kind, entries), engines, module);
     }
 
@@ -361,9 +363,9 @@
             String name = p.currentName();
             p.nextToken();
             switch (name) {
-                case "revision" -> number = (long) Config.number(p, name);
+                case "revision" -> number = (long) Json.requireNumber(p, name);
                 case "complete" -> complete = p.getValueAsBoolean(false);
-                case "members" -> entries = Config.entries(p, names);
+                case "members" -> entries = EndpointListParser.parse(p, names);
                 default -> p.skipChildren();
             }
         }
@@ -383,9 +385,9 @@
         List<View.Item> items = new ArrayList<>(entries.size());
         for (EndpointEntry e : entries) {
             items.add(
-                    e.server().state() == EndpointState.DEAD
-                            ? View.Item.removed(e.server().id(), 0)
-                            : View.Item.of(e.server().id(), 0, e));
+                    e.endpoint().state() == EndpointState.DEAD
+                            ? View.Item.removed(e.endpoint().id(), 0)
+                            : View.Item.of(e.endpoint().id(), 0, e));
         }
         if (saved) {
             view.saved(items, to);
@@ -421,7 +423,7 @@
         boolean unreadable = false;
         try (Socket s = c.socket) {
             s.setTcpNoDelay(true);
-            s.connect(Config.socketAddress(c.address), CONNECT_TIMEOUT_MS);
+            s.connect(HostPort.toSocketAddress(c.address), CONNECT_TIMEOUT_MS);
             s.getOutputStream()
                     .write(("GET " + target + " HTTP/1.1\r\nHost: " + c.address + "\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
@@ -446,7 +448,7 @@
     /** Posts one JSON value after another, and blank bytes between them as signs of life. */
     private void words(Call c, InputStream body) throws IOException {
         Values in = new Values(c, body);
-        try (JsonParser p = Config.JSON.createParser(in)) {
+        try (JsonParser p = Json.FACTORY.createParser(in)) {
             while (p.nextToken() != null) {
                 in.inside = true;
                 Word w = word(p);
--- a/src/main/java/magpiehub/discovery/EndpointSource.java
+++ b/src/main/java/magpiehub/discovery/EndpointSource.java
@@ -36,17 +36,17 @@
             EndpointListKind kind, List<EndpointEntry> entries, UpstreamPool engines, RequestDispatcher module) {
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
             java.util.Set<String> ids = new java.util.HashSet<>(entries.size() * 2);
-            entries.forEach(e -> ids.add(e.server().id()));
+            entries.forEach(e -> ids.add(e.endpoint().id()));
             engines.only(ids);
         }
         for (EndpointEntry e : entries) {
             engines.place(
-                    e.server().id(),
+                    e.endpoint().id(),
                     e.address(),
-                    e.server().state() == EndpointState.LIVE,
-                    e.server().state() == EndpointState.DEAD);
+                    e.endpoint().state() == EndpointState.LIVE,
+                    e.endpoint().state() == EndpointState.DEAD);
         }
-        module.list(kind, entries.stream().map(EndpointEntry::server).toList());
+        module.list(kind, entries.stream().map(EndpointEntry::endpoint).toList());
     }
 
     /** What {@link #maintain} says, on its way to the source's own thread. */
--- a/src/main/java/magpiehub/discovery/Entries.java
+++ b/src/main/java/magpiehub/discovery/Entries.java
@@ -5,10 +5,12 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.function.Supplier;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointField;
 import magpiehub.config.EndpointFieldNames;
+import magpiehub.config.HostPort;
+import magpiehub.config.Json;
 import magpiehub.config.SiteSettings;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
@@ -49,7 +51,7 @@
 
         /** A field by its name on the discovery page; unknown ones are left alone. */
         void set(String name, JsonParser p) throws IOException {
-            if (field(name) != null && p.currentToken() != JsonToken.VALUE_NULL) {
+            if (fieldNamed(name) != null && p.currentToken() != JsonToken.VALUE_NULL) {
                 texts.put(name, scalar(p));
             } else {
                 p.skipChildren();
@@ -87,7 +89,7 @@
             if (address == null) {
                 throw new ConfigurationException("host_port is missing");
             }
-            Config.address(address);
+            HostPort.requireValid(address);
             double size = number("size", 1);
             if (!(size > 0) || size > 1e6) {
                 throw new ConfigurationException("size must be above 0");
@@ -96,11 +98,11 @@
                     new Endpoint(
                             id,
                             place("locality", site.get().zones()),
-                            place("flavor", site.get().kinds()),
+                            place("flavor", site.get().machineTypes()),
                             (int) number("cell", 0),
-                            state(texts.getOrDefault("phase", "Ready")),
+                            parseState(texts.getOrDefault("phase", "Ready")),
                             size,
-                            since(number("up_since_ms", 0))),
+                            startedAtMicros(number("up_since_ms", 0))),
                     address);
         }
 
@@ -150,7 +152,7 @@
         if (json.length > 64 * 1024) {
             throw new ConfigurationException("larger than 64 KiB");
         }
-        try (JsonParser p = Config.JSON.createParser(json)) {
+        try (JsonParser p = Json.FACTORY.createParser(json)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
                 throw new ConfigurationException("must be an object");
             }
@@ -163,31 +165,32 @@
     }
 
     @Override
-    public String field(String name) {
+    public EndpointField fieldNamed(String name) {
         return switch (name) {
-            case "id" -> "id";
-            case "host_port" -> "address";
-            case "locality" -> "zone";
-            case "flavor" -> "kind";
-            case "cell" -> "cell";
-            case "phase" -> "state";
-            case "size" -> "weight";
-            case "up_since_ms" -> "since";
+            case "id" -> EndpointField.ID;
+            case "host_port" -> EndpointField.ADDRESS;
+            case "locality" -> EndpointField.ZONE;
+            case "flavor" -> EndpointField.MACHINE_TYPE;
+            case "cell" -> EndpointField.CELL;
+            case "phase" -> EndpointField.STATE;
+            case "size" -> EndpointField.WEIGHT;
+            case "up_since_ms" -> EndpointField.STARTED_AT;
             default -> null;
         };
     }
 
     @Override
-    public int number(String field, JsonParser p) throws IOException {
+    public int readIndex(EndpointField field, JsonParser p) throws IOException {
         if (p.currentToken().isNumeric()) {
             return p.getIntValue();
         }
         SiteSettings now = site.get();
-        return (field.equals("zone") ? now.zones() : now.kinds()).indexOf(Config.text(p, field));
+        return (field == EndpointField.ZONE ? now.zones() : now.machineTypes())
+                .indexOf(Json.requireText(p, field.label()));
     }
 
     @Override
-    public EndpointState state(String word) {
+    public EndpointState parseState(String word) {
         return switch (word) {
             case "Ready" -> EndpointState.LIVE;
             case "Terminating" -> EndpointState.DRAINING;
@@ -203,18 +206,18 @@
     }
 
     @Override
-    public long since(double ms) {
+    public long startedAtMicros(double ms) {
         return ms <= 0 ? 0 : Math.max(1, Math.round(ms * 1000) + offset);
     }
 
     /** The inverse of {@link Fields}, for a list kept on disk. */
     Map<String, Object> write(EndpointEntry e) {
-        Endpoint s = e.server();
+        Endpoint s = e.endpoint();
         Map<String, Object> m = new java.util.LinkedHashMap<>();
         m.put("id", s.id());
         m.put("host_port", e.address());
         m.put("locality", named(site.get().zones(), s.zone()));
-        m.put("flavor", named(site.get().kinds(), s.kind()));
+        m.put("flavor", named(site.get().machineTypes(), s.kind()));
         m.put("cell", (double) s.cell());
         m.put("phase", s.state() == EndpointState.LIVE ? "Ready" : "Terminating");
         m.put("size", s.weight());
--- a/src/main/java/magpiehub/discovery/Etcd.java
+++ b/src/main/java/magpiehub/discovery/Etcd.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.Json;
 import magpiehub.http.Http;
 
 /**
@@ -98,7 +98,7 @@
 
     static byte[] json(Body body) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = Config.JSON.createGenerator(out)) {
+        try (JsonGenerator g = Json.FACTORY.createGenerator(out)) {
             g.writeStartObject();
             body.write(g);
             g.writeEndObject();
@@ -161,7 +161,8 @@
             return null;
         }
         try {
-            ConfigurationObject f = Config.facts(text.substring(brace).getBytes(StandardCharsets.UTF_8), "error");
+            ConfigurationObject f =
+                    ConfigurationObject.parse(text.substring(brace).getBytes(StandardCharsets.UTF_8), "error");
             return new Failure((int) f.number("code", 0), f.text("message", f.text("error", "")));
         } catch (IOException | RuntimeException x) {
             return null;
@@ -186,7 +187,7 @@
 
     /** Reads one object and whatever blank follows it, so that the wire can serve the next call. */
     static void read(InputStream in, Members to) throws IOException {
-        try (JsonParser p = Config.JSON.createParser(in)) {
+        try (JsonParser p = Json.FACTORY.createParser(in)) {
             p.nextToken();
             members(p, to);
             if (p.nextToken() != null) {
@@ -415,13 +416,13 @@
 
     private static Line parse(byte[] bytes) throws IOException {
         Line l = new Line();
-        try (JsonParser p = Config.JSON.createParser(bytes)) {
+        try (JsonParser p = Json.FACTORY.createParser(bytes)) {
             p.nextToken();
             members(p, (q, name) -> {
                 switch (name) {
                     case "result" -> members(q, (r, field) -> result(r, field, l));
                     case "error" -> {
-                        ConfigurationObject f = new ConfigurationObject(Config.object(q), "error");
+                        ConfigurationObject f = new ConfigurationObject(Json.readObject(q), "error");
                         l.error = new Failure((int) f.number("grpc_code", f.number("code", 0)), f.text("message", ""));
                     }
                     default -> q.skipChildren();
--- a/src/main/java/magpiehub/discovery/LastList.java
+++ b/src/main/java/magpiehub/discovery/LastList.java
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.zip.CRC32C;
-import magpiehub.config.Config;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.Json;
 
 /**
  * The last list on disk, for a start without a registry. The file is a line
@@ -51,7 +51,7 @@
     /** Writes beside the file, forces it to the disk, and renames it; {@code now} is Unix time (ms). */
     void write(List<EndpointEntry> list, View.Position at, long now) throws IOException {
         ByteArrayOutputStream body = new ByteArrayOutputStream(list.size() * 160 + 256);
-        try (var g = Config.JSON.createGenerator(body)) {
+        try (var g = Json.FACTORY.createGenerator(body)) {
             g.writeStartObject();
             g.writeStringField("history", at.history());
             g.writeStringField("term", Long.toString(at.term()));
@@ -144,7 +144,7 @@
     private Kept parse(byte[] json, long age) throws IOException {
         List<View.Item> items = new ArrayList<>();
         String[] history = {"", "0", "-1"};
-        try (JsonParser p = Config.JSON.createParser(json)) {
+        try (JsonParser p = Json.FACTORY.createParser(json)) {
             p.nextToken();
             Etcd.members(p, (q, name) -> {
                 switch (name) {
@@ -154,7 +154,7 @@
                     case "members" -> {
                         while (q.nextToken() == JsonToken.START_OBJECT) {
                             EndpointEntry e = entries.new Fields().read(q).entry(null);
-                            items.add(View.Item.of(e.server().id(), 0, e));
+                            items.add(View.Item.of(e.endpoint().id(), 0, e));
                         }
                     }
                     default -> q.skipChildren();
--- a/src/main/java/magpiehub/discovery/Membership.java
+++ b/src/main/java/magpiehub/discovery/Membership.java
@@ -117,7 +117,7 @@
     public List<EndpointEntry> apply(View.Delta d, long now) {
         Map<String, EndpointEntry> out = new LinkedHashMap<>();
         for (EndpointEntry e : d.put()) {
-            held.remove(e.server().id());
+            held.remove(e.endpoint().id());
             place(e, now, out);
         }
         boolean doubt = d.whole()
@@ -193,15 +193,15 @@
     }
 
     private void place(EndpointEntry e, long now, Map<String, EndpointEntry> out) {
-        String id = e.server().id();
-        if (e.server().state() == EndpointState.DEAD) {
+        String id = e.endpoint().id();
+        if (e.endpoint().state() == EndpointState.DEAD) {
             drop(id, now, out);
             return;
         }
         EndpointEntry old = members.put(id, e);
         if (old != null
-                && old.server().state() == EndpointState.LIVE
-                && e.server().state() != EndpointState.LIVE) {
+                && old.endpoint().state() == EndpointState.LIVE
+                && e.endpoint().state() != EndpointState.LIVE) {
             wentAway(id, now);
         }
         out.put(id, told(e));
@@ -212,21 +212,21 @@
         if (old == null) {
             return;
         }
-        if (old.server().state() == EndpointState.LIVE) {
+        if (old.endpoint().state() == EndpointState.LIVE) {
             wentAway(id, now);
         }
         out.put(id, with(old, EndpointState.DEAD));
     }
 
     private EndpointEntry told(EndpointEntry e) {
-        Flap f = flaps.get(e.server().id());
-        return f != null && f.suppressed && e.server().state() == EndpointState.LIVE
+        Flap f = flaps.get(e.endpoint().id());
+        return f != null && f.suppressed && e.endpoint().state() == EndpointState.LIVE
                 ? with(e, EndpointState.DRAINING)
                 : e;
     }
 
     private static EndpointEntry with(EndpointEntry e, EndpointState state) {
-        Endpoint s = e.server();
+        Endpoint s = e.endpoint();
         return new EndpointEntry(
                 new Endpoint(s.id(), s.zone(), s.kind(), s.cell(), state, s.weight(), s.onlineSince()), e.address());
     }
--- a/src/main/java/magpiehub/discovery/Options.java
+++ b/src/main/java/magpiehub/discovery/Options.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.HostPort;
 
 /**
  * What {@code deploy/registry.json} says. It owns the names, units, defaults and bounds of those settings. It
@@ -65,7 +65,7 @@
         String name = file.getFileName().toString();
         try {
             return of(
-                    Config.facts(Files.readAllBytes(file), name),
+                    ConfigurationObject.parse(Files.readAllBytes(file), name),
                     file.toAbsolutePath().getParent());
         } catch (ConfigurationException e) {
             throw e.getMessage().startsWith(name) ? e : new ConfigurationException(name + ": " + e.getMessage());
@@ -164,7 +164,7 @@
         }
         String address = r.text("address", "");
         if (!address.isEmpty()) {
-            Config.address(address);
+            HostPort.requireValid(address);
         }
         Announce a =
                 new Announce(service, prefix, r.text("id", ""), address, r.micros("ttl_ms", 10_000, 1000, 3_600_000));
@@ -221,7 +221,7 @@
             List<String> all = new ArrayList<>();
             for (String a : f.texts(field)) {
                 try {
-                    all.add(Config.address(a));
+                    all.add(HostPort.requireValid(a));
                 } catch (ConfigurationException e) {
                     throw wrong(field, e.getMessage());
                 }
--- a/src/main/java/magpiehub/discovery/Registry.java
+++ b/src/main/java/magpiehub/discovery/Registry.java
@@ -733,7 +733,7 @@
             Set<String> ids = new HashSet<>();
             for (View.Item i : items) {
                 if (i.entry() != null) {
-                    ids.add(i.entry().server().id());
+                    ids.add(i.entry().endpoint().id());
                 }
             }
             tell(membership.confirmed(ids, now));
--- a/src/main/java/magpiehub/discovery/Told.java
+++ b/src/main/java/magpiehub/discovery/Told.java
@@ -41,11 +41,11 @@
         List<EndpointEntry> told = new ArrayList<>(entries.size());
         List<String> ids = new ArrayList<>(entries.size());
         for (EndpointEntry e : entries) {
-            if (e.server().state() == EndpointState.DEAD) {
-                said.remove(e.server().id());
+            if (e.endpoint().state() == EndpointState.DEAD) {
+                said.remove(e.endpoint().id());
             } else {
-                said.put(e.server().id(), e);
-                ids.add(e.server().id());
+                said.put(e.endpoint().id(), e);
+                ids.add(e.endpoint().id());
             }
             told.add(folded(e));
         }
@@ -77,7 +77,7 @@
         if (e == null) {
             return null;
         }
-        Endpoint s = e.server();
+        Endpoint s = e.endpoint();
         Long since = back.get(s.id());
         boolean banned = s.state() == EndpointState.LIVE && out.contains(s.id());
         if (!banned && since == null) {
--- a/src/main/java/magpiehub/discovery/View.java
+++ b/src/main/java/magpiehub/discovery/View.java
@@ -59,7 +59,7 @@
         /** An entry as its value has it; a key whose engine is told to be gone is there, but not in the list.
          *  */
         public static Item read(String key, long mod, EndpointEntry entry) {
-            return entry.server().state() == EndpointState.DEAD ? new Item(key, mod, null, "") : of(key, mod, entry);
+            return entry.endpoint().state() == EndpointState.DEAD ? new Item(key, mod, null, "") : of(key, mod, entry);
         }
     }
 
@@ -366,7 +366,7 @@
         Held old = i.entry == null || i.entry.address() != null ? null : known.get(i.key);
         return old == null || old.entry.address() == null
                 ? i
-                : Item.of(i.key, i.mod, new EndpointEntry(i.entry.server(), old.entry.address()));
+                : Item.of(i.key, i.mod, new EndpointEntry(i.entry.endpoint(), old.entry.address()));
     }
 
     /** Applies one change; {@code before} takes each touched id as it was. */
@@ -375,8 +375,8 @@
         Held old = byKey.get(i.key);
         if (old != null
                 && (i.entry == null
-                        || !i.entry.server().id().equals(old.entry.server().id()))) {
-            release(i.key, old.entry.server().id(), before);
+                        || !i.entry.endpoint().id().equals(old.entry.endpoint().id()))) {
+            release(i.key, old.entry.endpoint().id(), before);
         }
         if (i.unreadable != null) {
             left.put(i.key, i);
@@ -388,7 +388,7 @@
             byKey.remove(i.key);
             return;
         }
-        String id = i.entry.server().id();
+        String id = i.entry.endpoint().id();
         touch(id, before);
         byKey.put(i.key, new Held(i.entry, i.mod));
         remember(i);
--- a/src/main/java/magpiehub/discovery/Wire.java
+++ b/src/main/java/magpiehub/discovery/Wire.java
@@ -18,8 +18,8 @@
 import javax.net.ssl.SSLSocketFactory;
 import javax.net.ssl.TrustManagerFactory;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
+import magpiehub.config.HostPort;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 
@@ -99,7 +99,7 @@
 
     void open(int timeoutMs) throws IOException {
         plain.setTcpNoDelay(true);
-        plain.connect(Config.socketAddress(endpoint), timeoutMs);
+        plain.connect(HostPort.toSocketAddress(endpoint), timeoutMs);
         if (tls != null) {
             SSLSocketFactory f = tls.getSocketFactory();
             int colon = endpoint.lastIndexOf(':');
--- a/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -4,8 +4,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.config.Config;
 import magpiehub.config.RouterConfiguration;
+import magpiehub.config.RouterConfigurationReader;
 import magpiehub.config.SiteSettings;
 import magpiehub.discovery.Discovery;
 import magpiehub.discovery.EndpointSource;
@@ -75,11 +75,11 @@
 
     private void reload() {
         try {
-            RouterConfiguration next = Config.reread(System.getenv(), inForce);
+            RouterConfiguration next = RouterConfigurationReader.reread(System.getenv(), inForce);
             Options registry = Options.read(registryFile);
-            List<String> changed = inForce.changes(next);
+            List<String> changed = inForce.changedKeys(next);
             changed.removeIf(name -> !name.startsWith(SETTINGS_PREFIX));
-            List<String> needRestart = started.changes(next);
+            List<String> needRestart = started.changedKeys(next);
             needRestart.removeIf(name -> name.startsWith(SETTINGS_PREFIX));
             target.apply(next.site());
             inForce = next;
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -93,7 +93,7 @@
                     && operators.succeeded()
                     && fronts.stream().anyMatch(ClientListener::shared);
             log.log("stopping", "held", Integer.toString(module.held()), "succeeded", Boolean.toString(succeeded));
-            Phases phases = Phases.of(site.get().settings().classes());
+            Phases phases = Phases.of(site.get().routing().classes());
             if (succeeded) {
                 handOver(phases);
             }
@@ -151,7 +151,7 @@
             }
             if (waiting && ms >= phases.finish) {
                 waiting = false;
-                module.shutDown(site.get().settings().resume());
+                module.shutDown(site.get().routing().resume());
             }
             if (!waiting) {
                 fronts.forEach(c -> c.letGoStuck(STUCK));
--- a/src/main/java/magpiehub/protocol/MessagesProtocol.java
+++ b/src/main/java/magpiehub/protocol/MessagesProtocol.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Supplier;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
 import magpiehub.http.Http;
 import magpiehub.routing.RoutingRequest;
@@ -42,14 +42,14 @@
             if (!Files.exists(file)) {
                 return null;
             }
-            ConfigurationObject f =
-                    Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+            ConfigurationObject f = ConfigurationObject.parse(
+                    Files.readAllBytes(file), file.getFileName().toString());
             String listen = f.text("listen", null);
             if (listen == null) {
                 throw new ConfigurationException(file.getFileName() + " gives no address in \"listen\"");
             }
             return new Options(
-                    Config.address(listen),
+                    HostPort.requireValid(listen),
                     f.text("class", ""),
                     f.text("tenant", ""),
                     f.object("models").map());
@@ -72,7 +72,7 @@
     public Call read(Http.Head head, byte[] body, long at) throws Http.Bad {
         PlatformProtocol.posted(head, PATH);
         try {
-            return translated(head, Config.facts(body, "request"), at);
+            return translated(head, ConfigurationObject.parse(body, "request"), at);
         } catch (ConfigurationException e) {
             throw new Http.Bad(400, e.getMessage());
         } catch (Http.Bad e) {
@@ -139,7 +139,7 @@
         String budget = head.get("X-Budget-Ms");
         long wait = budget != null
                 ? PlatformProtocol.budget(budget)
-                : now.settings().classes().get(c).deadline();
+                : now.routing().classes().get(c).deadline();
         // A conversation is known by its opening: each turn brings all that went before.
         long session = route != null
                 ? PlatformProtocol.whole(route, 16, "X-Route-Hash")
@@ -147,7 +147,7 @@
         RoutingRequest r = new RoutingRequest(
                 id != null ? PlatformProtocol.id(id) : newId(),
                 c,
-                now.tenant(tenant != null ? tenant : options.tenant),
+                now.tenantIndex(tenant != null ? tenant : options.tenant),
                 session,
                 system.isEmpty() ? 0 : hash(system),
                 at + wait,
@@ -280,7 +280,7 @@
             }
             ConfigurationObject f;
             try {
-                f = Config.facts(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event");
+                f = ConfigurationObject.parse(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event");
                 for (ConfigurationObject choice : f.objects("choices")) {
                     String text = choice.object("delta").text("content", "");
                     finished |= !choice.text("finish_reason", "").isEmpty();
@@ -358,7 +358,7 @@
 
         private static String reason(byte[] error) {
             try {
-                return Config.facts(ProtocolAdapter.data(error).getBytes(StandardCharsets.UTF_8), "event")
+                return ConfigurationObject.parse(ProtocolAdapter.data(error).getBytes(StandardCharsets.UTF_8), "event")
                         .object("error")
                         .text("message", "no reason given");
             } catch (IOException | ConfigurationException e) {
--- a/src/main/java/magpiehub/protocol/PlatformProtocol.java
+++ b/src/main/java/magpiehub/protocol/PlatformProtocol.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 import java.util.function.Supplier;
-import magpiehub.config.Config;
+import magpiehub.config.Json;
 import magpiehub.config.SiteSettings;
 import magpiehub.http.Http;
 import magpiehub.routing.RoutingRequest;
@@ -67,7 +67,7 @@
      *  to wait for that. Nothing of it is kept. */
     public void warm() throws IOException {
         byte[] request = ("POST " + PATH + " HTTP/1.1\r\nHost: warm\r\nX-Call-Id: 0\r\nX-Call-Class: "
-                        + site.get().settings().classes().get(0).name() + "\r\n"
+                        + site.get().routing().classes().get(0).name() + "\r\n"
                         + "X-Caller: warm\r\nX-Route-Hash: 7f\r\nX-Budget-Ms: 1\r\n"
                         + "X-Call-Info: prefix=5c,prompt_len=9\r\n"
                         + "Content-Length: 8192\r\n\r\n{\"stream\":true,\"messages\":\"" + "x".repeat(8163) + "\"}")
@@ -129,7 +129,7 @@
         return new RoutingRequest(
                 id,
                 cls(site, name(need(head, "X-Call-Class"))),
-                tenant == null ? -1 : site.tenant(tenant),
+                tenant == null ? -1 : site.tenantIndex(tenant),
                 route == null ? 0 : whole(route, 16, "X-Route-Hash"),
                 prefix,
                 at + budget,
@@ -150,7 +150,7 @@
 
     /** A class that there is: the module is never asked to judge another. */
     static int cls(SiteSettings site, String name) throws Http.Bad {
-        int c = site.cls(name);
+        int c = site.classIndex(name);
         if (c < 0) {
             throw new Http.Bad(400, "no such class");
         }
@@ -214,7 +214,7 @@
 
     /** Guards against sending engines what they can't read, which would look like an engine's fault. */
     static void checkJson(byte[] body) throws Http.Bad {
-        try (JsonParser p = Config.JSON.createParser(body)) {
+        try (JsonParser p = Json.FACTORY.createParser(body)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
                 throw new Http.Bad(400, "body is no JSON object");
             }
--- a/src/main/java/magpiehub/simulator/SimulatorAdapter.java
+++ b/src/main/java/magpiehub/simulator/SimulatorAdapter.java
@@ -12,11 +12,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointField;
 import magpiehub.config.EndpointFieldNames;
+import magpiehub.config.EndpointListParser;
+import magpiehub.config.Json;
+import magpiehub.config.Milliseconds;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
@@ -84,7 +88,7 @@
 
     /** Plays until the input ends; 0 if it ended well, 1 if it was malformed. */
     public int run() throws IOException {
-        p = Config.JSON.createParser(in);
+        p = Json.FACTORY.createParser(in);
         try {
             while (p.nextToken() != null) {
                 if (!readMessage()) {
@@ -158,7 +162,11 @@
             nodes.put(
                     who,
                     new RoutingPolicy(
-                            Config.site(new ConfigurationObject(facts, "facts")).settings(), seed, new Sink(who), now));
+                            SiteSettingsParser.parse(new ConfigurationObject(facts, "facts"))
+                                    .routing(),
+                            seed,
+                            new Sink(who),
+                            now));
             return;
         }
         if (message.equals("EXIT")) {
@@ -262,9 +270,9 @@
                 case "settled" -> settled = bool();
                 case "serverStats" -> load = readLoad();
                 case "payload" -> payload = base64(text());
-                case "facts" -> facts = Config.object(p);
-                case "nodesList" -> servers = Config.entries(p, NAMES).stream()
-                        .map(EndpointEntry::server)
+                case "facts" -> facts = Json.readObject(p);
+                case "nodesList" -> servers = EndpointListParser.parse(p, NAMES).stream()
+                        .map(EndpointEntry::endpoint)
                         .toList();
                 default -> p.skipChildren();
             }
@@ -303,26 +311,26 @@
     /** The fields of an entry as this wire names them. */
     private static final EndpointFieldNames NAMES = new EndpointFieldNames() {
         @Override
-        public String field(String name) {
+        public EndpointField fieldNamed(String name) {
             return switch (name) {
-                case "engine" -> "id";
-                case "failureDomain" -> "zone";
-                case "familyType" -> "kind";
-                case "pod" -> "cell";
-                case "state" -> "state";
-                case "powerHint" -> "weight";
-                case "onlineSinceMs" -> "since";
+                case "engine" -> EndpointField.ID;
+                case "failureDomain" -> EndpointField.ZONE;
+                case "familyType" -> EndpointField.MACHINE_TYPE;
+                case "pod" -> EndpointField.CELL;
+                case "state" -> EndpointField.STATE;
+                case "powerHint" -> EndpointField.WEIGHT;
+                case "onlineSinceMs" -> EndpointField.STARTED_AT;
                 default -> null;
             };
         }
 
         @Override
-        public int number(String name, JsonParser at) throws IOException {
-            return (int) Config.number(at, name);
+        public int readIndex(EndpointField field, JsonParser at) throws IOException {
+            return (int) Json.requireNumber(at, field.label());
         }
 
         @Override
-        public EndpointState state(String word) {
+        public EndpointState parseState(String word) {
             return switch (word) {
                 case "live" -> EndpointState.LIVE;
                 case "quiescing" -> EndpointState.DRAINING;
@@ -332,13 +340,13 @@
         }
 
         @Override
-        public long since(double ms) {
+        public long startedAtMicros(double ms) {
             return micros(ms);
         }
     };
 
     private static long micros(double ms) {
-        return Config.micros(ms);
+        return Milliseconds.toMicros(ms);
     }
 
     private static void expect(JsonToken got, JsonToken wanted, String otherwise) {
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.Milliseconds;
 import magpiehub.routing.ZoneEvidence;
 import magpiehub.routing.ZoneHealth;
 import magpiehub.telemetry.EventLog;
@@ -55,8 +55,8 @@
         if (!Files.exists(file)) {
             return null;
         }
-        ConfigurationObject f =
-                Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+        ConfigurationObject f = ConfigurationObject.parse(
+                Files.readAllBytes(file), file.getFileName().toString());
         for (String k : f.map().keySet()) {
             if (!KEYS.contains(k)) {
                 throw new ConfigurationException(f.path() + "." + k + " is not known");
@@ -76,7 +76,7 @@
     }
 
     private static long time(ConfigurationObject f, String key, long absent) {
-        return Config.micros(above(f, key, absent / 1000.0));
+        return Milliseconds.toMicros(above(f, key, absent / 1000.0));
     }
 
     private static double above(ConfigurationObject f, String key, double absent) {
--- a/src/main/java/magpiehub/store/LastWriteWinsStore.java
+++ b/src/main/java/magpiehub/store/LastWriteWinsStore.java
@@ -17,9 +17,10 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.HostPort;
+import magpiehub.config.Json;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -61,7 +62,7 @@
                 try (Socket s = new Socket()) {
                     socket = s;
                     s.setTcpNoDelay(true);
-                    s.connect(Config.socketAddress(peer), CONNECT_TIMEOUT_MS);
+                    s.connect(HostPort.toSocketAddress(peer), CONNECT_TIMEOUT_MS);
                     // A new mailbox before the map is read: a change from now on is in one or the other.
                     Mailbox<byte[]> fresh = new Mailbox<>(clock, MAILBOX_BYTES);
                     lines = fresh;
@@ -143,21 +144,21 @@
         if (!Files.exists(file)) {
             return null;
         }
-        ConfigurationObject f =
-                Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+        ConfigurationObject f = ConfigurationObject.parse(
+                Files.readAllBytes(file), file.getFileName().toString());
         String listen = f.text("listen", null);
         if (listen == null) {
             throw new ConfigurationException(file.getFileName() + " gives no address in \"listen\"");
         }
         LastWriteWinsStore s =
-                new LastWriteWinsStore(name, Config.socketAddress(Config.address(listen)), clock, journal);
+                new LastWriteWinsStore(name, HostPort.toSocketAddress(HostPort.requireValid(listen)), clock, journal);
         f.texts("peers").forEach(s::join);
         return s;
     }
 
     /** Starts telling a peer. */
     public void join(String peer) {
-        Link l = new Link(Config.address(peer));
+        Link l = new Link(HostPort.requireValid(peer));
         synchronized (this) {
             links.add(l);
         }
@@ -198,7 +199,7 @@
 
     private static byte[] line(String key, Entry e) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator g = Config.JSON.createGenerator(out)) {
+        try (JsonGenerator g = Json.FACTORY.createGenerator(out)) {
             g.writeStartObject();
             g.writeStringField("key", key);
             if (e.value != null) {
@@ -239,7 +240,7 @@
                     }
                     continue;
                 }
-                ConfigurationObject f = Config.facts(line.toByteArray(), "store");
+                ConfigurationObject f = ConfigurationObject.parse(line.toByteArray(), "store");
                 line.reset();
                 String key = f.text("key", null);
                 String by = f.text("by", null);
--- a/src/main/java/magpiehub/streaming/StreamLimits.java
+++ b/src/main/java/magpiehub/streaming/StreamLimits.java
@@ -9,7 +9,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.routing.RequestClass;
@@ -63,7 +62,7 @@
         }
         String name = file.getFileName().toString();
         try {
-            return of(Config.facts(Files.readAllBytes(file), name), classes, heap);
+            return of(ConfigurationObject.parse(Files.readAllBytes(file), name), classes, heap);
         } catch (ConfigurationException e) {
             throw e.getMessage().startsWith(name) ? e : new ConfigurationException(name + ": " + e.getMessage());
         }
--- a/src/main/java/magpiehub/streaming/Streams.java
+++ b/src/main/java/magpiehub/streaming/Streams.java
@@ -82,8 +82,8 @@
      *  the start. */
     public final void settings(StreamLimits later, SiteSettings site) {
         allowances = later;
-        classes = site.settings().classes();
-        tenants = site.settings().tenants();
+        classes = site.routing().classes();
+        tenants = site.routing().tenants();
     }
 
     public StreamLimits allowances() {
--- a/src/main/java/magpiehub/upstream/LoadReportParser.java
+++ b/src/main/java/magpiehub/upstream/LoadReportParser.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.LoadReportSettings;
 import magpiehub.routing.LoadReport;
@@ -25,7 +24,7 @@
 
     /** Whether answers carry reports; where they don't, nothing is looked for. */
     boolean inAnswers() {
-        return said.answers();
+        return said.inResponses();
     }
 
     /** Whether a probe brings one. */
@@ -39,7 +38,7 @@
             return null;
         }
         try {
-            ConfigurationObject f = Config.facts(json.getBytes(StandardCharsets.UTF_8), "report");
+            ConfigurationObject f = ConfigurationObject.parse(json.getBytes(StandardCharsets.UTF_8), "report");
             for (String name : said.fields()) {
                 if (!(f.number(name, Double.NaN) >= 0) || Double.isInfinite(f.number(name, 0))) {
                     return null;
--- a/src/main/java/magpiehub/upstream/StreamEvent.java
+++ b/src/main/java/magpiehub/upstream/StreamEvent.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.protocol.ProtocolAdapter;
 
 /**
@@ -55,10 +55,11 @@
             return -1;
         }
         try {
-            return (long) Config.facts(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event")
-                    .object("usage")
-                    .object("prompt_tokens_details")
-                    .number("cached_tokens", -1);
+            return (long)
+                    ConfigurationObject.parse(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event")
+                            .object("usage")
+                            .object("prompt_tokens_details")
+                            .number("cached_tokens", -1);
         } catch (IOException | ConfigurationException e) {
             return -1; // An answer's text may hold the word too.
         }
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -15,7 +15,7 @@
 import magpiehub.concurrent.CachedThreadPool;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
 import magpiehub.dispatch.AttemptHandle;
 import magpiehub.dispatch.RequestDispatcher;
@@ -96,10 +96,10 @@
 
     /** What the settings say of engines, from now on. Any thread. */
     public final void settings(SiteSettings site) {
-        connectTimeoutMs = (int) Math.max(1, site.settings().limits().connectTimeout() / 1000);
-        retireAfter = Math.max(1, (long) (site.idleClose() * RETIRE_AT));
-        resume = site.settings().resume();
-        reports = new LoadReportParser(site.telemetry());
+        connectTimeoutMs = (int) Math.max(1, site.routing().limits().connectTimeout() / 1000);
+        retireAfter = Math.max(1, (long) (site.idleCloseMicros() * RETIRE_AT));
+        resume = site.routing().resume();
+        reports = new LoadReportParser(site.loadReports());
     }
 
     /** Names the module's actor; before anything else is called. */
@@ -288,7 +288,7 @@
             throw new IOException("no address");
         }
         s.setTcpNoDelay(true);
-        s.connect(Config.socketAddress(p.hostPort), connectTimeoutMs);
+        s.connect(HostPort.toSocketAddress(p.hostPort), connectTimeoutMs);
     }
 
     // ---- One attempt ----------------------------------------------------------------------------------
@@ -773,7 +773,7 @@
             boolean spoilt = false;
             try {
                 s.setTcpNoDelay(true);
-                s.connect(Config.socketAddress(to), connectTimeoutMs);
+                s.connect(HostPort.toSocketAddress(to), connectTimeoutMs);
                 mailbox.post(new Connected(s));
                 Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
                 for (int answers = 1; in.await(); answers++) {
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -26,8 +26,9 @@
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.discovery.Discovery;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
@@ -170,15 +171,15 @@
         String settings = Files.readString(Path.of("src/test/resources/" + siteFile));
         settings = resume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
         settings = pushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
-        SiteSettings site = Config.site(Config.facts(settings.getBytes(UTF_8), "settings"));
+        SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(settings.getBytes(UTF_8), "settings"));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
         Peer d = peers.computeIfAbsent("d", k -> new Peer());
         d.server = new ServerSocket(0, 8, any.getAddress());
         ActorThreadPool crew = new ActorThreadPool();
         streams = new Streams(
                 StreamLimits.of(
-                        Config.facts(allowances.getBytes(UTF_8), "streams.json"),
-                        site.settings().classes(),
+                        ConfigurationObject.parse(allowances.getBytes(UTF_8), "streams.json"),
+                        site.routing().classes(),
                         64 << 20),
                 site,
                 clock,
@@ -186,7 +187,7 @@
         UpstreamPool engines = new UpstreamPool(site, 64, clock, log, crew, streams);
         engines.start();
         discovery = new Discovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock, log, 7);
-        actor = new RequestDispatcher(site.settings(), 7, clock, engines, discovery, log);
+        actor = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
         engines.module(actor);
         ProtocolAdapter front = messages
                 ? new MessagesProtocol(() -> site, new MessagesProtocol.Options("", "chat", "", Map.of()), null)
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -32,7 +32,7 @@
     private RouterConfiguration read(String json) throws IOException {
         Path file = folder.newFile().toPath();
         Files.writeString(file, json.replace('\'', '"'));
-        return Config.router(Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_NAME", "from-variable"));
+        return RouterConfigurationReader.read(Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_NAME", "from-variable"));
     }
 
     private void bad(String json, String message) {
@@ -45,8 +45,8 @@
     public void variablesGoBeforeTheFile() throws IOException {
         RouterConfiguration r = read(GOOD);
         assertEquals(
-                "from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " " + r.sockets());
-        assertEquals(-1, r.site().cls("d"));
+                "from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " " + r.maxSockets());
+        assertEquals(-1, r.site().classIndex("d"));
     }
 
     @Test
@@ -67,7 +67,7 @@
         bad(GOOD + "{}", "config holds more than one value");
         assertEquals(
                 "ROUTER_CONFIG is not set",
-                assertThrows(ConfigurationException.class, () -> Config.router(Map.of()))
+                assertThrows(ConfigurationException.class, () -> RouterConfigurationReader.read(Map.of()))
                         .getMessage());
     }
 
@@ -77,29 +77,31 @@
     public void aLaterFileLacksNothing() throws IOException {
         RouterConfiguration now = read(GOOD);
         java.util.Map<String, Object> later =
-                read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).file();
-        assertEquals(null, Config.lacking(now.file(), later, "config"));
-        assertEquals("config.settings.classes[0].aimMs", Config.lacking(later, now.file(), "config"));
+                read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).members();
+        assertEquals(null, ConfigurationComparison.firstMissingKey(now.members(), later, "config"));
+        assertEquals(
+                "config.settings.classes[0].aimMs",
+                ConfigurationComparison.firstMissingKey(later, now.members(), "config"));
         later.remove("seed");
-        assertEquals(null, Config.lacking(now.file(), later, "config"));
+        assertEquals(null, ConfigurationComparison.firstMissingKey(now.members(), later, "config"));
         later.remove("discovery");
-        assertEquals("config.discovery", Config.lacking(now.file(), later, "config"));
+        assertEquals("config.discovery", ConfigurationComparison.firstMissingKey(now.members(), later, "config"));
     }
 
     @Test
     public void classesKeepTheirPlacesOverFiles() {
         SiteSettings one = site("{'name':'a','deadlineMs':1},{'name':'b','deadlineMs':2}");
-        SiteSettings two = one.followedBy(
+        SiteSettings two = one.updatedTo(
                 site("{'name':'b','deadlineMs':2},{'name':'c','deadlineMs':3}," + "{'name':'a','deadlineMs':9}"));
-        assertEquals("1 2 3", two.cls("b") + " " + two.cls("c") + " " + two.cls("a"));
-        assertEquals(1000, two.settings().classes().get(0).deadline());
-        assertEquals(9000, two.settings().classes().get(3).deadline());
-        SiteSettings three = two.followedBy(site("{'name':'a','deadlineMs':1}"));
+        assertEquals("1 2 3", two.classIndex("b") + " " + two.classIndex("c") + " " + two.classIndex("a"));
+        assertEquals(1000, two.routing().classes().get(0).deadline());
+        assertEquals(9000, two.routing().classes().get(3).deadline());
+        SiteSettings three = two.updatedTo(site("{'name':'a','deadlineMs':1}"));
         assertEquals(
                 "as at first: its first place again, no fifth",
                 "0 -1 4",
-                three.cls("a") + " " + three.cls("b") + " "
-                        + three.settings().classes().size());
+                three.classIndex("a") + " " + three.classIndex("b") + " "
+                        + three.routing().classes().size());
     }
 
     /** Classes, tenants and models are the settings' words: the examples' stand nowhere else. */
@@ -131,7 +133,7 @@
 
     private static SiteSettings site(String classes) {
         try {
-            return Config.site(Config.facts(
+            return SiteSettingsParser.parse(ConfigurationObject.parse(
                     ("{'classes':[" + classes + "]}").replace('\'', '"').getBytes(UTF_8), "settings"));
         } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
--- a/src/test/java/magpiehub/discovery/DiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/DiscoveryTest.java
@@ -12,8 +12,9 @@
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
@@ -29,8 +30,8 @@
     /** A call that finds no thread to be read on has failed like any other: the next one begins in time. */
     @Test
     public void aCallThatFindsNoThreadIsFollowedByAnother() throws Exception {
-        SiteSettings site =
-                Config.site(Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
+        SiteSettings site = SiteSettingsParser.parse(
+                ConfigurationObject.parse(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
         SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
         MonotonicClock clock = MonotonicClock.SYSTEM;
         AtomicInteger calls = new AtomicInteger();
@@ -42,7 +43,7 @@
                     clock,
                     log,
                     new ActorThreadPool(),
-                    new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, clock, log));
+                    new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, clock, log));
             Discovery discovery =
                     new Discovery("127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
                         if (calls.incrementAndGet() == 1) {
@@ -50,7 +51,7 @@
                         }
                         Mailbox.thread("reader", read).start();
                     });
-            RequestDispatcher module = new RequestDispatcher(site.settings(), 7, clock, engines, discovery, log);
+            RequestDispatcher module = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
             engines.module(module);
             discovery.start(module, null);
             Thread thread = Mailbox.thread("module", module::run);
--- a/src/test/java/magpiehub/discovery/MembershipTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipTest.java
@@ -50,7 +50,7 @@
 
     private static String states(List<EndpointEntry> told) {
         return told.stream()
-                .map(e -> e.server().id() + " " + e.server().state())
+                .map(e -> e.endpoint().id() + " " + e.endpoint().state())
                 .sorted()
                 .collect(Collectors.joining(", "));
     }
@@ -89,7 +89,7 @@
         assertEquals(
                 10,
                 d.apply(whole(drains, List.of()), S).stream()
-                        .filter(e -> e.server().state() == EndpointState.DRAINING)
+                        .filter(e -> e.endpoint().state() == EndpointState.DRAINING)
                         .count());
     }
 
--- a/src/test/java/magpiehub/discovery/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -19,9 +19,10 @@
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.EndpointEntry;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
@@ -146,7 +147,7 @@
                 return;
             }
             // A whole client: membership, the module and its engines, as a router has them.
-            SiteSettings site = Config.site(Config.facts(
+            SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(
                     ("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]," + "\"classes\":[{\"name\":\"c\"}]}")
                             .getBytes(UTF_8),
                     "settings"));
@@ -156,9 +157,9 @@
                     CLOCK,
                     this,
                     new ActorThreadPool(),
-                    new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, CLOCK, this));
+                    new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, CLOCK, this));
             registry = new Registry(options, () -> site, engines, CLOCK, this, seed);
-            RequestDispatcher module = new RequestDispatcher(site.settings(), seed, CLOCK, engines, registry, this);
+            RequestDispatcher module = new RequestDispatcher(site.routing(), seed, CLOCK, engines, registry, this);
             engines.module(module);
             registry.tap = this;
             registry.start(module, null);
@@ -179,8 +180,8 @@
             position = v.position().number();
             long now = CLOCK.micros();
             for (EndpointEntry e : r.delta().put()) {
-                String id = e.server().id();
-                int cell = e.server().cell();
+                String id = e.endpoint().id();
+                int cell = e.endpoint().cell();
                 Integer had = has.put(id, cell);
                 if (had != null && had == cell) {
                     REPEATED.incrementAndGet();
@@ -567,7 +568,7 @@
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", registry.addresses())
                 + "\"],\"prefix\":\"" + StandIn.PREFIX + "\",\"service\":\"engines\""
                 + (whole ? ",\"list_file\":\"" + list + "\"" : "") + "}";
-        return Options.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
+        return Options.of(ConfigurationObject.parse(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     private static Result dialect(boolean etcd, long seed, int engines, int changes, int views, int whole, long settle)
--- a/src/test/java/magpiehub/discovery/RegistryTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryTest.java
@@ -325,7 +325,7 @@
             registry.compact();
         };
         connect(",\"page\":10");
-        assertEquals(4711, client.fleet.get("e7").server().cell());
+        assertEquals(4711, client.fleet.get("e7").endpoint().cell());
         assertEquals(40, client.fleet.size());
     }
 
@@ -352,7 +352,7 @@
             registry.put("e" + i, Rig.engine(i, "Terminating"));
         }
         Rig.await(
-                () -> client.fleet.values().stream().allMatch(e -> e.server().state() == EndpointState.DRAINING),
+                () -> client.fleet.values().stream().allMatch(e -> e.endpoint().state() == EndpointState.DRAINING),
                 () -> client.logged.toString());
         assertEquals(0, client.counted("membership_doubts"));
     }
--- a/src/test/java/magpiehub/discovery/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -13,10 +13,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
 import magpiehub.telemetry.EventLog;
@@ -44,14 +45,14 @@
                         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
                             fleet.keySet()
                                     .retainAll(list.stream()
-                                            .map(e -> e.server().id())
+                                            .map(e -> e.endpoint().id())
                                             .toList());
                         }
                         for (EndpointEntry e : list) {
-                            if (e.server().state() == EndpointState.DEAD) {
-                                fleet.remove(e.server().id());
+                            if (e.endpoint().state() == EndpointState.DEAD) {
+                                fleet.remove(e.endpoint().id());
                             } else {
-                                fleet.put(e.server().id(), e);
+                                fleet.put(e.endpoint().id(), e);
                             }
                         }
                     },
@@ -69,7 +70,7 @@
                 return;
             }
             for (EndpointEntry e : r.delta().put()) {
-                if (e.equals(shadow.put(e.server().id(), e))) {
+                if (e.equals(shadow.put(e.endpoint().id(), e))) {
                     fault = "repeated " + e;
                 }
             }
@@ -124,7 +125,8 @@
     private static Map<String, String> addresses(Map<String, EndpointEntry> fleet) {
         Map<String, String> m = new TreeMap<>();
         fleet.forEach((id, e) -> m.put(
-                id, e.address() + " " + e.server().state() + " " + e.server().cell()));
+                id,
+                e.address() + " " + e.endpoint().state() + " " + e.endpoint().cell()));
         return m;
     }
 
@@ -133,10 +135,10 @@
         Map<String, String> m = new TreeMap<>();
         of.at(Long.MAX_VALUE, StandIn.PREFIX).forEach((k, v) -> {
             try {
-                ConfigurationObject f = Config.facts(v.value(), "value");
+                ConfigurationObject f = ConfigurationObject.parse(v.value(), "value");
                 m.put(
                         f.text("id", k.substring(StandIn.PREFIX.length())),
-                        Config.address(f.text("host_port", ""))
+                        HostPort.requireValid(f.text("host_port", ""))
                                 + " " + (f.text("phase", "Ready").equals("Ready") ? "LIVE" : "DRAINING") + " "
                                 + (int) f.number("cell", 0));
             } catch (IOException | RuntimeException e) {
@@ -147,8 +149,8 @@
     }
 
     static Supplier<SiteSettings> site() throws IOException {
-        SiteSettings s =
-                Config.site(Config.facts("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(UTF_8), "settings"));
+        SiteSettings s = SiteSettingsParser.parse(
+                ConfigurationObject.parse("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(UTF_8), "settings"));
         return () -> s;
     }
 
@@ -164,7 +166,7 @@
                 + "\"backoff_base_ms\":20,\"backoff_cap_ms\":200,\"least_interval_ms\":20,"
                 + "\"check_every_ms\":200,\"timeout_ms\":2000,\"membership\":{\"flap_half_life_ms\":0}"
                 + more + "}";
-        return Options.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
+        return Options.of(ConfigurationObject.parse(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     static void await(BooleanSupplier what, java.util.function.Supplier<String> otherwise) {
--- a/src/test/java/magpiehub/discovery/StandIn.java
+++ b/src/test/java/magpiehub/discovery/StandIn.java
@@ -20,7 +20,6 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
@@ -316,7 +315,7 @@
             if (fault == Fault.REFUSING) {
                 send(out, 429, "Retry-After: 0.2\r\n", "{}".getBytes(UTF_8));
             } else if (path.startsWith("/v3/")) {
-                etcd(h, path, Config.facts(body, "call"), out);
+                etcd(h, path, ConfigurationObject.parse(body, "call"), out);
             } else if (path.startsWith("/v1/agent")) {
                 agent(path, body, out);
             } else {
@@ -569,7 +568,7 @@
             boolean known;
             synchronized (StandIn.this) {
                 if (path.endsWith("/register")) {
-                    services.add(Config.facts(body, "service").text("ID", ""));
+                    services.add(ConfigurationObject.parse(body, "service").text("ID", ""));
                     known = true;
                 } else if (path.contains("/deregister/")) {
                     known = services.remove(id);
@@ -664,9 +663,9 @@
         private byte[] instance(String id, Version v) throws IOException {
             ConfigurationObject f;
             try {
-                f = Config.facts(v.value, "value");
+                f = ConfigurationObject.parse(v.value, "value");
             } catch (IOException | RuntimeException e) {
-                f = Config.facts("{\"host_port\":\"nowhere:x\"}".getBytes(UTF_8), "value");
+                f = ConfigurationObject.parse("{\"host_port\":\"nowhere:x\"}".getBytes(UTF_8), "value");
             }
             ConfigurationObject e = f;
             String[] address = (e.text("host_port", "") + ":x").split(":");
--- a/src/test/java/magpiehub/discovery/ToldTest.java
+++ b/src/test/java/magpiehub/discovery/ToldTest.java
@@ -31,7 +31,7 @@
 
     private static Endpoint find(List<EndpointEntry> list, String id) {
         return list.stream()
-                .map(EndpointEntry::server)
+                .map(EndpointEntry::endpoint)
                 .filter(s -> s.id().equals(id))
                 .findFirst()
                 .orElseThrow();
--- a/src/test/java/magpiehub/discovery/ViewTest.java
+++ b/src/test/java/magpiehub/discovery/ViewTest.java
@@ -206,7 +206,7 @@
             }
             if (result != null) {
                 for (EndpointEntry e : result.delta().put()) {
-                    assertFalse("repeated", e.equals(rebuilt.put(e.server().id(), e)));
+                    assertFalse("repeated", e.equals(rebuilt.put(e.endpoint().id(), e)));
                 }
                 result.delta().gone().forEach(id -> assertTrue(rebuilt.remove(id) != null));
                 if (step % 1000 == 0) {
--- a/src/test/java/magpiehub/discovery/WatchesTest.java
+++ b/src/test/java/magpiehub/discovery/WatchesTest.java
@@ -10,7 +10,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
@@ -246,9 +247,9 @@
     private static Fleet fleet(int routers, long each, long seed) throws Exception {
         Fleet f = new Fleet();
         f.discoveries.forEach(d -> d.each = each);
-        RoutingSettings s = Config.site(
-                        Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "site"))
-                .settings();
+        RoutingSettings s = SiteSettingsParser.parse(
+                        ConfigurationObject.parse(Files.readAllBytes(Path.of("src/test/resources/site.json")), "site"))
+                .routing();
         for (int i = 0; i < routers; i++) {
             f.routers.add(new Router(f, s, seed * 1000 + i));
         }
--- a/src/test/java/magpiehub/streaming/ModulesTest.java
+++ b/src/test/java/magpiehub/streaming/ModulesTest.java
@@ -11,8 +11,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.routing.DeduplicationScope;
 import magpiehub.routing.Idempotency;
 import magpiehub.routing.RequestClass;
@@ -199,7 +199,7 @@
     }
 
     private static StreamLimits of(String json) throws Exception {
-        return StreamLimits.of(Config.facts(json.getBytes(UTF_8), "streams.json"), CLASSES, 64 << 20);
+        return StreamLimits.of(ConfigurationObject.parse(json.getBytes(UTF_8), "streams.json"), CLASSES, 64 << 20);
     }
 
     private static String fault(String json) {
--- a/src/test/java/magpiehub/streaming/StreamsTest.java
+++ b/src/test/java/magpiehub/streaming/StreamsTest.java
@@ -6,8 +6,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.telemetry.SyslogEventLog;
 import org.junit.Test;
 
@@ -44,11 +45,11 @@
     public void anEngineThatIsNotListenedToIsNeverSilent() throws Exception {
         Crossing clock = new Crossing();
         byte[] settings = Files.readAllBytes(Path.of("src/test/resources/site.json"));
-        SiteSettings site = Config.site(Config.facts(settings, "site"));
+        SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(settings, "site"));
         String allowed = "{\"buffer_kb\":" + BUFFER / 1024 + ",\"pause_ms\":" + 2 * PAUSE / 1000 + "}";
         StreamLimits allowances = StreamLimits.of(
-                Config.facts(allowed.getBytes(UTF_8), "streams"),
-                site.settings().classes(),
+                ConfigurationObject.parse(allowed.getBytes(UTF_8), "streams"),
+                site.routing().classes(),
                 64 << 20);
         Streams streams = new Streams(allowances, site, clock, new SyslogEventLog(System.err, "test", 1));
         Streams.Flow flow = streams.open(0, 0, "r", () -> {});
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -19,8 +19,9 @@
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.ClientCallback;
 import magpiehub.dispatch.EndpointListSource;
 import magpiehub.dispatch.RequestDispatcher;
@@ -195,14 +196,14 @@
 
     /** One engine, of which the list says at last that it takes work, or not. */
     private void start(ServerSocket engine, boolean takes) throws IOException {
-        site = Config.site(Config.facts(
+        site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 Files.readString(Path.of("src/test/resources/site.json"))
                         .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
                         .getBytes(UTF_8),
                 "settings"));
-        streams = new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
+        streams = new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
         UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
-        module = new RequestDispatcher(site.settings(), 7, MonotonicClock.SYSTEM, engines, roster, log);
+        module = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, engines, roster, log);
         engines.module(module);
         thread = Mailbox.thread("module", module::run);
         thread.start();
