--- a/src/main/java/magpiehub/config/RouterConfiguration.java
+++ b/src/main/java/magpiehub/config/RouterConfiguration.java
@@ -31,14 +31,21 @@
         byte[] initialEndpoints,
         SiteSettings site,
         Map<String, Object> members) {
-    /** Keys whose changes don't count: the first two matter at the start only, the others are followed by themselves. */
+    /**
+     * Keys that {@link #changedKeys} leaves out: the endpoint list and the seed matter at the start only, a reload
+     * follows discovery's address separately, and a new console address is not reported.
+     */
     private static final List<String> IGNORED_CHANGES = List.of(
             RouterConfigurationKeys.INITIAL_ENDPOINTS,
             RouterConfigurationKeys.SEED,
             RouterConfigurationKeys.DISCOVERY,
             RouterConfigurationKeys.CONSOLE);
 
-    /** The keys in which a later file differs, in a list that the caller may change; settings as {@code settings.key}. */
+    /**
+     * The keys in which a later file differs; those of nested objects as {@code settings.key}.
+     *
+     * @return a new list, which the caller may change
+     */
     public List<String> changedKeys(RouterConfiguration later) {
         List<String> changed = new ArrayList<>();
         ConfigurationComparison.addChangedKeys(members, later.members, changed);
--- a/src/main/java/magpiehub/config/RouterConfigurationKeys.java
+++ b/src/main/java/magpiehub/config/RouterConfigurationKeys.java
@@ -35,7 +35,7 @@
     static final String INITIAL_ENDPOINTS = "known";
     /** What the process may take; an object with the next two keys. */
     static final String LIMITS = "limits";
-    /** The memory of the process; MiB; default {@value #DEFAULT_MEMORY_MB}. */
+    /** The memory of the process; MiB; default {@value #DEFAULT_MEMORY_MB}. Checked, but the JVM's options decide. */
     static final String MEMORY_MB = "memory_mb";
 
     static final int DEFAULT_MEMORY_MB = 192;
--- a/src/main/java/magpiehub/config/RouterConfigurationReader.java
+++ b/src/main/java/magpiehub/config/RouterConfigurationReader.java
@@ -107,7 +107,7 @@
         return value;
     }
 
-    /** The variable's address, or else the file's, or null: an installation may have its own registry, or no console. */
+    /** The variable's address, or else the file's, or null: not every installation has a console or uses discovery. */
     private static String optionalAddress(Map<String, String> environment, String variable, String fromFile) {
         if (fromFile == null && !isSet(environment, variable)) {
             return null;
--- a/src/main/java/magpiehub/config/SettingsKeys.java
+++ b/src/main/java/magpiehub/config/SettingsKeys.java
@@ -2,7 +2,7 @@
 
 /**
  * The keys of a site's settings, each with its type or unit and its default. Times are numbers in milliseconds and may
- * have fractions; shares and factors are plain numbers.
+ * have fractions; shares and factors are plain numbers. "Not used" marks what is read and checked but changes nothing.
  */
 final class SettingsKeys {
     // The router among its peers.
@@ -17,7 +17,7 @@
     static final String ZONES = "zones";
     /** The names of the machine types; texts; default none. */
     static final String MACHINE_TYPES = "machineTypes";
-    /** {@value #MEMBERSHIP_SUBSCRIBE}: the router asks for the endpoint list; else it is sent; default {@code automatic}. */
+    /** {@code subscribe}: the router polls for the endpoint list; any other: it is sent; default {@code automatic}. */
     static final String MEMBERSHIP_MODE = "membershipMode";
 
     static final String MEMBERSHIP_AUTOMATIC = "automatic";
@@ -31,11 +31,11 @@
 
     /** The next three keys; object. */
     static final String FAMILY_INFO = "familyInfo";
-    /** Whether a broken stream can be resumed by another request; truth value; default false. */
+    /** Whether a client asks for the rest of a stream that broke off; truth value; default false. */
     static final String RESUME = "resume";
     /** What the aim grows by for each 1,000 prompt tokens; microseconds, one number a class; default 0. */
     static final String AIM_PER_1000_PROMPT_TOKENS = "aimUsPer1000PromptTokens";
-    /** The wanted time between two tokens; ms, one number a class; default 0. */
+    /** The wanted time between two tokens; ms, one number a class; default 0. Not used. */
     static final String TOKEN_AIMS_MS = "tokenAimMs";
 
     // Request classes: "classes".
@@ -48,7 +48,7 @@
     static final String EFFECT = "effect";
 
     static final String EFFECT_PURE = "pure";
-    /** Which upstreams drop a repeated idempotency key together: {@code all}, {@code zone} or {@code cell}; default all. */
+    /** Which upstreams drop repeats of one idempotency key: {@code all}, {@code zone} or {@code cell}; default all. */
     static final String GROUP = "group";
 
     static final String GROUP_ALL = "all";
@@ -58,7 +58,7 @@
     static final String STREAM = "stream";
     /** The latency objective: the wanted time to the first token; ms; default 0. */
     static final String AIM_MS = "aimMs";
-    /** By how much of it the objective may be exceeded; factor; default 0. */
+    /** Part of the latency objective; number; default 0. Not used. */
     static final String AIM_STRETCH = "aimStretch";
     /** When a request is given up; ms; default 0 in the simulator, required in a router. */
     static final String DEADLINE_MS = "deadlineMs";
@@ -71,7 +71,7 @@
 
     /** The tenants; objects with {@link #NAME} and the next two keys; default none. */
     static final String ACCOUNTS = "accounts";
-    /** The tenant's part of the traffic; share; default 0. */
+    /** The tenant's part of the traffic; share; default 0. Not used. */
     static final String SHARE = "share";
     /** The requests per second that all routers together admit at full worth; number; default 0: no limit. */
     static final String ALLOWANCE_PER_SECOND = "allowancePerS";
@@ -86,7 +86,7 @@
     static final String PROBES = "probes";
     /** Whether routers may send each other messages; truth value; default false. Not used. */
     static final String PEERS = "peers";
-    /** Whether attempts of one request may overlap; truth value; default false. Not used. */
+    /** Whether attempts of one request may overlap; truth value; default false. */
     static final String PARALLEL_ATTEMPTS = "parallelTries";
     /** Whether a rejected client is told when to come back; truth value; default false. */
     static final String RETRY_AFTER = "retryAfter";
@@ -111,7 +111,7 @@
 
     /** The next seven keys; object. */
     static final String GUARANTEES = "guarantees";
-    /** How long after its deadline a request may still be answered; ms; default 0. */
+    /** How long after its deadline a request may still be answered; ms; default 0. Not used. */
     static final String ANSWER_SLACK_MS = "answerSlackMs";
     /** The longest time between two polls of the endpoint list; ms; default {@value #DEFAULT_POLL_WITHIN_MS}. */
     static final String POLL_WITHIN_MS = "askWithinMs";
@@ -119,17 +119,17 @@
     static final int DEFAULT_POLL_WITHIN_MS = 10_000;
     /** How long an upstream warms up after its start; ms; default 0. */
     static final String WARM_UP_MS = "coldMs";
-    /** The first part of warming up, with the least traffic; ms; default {@value #DEFAULT_FALL_MS}. */
+    /** The window for which a warming upstream has a budget of requests; ms; default {@value #DEFAULT_FALL_MS}. */
     static final String FALL_MS = "fallMs";
 
     static final int DEFAULT_FALL_MS = 1000;
-    /** How far a warming upstream may be loaded beyond its capacity; factor; default {@value #DEFAULT_OVERLOAD_FACTOR}. */
+    /** The multiple of its due that overloads a warming upstream; factor; default {@value #DEFAULT_OVERLOAD_FACTOR}. */
     static final String OVERLOAD_FACTOR = "overloadFactor";
 
     static final int DEFAULT_OVERLOAD_FACTOR = 2;
     /** The capacity of an upstream at its start, as a part of its full one; share; default 1. */
     static final String START_CAPACITY = "startCapacity";
-    /** How soon a draining upstream must get no more requests; ms; default 0. */
+    /** How soon a draining upstream must get no more requests; ms; default 0. Not used: it gets none at once. */
     static final String STOP_SENDING_WITHIN_MS = "stopSendingWithinMs";
 
     // What costs service, as parts of a request's gain: "costs".
@@ -138,11 +138,11 @@
     static final String COSTS = "costs";
     /** Of an attempt in another zone. */
     static final String CROSS_ZONE = "crossZone";
-    /** Of an attempt whose result is not used. */
+    /** Of an attempt whose result nobody needs. Not used. */
     static final String WASTE = "waste";
-    /** Of a health check. */
+    /** Of a health check. Not used. */
     static final String PROBE = "probe";
-    /** Of a failure that comes late. */
+    /** Of a failure that comes late. Not used. */
     static final String LATE_FAILURE = "lateFail";
     /** Of an open connection. */
     static final String CONNECTION = "connection";
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -20,7 +20,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** A router's configuration: each fault is told in one line that names its place. */
+/** Reading a router's configuration: a fault is reported in one line that names its place. */
 public class ConfigTest {
     private static final String GOOD = "{'name':'n','listen':'127.0.0.1:1','discovery':'127.0.0.1:2',"
             + "'seed':'8f','limits':{'sockets':9},'settings':{'classes':[{'name':'c',"
@@ -71,12 +71,11 @@
                         .getMessage());
     }
 
-    /** Every key that the file in force has is to be there, in each class too; the list and the seed need
-     * not. */
+    /** A later file must have every key of the one in force, in each class too, but for the list and the seed. */
     @Test
     public void aLaterFileLacksNothing() throws IOException {
         RouterConfiguration now = read(GOOD);
-        java.util.Map<String, Object> later =
+        Map<String, Object> later =
                 read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).members();
         assertEquals(null, ConfigurationComparison.firstMissingKey(now.members(), later, "config"));
         assertEquals(
@@ -104,7 +103,7 @@
                         + three.routing().classes().size());
     }
 
-    /** Classes, tenants and models are the settings' words: the examples' stand nowhere else. */
+    /** Names of classes, tenants and models come from the settings only: the program has none of the examples'. */
     @Test
     public void namesOfTheExamplesAreNotInTheProgram() throws IOException {
         Set<String> names = new TreeSet<>();
