--- a/src/test/java/magpiehub/telemetry/SyslogEventLogTest.java
+++ b/src/test/java/magpiehub/telemetry/SyslogEventLogTest.java
@@ -5,10 +5,10 @@
 import java.time.Instant;
 import org.junit.Test;
 
-/** Log lines against RFC 5424's grammar: what would end a value, a name or the message early is not let
- * out. */
+/** Log lines follow RFC 5424's grammar: nothing ends a value, a name or the message early. */
 public class SyslogEventLogTest {
     private static final Instant AT = Instant.parse("2026-12-01T10:00:00.5Z");
+    private final SyslogFormatter formatter = new SyslogFormatter("n 3", 7);
     private final SyslogEventLog log = new SyslogEventLog(System.err, "n 3", 7);
 
     @Test
@@ -16,13 +16,14 @@
         assertEquals(
                 "<134>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 li_st "
                         + "[magpiehub@32473 a_b_=\"q\\\"\\\\\\] \u00e9\" c=\"\"]\n",
-                log.line(AT, "li st", "a=b]", "q\"\\]\n\u00e9", "c", ""));
+                formatter.format(AT, "li st", "a=b]", "q\"\\]\n\u00e9", "c", ""));
     }
 
     @Test
     public void failuresAreWarningsAndNoDataIsADash() {
         assertEquals(
-                "<132>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 engine-error -\n", log.line(AT, "engine-error"));
+                "<132>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 engine-error -\n",
+                formatter.format(AT, "engine-error"));
     }
 
     @Test
