--- a/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
-import magpiehub.concurrent.Mailbox;
 import magpiehub.config.RouterConfiguration;
 import magpiehub.config.RouterConfigurationReader;
 import magpiehub.config.SiteSettings;
@@ -14,44 +13,46 @@
 import magpiehub.telemetry.SyslogEventLog;
 
 /**
- * Reads the configuration again on each SIGHUP. A file is taken whole or not at all: one that can't be used
- * is logged and changes nothing. Settings and the address of discovery are followed at once; what else
- * differs is named in the log, since it takes a restart. Runs on a thread of its own until that is
- * interrupted.
+ * Reads the configuration again on each SIGHUP. A file is applied completely or not at all: one that is malformed is
+ * logged and changes nothing. Settings and the address of discovery are applied at once; other differences are named
+ * in the log, since they take a restart. Runs on a thread of its own until that is interrupted.
  */
-public final class ConfigurationReloader implements Runnable {
-    /** Hands new settings to the parts of the router, in an order that suits them. */
-    public interface Target {
+final class ConfigurationReloader implements Runnable {
+    /** Applies new settings to the parts of the router. */
+    interface SettingsTarget {
+        /** Applies the settings of a later file; may reject them with an exception before it has changed anything. */
         void apply(SiteSettings later) throws IOException;
     }
 
+    /** The keys that a reload applies begin with this. */
     private static final String SETTINGS_PREFIX = "settings.";
+    /** What the log names where the source of the endpoint list would have to be another one. */
+    private static final String REGISTRY_CHANGE = "registry";
 
     private final RouterConfiguration started;
-    private final Mailbox<Object> hangups;
+    private final ProcessSignals signals;
     private final EndpointSource discovery;
     private final Path registryFile;
     private final SyslogEventLog log;
-    private final Target target;
+    private final SettingsTarget target;
     private RouterConfiguration inForce;
 
     /**
-     * A reload that has not begun.
+     * A reloader that waits for no signal until it runs.
      *
      * @param started the configuration of the start, which decides what takes a restart
-     * @param hangups gets one message for each SIGHUP
      * @param registryFile where an installation may name a registry of its own
      */
-    public ConfigurationReloader(
+    ConfigurationReloader(
             RouterConfiguration started,
-            Mailbox<Object> hangups,
+            ProcessSignals signals,
             EndpointSource discovery,
             Path registryFile,
             SyslogEventLog log,
-            Target target) {
+            SettingsTarget target) {
         this.started = started;
         this.inForce = started;
-        this.hangups = hangups;
+        this.signals = signals;
         this.discovery = discovery;
         this.registryFile = registryFile;
         this.log = log;
@@ -62,9 +63,10 @@
     public void run() {
         try {
             while (true) {
-                hangups.take(Long.MAX_VALUE);
-                while (hangups.poll() != null) {
-                    log.count("hangups_together"); // The file is as new for them all.
+                signals.awaitHangup();
+                // One reload serves all signals so far: the file is as new for them all.
+                while (signals.pollHangup()) {
+                    log.count("hangups_together");
                 }
                 reload();
             }
@@ -77,32 +79,38 @@
         try {
             RouterConfiguration next = RouterConfigurationReader.reread(System.getenv(), inForce);
             Options registry = Options.read(registryFile);
-            List<String> changed = inForce.changedKeys(next);
-            changed.removeIf(name -> !name.startsWith(SETTINGS_PREFIX));
+            List<String> applied = inForce.changedKeys(next);
+            applied.removeIf(key -> !key.startsWith(SETTINGS_PREFIX));
             List<String> needRestart = started.changedKeys(next);
-            needRestart.removeIf(name -> name.startsWith(SETTINGS_PREFIX));
+            needRestart.removeIf(key -> key.startsWith(SETTINGS_PREFIX));
             target.apply(next.site());
             inForce = next;
-            if (!follow(next, registry)) {
-                needRestart.add("registry");
+            if (!redirectDiscovery(next, registry)) {
+                needRestart.add(REGISTRY_CHANGE);
             }
             log.count("reloads");
-            log.log(
-                    "reloaded",
-                    "discovery",
-                    registry == null ? next.discovery() : String.join(" ", registry.endpoints()),
-                    "changed",
-                    String.join(" ", changed),
-                    "needs_restart",
-                    String.join(" ", needRestart));
+            logReload(
+                    registry == null ? next.discovery() : String.join(" ", registry.endpoints()), applied, needRestart);
         } catch (IOException | RuntimeException | StackOverflowError e) {
+            // A stack overflow comes from a file that is nested too deeply.
             log.count("reload_failures");
             log.log("reload-failed", "error", String.valueOf(e.getMessage()));
         }
     }
 
-    /** Whether the source of the list is one that can be followed to where the new file says. */
-    private boolean follow(RouterConfiguration next, Options registry) {
+    private void logReload(String discoveryAddress, List<String> applied, List<String> needRestart) {
+        log.log(
+                "reloaded",
+                "discovery",
+                discoveryAddress,
+                "changed",
+                String.join(" ", applied),
+                "needs_restart",
+                String.join(" ", needRestart));
+    }
+
+    /** Points the source of the endpoint list to its new address; false if the file names a source of another kind. */
+    private boolean redirectDiscovery(RouterConfiguration next, Options registry) {
         if (discovery instanceof Registry client && registry != null) {
             client.move(registry);
             return true;
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -6,156 +6,127 @@
 import magpiehub.admin.AdminCommandHandler;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Announcer;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
-import magpiehub.routing.RequestClass;
-import magpiehub.store.KeyValueStore;
 import magpiehub.telemetry.SyslogEventLog;
 
 /**
- * Ends the process in order once it is told to: new connections are accepted for a moment, then the ones that
- * clients have are served on, then only what is held, and before the process is killed each request gets its
- * final answer. Runs as the JVM's shutdown hook, on the thread that the JVM gives it, and returns once no
- * connection is open.
+ * Ends the process in the phases of {@link ShutdownPhases}: new connections are accepted for a moment, then only the
+ * open ones are served, then only requests in flight, and before the process is killed each request gets its final
+ * answer. Runs once, as the JVM's shutdown hook, and returns when no connection is open.
  */
-public final class GracefulShutdown implements Runnable {
-    /** How long the registry may take to forget this router (ms). */
-    private static final long DEREGISTER_MS = 400;
-    /** How often the phases are looked at (ms). */
-    private static final long TICK_MS = 5;
-    /** In the last phase, clients that have taken nothing for so long are let go of (us). */
-    private static final long STUCK = 1_000_000;
+final class GracefulShutdown implements Runnable {
+    /** How often the phases are checked. */
+    private static final long POLL_PERIOD_MS = 5;
+    /** In the last phase, a client that has read nothing for so long is disconnected. */
+    private static final long STUCK_CLIENT_MICROS = 1_000_000;
 
-    /**
-     * When each phase ends, counted from the signal (ms).
-     *
-     * @param accept new connections are accepted until then
-     * @param keep idle connections are kept until then; later each answer is its connection's last
-     * @param finish requests are waited for until then; what is still held is answered or moved at once
-     */
-    public record Phases(long accept, long keep, long finish) {
-        /** New connections come for 0.4 s, and a router held to its share of a core sees them later. */
-        private static final long ACCEPT_MS = 600;
-        /** The process is killed no sooner than after the longest deadline, taken as so long where it is
-         *  longer, and so much more. */
-        private static final long LONGEST_DEADLINE_MS = 3_000;
+    private static final int MICROS_PER_MILLI = 1000;
 
-        private static final long KILLED_AFTER_MS = 700;
-        /** What the last answers may take. A stream that its client asks for again is read anew by an engine,
-         *  so none is ended earlier than it must. */
-        private static final long LAST_ANSWERS_MS = 300;
-
-        /** The phases for the deadlines (us) of these classes. Idle connections are kept for half of the
-         *  time: another router may be down as well, and what comes on them last has the other half. */
-        public static Phases of(List<RequestClass> classes) {
-            long longest =
-                    classes.stream().mapToLong(c -> c.deadline() / 1000).max().orElse(LONGEST_DEADLINE_MS);
-            long finish = Math.min(LONGEST_DEADLINE_MS, longest) + KILLED_AFTER_MS - LAST_ANSWERS_MS;
-            return new Phases(ACCEPT_MS, Math.max(ACCEPT_MS, finish / 2), finish);
-        }
-    }
-
-    private final List<ClientListener> fronts;
-    private final RequestDispatcher module;
+    private final List<ClientListener> listeners;
+    private final RequestDispatcher dispatcher;
     private final Supplier<SiteSettings> site;
     private final SyslogEventLog log;
-    private final KeyValueStore store;
-    private final String name;
-    private final Supplier<Announcer> announcer;
-    private final AdminCommandHandler operators;
+    private final ServiceAnnouncement announcement;
+    private final AdminCommandHandler admin;
 
-    /** A shutdown that has not begun; {@code store}, what {@code announcer} gives, and {@code operators} may
-     *  be null where an installation has none. */
-    public GracefulShutdown(
-            List<ClientListener> fronts,
-            RequestDispatcher module,
+    /**
+     * A shutdown that has not begun.
+     *
+     * @param admin null if the router has no console
+     */
+    GracefulShutdown(
+            List<ClientListener> listeners,
+            RequestDispatcher dispatcher,
             Supplier<SiteSettings> site,
             SyslogEventLog log,
-            KeyValueStore store,
-            String name,
-            Supplier<Announcer> announcer,
-            AdminCommandHandler operators) {
-        this.fronts = fronts;
-        this.module = module;
+            ServiceAnnouncement announcement,
+            AdminCommandHandler admin) {
+        this.listeners = listeners;
+        this.dispatcher = dispatcher;
         this.site = site;
         this.log = log;
-        this.store = store;
-        this.name = name;
-        this.announcer = announcer;
-        this.operators = operators;
+        this.announcement = announcement;
+        this.admin = admin;
     }
 
     @Override
     public void run() {
         try {
-            boolean succeeded = operators != null
-                    && operators.succeeded()
-                    && fronts.stream().anyMatch(ClientListener::shared);
-            log.log("stopping", "held", Integer.toString(module.held()), "succeeded", Boolean.toString(succeeded));
-            Phases phases = Phases.of(site.get().routing().classes());
-            if (succeeded) {
+            boolean hasSuccessor = hasSuccessor();
+            log.log(
+                    "stopping",
+                    "held",
+                    Integer.toString(dispatcher.held()),
+                    "succeeded",
+                    Boolean.toString(hasSuccessor));
+            ShutdownPhases phases =
+                    ShutdownPhases.forClasses(site.get().routing().classes());
+            if (hasSuccessor) {
                 handOver(phases);
             }
-            leaveRegistry();
-            finish(phases, succeeded);
+            // Before accepting ends: clients are to stop coming first.
+            announcement.withdraw();
+            finish(phases, hasSuccessor);
         } catch (IOException | InterruptedException e) {
             log.log("stop-failed", "error", e.toString());
         } finally {
-            if (operators != null) {
-                operators.ended();
+            if (admin != null) {
+                admin.ended();
             }
             log.logCounters();
-            log.log("stopped", "held", Integer.toString(module.held()));
+            log.log("stopped", "held", Integer.toString(dispatcher.held()));
             log.flush();
         }
     }
 
-    /** A successor process takes what comes from now on; clients here move over little by little. */
-    private void handOver(Phases phases) throws IOException {
-        for (ClientListener c : fronts) {
-            c.stopAccepting();
-            c.empty(MonotonicClock.SYSTEM.micros() + phases.keep * 1000);
-        }
+    /** Whether a newer process of this router serves on the same listening socket. */
+    private boolean hasSuccessor() {
+        return admin != null && admin.succeeded() && listeners.stream().anyMatch(ClientListener::shared);
     }
 
-    /** Before accepting ends: clients are to stop coming first. */
-    private void leaveRegistry() throws InterruptedException {
-        if (store != null) {
-            store.put("router/" + name, "stopping");
-        }
-        Announcer announced = announcer.get();
-        if (announced != null) {
-            announced.stop(DEREGISTER_MS);
+    /** Leaves new connections to the successor at once, and lets the open ones move to it little by little. */
+    private void handOver(ShutdownPhases phases) throws IOException {
+        for (ClientListener listener : listeners) {
+            listener.stopAccepting();
+            listener.empty(MonotonicClock.SYSTEM.micros() + phases.keepIdleMillis() * MICROS_PER_MILLI);
         }
     }
 
-    private void finish(Phases phases, boolean handedOver) throws IOException, InterruptedException {
+    private void finish(ShutdownPhases phases, boolean handedOver) throws IOException, InterruptedException {
         boolean accepting = true;
-        boolean keeping = !handedOver;
-        boolean waiting = true;
-        long begun = MonotonicClock.SYSTEM.micros();
-        while (accepting || fronts.stream().anyMatch(c -> c.open() > 0)) {
-            Thread.sleep(TICK_MS);
-            // By the clock: a process that is held to its share sleeps longer than it says.
-            long ms = (MonotonicClock.SYSTEM.micros() - begun) / 1000;
-            if (accepting && ms >= phases.accept) {
+        boolean keepingIdle = !handedOver;
+        boolean awaitingRequests = true;
+        long startedAt = MonotonicClock.SYSTEM.micros();
+        while (accepting || hasOpenConnections()) {
+            Thread.sleep(POLL_PERIOD_MS);
+            // By the clock: a process that is held to its share of a core sleeps longer than it asks for.
+            long elapsedMillis = (MonotonicClock.SYSTEM.micros() - startedAt) / MICROS_PER_MILLI;
+            if (accepting && elapsedMillis >= phases.acceptMillis()) {
                 accepting = false;
-                for (ClientListener c : fronts) {
-                    c.stopAccepting();
-                }
+                stopAccepting();
             }
-            if (keeping && ms >= phases.keep) {
-                keeping = false;
-                fronts.forEach(ClientListener::closeIdle);
+            if (keepingIdle && elapsedMillis >= phases.keepIdleMillis()) {
+                keepingIdle = false;
+                listeners.forEach(ClientListener::closeIdle);
             }
-            if (waiting && ms >= phases.finish) {
-                waiting = false;
-                module.shutDown(site.get().routing().resume());
+            if (awaitingRequests && elapsedMillis >= phases.finishMillis()) {
+                awaitingRequests = false;
+                dispatcher.shutDown(site.get().routing().resume());
             }
-            if (!waiting) {
-                fronts.forEach(c -> c.letGoStuck(STUCK));
+            if (!awaitingRequests) {
+                listeners.forEach(listener -> listener.letGoStuck(STUCK_CLIENT_MICROS));
             }
         }
     }
+
+    private boolean hasOpenConnections() {
+        return listeners.stream().anyMatch(listener -> listener.open() > 0);
+    }
+
+    private void stopAccepting() throws IOException {
+        for (ClientListener listener : listeners) {
+            listener.stopAccepting();
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -0,0 +1,283 @@
+package magpiehub.lifecycle;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.atomic.AtomicReference;
+import magpiehub.admin.AdminCommandHandler;
+import magpiehub.admin.AdminServer;
+import magpiehub.concurrent.ActorThreadPool;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.HostPort;
+import magpiehub.config.RouterConfiguration;
+import magpiehub.config.SiteSettings;
+import magpiehub.discovery.Discovery;
+import magpiehub.discovery.EndpointSource;
+import magpiehub.discovery.Options;
+import magpiehub.discovery.Registry;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.downstream.ClientListener;
+import magpiehub.downstream.ListenerSocket;
+import magpiehub.protocol.MessagesProtocol;
+import magpiehub.protocol.PlatformProtocol;
+import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.routing.ConnectFailureZoneHealth;
+import magpiehub.routing.RequestClass;
+import magpiehub.routing.ZoneHealth;
+import magpiehub.simulator.JitWarmUp;
+import magpiehub.sites.SiteFailoverPlan;
+import magpiehub.sites.SiteHealthTracker;
+import magpiehub.store.KeyValueStore;
+import magpiehub.store.LastWriteWinsStore;
+import magpiehub.streaming.StreamLimits;
+import magpiehub.streaming.Streams;
+import magpiehub.telemetry.SyslogEventLog;
+import magpiehub.upstream.UpstreamPool;
+
+/**
+ * One router process: creates the parts, connects them, and starts them in their order. It takes no decision about
+ * requests.
+ *
+ * <p>Features beyond the platform's own are off unless the installation has a file for them in {@code deploy/}: a
+ * registry of its own, limits of streams, a plan for the loss of a site, the messages protocol, a key-value store.
+ */
+public final class Router {
+    private static final Path REGISTRY_FILE = Path.of("deploy/registry.json");
+    private static final Path STREAMS_FILE = Path.of("deploy/streams.json");
+    private static final Path SITE_FAILOVER_FILE = Path.of("deploy/site.json");
+    private static final Path MESSAGES_FILE = Path.of("deploy/messages.json");
+    private static final Path STORE_FILE = Path.of("deploy/store.json");
+
+    private final RouterConfiguration configuration;
+    private final ProcessSignals signals;
+    private final ConnectionLimits connectionLimits;
+    private final MonotonicClock clock = MonotonicClock.SYSTEM;
+    private final ActorThreadPool threads = new ActorThreadPool();
+    private final SyslogEventLog log;
+    /** The settings in force; protocols read them for each request. */
+    private final AtomicReference<SiteSettings> site;
+
+    private final Streams streams;
+    private final UpstreamPool upstreams;
+    /** Null where the platform's discovery is used. */
+    private final Options registry;
+
+    private final EndpointSource discovery;
+    /** Null where the installation has none. */
+    private final SiteFailoverPlan failoverPlan;
+
+    private final RequestDispatcher dispatcher;
+    private final PlatformProtocol platformProtocol;
+    private final List<ClientListener> listeners = new CopyOnWriteArrayList<>();
+    /** Null where the router has no console. */
+    private final AdminCommandHandler admin;
+
+    /**
+     * Creates the parts. The log and the upstream pool start at once, the others in {@link #run}.
+     *
+     * @throws ConfigurationException if the configuration or a file of the installation is malformed
+     */
+    public Router(RouterConfiguration configuration, ProcessSignals signals) throws IOException {
+        this.configuration = configuration;
+        this.signals = signals;
+        this.connectionLimits = ConnectionLimits.forSockets(configuration.maxSockets());
+        this.log = startLog();
+        this.site = new AtomicReference<>(configuration.site());
+        this.streams = createStreams();
+        this.upstreams = startUpstreams();
+        this.registry = readRegistrySettings();
+        this.discovery = createDiscovery();
+        this.failoverPlan = createFailoverPlan();
+        this.dispatcher = createDispatcher();
+        this.platformProtocol = new PlatformProtocol(site::get);
+        this.admin = createAdmin();
+    }
+
+    /** Starts the router and serves until the process is told to end. */
+    public void run() throws IOException {
+        discovery.start(dispatcher, configuration.initialEndpoints());
+        startReloader();
+        Mailbox.thread("module", dispatcher::run).start();
+        warmUp();
+        // Not before: a request that waits in the socket of a process that can't read it yet loses time that
+        // nobody counts, for its deadline runs from when it was sent.
+        ClientListener clients = openClientListener();
+        MessagesProtocol.Options messagesSettings = MessagesProtocol.Options.read(MESSAGES_FILE);
+        KeyValueStore store = LastWriteWinsStore.read(STORE_FILE, configuration.name(), clock, log);
+        startMessagesListener(messagesSettings, store);
+        ServiceAnnouncement announcement = new ServiceAnnouncement(configuration, registry, store, clock, log);
+        signals.onTermination(new GracefulShutdown(listeners, dispatcher, site::get, log, announcement, admin));
+        startConsole();
+        clients.start();
+        String address = withPort(configuration.listen(), clients.port());
+        log.log("started", "listen", address);
+        announcement.publish(address);
+        awaitTermination();
+    }
+
+    private SyslogEventLog startLog() {
+        SyslogEventLog created = new SyslogEventLog(
+                System.err, configuration.name(), ProcessHandle.current().pid());
+        created.start();
+        if (signals.isHangupIgnored()) {
+            created.log("reload-impossible", "reason", "SIGHUP was ignored when the process started");
+        }
+        return created;
+    }
+
+    private Streams createStreams() throws IOException {
+        StreamLimits limits = readStreamLimits(configuration.site());
+        return new Streams(limits, configuration.site(), clock, log);
+    }
+
+    private static StreamLimits readStreamLimits(SiteSettings settings) throws IOException {
+        List<RequestClass> classes = settings.routing().classes();
+        return StreamLimits.read(STREAMS_FILE, classes, Runtime.getRuntime().maxMemory());
+    }
+
+    private UpstreamPool startUpstreams() {
+        UpstreamPool created =
+                new UpstreamPool(configuration.site(), connectionLimits.upstream(), clock, log, threads, streams);
+        created.start();
+        return created;
+    }
+
+    private Options readRegistrySettings() throws IOException {
+        Options settings = Options.read(REGISTRY_FILE);
+        if (settings == null && configuration.discovery() == null) {
+            throw new ConfigurationException("ROUTER_DISCOVERY is not set and there is no " + REGISTRY_FILE);
+        }
+        return settings;
+    }
+
+    private EndpointSource createDiscovery() throws IOException {
+        long seed = configuration.seed();
+        if (registry == null) {
+            return new Discovery(configuration.discovery(), site::get, upstreams, clock, log, seed);
+        }
+        return new Registry(registry, site::get, upstreams, clock, log, seed);
+    }
+
+    private SiteFailoverPlan createFailoverPlan() throws IOException {
+        SiteHealthTracker.Settings settings = SiteFailoverPlan.read(SITE_FAILOVER_FILE);
+        if (settings == null) {
+            return null;
+        }
+        SiteSettings siteSettings = configuration.site();
+        return new SiteFailoverPlan(
+                settings, siteSettings.zones(), siteSettings.routing().myZone(), configuration.seed(), log);
+    }
+
+    private RequestDispatcher createDispatcher() {
+        ZoneHealth zoneHealth = failoverPlan == null ? new ConnectFailureZoneHealth() : failoverPlan;
+        RequestDispatcher created = new RequestDispatcher(
+                configuration.site().routing(), configuration.seed(), clock, upstreams, discovery, log, zoneHealth);
+        upstreams.module(created);
+        return created;
+    }
+
+    private AdminCommandHandler createAdmin() {
+        if (configuration.console() == null) {
+            return null;
+        }
+        RouterMaintenanceActions actions =
+                new RouterMaintenanceActions(discovery::known, discovery, failoverPlan, listeners, clock);
+        AdminCommandHandler created =
+                new AdminCommandHandler(temporaryFolder(), configuration.name(), actions, clock, log);
+        discovery.told().listed(created::listed);
+        return created;
+    }
+
+    private static Path temporaryFolder() {
+        String folder = System.getenv("TMPDIR");
+        boolean isSet = folder != null && !folder.isEmpty();
+        return Path.of(isSet ? folder : System.getProperty("java.io.tmpdir"));
+    }
+
+    private void startReloader() {
+        ConfigurationReloader reloader =
+                new ConfigurationReloader(configuration, signals, discovery, REGISTRY_FILE, log, this::applySettings);
+        Mailbox.thread("reload", reloader).start();
+    }
+
+    private void applySettings(SiteSettings later) throws IOException {
+        SiteSettings next = site.get().updatedTo(later);
+        streams.settings(readStreamLimits(next), next);
+        upstreams.settings(next);
+        dispatcher.settings(next.routing());
+        // Last: the other parts then know every class and tenant that the protocols name by index.
+        site.set(next);
+    }
+
+    private void warmUp() throws IOException {
+        JitWarmUp.run(JitWarmUp.FEW);
+        platformProtocol.warm();
+    }
+
+    private ClientListener openClientListener() throws IOException {
+        ListenerSocket socket = configuration.inheritsListener()
+                ? ListenerSocket.inherited()
+                : ListenerSocket.bind(HostPort.toSocketAddress(configuration.listen()));
+        return addListener(socket, platformProtocol, connectionLimits.downstream());
+    }
+
+    private void startMessagesListener(MessagesProtocol.Options settings, KeyValueStore store) throws IOException {
+        if (settings == null) {
+            return;
+        }
+        ListenerSocket socket = ListenerSocket.bind(HostPort.toSocketAddress(settings.listen()));
+        MessagesProtocol protocol = new MessagesProtocol(site::get, settings, store);
+        addListener(socket, protocol, ConnectionLimits.MESSAGES_DOWNSTREAM).start();
+        log.log("messages-front", "listen", settings.listen());
+    }
+
+    private ClientListener addListener(ListenerSocket socket, ProtocolAdapter protocol, int maxConnections) {
+        ClientListener listener = new ClientListener(
+                socket,
+                protocol,
+                dispatcher,
+                clock,
+                log,
+                discovery::known,
+                this::counters,
+                maxConnections,
+                threads,
+                streams);
+        listeners.add(listener);
+        return listener;
+    }
+
+    /** All counters, one a line. */
+    private String counters() {
+        String counters = log.counters() + streams.figures() + discovery.figures();
+        return failoverPlan == null ? counters : counters + failoverPlan.figures();
+    }
+
+    private void startConsole() throws IOException {
+        if (admin == null) {
+            return;
+        }
+        admin.start();
+        AdminServer console = new AdminServer(HostPort.toSocketAddress(configuration.console()), admin::call, log);
+        console.start();
+        log.log("console", "listen", withPort(configuration.console(), console.port()));
+        // An older process ends once this one reports itself, and looks then for who takes its clients.
+        admin.serving();
+    }
+
+    private static void awaitTermination() {
+        try {
+            Thread.currentThread().join();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** An address with the port that was opened, where the configuration leaves it to the system with 0. */
+    private static String withPort(String address, int port) {
+        return address.substring(0, address.lastIndexOf(':') + 1) + port;
+    }
+}
--- a/src/test/java/magpiehub/GracefulShutdownTest.java
+++ b/src/test/java/magpiehub/lifecycle/GracefulShutdownTest.java
@@ -1,10 +1,9 @@
-package magpiehub;
+package magpiehub.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import magpiehub.lifecycle.GracefulShutdown.Phases;
 import magpiehub.routing.DeduplicationScope;
 import magpiehub.routing.Idempotency;
 import magpiehub.routing.RequestClass;
@@ -21,13 +20,13 @@
     @ParameterizedTest
     @CsvSource({"300, 600, 700", "1000, 700, 1400", "3000, 1700, 3400", "20000, 1700, 3400"})
     void theLongestDeadlineCountsUpToThreeSeconds(long deadline, long keep, long finish) {
-        Phases phases = Phases.of(List.of(withDeadline(100), withDeadline(deadline)));
-        assertEquals(new Phases(600, keep, finish), phases);
-        assertTrue(phases.finish() < Math.min(3000, deadline) + 700, "before the process is killed");
+        ShutdownPhases phases = ShutdownPhases.forClasses(List.of(withDeadline(100), withDeadline(deadline)));
+        assertEquals(new ShutdownPhases(600, keep, finish), phases);
+        assertTrue(phases.finishMillis() < Math.min(3000, deadline) + 700, "before the process is killed");
     }
 
     @Test
     void aSiteWithoutClassesHasTheLongestPhases() {
-        assertEquals(new Phases(600, 1700, 3400), Phases.of(List.of()));
+        assertEquals(new ShutdownPhases(600, 1700, 3400), ShutdownPhases.forClasses(List.of()));
     }
 }
