--- a/src/main/java/magpiehub/lifecycle/ClassArchiveTrainer.java
+++ b/src/main/java/magpiehub/lifecycle/ClassArchiveTrainer.java
@@ -14,18 +14,34 @@
 import magpiehub.concurrent.Mailbox;
 
 /**
- * One short service on loopback with made-up peers, so that the JVM can record the classes of a router in an
- * archive (JEP 350) when the program is built: a start then reads them from there, which saves a fifth of its
- * CPU. It owns the peers' two answers. It must never be part of a router that serves: the command
- * {@code rehearse} runs it and ends.
+ * Exercises a router on loopback with fake peers while the JVM records the classes that it loads in an archive (JEP
+ * 350). Later starts read the classes from there, which saves a fifth of their CPU. Only the command {@code rehearse},
+ * which the build runs, uses this; a router that serves never does.
  */
 public final class ClassArchiveTrainer {
-    private static final int LONGEST_MS = 10_000;
-    private static final String LIST =
+    /** After this the training has failed. */
+    private static final int TIMEOUT_MS = 10_000;
+
+    private static final int RETRY_PERIOD_MS = 20;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int PEERS_BACKLOG = 16;
+
+    /** Requests of a known class, which are answered with a stream. */
+    private static final int ACCEPTED_REQUESTS = 2;
+    /** These and one of an unknown class, which is rejected. */
+    private static final int ALL_REQUESTS = ACCEPTED_REQUESTS + 1;
+
+    private static final String REQUEST_BODY = "{}";
+    private static final String HEAD_END = "\r\n\r\n";
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String LAST_CHUNK = "0\r\n\r\n";
+    /** An endpoint list in discovery's form, with the fake upstream's port. */
+    private static final String ENDPOINT_LIST =
             """
             {"revision":1,"complete":true,"members":[{"id":"e","host_port":"127.0.0.1:%d","locality":"a",\
             "flavor":"m","cell":0,"phase":"Ready","size":1.0,"up_since_ms":0}]}""";
-    private static final String CONFIG =
+    /** The router's configuration, with its port, the port of the fake peers and the endpoint list. */
+    private static final String CONFIGURATION =
             """
             {"name":"rehearsal","listen":"127.0.0.1:%1$d","discovery":"127.0.0.1:%2$d","seed":"1",
             "limits":{"cores":1.0,"memory_mb":192,"sockets":256},"known":%3$s,
@@ -36,104 +52,102 @@
             "limits":{"mostTries":3,"cancel":true,"probes":true,"retryAfter":true,"connectTimeoutMs":250},
             "guarantees":{"coldMs":9000,"askWithinMs":10000}}}
             """;
-    private static final String EVENT = "data: {\"choices\":[{\"index\":0,\"delta\":{}}]}\n\n";
-    private static final String USAGE = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,"
+
+    private static final String TOKEN_EVENT = "data: {\"choices\":[{\"index\":0,\"delta\":{}}]}\n\n";
+    private static final String USAGE_EVENT = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,"
             + "\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\n";
+    private static final String DONE_EVENT = "data: [DONE]\n\n";
 
     private ClassArchiveTrainer() {}
 
-    /** What a router is to serve with; its peers answer until the process ends. */
+    /**
+     * Starts the fake peers and a client, which ends the process once the router has served it.
+     *
+     * @return the environment to start the router with
+     */
     public static Map<String, String> begin() throws IOException {
         InetAddress loopback = InetAddress.getLoopbackAddress();
-        ServerSocket peers = new ServerSocket(0, 16, loopback);
-        int port;
-        try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
-            port = free.getLocalPort();
-        }
-        String list = LIST.formatted(peers.getLocalPort());
+        ServerSocket peers = new ServerSocket(0, PEERS_BACKLOG, loopback);
+        int peersPort = peers.getLocalPort();
+        int routerPort = findFreePort(loopback);
+        String endpointList = ENDPOINT_LIST.formatted(peersPort);
         Path file = Files.createTempFile("rehearsal", ".json");
         file.toFile().deleteOnExit();
-        Files.writeString(file, CONFIG.formatted(port, peers.getLocalPort(), list));
-        Mailbox.thread("peers", () -> {
-                    while (true) {
-                        try {
-                            Socket s = peers.accept();
-                            Mailbox.thread("peer", () -> answer(s, list)).start();
-                        } catch (IOException e) {
-                            return;
-                        }
-                    }
-                })
-                .start();
-        Mailbox.thread("client", () -> ask(port)).start();
+        Files.writeString(file, CONFIGURATION.formatted(routerPort, peersPort, endpointList));
+        Mailbox.thread("peers", () -> acceptPeers(peers, endpointList)).start();
+        Mailbox.thread("client", () -> runClient(routerPort)).start();
         return Map.of("ROUTER_CONFIG", file.toString());
     }
 
-    private static String head(InputStream in) throws IOException {
-        StringBuilder b = new StringBuilder();
-        while (b.length() < 4 || b.lastIndexOf("\r\n\r\n") != b.length() - 4) {
-            int c = in.read();
-            if (c < 0) {
-                throw new IOException("ended");
-            }
-            b.append((char) c);
+    private static int findFreePort(InetAddress address) throws IOException {
+        try (ServerSocket free = new ServerSocket(0, 1, address)) {
+            return free.getLocalPort();
         }
-        return b.toString();
     }
 
-    private static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    // The peers: discovery and one upstream on one port.
+
+    private static void acceptPeers(ServerSocket peers, String endpointList) {
+        while (true) {
+            try {
+                Socket connection = peers.accept();
+                Mailbox.thread("peer", () -> serveConnection(connection, endpointList))
+                        .start();
+            } catch (IOException e) {
+                return;
+            }
+        }
     }
 
-    /** The engine's or discovery's side of one connection, by what it is asked. */
-    private static void answer(Socket s, String list) {
-        try (s) {
+    /** Answers the requests of one connection: a watch of the list with the list, any other with a stream. */
+    private static void serveConnection(Socket connection, String endpointList) {
+        try (connection) {
+            InputStream in = connection.getInputStream();
             while (true) {
-                String head = head(s.getInputStream());
-                String ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                boolean watch = head.startsWith("GET /discovery");
-                if (!watch) {
-                    s.getInputStream().readNBytes(2);
+                boolean isWatch = readHead(in).startsWith("GET /discovery");
+                if (!isWatch) {
+                    in.readNBytes(REQUEST_BODY.length());
                 }
-                String stream = chunk(EVENT) + chunk(EVENT) + chunk(USAGE) + chunk("data: [DONE]\n\n");
-                s.getOutputStream()
-                        .write((ok + (watch ? chunk(list + "\n") : stream + "0\r\n\r\n"))
-                                .getBytes(StandardCharsets.US_ASCII));
+                String response = RESPONSE_HEAD + (isWatch ? chunk(endpointList + "\n") : completeStream());
+                connection.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
-            // The router has ended its side.
+            // The router has closed the connection.
         }
     }
 
-    /** The client: waits until the router is ready, has two requests served and one refused, and ends the
-     *  process. */
-    private static void ask(int port) {
+    private static String completeStream() {
+        return chunk(TOKEN_EVENT) + chunk(TOKEN_EVENT) + chunk(USAGE_EVENT) + chunk(DONE_EVENT) + LAST_CHUNK;
+    }
+
+    private static String chunk(String text) {
+        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    }
+
+    private static String readHead(InputStream in) throws IOException {
+        StringBuilder head = new StringBuilder();
+        while (head.length() < HEAD_END.length() || head.lastIndexOf(HEAD_END) != head.length() - HEAD_END.length()) {
+            int next = in.read();
+            if (next < 0) {
+                throw new IOException("ended");
+            }
+            head.append((char) next);
+        }
+        return head.toString();
+    }
+
+    // The client.
+
+    /** Sends the requests once the router is ready, and ends the process: with status 1 if it was not in time. */
+    private static void runClient(int routerPort) {
         int status = 1;
         try {
-            long until = System.nanoTime() + LONGEST_MS * 1_000_000L;
-            while (status != 0 && System.nanoTime() < until) {
-                try (Socket s = new Socket()) {
-                    s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), LONGEST_MS);
-                    OutputStream out = s.getOutputStream();
-                    out.write("GET /up HTTP/1.1\r\nHost: r\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-                    if (head(s.getInputStream()).startsWith("HTTP/1.1 200")) {
-                        for (int i = 0; i < 3; i++) {
-                            out.write(("POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Call-Id: " + i
-                                            + "\r\nX-Call-Class: " + (i < 2 ? "c" : "none") + "\r\nX-Caller: t\r\n"
-                                            + "X-Route-Hash: 7f\r\nX-Budget-Ms: 4000\r\nX-Call-Info: prefix=5c,"
-                                            + "prompt_len=9\r\nContent-Length: 2\r\n\r\n{}")
-                                    .getBytes(StandardCharsets.US_ASCII));
-                            head(s.getInputStream());
-                            if (i < 2) {
-                                head(s.getInputStream()); // To the stream's last chunk.
-                            }
-                        }
-                        status = 0;
-                    } else {
-                        Thread.sleep(20);
-                    }
-                } catch (IOException e) {
-                    Thread.sleep(20);
+            long deadlineNanos = System.nanoTime() + TIMEOUT_MS * NANOS_PER_MILLI;
+            while (status != 0 && System.nanoTime() < deadlineNanos) {
+                if (sendRequestsIfReady(routerPort)) {
+                    status = 0;
+                } else {
+                    Thread.sleep(RETRY_PERIOD_MS);
                 }
             }
         } catch (InterruptedException e) {
@@ -141,4 +155,34 @@
         }
         System.exit(status);
     }
+
+    private static boolean sendRequestsIfReady(int routerPort) {
+        try (Socket connection = new Socket()) {
+            connection.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), routerPort), TIMEOUT_MS);
+            InputStream in = connection.getInputStream();
+            OutputStream out = connection.getOutputStream();
+            out.write("GET /up HTTP/1.1\r\nHost: r\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            if (!readHead(in).startsWith("HTTP/1.1 200")) {
+                return false;
+            }
+            for (int i = 0; i < ALL_REQUESTS; i++) {
+                boolean isAccepted = i < ACCEPTED_REQUESTS;
+                out.write(request(i, isAccepted ? "c" : "none").getBytes(StandardCharsets.US_ASCII));
+                readHead(in);
+                if (isAccepted) {
+                    readHead(in); // Up to the stream's last chunk, which ends as a head does.
+                }
+            }
+            return true;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    private static String request(int id, String requestClass) {
+        return "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\nX-Call-Id: " + id
+                + "\r\nX-Call-Class: " + requestClass + "\r\nX-Caller: t\r\n"
+                + "X-Route-Hash: 7f\r\nX-Budget-Ms: 4000\r\nX-Call-Info: prefix=5c,"
+                + "prompt_len=9\r\nContent-Length: 2\r\n\r\n" + REQUEST_BODY;
+    }
 }
