--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -71,6 +71,14 @@
                         .getMessage());
     }
 
+    @Test
+    public void faultsCarryPathAndReason() {
+        ConfigurationException fault =
+                assertThrows(ConfigurationException.class, () -> read(GOOD.replace("'sockets':9}", "'sockets':'9'}")));
+        assertEquals("config.limits.sockets", fault.path());
+        assertEquals("has the wrong type", fault.reason());
+    }
+
     /** A later file must have every key of the one in force, in each class too, but for the list and the seed. */
     @Test
     public void aLaterFileLacksNothing() throws IOException {
