--- a/src/main/java/magpiehub/config/RouterConfigurationKeys.java
+++ b/src/main/java/magpiehub/config/RouterConfigurationKeys.java
@@ -1,18 +1,18 @@
 package magpiehub.config;
 
-/** The keys of a router's configuration file and the environment variables that go before it. */
+/** The keys of a router's configuration file and the environment variables that override it. */
 final class RouterConfigurationKeys {
-    // Environment variables. An empty one counts as not set.
+    // Environment variables. All but the first count as not set if they are empty.
 
     /** The path of the configuration file. Required. */
     static final String CONFIG_VARIABLE = "ROUTER_CONFIG";
-    /** Goes before {@link #NAME}. */
+    /** Overrides {@link #NAME}. */
     static final String NAME_VARIABLE = "ROUTER_NAME";
-    /** Goes before {@link #LISTEN}. */
+    /** Overrides {@link #LISTEN}. */
     static final String LISTEN_VARIABLE = "ROUTER_LISTEN";
-    /** Goes before {@link #CONSOLE}. */
+    /** Overrides {@link #CONSOLE}. */
     static final String CONSOLE_VARIABLE = "ROUTER_CONSOLE";
-    /** Goes before {@link #DISCOVERY} at the start; a reload takes the file's. */
+    /** Overrides {@link #DISCOVERY} at the start; a reload takes the file's. */
     static final String DISCOVERY_VARIABLE = "ROUTER_DISCOVERY";
     /** The descriptor of a listening socket to inherit: {@value #INHERITED_DESCRIPTOR}, or not set. */
     static final String DESCRIPTOR_VARIABLE = "ROUTER_FD";
--- a/src/main/java/magpiehub/config/RouterConfigurationReader.java
+++ b/src/main/java/magpiehub/config/RouterConfigurationReader.java
@@ -21,7 +21,7 @@
     private RouterConfigurationReader() {}
 
     /**
-     * Reads the file that {@code ROUTER_CONFIG} names; the other variables go before what it says.
+     * Reads the file that {@code ROUTER_CONFIG} names; the other variables override its values.
      *
      * @throws ConfigurationException if anything that is required is missing or malformed
      */
--- a/src/main/java/magpiehub/config/package-info.java
+++ b/src/main/java/magpiehub/config/package-info.java
@@ -3,7 +3,7 @@
  *
  * <p>{@link magpiehub.config.RouterConfigurationReader} reads the file that {@code ROUTER_CONFIG} names;
  * {@link magpiehub.config.SiteSettingsParser} reads its {@code settings} object, which the simulator sends in the same
- * form. Their keys, units and defaults stand in {@code SettingsKeys} and {@code RouterConfigurationKeys}.
+ * form. Their keys, units and defaults are listed in {@code SettingsKeys} and {@code RouterConfigurationKeys}.
  * {@link magpiehub.config.EndpointListParser} reads the entries of an endpoint list under the names that its sender
  * gives to their fields.
  *
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void variablesGoBeforeTheFile() throws IOException {
+    public void variablesOverrideTheFile() throws IOException {
         RouterConfiguration r = read(GOOD);
         assertEquals(
                 "from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " " + r.maxSockets());
@@ -81,7 +81,7 @@
 
     /** A later file must have every key of the one in force, in each class too, but for the list and the seed. */
     @Test
-    public void aLaterFileLacksNothing() throws IOException {
+    public void aLaterFileMustHaveEveryKey() throws IOException {
         RouterConfiguration now = read(GOOD);
         Map<String, Object> later =
                 read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).members();
