--- a/src/main/java/magpiehub/admin/MaintenanceStateCodec.java
+++ b/src/main/java/magpiehub/admin/MaintenanceStateCodec.java
@@ -8,9 +8,9 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.Json;
 
 /**
  * The stored form of a {@link MaintenanceState}: one JSON object. Earlier and later versions of the router read and
@@ -28,7 +28,7 @@
      * @throws ConfigurationException if the text is no JSON object of this form
      */
     static MaintenanceState parse(byte[] json) throws IOException {
-        ConfigurationObject object = Config.facts(json, "operators");
+        ConfigurationObject object = ConfigurationObject.parse(json, "operators");
         if (!object.text("form", "").equals(FORM)) {
             throw new ConfigurationException("not a file of this program's");
         }
@@ -60,7 +60,7 @@
 
     static byte[] format(MaintenanceState state) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator json = Config.JSON.createGenerator(out)) {
+        try (JsonGenerator json = Json.FACTORY.createGenerator(out)) {
             json.writeStartObject();
             json.writeStringField("form", FORM);
             json.writeNumberField("version", state.version());
--- a/src/main/java/magpiehub/sites/SiteFailoverSettings.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverSettings.java
@@ -4,9 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Set;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.Milliseconds;
 
 /**
  * The settings of site failover, from {@code deploy/site.json}.
@@ -53,8 +53,8 @@
         if (!Files.exists(file)) {
             return null;
         }
-        ConfigurationObject object =
-                Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+        ConfigurationObject object = ConfigurationObject.parse(
+                Files.readAllBytes(file), file.getFileName().toString());
         for (String key : object.map().keySet()) {
             if (!KEYS.contains(key)) {
                 throw new ConfigurationException(object.path() + "." + key + " is not known");
@@ -73,7 +73,7 @@
     }
 
     private static long duration(ConfigurationObject object, String key, long defaultMicros) {
-        return Config.micros(number(object, key, defaultMicros / 1000.0));
+        return Milliseconds.toMicros(number(object, key, defaultMicros / 1000.0));
     }
 
     private static double number(ConfigurationObject object, String key, double defaultValue) {
--- a/src/main/java/magpiehub/store/LastWriteWinsStore.java
+++ b/src/main/java/magpiehub/store/LastWriteWinsStore.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentSkipListMap;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.HostPort;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -62,14 +62,14 @@
         if (!Files.exists(file)) {
             return null;
         }
-        ConfigurationObject object =
-                Config.facts(Files.readAllBytes(file), file.getFileName().toString());
+        ConfigurationObject object = ConfigurationObject.parse(
+                Files.readAllBytes(file), file.getFileName().toString());
         String listen = object.text("listen", null);
         if (listen == null) {
             throw new ConfigurationException(file.getFileName() + " gives no address in \"listen\"");
         }
-        LastWriteWinsStore store =
-                new LastWriteWinsStore(replicaName, Config.socketAddress(Config.address(listen)), clock, log);
+        LastWriteWinsStore store = new LastWriteWinsStore(
+                replicaName, HostPort.toSocketAddress(HostPort.requireValid(listen)), clock, log);
         object.texts("peers").forEach(store::addPeer);
         return store;
     }
@@ -81,7 +81,7 @@
 
     /** Starts to send all entries and writes to a peer, given as {@code host:port}. */
     public void addPeer(String address) {
-        PeerLink link = new PeerLink(Config.address(address), entries, () -> isClosed, clock, log);
+        PeerLink link = new PeerLink(HostPort.requireValid(address), entries, () -> isClosed, clock, log);
         synchronized (this) {
             links.add(link);
         }
--- a/src/main/java/magpiehub/store/PeerLink.java
+++ b/src/main/java/magpiehub/store/PeerLink.java
@@ -7,7 +7,7 @@
 import java.util.function.BooleanSupplier;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.HostPort;
 import magpiehub.http.Sockets;
 import magpiehub.telemetry.EventLog;
 
@@ -76,7 +76,7 @@
         try (Socket connection = new Socket()) {
             socket = connection;
             connection.setTcpNoDelay(true);
-            connection.connect(Config.socketAddress(address), CONNECT_TIMEOUT_MILLIS);
+            connection.connect(HostPort.toSocketAddress(address), CONNECT_TIMEOUT_MILLIS);
             // Before the entries are read: a write from now on is in the entries or in the queue.
             Mailbox<byte[]> newQueue = new Mailbox<>(clock, MAX_QUEUED_BYTES);
             queue = newQueue;
--- a/src/main/java/magpiehub/store/StoreMessageCodec.java
+++ b/src/main/java/magpiehub/store/StoreMessageCodec.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.Json;
 
 /**
  * The wire form of a {@link StoreMessage}: a line with a JSON object of the members {@code key}, {@code value} (absent
@@ -20,7 +20,7 @@
     /** Returns the line, with its end, that replicates a write. */
     static byte[] encode(String key, VersionedValue write) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator json = Config.JSON.createGenerator(out)) {
+        try (JsonGenerator json = Json.FACTORY.createGenerator(out)) {
             json.writeStartObject();
             json.writeStringField("key", key);
             if (write.value() != null) {
@@ -44,7 +44,7 @@
      * @throws RuntimeException if a member has the wrong type or the counter is no number
      */
     static StoreMessage decode(byte[] line) throws IOException {
-        ConfigurationObject object = Config.facts(line, "store");
+        ConfigurationObject object = ConfigurationObject.parse(line, "store");
         String key = object.text("key", null);
         String replica = object.text("by", null);
         if (key == null) {
