--- a/src/main/java/magpiehub/discovery/Discovery.java
+++ b/src/main/java/magpiehub/discovery/Discovery.java
@@ -319,7 +319,7 @@
         }
         if (from.watch && h.word != null && watches.forsaken()) {
             // Its word counts, but the newer watch has failed: the module is to go on asking for one.
-            module.list(EndpointListKind.ERROR, List.of());
+            module.updateEndpoints(EndpointListKind.ERROR, List.of());
         }
         if (!from.watch && !from.first) {
             closeFetch();
@@ -339,7 +339,7 @@
         heard = true;
         journal.count("discovery_failures");
         journal.log("discovery-failed", "call", call, "why", why);
-        module.list(EndpointListKind.ERROR, List.of());
+        module.updateEndpoints(EndpointListKind.ERROR, List.of());
     }
 
     private void tell(EndpointListKind kind, List<EndpointEntry> entries) {
--- a/src/main/java/magpiehub/discovery/EndpointSource.java
+++ b/src/main/java/magpiehub/discovery/EndpointSource.java
@@ -46,7 +46,8 @@
                     e.endpoint().state() == EndpointState.LIVE,
                     e.endpoint().state() == EndpointState.DEAD);
         }
-        module.list(kind, entries.stream().map(EndpointEntry::endpoint).toList());
+        module.updateEndpoints(
+                kind, entries.stream().map(EndpointEntry::endpoint).toList());
     }
 
     /** What {@link #maintain} says, on its way to the source's own thread. */
--- a/src/main/java/magpiehub/dispatch/ClientCallback.java
+++ b/src/main/java/magpiehub/dispatch/ClientCallback.java
@@ -1,16 +1,26 @@
 package magpiehub.dispatch;
 
-/** The client of one request. Each request gets one of these calls at most, from the module's thread. */
+/**
+ * The client of one request, as the dispatcher sees it. At most one of {@link #reject}, {@link #fail} and
+ * {@link #migrate} is called, once and on the dispatcher's thread, and must not block it.
+ */
 public interface ClientCallback {
-    /** Turned away; a retry is harmless, and welcome after so long. */
-    void refuse(long retryAfter);
+    /**
+     * Answers that the request was rejected and has had no effect, so that a retry is safe.
+     *
+     * @param retryAfterMicros when the client should retry, from now; 0 if no time is to be named
+     */
+    void reject(long retryAfterMicros);
 
-    /** Failed, with no promise. */
-    void fail(String why);
+    /** Answers that the request has failed; whether it had effects is unknown. */
+    void fail(String reason);
 
-    /** A running stream is ended so that its client asks for the rest elsewhere. */
-    void move();
+    /** Ends a response stream in progress in such a way that the client requests the rest from another upstream. */
+    void migrate();
 
-    /** Whether it has closed its connection, known from the moment that its end was read. Any thread. */
-    boolean gone();
+    /**
+     * Whether the client has closed its connection. True from the moment that the end of its input was read, which
+     * is before {@link RequestDispatcher#clientGone} takes effect. Any thread.
+     */
+    boolean isClientGone();
 }
--- a/src/main/java/magpiehub/dispatch/RequestDispatcher.java
+++ b/src/main/java/magpiehub/dispatch/RequestDispatcher.java
@@ -1,6 +1,5 @@
 package magpiehub.dispatch;
 
-import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -30,62 +29,6 @@
  */
 public final class RequestDispatcher {
 
-    /** Before an attempt is handed over, and where that failed: there is nothing to close. */
-    private static final AttemptHandle NOTHING = new AttemptHandle() {
-        @Override
-        public void grant() {}
-
-        @Override
-        public void abort() {}
-    };
-
-    /** One attempt at a request. Its engine's side reads it; all else is the module's. */
-    public static final class Attempt {
-        public final String server;
-        /** When the attempt ends unanswered (us): the engine is told how long is left. */
-        public final long until;
-
-        private final Open open;
-        private final int number;
-        private final long sentAt;
-        private AttemptHandle handle = NOTHING;
-        private boolean over;
-
-        private Attempt(Open open, int number, String server, long sentAt, long until) {
-            this.open = open;
-            this.number = number;
-            this.server = server;
-            this.sentAt = sentAt;
-            this.until = until;
-        }
-
-        /** What the front handed in with the request, untouched; null once the request is over or its client
-         *  has gone. Asked right before an attempt's bytes go out: a word of the end may still be on its way
-         *  through mailboxes, and nothing may begin for somebody who has left. */
-        public Object work() {
-            ClientCallback c = open.client;
-            return c == null || c.gone() ? null : open.work;
-        }
-    }
-
-    /** A request taken and not yet over. */
-    private static final class Open {
-        final RoutingRequest request;
-        /** Both are let go of as soon as it is over: timers hold the rest of this until the deadline. */
-        ClientCallback client;
-
-        volatile Object work;
-        final List<Attempt> attempts = new ArrayList<>(2);
-        Attempt begun;
-        boolean answered;
-
-        Open(RoutingRequest request, ClientCallback client, Object work) {
-            this.request = request;
-            this.client = client;
-            this.work = work;
-        }
-    }
-
     private record Due(long at, long order, Runnable what) {}
 
     /** The bytes of waiting requests that the mailbox takes: more than this is shed by the fronts. */
@@ -108,7 +51,7 @@
     private final UpstreamFleet fleet;
     private final EndpointListSource roster;
     private final EventLog journal;
-    private final Map<String, Open> requests = new HashMap<>();
+    private final Map<String, OpenRequest> requests = new HashMap<>();
     private final PriorityQueue<Due> timers =
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private int mostHeld;
@@ -122,7 +65,7 @@
     /** Set once by {@link #shutDown}: no request is placed from then on. */
     private boolean shuttingDown;
 
-    /** An actor over ports; it does nothing until {@link #turn} or {@link #run} is called. */
+    /** An actor over ports; it does nothing until {@link #runTurn} or {@link #run} is called. */
     public RequestDispatcher(
             RoutingSettings settings,
             long seed,
@@ -164,7 +107,7 @@
         try {
             keepPushed();
             while (true) {
-                turn(timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at);
+                runTurn(timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -172,7 +115,7 @@
     }
 
     /** One turn of the loop: a message, if one comes in time, and the timers that are due. */
-    void turn(long until) throws InterruptedException {
+    void runTurn(long until) throws InterruptedException {
         Runnable message = mailbox.take(until);
         now = Math.max(now, clock.micros());
         if (message != null) {
@@ -212,40 +155,40 @@
 
     // ---- What peers post ------------------------------------------------------------------------------
     /** Requests taken and not over. Any thread. */
-    public int held() {
+    public int openRequests() {
         return held;
     }
 
     /** A client's request; false if there is no room, and then the caller answers it. */
-    public boolean take(RoutingRequest request, ClientCallback client, Object work, int bytes) {
+    public boolean submit(RoutingRequest request, ClientCallback client, Object work, int bytes) {
         return mailbox.post(() -> taken(request, client, work), bytes);
     }
 
     /** The client of a request has gone. */
-    public void gone(String id) {
+    public void clientGone(String id) {
         mailbox.post(() -> left(id));
     }
 
     /** The first event of an attempt has come. It may be passed on only after {@link AttemptHandle#grant}. */
-    public void begun(Attempt a) {
+    public void streamStarted(Attempt a) {
         mailbox.post(() -> first(a));
     }
 
     /** An attempt has ended; its connection is closed or free. {@code kept} is -1 if not told, {@code load}
      *  null if its engine told none. */
-    public void ended(Attempt a, AttemptOutcome outcome, long kept, LoadReport load) {
+    public void attemptEnded(Attempt a, AttemptOutcome outcome, long kept, LoadReport load) {
         mailbox.post(() -> end(a, outcome, kept, load));
     }
 
     /** A probe has come back. */
-    public void probed(String server, AttemptOutcome outcome, long sentAt, LoadReport load) {
+    public void probeCompleted(String server, AttemptOutcome outcome, long sentAt, LoadReport load) {
         mailbox.post(() -> rules.probed(now, server, outcome, now - sentAt, load));
     }
 
     /** Discovery's word on the engines. */
-    public void list(EndpointListKind kind, List<Endpoint> servers) {
+    public void updateEndpoints(EndpointListKind kind, List<Endpoint> servers) {
         mailbox.post(() -> {
-            fleet.list(kind, servers);
+            fleet.updateEndpoints(kind, servers);
             rules.list(now, kind, servers);
             if (kind == EndpointListKind.ERROR) {
                 watching = false;
@@ -256,7 +199,7 @@
     }
 
     /** Other settings hold from now on; classes keep their places. */
-    public void settings(RoutingSettings s) {
+    public void updateSettings(RoutingSettings s) {
         mailbox.post(() -> {
             hold(s);
             rules.settings(now, s);
@@ -274,32 +217,32 @@
     public void shutDown(boolean resume) {
         mailbox.post(() -> {
             shuttingDown = true;
-            for (Open o : List.copyOf(requests.values())) {
-                if (o.begun == null) {
+            for (OpenRequest o : List.copyOf(requests.values())) {
+                if (o.streaming() == null) {
                     answerUnstarted(o);
                 } else if (resume) {
-                    new Decisions().move(o.request.id());
+                    new Decisions().move(o.id());
                 }
             }
         });
     }
 
     /** The final answer of a request that no engine's answer is waited for any longer. */
-    private void answerUnstarted(Open o) {
-        boolean harmless = rules.mayRefuse(o.request.id());
-        o.attempts.forEach(this::stop);
+    private void answerUnstarted(OpenRequest o) {
+        boolean harmless = rules.mayRefuse(o.id());
+        o.attempts().forEach(this::stop);
         ClientCallback client = answer(o, harmless ? "refused" : "failed");
         if (harmless) {
-            client.refuse(comeBack);
+            client.reject(comeBack);
         } else {
             client.fail("stopping");
         }
-        rules.abandoned(now, o.request.id());
+        rules.abandoned(now, o.id());
     }
 
     // ---- Events ---------------------------------------------------------------------------------------
     private void taken(RoutingRequest r, ClientCallback client, Object work) {
-        if (client.gone()) {
+        if (client.isClientGone()) {
             journal.count("taken");
             journal.count("answered_abandoned");
             return;
@@ -314,17 +257,17 @@
         if (requests.size() >= mostHeld || shuttingDown) {
             // What is placed this late would be lost with the process.
             journal.count("answered_refused");
-            client.refuse(comeBack);
+            client.reject(comeBack);
             return;
         }
-        Open o = new Open(r, client, work);
+        OpenRequest o = new OpenRequest(r, client, work);
         requests.put(r.id(), o);
         journal.count("taken");
         // Guards against a module that neither sends nor answers, or fails with an exception.
         at(r.deadline() + BACKSTOP, () -> {
-            if (!o.answered && o.begun == null) {
+            if (!o.isAnswered() && o.streaming() == null) {
                 journal.count("answered_by_backstop");
-                o.attempts.forEach(this::stop);
+                o.attempts().forEach(this::stop);
                 answer(o, "failed").fail("deadline");
                 rules.abandoned(now, r.id());
             }
@@ -333,69 +276,66 @@
     }
 
     private void first(Attempt a) {
-        Open o = a.open;
-        if (a.over || o.answered) {
+        OpenRequest o = a.request();
+        if (a.isOver() || o.isAnswered()) {
             return;
         }
-        o.begun = a;
-        a.handle.grant();
-        rules.begun(now, o.request.id(), a.number, now - a.sentAt);
+        o.markStreaming(a);
+        a.grant();
+        rules.begun(now, o.id(), a.number(), a.elapsedMicros(now));
     }
 
     private void end(Attempt a, AttemptOutcome outcome, long kept, LoadReport load) {
-        if (a.over) {
+        if (a.isOver()) {
             return;
         }
-        a.over = true;
-        a.handle = NOTHING; // Its connection serves others, or is gone: timers are not to hold it.
-        Open o = a.open;
-        if (o.begun == null && !o.answered && o.client.gone()) {
-            left(o.request.id()); // Its word is on the way: no further attempt is thought of.
+        a.markOver();
+        OpenRequest o = a.request();
+        if (o.streaming() == null && !o.isAnswered() && o.client().isClientGone()) {
+            left(o.id()); // Its word is on the way: no further attempt is thought of.
         }
-        boolean settled = o.answered || o.begun == a || outcome == AttemptOutcome.OK;
+        boolean settled = o.isAnswered() || o.streaming() == a || outcome == AttemptOutcome.OK;
         journal.count("attempt_" + outcome.name().toLowerCase(Locale.ROOT));
-        if (settled && !o.answered) {
+        if (settled && !o.isAnswered()) {
             answer(
                     o,
                     outcome == AttemptOutcome.OK
                             ? "served"
                             : outcome == AttemptOutcome.CANCELLED ? "abandoned" : "broken");
         }
-        rules.outcome(now, o.request.id(), a.number, outcome, now - a.sentAt, settled, kept, load);
+        rules.outcome(now, o.id(), a.number(), outcome, a.elapsedMicros(now), settled, kept, load);
     }
 
     private void left(String id) {
-        Open o = requests.get(id);
-        if (o == null || o.answered) {
+        OpenRequest o = requests.get(id);
+        if (o == null || o.isAnswered()) {
             return;
         }
         answer(o, "abandoned");
         rules.abandoned(now, id);
-        for (Attempt a : o.attempts) {
-            if (!a.over) {
+        for (Attempt a : o.attempts()) {
+            if (!a.isOver()) {
                 // Nobody reads on: the engine is not to work for a client that has gone.
-                a.handle.abort();
+                a.abort();
                 end(a, AttemptOutcome.CANCELLED, -1, null);
             }
         }
     }
 
     /** Ends a request; returns its client for the one last word, if it is owed one. */
-    private ClientCallback answer(Open o, String how) {
-        ClientCallback client = o.client;
-        o.answered = true;
-        o.work = null;
-        o.client = null;
-        requests.remove(o.request.id());
+    private ClientCallback answer(OpenRequest o, String how) {
+        ClientCallback client = o.client();
+        o.markAnswered();
+        requests.remove(o.id());
         journal.count("answered_" + how);
         return client;
     }
 
     /** Closes an attempt's connection. The outcome follows in a turn of its own, never inside an action. */
     private void stop(Attempt a) {
-        if (!a.over) {
-            a.handle.abort();
-            ended(a, AttemptOutcome.CANCELLED, -1, null);
+        if (!a.isOver()) {
+            a.abort();
+            attemptEnded(a, AttemptOutcome.CANCELLED, -1, null);
         }
     }
 
@@ -404,74 +344,75 @@
     private final class Decisions implements RoutingActions {
         @Override
         public void send(String id, String server, long timeout) {
-            Open o = requests.get(id);
-            if (o == null || o.answered) {
+            OpenRequest o = requests.get(id);
+            if (o == null || o.isAnswered()) {
                 return;
             }
             // Guards against a second copy, whatever the module asks for: the old socket is closed first.
-            for (Attempt old : o.attempts) {
+            for (Attempt old : o.attempts()) {
                 stop(old);
             }
-            long until =
-                    timeout == 0 ? o.request.deadline() : Math.min(o.request.deadline(), now + Math.max(0, timeout));
-            Attempt a = new Attempt(o, o.attempts.size(), server, now, until);
-            o.attempts.add(a);
-            if (o.client.gone()) {
-                gone(id); // In a turn of its own, which ends the attempt too.
+            long until = timeout == 0 ? o.deadlineMicros() : Math.min(o.deadlineMicros(), now + Math.max(0, timeout));
+            Attempt a = o.addAttempt(server, now, until);
+            if (o.client().isClientGone()) {
+                clientGone(id); // In a turn of its own, which ends the attempt too.
                 return;
             }
             journal.count("sent");
             at(until, () -> expire(a));
             try {
-                a.handle = fleet.start(a);
+                a.attach(fleet.startAttempt(a));
             } catch (RuntimeException | OutOfMemoryError e) {
                 // A fault of the engines' side is an attempt that never ran, not the end of the request.
                 journal.count("module_exceptions");
                 journal.log("module-exception", "error", e.toString(), "engine", server);
-                ended(a, AttemptOutcome.CONNECT_FAILED, -1, null);
+                attemptEnded(a, AttemptOutcome.CONNECT_FAILED, -1, null);
             }
         }
 
         private void expire(Attempt a) {
-            if (!a.over && a.open.begun != a) {
-                a.handle.abort();
+            if (!a.isOver() && a.request().streaming() != a) {
+                a.abort();
                 end(a, AttemptOutcome.TIMEOUT, -1, null);
             }
         }
 
         @Override
         public void cancel(String id, int n) {
-            Open o = requests.get(id);
-            if (o != null && n >= 0 && n < o.attempts.size() && o.begun != o.attempts.get(n)) {
-                stop(o.attempts.get(n));
+            OpenRequest o = requests.get(id);
+            if (o != null
+                    && n >= 0
+                    && n < o.attempts().size()
+                    && o.streaming() != o.attempts().get(n)) {
+                stop(o.attempts().get(n));
             }
         }
 
         @Override
         public void refuse(String id, long retryAfter) {
-            Open o = requests.get(id);
-            if (o != null && o.begun == null) {
-                o.attempts.forEach(RequestDispatcher.this::stop);
-                answer(o, "refused").refuse(retryAfter > 0 ? retryAfter : comeBack);
+            OpenRequest o = requests.get(id);
+            if (o != null && o.streaming() == null) {
+                o.attempts().forEach(RequestDispatcher.this::stop);
+                answer(o, "refused").reject(retryAfter > 0 ? retryAfter : comeBack);
             }
         }
 
         @Override
         public void fail(String id) {
-            Open o = requests.get(id);
-            if (o != null && o.begun == null) {
-                o.attempts.forEach(RequestDispatcher.this::stop);
+            OpenRequest o = requests.get(id);
+            if (o != null && o.streaming() == null) {
+                o.attempts().forEach(RequestDispatcher.this::stop);
                 answer(o, "failed").fail("given up");
             }
         }
 
         @Override
         public void move(String id) {
-            Open o = requests.get(id);
-            if (o != null && o.begun != null) {
-                o.begun.handle.abort();
-                answer(o, "moved").move();
-                ended(o.begun, AttemptOutcome.CANCELLED, -1, null);
+            OpenRequest o = requests.get(id);
+            if (o != null && o.streaming() != null) {
+                o.streaming().abort();
+                answer(o, "moved").migrate();
+                attemptEnded(o.streaming(), AttemptOutcome.CANCELLED, -1, null);
             }
         }
 
@@ -504,7 +445,7 @@
 
         @Override
         public void close(String server) {
-            fleet.closeIdle(server);
+            fleet.closeIdleConnections(server);
         }
 
         @Override
--- a/src/main/java/magpiehub/dispatch/UpstreamFleet.java
+++ b/src/main/java/magpiehub/dispatch/UpstreamFleet.java
@@ -4,14 +4,20 @@
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 
-/** The engines. Called from the module's thread only; must not block it. */
+/** All upstreams, as the dispatcher sees them. Called on the dispatcher's thread only; must not block it. */
 public interface UpstreamFleet {
-    AttemptHandle start(RequestDispatcher.Attempt attempt);
+    /**
+     * Starts an attempt. Its progress is reported by {@link RequestDispatcher#streamStarted} and its end, exactly once,
+     * by {@link RequestDispatcher#attemptEnded}. If this method throws, the attempt has not started.
+     */
+    AttemptHandle startAttempt(Attempt attempt);
 
-    void probe(String server);
+    /** Sends a health check, which is answered by one call of {@link RequestDispatcher#probeCompleted}. */
+    void probe(String endpointId);
 
-    void closeIdle(String server);
+    /** Closes the idle connections to an endpoint. */
+    void closeIdleConnections(String endpointId);
 
-    /** The list as the module has it now. */
-    void list(EndpointListKind kind, List<Endpoint> servers);
+    /** Reports an endpoint list, before the routing policy sees it. */
+    void updateEndpoints(EndpointListKind kind, List<Endpoint> endpoints);
 }
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -392,22 +392,22 @@
         }
 
         @Override
-        public void refuse(long retryAfter) {
-            connection.post(new Refused(this, retryAfter), 0);
+        public void reject(long retryAfterMicros) {
+            connection.post(new Refused(this, retryAfterMicros), 0);
         }
 
         @Override
-        public void fail(String why) {
-            connection.post(new Failed(this, why), 0);
+        public void fail(String reason) {
+            connection.post(new Failed(this, reason), 0);
         }
 
         @Override
-        public void move() {
+        public void migrate() {
             connection.post(new Broken(this, null, Ending.MOVED), 0);
         }
 
         @Override
-        public boolean gone() {
+        public boolean isClientGone() {
             return connection.left;
         }
     }
@@ -677,7 +677,7 @@
                 streams.end(current.flow, why);
             }
             if (current != null) {
-                module.gone(current.call.request.id());
+                module.clientGone(current.call.request.id());
             }
             open.remove(this);
             synchronized (open) {
@@ -900,7 +900,7 @@
                 flow = f;
             }
             call.sink(current);
-            if (!module.take(call.request, current, call, a.body.length)) {
+            if (!module.submit(call.request, current, call, a.body.length)) {
                 streams.end(f, Ending.FAULT);
                 flow = ends == null ? null : flow;
                 journal.count("answered_refused");
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -57,7 +57,7 @@
             log.log(
                     "stopping",
                     "held",
-                    Integer.toString(dispatcher.held()),
+                    Integer.toString(dispatcher.openRequests()),
                     "succeeded",
                     Boolean.toString(hasSuccessor));
             ShutdownPhases phases =
@@ -75,7 +75,7 @@
                 admin.onServiceEnded();
             }
             log.logCounters();
-            log.log("stopped", "held", Integer.toString(dispatcher.held()));
+            log.log("stopped", "held", Integer.toString(dispatcher.openRequests()));
             log.flush();
         }
     }
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -207,7 +207,7 @@
         SiteSettings next = site.get().updatedTo(later);
         streams.settings(readStreamLimits(next), next);
         upstreams.settings(next);
-        dispatcher.settings(next.routing());
+        dispatcher.updateSettings(next.routing());
         // Last: the other parts then know every class and tenant that the protocols name by index.
         site.set(next);
     }
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -17,9 +17,9 @@
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.Attempt;
 import magpiehub.dispatch.AttemptHandle;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.dispatch.RequestDispatcher.Attempt;
 import magpiehub.dispatch.UpstreamFleet;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
@@ -149,17 +149,17 @@
 
     // ---- The pools: the module's thread ---------------------------------------------------------------
     @Override
-    public AttemptHandle start(Attempt attempt) {
-        ArrayDeque<Connection> free = idle.get(attempt.server);
+    public AttemptHandle startAttempt(Attempt attempt) {
+        ArrayDeque<Connection> free = idle.get(attempt.endpointId());
         Connection c = free == null ? null : rested(free);
         Lease lease = new Lease(attempt);
         if (c == null) {
             if (connections >= most && !evict()) {
                 journal.count("engine_connections_short");
-                module.ended(attempt, AttemptOutcome.FULL, -1, null);
+                module.attemptEnded(attempt, AttemptOutcome.FULL, -1, null);
                 return lease;
             }
-            c = new Connection(attempt.server);
+            c = new Connection(attempt.endpointId());
             c.mailbox.attach(crew, c::turn);
             open.add(c);
             connections++;
@@ -223,18 +223,18 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, List<Endpoint> servers) {
+    public void updateEndpoints(EndpointListKind kind, List<Endpoint> endpoints) {
         for (String id : List.copyOf(idle.keySet())) {
             Place p = places.get(id);
             if (p == null || !p.takes) {
-                closeIdle(id);
+                closeIdleConnections(id);
                 idle.remove(id);
             }
         }
     }
 
     @Override
-    public void closeIdle(String server) {
+    public void closeIdleConnections(String server) {
         ArrayDeque<Connection> pool = idle.get(server);
         while (pool != null && !pool.isEmpty()) {
             discharge(pool.poll());
@@ -271,7 +271,7 @@
                     } catch (IOException | RuntimeException e) {
                         o = sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
                     }
-                    module.probed(server, o, sentAt, load);
+                    module.probeCompleted(server, o, sentAt, load);
                 })
                 .start();
     }
@@ -491,7 +491,7 @@
             kept = -1;
             report = null;
             lastEvent = null;
-            Object work = l.attempt.work();
+            Object work = l.attempt.payload();
             if (!(work instanceof ProtocolAdapter.Call call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
@@ -544,7 +544,7 @@
             if (!takes()) {
                 return;
             }
-            if (!(lease.attempt.work() instanceof ProtocolAdapter.Call call)) {
+            if (!(lease.attempt.payload() instanceof ProtocolAdapter.Call call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
             }
@@ -576,7 +576,7 @@
 
         private byte[] request(ProtocolAdapter.Call call, Attempt a) {
             // Connecting may have taken a while since this turn began: the engine is told what is left now.
-            long left = Math.max(1, (a.until - clock.micros()) / 1000);
+            long left = Math.max(1, (a.deadlineMicros() - clock.micros()) / 1000);
             return new Http.Output()
                     .text("POST " + call.target + " HTTP/1.1\r\nHost: " + connectedTo
                             + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body.length
@@ -657,7 +657,7 @@
         private void start() {
             if (!begun) {
                 begun = true;
-                module.begun(lease.attempt);
+                module.streamStarted(lease.attempt);
             }
         }
 
@@ -742,7 +742,7 @@
             lease.bind(null);
             forget();
             free(socket != null && reusable);
-            module.ended(a, o, kept, report == null ? null : load(reports, report));
+            module.attemptEnded(a, o, kept, report == null ? null : load(reports, report));
         }
 
         private void free(boolean alive) {
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -19,7 +19,7 @@
 /** The module's actor over ports that note the order of what it does, on a clock of the test's own. */
 public class RequestDispatcherTest {
     private final List<String> done = new ArrayList<>();
-    private final List<RequestDispatcher.Attempt> attempts = new ArrayList<>();
+    private final List<Attempt> attempts = new ArrayList<>();
     private boolean fleetFails;
     private boolean moduleFails;
     private boolean clientGone;
@@ -28,42 +28,42 @@
     private long now = 1_000_000;
     private final ClientCallback client = new ClientCallback() {
         @Override
-        public void refuse(long retryAfter) {
-            done.add("refuse at " + now + (retryAfter > 0 ? "" : " with no time to return"));
+        public void reject(long retryAfterMicros) {
+            done.add("refuse at " + now + (retryAfterMicros > 0 ? "" : " with no time to return"));
         }
 
         @Override
-        public void fail(String why) {
+        public void fail(String reason) {
             done.add("fail at " + now);
         }
 
         @Override
-        public void move() {
+        public void migrate() {
             done.add("move");
         }
 
         @Override
-        public boolean gone() {
+        public boolean isClientGone() {
             return clientGone;
         }
     };
     private final UpstreamFleet fleet = new UpstreamFleet() {
         @Override
-        public AttemptHandle start(RequestDispatcher.Attempt a) {
+        public AttemptHandle startAttempt(Attempt a) {
             if (fleetFails) {
                 throw new IllegalStateException("made to fail");
             }
             attempts.add(a);
-            done.add("start " + a.server);
+            done.add("start " + a.endpointId());
             return new AttemptHandle() {
                 @Override
                 public void grant() {
-                    done.add("grant " + a.server);
+                    done.add("grant " + a.endpointId());
                 }
 
                 @Override
                 public void abort() {
-                    done.add("abort " + a.server);
+                    done.add("abort " + a.endpointId());
                 }
             };
         }
@@ -72,10 +72,10 @@
         public void probe(String server) {}
 
         @Override
-        public void closeIdle(String server) {}
+        public void closeIdleConnections(String endpointId) {}
 
         @Override
-        public void list(EndpointListKind kind, List<Endpoint> servers) {}
+        public void updateEndpoints(EndpointListKind kind, List<Endpoint> endpoints) {}
     };
     private final EndpointListSource roster = new EndpointListSource() {
         @Override
@@ -109,15 +109,15 @@
 
     private void turns() throws InterruptedException {
         for (int i = 0; i < 8; i++) {
-            actor.turn(now);
+            actor.runTurn(now);
         }
     }
 
     private void ask(String... servers) throws InterruptedException {
-        actor.list(
+        actor.updateEndpoints(
                 EndpointListKind.SAVED,
                 java.util.Arrays.stream(servers).map(Bench::server).toList());
-        actor.take(
+        actor.submit(
                 new RoutingRequest("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false),
                 client,
                 "work",
@@ -149,15 +149,15 @@
         ask("a", "b");
         now += 400_000;
         turns();
-        String first = attempts.get(0).server;
+        String first = attempts.get(0).endpointId();
         assertEquals(List.of("start " + first, "abort " + first, "refuse at 1400000"), done);
-        assertEquals("the body is let go", null, attempts.get(0).work());
+        assertEquals("the body is let go", null, attempts.get(0).payload());
     }
 
     @Test
     public void noTimeToReturnIsNamedWhereTheSiteHasNone() throws InterruptedException {
         RoutingSettings t = Bench.settings(1);
-        actor.settings(new RoutingSettings(
+        actor.updateSettings(new RoutingSettings(
                 0,
                 1,
                 0,
@@ -180,7 +180,7 @@
     @Test
     public void aWatchIsKeptWhereListsArePushed() throws InterruptedException {
         RoutingSettings t = Bench.settings(1);
-        actor.settings(new RoutingSettings(
+        actor.updateSettings(new RoutingSettings(
                 0,
                 1,
                 0,
@@ -196,7 +196,7 @@
                 t.costs()));
         turns();
         assertEquals(1, watches);
-        actor.list(EndpointListKind.ERROR, List.of());
+        actor.updateEndpoints(EndpointListKind.ERROR, List.of());
         turns();
         now += 249_000;
         turns();
@@ -211,9 +211,9 @@
         ask("a");
         now += 400_000;
         turns();
-        actor.begun(attempts.get(0));
-        actor.ended(attempts.get(0), AttemptOutcome.OK, 5, null);
-        actor.gone("r");
+        actor.streamStarted(attempts.get(0));
+        actor.attemptEnded(attempts.get(0), AttemptOutcome.OK, 5, null);
+        actor.clientGone("r");
         turns();
         assertEquals(List.of("start a", "abort a", "refuse at 1400000"), done);
     }
@@ -226,15 +226,15 @@
         assertEquals("before it was taken", List.of(), done);
         clientGone = false;
         ask("a", "b");
-        String first = attempts.get(0).server;
+        String first = attempts.get(0).endpointId();
         clientGone = true;
         assertEquals(
                 "a connection that comes up now is for nobody",
                 null,
-                attempts.get(0).work());
-        actor.ended(attempts.get(0), AttemptOutcome.ERROR, -1, null);
+                attempts.get(0).payload());
+        actor.attemptEnded(attempts.get(0), AttemptOutcome.ERROR, -1, null);
         turns();
-        actor.gone("r");
+        actor.clientGone("r");
         turns();
         assertEquals("no second attempt, and no answer", List.of("start " + first), done);
         clientGone = false;
@@ -248,7 +248,7 @@
         leavesInTheTurn = true;
         ask("a");
         assertEquals(List.of(), done);
-        assertEquals(0, actor.held());
+        assertEquals(0, actor.openRequests());
         leavesInTheTurn = false;
         clientGone = false;
         ask("a");
@@ -261,7 +261,7 @@
         actor.shutDown(true);
         ask("a");
         assertEquals(List.of("refuse at 1000000"), done);
-        assertEquals(0, actor.held());
+        assertEquals(0, actor.openRequests());
     }
 
     /** Effects at the shutdown: what may have run is not called refused, what can't have run is. */
@@ -287,7 +287,7 @@
     @Test
     public void aBegunStreamHasNoDeadlineAndAMoveEndsIt() throws InterruptedException {
         ask("a");
-        actor.begun(attempts.get(0));
+        actor.streamStarted(attempts.get(0));
         turns();
         now += 60_000_000;
         turns();
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -164,22 +164,22 @@
 
     private final ClientCallback client = new ClientCallback() {
         @Override
-        public void refuse(long retryAfter) {
+        public void reject(long retryAfterMicros) {
             answer.complete("refused");
         }
 
         @Override
-        public void fail(String why) {
+        public void fail(String reason) {
             answer.complete("failed");
         }
 
         @Override
-        public void move() {
+        public void migrate() {
             answer.complete("moved");
         }
 
         @Override
-        public boolean gone() {
+        public boolean isClientGone() {
             return gone;
         }
     };
@@ -207,7 +207,7 @@
         engines.module(module);
         thread = Mailbox.thread("module", module::run);
         thread.start();
-        module.list(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
+        module.updateEndpoints(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
         engines.place("e", "127.0.0.1:" + engine.getLocalPort(), takes, false);
     }
 
@@ -221,7 +221,7 @@
             Http.Head head = in.head(true);
             ProtocolAdapter.Call call = new PlatformProtocol(() -> site).read(head, in.body(head), in.firstAt());
             call.sink(sink);
-            return module.take(call.request, client, call, 2);
+            return module.submit(call.request, client, call, 2);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
