--- /dev/null
+++ b/src/main/java/magpiehub/dispatch/DispatcherMessage.java
@@ -0,0 +1,116 @@
+package magpiehub.dispatch;
+
+import java.util.List;
+import magpiehub.routing.AttemptOutcome;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.LoadReport;
+import magpiehub.routing.RoutingRequest;
+import magpiehub.routing.RoutingSettings;
+
+/** A message in the mailbox of {@link RequestDispatcher}; one record and one handler method for each kind. */
+sealed interface DispatcherMessage {
+    /** Calls the handler's method for this kind of message. */
+    void deliverTo(Handler handler);
+
+    /** Handles each kind of message, on the dispatcher's thread. */
+    interface Handler {
+        void onRequestSubmitted(RequestSubmitted message);
+
+        void onClientGone(ClientGone message);
+
+        void onStreamStarted(StreamStarted message);
+
+        void onAttemptEnded(AttemptEnded message);
+
+        void onProbeCompleted(ProbeCompleted message);
+
+        void onEndpointsUpdated(EndpointsUpdated message);
+
+        void onSettingsUpdated(SettingsUpdated message);
+
+        void onShutdownRequested(ShutdownRequested message);
+
+        void onTaskSubmitted(TaskSubmitted message);
+    }
+
+    /** A client's request was read completely. {@code payload} is passed on to the upstream side as it is. */
+    record RequestSubmitted(RoutingRequest request, ClientCallback client, Object payload)
+            implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onRequestSubmitted(this);
+        }
+    }
+
+    /** The client of a request has closed its connection. */
+    record ClientGone(String requestId) implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onClientGone(this);
+        }
+    }
+
+    /** The first event of an attempt's response stream has arrived. */
+    record StreamStarted(Attempt attempt) implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onStreamStarted(this);
+        }
+    }
+
+    /** An attempt is over. {@code cachedTokens} is -1 and {@code load} null where the upstream reported none. */
+    record AttemptEnded(Attempt attempt, AttemptOutcome outcome, long cachedTokens, LoadReport load)
+            implements DispatcherMessage {
+        /** The end of an attempt that the dispatcher has cancelled itself. */
+        static AttemptEnded withoutReport(Attempt attempt, AttemptOutcome outcome) {
+            return new AttemptEnded(attempt, outcome, RequestDispatcher.CACHED_TOKENS_UNKNOWN, null);
+        }
+
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onAttemptEnded(this);
+        }
+    }
+
+    /** A health check has been answered or has failed. */
+    record ProbeCompleted(String endpointId, AttemptOutcome outcome, long sentAtMicros, LoadReport load)
+            implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onProbeCompleted(this);
+        }
+    }
+
+    /** Service discovery has reported endpoints, or that it failed. */
+    record EndpointsUpdated(EndpointListKind kind, List<Endpoint> endpoints) implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onEndpointsUpdated(this);
+        }
+    }
+
+    /** The site's settings have been reloaded. */
+    record SettingsUpdated(RoutingSettings settings) implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onSettingsUpdated(this);
+        }
+    }
+
+    /** The process is about to end. */
+    record ShutdownRequested(boolean migrateStreams) implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onShutdownRequested(this);
+        }
+    }
+
+    /** A port wants to run code of its own on the dispatcher's thread. */
+    record TaskSubmitted(Runnable task) implements DispatcherMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onTaskSubmitted(this);
+        }
+    }
+}
