--- a/src/main/java/magpiehub/concurrent/CachedThreadPool.java
+++ b/src/main/java/magpiehub/concurrent/CachedThreadPool.java
@@ -3,68 +3,75 @@
 import java.util.ArrayDeque;
 
 /**
- * Platform threads with small stacks for work that blocks, such as reading one connection to its end. A
- * thread that has finished waits a moment for more work before it ends: where connections come and go by the
- * hundred a second, starting and ending a thread for each costs more than serving it, and ended threads may
- * pile up faster than the system takes them back. There is no bound on the threads at work; whoever hands
- * work in bounds that. Safe for use from any thread.
+ * Platform threads with small stacks for work that blocks, such as reading one connection to its end. A thread that has
+ * finished waits a while for more work before it ends: where connections come and go by the hundred a second, starting
+ * and ending a thread for each costs more than serving it, and ended threads may pile up faster than the system takes
+ * them back. The number of threads is not bounded; whoever submits work has to bound that.
+ *
+ * <p>Safe for use from any thread.
+ *
+ * <p><b>Locking.</b> The monitor of {@link #idleWorkers} guards that queue. Each worker has a monitor of its own for the
+ * hand-over of work, which is taken before that of the queue, never after. A worker that was removed from the queue
+ * is given work exactly once, by whoever removed it, or ends, if it removed itself.
  */
 public final class CachedThreadPool {
-    /** How long a thread waits for more work where nothing else is said (us). */
-    private static final long DEFAULT_STAY = 2_000_000;
+    private static final long DEFAULT_KEEP_ALIVE_MICROS = 2_000_000;
+    private static final long NANOS_PER_MICRO = 1000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final String name;
-    private final long stayNanos;
-    /** Those that wait for work, the longest waiting first; its monitor guards it. */
-    private final ArrayDeque<Worker> idle = new ArrayDeque<>();
+    private final String threadName;
+    private final long keepAliveNanos;
+    /** Workers that wait for work, the longest waiting first; the last is used first, so that the others may end. */
+    private final ArrayDeque<Worker> idleWorkers = new ArrayDeque<>();
 
-    /** A cache without threads, which wait for more work for as long as is usual. */
-    public CachedThreadPool(String name) {
-        this(name, DEFAULT_STAY);
+    /** A pool without threads, with the usual time to wait for more work. */
+    public CachedThreadPool(String threadName) {
+        this(threadName, DEFAULT_KEEP_ALIVE_MICROS);
     }
 
     /**
-     * A cache without threads.
+     * A pool without threads.
      *
-     * @param name what its threads are called
-     * @param stay how long a thread waits for more work (us)
+     * @param threadName the name of all its threads
+     * @param keepAliveMicros how long a thread waits for more work before it ends
      */
-    public CachedThreadPool(String name, long stay) {
-        this.name = name;
-        this.stayNanos = stay * 1000;
+    public CachedThreadPool(String threadName, long keepAliveMicros) {
+        this.threadName = threadName;
+        this.keepAliveNanos = keepAliveMicros * NANOS_PER_MICRO;
     }
 
     /**
-     * Begins the work at once, on a thread that waits or on a new one.
+     * Starts the work at once, on an idle thread or a new one.
      *
-     * @throws OutOfMemoryError if a thread is needed and none can be started; nothing has begun then
+     * @throws OutOfMemoryError if a new thread is needed and can't be started; the work has not been started then
      */
     public void execute(Runnable work) {
-        Worker waiting;
-        synchronized (idle) {
-            waiting = idle.pollLast();
+        Worker idleWorker;
+        synchronized (idleWorkers) {
+            idleWorker = idleWorkers.pollLast();
         }
-        if (waiting == null) {
-            Mailbox.thread(name, new Worker(work)).start();
+        if (idleWorker == null) {
+            DaemonThreads.newThread(threadName, new Worker(work)).start();
         } else {
-            waiting.take(work);
+            idleWorker.handOver(work);
         }
     }
 
+    /** The body of one thread. */
     private final class Worker implements Runnable {
-        /** Guards {@link #next}; the worker waits on it. */
-        private final Object handOver = new Object();
+        /** Guards {@link #nextWork}; the worker waits on it. */
+        private final Object monitor = new Object();
 
-        private Runnable next;
+        private Runnable nextWork;
 
-        Worker(Runnable first) {
-            this.next = first;
+        Worker(Runnable firstWork) {
+            this.nextWork = firstWork;
         }
 
         @Override
         public void run() {
             try {
-                for (Runnable work = next; work != null; work = await()) {
+                for (Runnable work = nextWork; work != null; work = awaitWork()) {
                     work.run();
                 }
             } catch (InterruptedException e) {
@@ -72,39 +79,39 @@
             }
         }
 
-        /** Called once for each time that this worker was taken from the idle ones. */
-        void take(Runnable work) {
-            synchronized (handOver) {
-                next = work;
-                handOver.notifyAll();
+        /** Gives work to this worker; for the thread that has removed it from the idle ones. */
+        void handOver(Runnable work) {
+            synchronized (monitor) {
+                nextWork = work;
+                monitor.notifyAll();
             }
         }
 
-        /** The next work, or null once none has come in time. */
-        private Runnable await() throws InterruptedException {
-            long until = System.nanoTime() + stayNanos;
-            synchronized (handOver) {
-                next = null;
-                synchronized (idle) {
-                    idle.addLast(this);
+        /** Becomes idle and returns the next work, or null once none has come in time. */
+        private Runnable awaitWork() throws InterruptedException {
+            long untilNanos = System.nanoTime() + keepAliveNanos;
+            synchronized (monitor) {
+                nextWork = null;
+                synchronized (idleWorkers) {
+                    idleWorkers.addLast(this);
                 }
-                while (next == null) {
-                    long left = until - System.nanoTime();
-                    if (left > 0) {
-                        handOver.wait(left / 1_000_000 + 1);
-                    } else if (leaves()) {
+                while (nextWork == null) {
+                    long leftNanos = untilNanos - System.nanoTime();
+                    if (leftNanos > 0) {
+                        monitor.wait(leftNanos / NANOS_PER_MILLI + 1);
+                    } else if (removeFromIdle()) {
                         return null;
                     } else {
-                        handOver.wait(); // Taken from the idle ones already: the work is on its way.
+                        monitor.wait(); // Another thread has removed it already, and is about to hand work over.
                     }
                 }
-                return next;
+                return nextWork;
             }
         }
 
-        private boolean leaves() {
-            synchronized (idle) {
-                return idle.remove(this);
+        private boolean removeFromIdle() {
+            synchronized (idleWorkers) {
+                return idleWorkers.remove(this);
             }
         }
     }
--- a/src/main/java/magpiehub/concurrent/Mailbox.java
+++ b/src/main/java/magpiehub/concurrent/Mailbox.java
@@ -3,138 +3,133 @@
 import java.util.ArrayDeque;
 
 /**
- * A mailbox, the clock that its owner waits by, and the threads that empty it: one of its own, or those of a
- * {@link ActorThreadPool} where actors are many and mostly have nothing to do. It owns the order in which messages reach
- * one actor: first in, first out, whoever posts. It must never drop a message and go on: what does not fit
- * into its bytes ends the peer, through {@link #post} answering false, and what is posted to a closed mailbox
- * is refused in the same way. Nothing in here blocks a poster, but for the reader of the very peer that the
- * mailbox belongs to, where it asks for that.
+ * An actor's queue of messages, first in, first out, bounded by the bytes of the messages' payload. The actor either has
+ * a thread of its own, which waits in {@link #take}, or is given turns on a shared {@link ActorThreadPool} through
+ * {@link #attach}, which suits actors that are many and mostly idle.
+ *
+ * <p>A message is never dropped silently: {@link #post} returns false if the message does not fit or the mailbox is
+ * closed, and the caller has to end the peer that the message concerns.
+ *
+ * <p><b>Threads.</b> Any thread may post or close. {@link #take} and {@link #poll} are for the actor, that is for one
+ * thread at a time. Posting never blocks, but for {@link #postWhenRoom}.
+ *
+ * <p><b>Locking.</b> The monitor of {@link #queue} guards all other fields. No foreign code runs while it is held, but
+ * for the clock; in particular a turn is handed to the pool after it was released, so that the pool's monitor is never
+ * taken inside of it. All waits on the monitor are woken by {@code notifyAll}, since the actor, which waits for messages,
+ * and a reader, which waits for capacity, may wait at the same time.
+ *
+ * @param <M> the type of the messages
  */
 public final class Mailbox<M> {
-
-    /** Bytes of a thread's stack. */
-    static final int STACK = 160 * 1024;
+    /** Most mailboxes belong to connections, which are many and have few messages waiting. */
+    private static final int INITIAL_CAPACITY = 4;
 
     private record Entry<T>(T message, int bytes) {}
 
-    /** Also the monitor of all that follows: the owner waits on it for messages, a reader for room. */
-    private final ArrayDeque<Entry<M>> queue = new ArrayDeque<>(4);
-
+    private final ArrayDeque<Entry<M>> queue = new ArrayDeque<>(INITIAL_CAPACITY);
     private final MonotonicClock clock;
-    private final long most;
-    private long held;
+    private final long maxBytes;
+    private long queuedBytes;
     private boolean closed;
-    private ActorThreadPool crew;
+    private ActorThreadPool threadPool;
     private Runnable turn;
-    private boolean underWay;
-
-    /** Gives the actor its turns on a crew: called whenever there is something to {@link #poll}, never twice
-     *  at once. A turn is to take all there is, and must not throw. */
-    public void attach(ActorThreadPool threads, Runnable actorsTurn) {
-        synchronized (queue) {
-            crew = threads;
-            turn = actorsTurn;
-        }
-    }
-
-    private boolean due() {
-        boolean start = turn != null && !underWay;
-        underWay |= start;
-        return start;
+    /** Whether a turn is running or was handed to the pool. */
+    private boolean turnActive;
+
+    /**
+     * An empty mailbox.
+     *
+     * @param clock what {@link #take} waits by
+     * @param maxBytes how many bytes of payload may be queued; with 0, messages without payload still fit
+     */
+    public Mailbox(MonotonicClock clock, long maxBytes) {
+        this.clock = clock;
+        this.maxBytes = maxBytes;
     }
 
-    private void turns() {
-        while (true) {
-            turn.run();
-            synchronized (queue) {
-                if (queue.isEmpty()) {
-                    underWay = false;
-                    return;
-                }
-            }
+    /**
+     * Gives the actor turns on a pool's threads: {@code actorTurn} is called when a message was posted, and again until
+     * the mailbox is empty, but never twice at the same time. A turn has to {@link #poll} and must not throw. To be
+     * called before the first message is posted.
+     */
+    public void attach(ActorThreadPool pool, Runnable actorTurn) {
+        synchronized (queue) {
+            threadPool = pool;
+            turn = actorTurn;
         }
     }
 
-    /** A mailbox that holds at most so many bytes of payload. */
-    public Mailbox(MonotonicClock clock, long most) {
-        this.clock = clock;
-        this.most = most;
+    /**
+     * Adds a message that has no payload. It fits however full the mailbox is; such messages have to be few, bounded by
+     * the number of things that they start or end.
+     *
+     * @return false if the mailbox is closed
+     */
+    public boolean post(M message) {
+        return post(message, 0);
     }
 
-    /** False if the message does not fit or the mailbox is closed: then its peer is to be ended. */
+    /**
+     * Adds a message whose payload has so many bytes.
+     *
+     * @return false if the message does not fit or the mailbox is closed; the peer that it concerns is to be ended then
+     */
     public boolean post(M message, int bytes) {
-        boolean start;
+        boolean startTurn;
         synchronized (queue) {
-            if (closed || held + bytes > most) {
+            if (closed || queuedBytes + bytes > maxBytes) {
                 return false;
             }
-            start = put(message, bytes);
+            startTurn = enqueue(message, bytes);
         }
-        if (start) {
-            crew.execute(this::turns);
+        if (startTurn) {
+            threadPool.execute(this::runTurns);
         }
         return true;
     }
 
-    private boolean put(M message, int bytes) {
-        held += bytes;
-        queue.add(new Entry<>(message, bytes));
-        queue.notifyAll(); // The owner and a reader may both be waiting.
-        return due();
-    }
-
-    /** For a peer's own reader: waits until there is room, so that only what that peer sends is held back. A
-     *  single message larger than the mailbox goes in alone. False once the mailbox is closed. */
+    /**
+     * Waits until there is capacity for a message, then adds it. Meant for the thread that reads from one peer: while it
+     * waits, only what that peer sends is held back. A message larger than the whole mailbox is added once the mailbox
+     * is empty.
+     *
+     * @return false if the mailbox is closed
+     */
     public boolean postWhenRoom(M message, int bytes) throws InterruptedException {
-        boolean start;
+        boolean startTurn;
         synchronized (queue) {
-            while (!closed && held > 0 && held + bytes > most) {
+            while (!closed && queuedBytes > 0 && queuedBytes + bytes > maxBytes) {
                 queue.wait();
             }
             if (closed) {
                 return false;
             }
-            start = put(message, bytes);
+            startTurn = enqueue(message, bytes);
         }
-        if (start) {
-            crew.execute(this::turns);
+        if (startTurn) {
+            threadPool.execute(this::runTurns);
         }
         return true;
     }
 
-    /** A word that ends something: small, bounded in number by what it ends, and taken whatever is queued. */
-    public boolean post(M message) {
-        return post(message, 0);
-    }
-
-    /** The next message, or null once the clock has reached a time. */
-    public M take(long until) throws InterruptedException {
+    /** Returns the next message, waiting for it until the clock has reached a time; null if none has come by then. */
+    public M take(long untilMicros) throws InterruptedException {
         synchronized (queue) {
-            while (queue.isEmpty() && clock.micros() < until) {
-                clock.await(queue, until);
+            while (queue.isEmpty() && clock.micros() < untilMicros) {
+                clock.await(queue, untilMicros);
             }
-            return unlockedPoll();
+            return dequeue();
         }
     }
 
-    /** The next message if one is there. */
+    /** Returns the next message, or null if there is none. */
     public M poll() {
         synchronized (queue) {
-            return unlockedPoll();
+            return dequeue();
         }
     }
 
-    private M unlockedPoll() {
-        Entry<M> e = queue.poll();
-        if (e == null) {
-            return null;
-        }
-        held -= e.bytes;
-        queue.notifyAll();
-        return e.message;
-    }
-
-    /** Takes nothing more. What is queued stays for its owner to read. */
+    /** Refuses all messages from now on. Those that are queued can still be taken. */
     public void close() {
         synchronized (queue) {
             closed = true;
@@ -142,10 +137,47 @@
         }
     }
 
-    /** A platform thread with a small stack; stacks are the largest part of what a connection costs. */
+    /** Creates a thread; see {@link DaemonThreads#newThread}. */
     public static Thread thread(String name, Runnable body) {
-        Thread t = new Thread(null, body, name, STACK);
-        t.setDaemon(true);
-        return t;
+        return DaemonThreads.newThread(name, body);
+    }
+
+    /** With the monitor held: adds a message. Returns whether the caller has to hand a turn to the pool. */
+    private boolean enqueue(M message, int bytes) {
+        queuedBytes += bytes;
+        queue.add(new Entry<>(message, bytes));
+        queue.notifyAll();
+        return claimTurn();
+    }
+
+    /** With the monitor held: removes the next message, or returns null. */
+    private M dequeue() {
+        Entry<M> entry = queue.poll();
+        if (entry == null) {
+            return null;
+        }
+        queuedBytes -= entry.bytes;
+        queue.notifyAll();
+        return entry.message;
+    }
+
+    /** With the monitor held: whether the actor runs on a pool and has no turn yet; it has one from then on. */
+    private boolean claimTurn() {
+        boolean claimed = turn != null && !turnActive;
+        turnActive |= claimed;
+        return claimed;
+    }
+
+    /** On a thread of the pool: runs turns until no message has arrived during the last one. */
+    private void runTurns() {
+        while (true) {
+            turn.run();
+            synchronized (queue) {
+                if (queue.isEmpty()) {
+                    turnActive = false;
+                    return;
+                }
+            }
+        }
     }
 }
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -173,7 +173,7 @@
                     c.cutIfStuck(now, Long.MAX_VALUE, Ending.READER_STUCK);
                 }
                 letGoIdle(now);
-                crew.check();
+                crew.checkForStall();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -625,11 +625,11 @@
                 for (; m != null && !ended; m = out.length() < 16 * 1024 && ends == null ? mailbox.poll() : null) {
                     handle(m);
                 }
-                ActorThreadPool.mayBlock(true);
+                ActorThreadPool.enterBlockingCall();
                 try {
                     out.flush(to, () -> streams.passed(flow, 0));
                 } finally {
-                    ActorThreadPool.mayBlock(false);
+                    ActorThreadPool.exitBlockingCall();
                 }
                 written();
                 if (lingering && !socket.isOutputShutdown()) {
