--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -3,6 +3,7 @@
 import static org.junit.Assert.assertEquals;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.Bench;
@@ -16,30 +17,30 @@
 import magpiehub.telemetry.EventLog;
 import org.junit.Test;
 
-/** The module's actor over ports that note the order of what it does, on a clock of the test's own. */
+/** The dispatcher, on a clock that the test sets, with ports that record the order of calls. */
 public class RequestDispatcherTest {
-    private final List<String> done = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
     private boolean fleetFails;
-    private boolean moduleFails;
+    private boolean policyFails;
     private boolean clientGone;
-    private boolean leavesInTheTurn;
+    private boolean clientLeavesDuringTurn;
     private int watches;
     private long now = 1_000_000;
     private final ClientCallback client = new ClientCallback() {
         @Override
         public void reject(long retryAfterMicros) {
-            done.add("refuse at " + now + (retryAfterMicros > 0 ? "" : " with no time to return"));
+            calls.add("refuse at " + now + (retryAfterMicros > 0 ? "" : " with no time to return"));
         }
 
         @Override
         public void fail(String reason) {
-            done.add("fail at " + now);
+            calls.add("fail at " + now);
         }
 
         @Override
         public void migrate() {
-            done.add("move");
+            calls.add("move");
         }
 
         @Override
@@ -49,27 +50,27 @@
     };
     private final UpstreamFleet fleet = new UpstreamFleet() {
         @Override
-        public AttemptHandle startAttempt(Attempt a) {
+        public AttemptHandle startAttempt(Attempt attempt) {
             if (fleetFails) {
                 throw new IllegalStateException("made to fail");
             }
-            attempts.add(a);
-            done.add("start " + a.endpointId());
+            attempts.add(attempt);
+            calls.add("start " + attempt.endpointId());
             return new AttemptHandle() {
                 @Override
                 public void grant() {
-                    done.add("grant " + a.endpointId());
+                    calls.add("grant " + attempt.endpointId());
                 }
 
                 @Override
                 public void abort() {
-                    done.add("abort " + a.endpointId());
+                    calls.add("abort " + attempt.endpointId());
                 }
             };
         }
 
         @Override
-        public void probe(String server) {}
+        public void probe(String endpointId) {}
 
         @Override
         public void closeIdleConnections(String endpointId) {}
@@ -77,7 +78,7 @@
         @Override
         public void updateEndpoints(EndpointListKind kind, List<Endpoint> endpoints) {}
     };
-    private final EndpointListSource roster = new EndpointListSource() {
+    private final EndpointListSource endpointSource = new EndpointListSource() {
         @Override
         public void watch() {
             watches++;
@@ -89,210 +90,202 @@
         @Override
         public void fetch() {}
     };
-    private final EventLog journal = new EventLog() {
+    private final EventLog eventLog = new EventLog() {
         @Override
         public void count(String name) {
-            clientGone |= leavesInTheTurn && name.equals("taken");
-            if (name.equals("sent") && moduleFails) {
+            clientGone |= clientLeavesDuringTurn && name.equals("taken");
+            if (name.equals("sent") && policyFails) {
                 throw new IllegalStateException("made to fail inside the module's turn");
             }
         }
 
         @Override
-        public void log(String what, String... namesAndValues) {}
+        public void log(String event, String... namesAndValues) {}
     };
-    private RequestDispatcher actor = actor(Bench.settings(1));
+    private RequestDispatcher dispatcher = newDispatcher(Bench.settings(1));
 
-    private RequestDispatcher actor(RoutingSettings settings) {
-        return new RequestDispatcher(settings, 7, () -> now, fleet, roster, journal);
+    private RequestDispatcher newDispatcher(RoutingSettings settings) {
+        return new RequestDispatcher(settings, 7, () -> now, fleet, endpointSource, eventLog);
     }
 
-    private void turns() throws InterruptedException {
+    private static RoutingSettings settings(boolean subscribe, RoutingLimits limits) {
+        RoutingSettings base = Bench.settings(1);
+        return new RoutingSettings(
+                0,
+                1,
+                0,
+                2,
+                subscribe,
+                false,
+                base.weights(),
+                0.1,
+                base.classes(),
+                base.tenants(),
+                limits,
+                base.guarantees(),
+                base.costs());
+    }
+
+    /** More turns than the messages and timers of a step need. */
+    private void runTurns() throws InterruptedException {
         for (int i = 0; i < 8; i++) {
-            actor.runTurn(now);
+            dispatcher.runTurn(now);
         }
     }
 
-    private void ask(String... servers) throws InterruptedException {
-        actor.updateEndpoints(
+    private void submitWithEndpoints(String... endpointIds) throws InterruptedException {
+        dispatcher.updateEndpoints(
                 EndpointListKind.SAVED,
-                java.util.Arrays.stream(servers).map(Bench::server).toList());
-        actor.submit(
+                Arrays.stream(endpointIds).map(Bench::server).toList());
+        dispatcher.submit(
                 new RoutingRequest("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false),
                 client,
                 "work",
                 4);
-        turns();
+        runTurns();
     }
 
     @Test
-    public void aFaultOfOursIsAnsweredByTheBackstopInsideTheSlack() throws InterruptedException {
-        moduleFails = true;
-        ask("a");
+    public void aRequestThatThePolicyFailsOnIsAnsweredShortlyAfterItsDeadline() throws InterruptedException {
+        policyFails = true;
+        submitWithEndpoints("a");
         now += 400_000;
-        turns();
-        assertEquals(List.of(), done);
+        runTurns();
+        assertEquals(List.of(), calls);
         now += 4_000;
-        turns();
-        assertEquals(List.of("fail at 1404000"), done);
+        runTurns();
+        assertEquals(List.of("fail at 1404000"), calls);
     }
 
     @Test
-    public void aFaultOfTheEnginesSideIsAnAttemptThatNeverRan() throws InterruptedException {
+    public void aFaultOfTheFleetIsAnAttemptThatNeverRan() throws InterruptedException {
         fleetFails = true;
-        ask("a");
-        assertEquals(List.of("refuse at 1000000"), done);
+        submitWithEndpoints("a");
+        assertEquals(List.of("refuse at 1000000"), calls);
     }
 
     @Test
-    public void atTheDeadlineTheOldSocketIsClosedBeforeTheAnswer() throws InterruptedException {
-        ask("a", "b");
+    public void atTheDeadlineTheConnectionIsClosedBeforeTheAnswer() throws InterruptedException {
+        submitWithEndpoints("a", "b");
         now += 400_000;
-        turns();
+        runTurns();
         String first = attempts.get(0).endpointId();
-        assertEquals(List.of("start " + first, "abort " + first, "refuse at 1400000"), done);
+        assertEquals(List.of("start " + first, "abort " + first, "refuse at 1400000"), calls);
         assertEquals("the body is let go", null, attempts.get(0).payload());
     }
 
     @Test
-    public void noTimeToReturnIsNamedWhereTheSiteHasNone() throws InterruptedException {
-        RoutingSettings t = Bench.settings(1);
-        actor.updateSettings(new RoutingSettings(
-                0,
-                1,
-                0,
-                2,
-                true,
-                false,
-                t.weights(),
-                0.1,
-                t.classes(),
-                t.tenants(),
-                new RoutingLimits(true, true, false, false, false, 6, 1000, 0, 250_000),
-                t.guarantees(),
-                t.costs()));
+    public void noRetryAfterIsNamedWhereTheSiteForbidsIt() throws InterruptedException {
+        dispatcher.updateSettings(
+                settings(true, new RoutingLimits(true, true, false, false, false, 6, 1000, 0, 250_000)));
         fleetFails = true;
-        ask("a");
-        assertEquals(List.of("refuse at 1000000 with no time to return"), done);
+        submitWithEndpoints("a");
+        assertEquals(List.of("refuse at 1000000 with no time to return"), calls);
     }
 
-    /** A watch is how pushed lists come; it is opened at the start, and again a while after each failure. */
+    /** The watch is opened at the start, and again a while after each failure. */
     @Test
-    public void aWatchIsKeptWhereListsArePushed() throws InterruptedException {
-        RoutingSettings t = Bench.settings(1);
-        actor.updateSettings(new RoutingSettings(
-                0,
-                1,
-                0,
-                2,
-                false,
-                false,
-                t.weights(),
-                0.1,
-                t.classes(),
-                t.tenants(),
-                t.limits(),
-                t.guarantees(),
-                t.costs()));
-        turns();
+    public void aWatchIsKeptOpenWhereEndpointListsArePushed() throws InterruptedException {
+        dispatcher.updateSettings(settings(false, Bench.settings(1).limits()));
+        runTurns();
         assertEquals(1, watches);
-        actor.updateEndpoints(EndpointListKind.ERROR, List.of());
-        turns();
+        dispatcher.updateEndpoints(EndpointListKind.ERROR, List.of());
+        runTurns();
         now += 249_000;
-        turns();
+        runTurns();
         assertEquals(1, watches);
         now += 1_000;
-        turns();
+        runTurns();
         assertEquals(2, watches);
     }
 
     @Test
-    public void whatComesTooLateChangesNothing() throws InterruptedException {
-        ask("a");
+    public void eventsAfterTheAnswerChangeNothing() throws InterruptedException {
+        submitWithEndpoints("a");
         now += 400_000;
-        turns();
-        actor.streamStarted(attempts.get(0));
-        actor.attemptEnded(attempts.get(0), AttemptOutcome.OK, 5, null);
-        actor.clientGone("r");
-        turns();
-        assertEquals(List.of("start a", "abort a", "refuse at 1400000"), done);
+        runTurns();
+        dispatcher.streamStarted(attempts.get(0));
+        dispatcher.attemptEnded(attempts.get(0), AttemptOutcome.OK, 5, null);
+        dispatcher.clientGone("r");
+        runTurns();
+        assertEquals(List.of("start a", "abort a", "refuse at 1400000"), calls);
     }
 
-    /** Its word is still in a mailbox; nothing begins for it, and what is out is closed once. */
+    /** The message that says so is still in a mailbox: nothing is started, and what is in progress is closed once. */
     @Test
     public void nothingBeginsForAClientThatHasGone() throws InterruptedException {
         clientGone = true;
-        ask("a", "b");
-        assertEquals("before it was taken", List.of(), done);
+        submitWithEndpoints("a", "b");
+        assertEquals("before it was taken", List.of(), calls);
         clientGone = false;
-        ask("a", "b");
+        submitWithEndpoints("a", "b");
         String first = attempts.get(0).endpointId();
         clientGone = true;
         assertEquals(
                 "a connection that comes up now is for nobody",
                 null,
                 attempts.get(0).payload());
-        actor.attemptEnded(attempts.get(0), AttemptOutcome.ERROR, -1, null);
-        turns();
-        actor.clientGone("r");
-        turns();
-        assertEquals("no second attempt, and no answer", List.of("start " + first), done);
+        dispatcher.attemptEnded(attempts.get(0), AttemptOutcome.ERROR, -1, null);
+        runTurns();
+        dispatcher.clientGone("r");
+        runTurns();
+        assertEquals("no second attempt, and no answer", List.of("start " + first), calls);
         clientGone = false;
-        ask("a", "b");
+        submitWithEndpoints("a", "b");
         assertEquals("the id is free again", 2, attempts.size());
     }
 
-    /** It leaves while the module decides: what was decided is not carried out, and no attempt stays open. */
+    /** The client leaves while the policy decides: the decision is not carried out, and no attempt stays open. */
     @Test
     public void whatIsDecidedWhileAClientLeavesIsNotCarriedOut() throws InterruptedException {
-        leavesInTheTurn = true;
-        ask("a");
-        assertEquals(List.of(), done);
-        assertEquals(0, actor.openRequests());
-        leavesInTheTurn = false;
+        clientLeavesDuringTurn = true;
+        submitWithEndpoints("a");
+        assertEquals(List.of(), calls);
+        assertEquals(0, dispatcher.openRequests());
+        clientLeavesDuringTurn = false;
         clientGone = false;
-        ask("a");
-        assertEquals(List.of("start a"), done);
+        submitWithEndpoints("a");
+        assertEquals(List.of("start a"), calls);
     }
 
-    /** A request that was half read at SIGTERM may come whole only then; the process is killed soon after. */
+    /** A request that was half read at SIGTERM may be complete only then; the process is killed soon after. */
     @Test
     public void aRequestThatComesAfterTheShutdownIsRefusedAndNotSent() throws InterruptedException {
-        actor.shutDown(true);
-        ask("a");
-        assertEquals(List.of("refuse at 1000000"), done);
-        assertEquals(0, actor.openRequests());
+        dispatcher.shutDown(true);
+        submitWithEndpoints("a");
+        assertEquals(List.of("refuse at 1000000"), calls);
+        assertEquals(0, dispatcher.openRequests());
     }
 
-    /** Effects at the shutdown: what may have run is not called refused, what can't have run is. */
+    /** What may have had effects is not rejected as if it had none. */
     @Test
     public void atTheShutdownOnlyWhatMayBeRepeatedIsRefused() throws InterruptedException {
         for (Idempotency effect : Idempotency.values()) {
             for (DeduplicationScope group : DeduplicationScope.values()) {
-                done.clear();
-                actor = actor(Bench.settings(1, Bench.cls(effect, group)));
-                ask("a");
-                actor.shutDown(false);
-                turns();
-                boolean harmless =
+                calls.clear();
+                dispatcher = newDispatcher(Bench.settings(1, Bench.cls(effect, group)));
+                submitWithEndpoints("a");
+                dispatcher.shutDown(false);
+                runTurns();
+                boolean retryIsSafe =
                         effect == Idempotency.PURE || (effect == Idempotency.TOKEN && group == DeduplicationScope.ALL);
                 assertEquals(
                         effect + " " + group,
-                        List.of("start a", "abort a", (harmless ? "refuse" : "fail") + " at 1000000"),
-                        done);
+                        List.of("start a", "abort a", (retryIsSafe ? "refuse" : "fail") + " at 1000000"),
+                        calls);
             }
         }
     }
 
     @Test
-    public void aBegunStreamHasNoDeadlineAndAMoveEndsIt() throws InterruptedException {
-        ask("a");
-        actor.streamStarted(attempts.get(0));
-        turns();
+    public void aStartedStreamHasNoDeadlineAndIsMigratedAtTheShutdown() throws InterruptedException {
+        submitWithEndpoints("a");
+        dispatcher.streamStarted(attempts.get(0));
+        runTurns();
         now += 60_000_000;
-        turns();
-        actor.shutDown(true);
-        turns();
-        assertEquals(List.of("start a", "grant a", "abort a", "move"), done);
+        runTurns();
+        dispatcher.shutDown(true);
+        runTurns();
+        assertEquals(List.of("start a", "grant a", "abort a", "move"), calls);
     }
 }
