--- a/src/test/java/magpiehub/DialectsTest.java
+++ b/src/test/java/magpiehub/DialectsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** One recorded trace through both dialects: what becomes of each request, and when, must be the same. */
+/** One recorded trace through both client protocols: each request has the same outcome at the same time. */
 public class DialectsTest {
     @Test
     public void bothDialectsGiveEqualOutcomesAtEqualTimes() throws Exception {
--- a/src/test/java/magpiehub/ExchangesTest.java
+++ b/src/test/java/magpiehub/ExchangesTest.java
@@ -8,7 +8,7 @@
 import org.junit.runner.RunWith;
 import org.junit.runners.Parameterized;
 
-/** Every recorded exchange, each against a program of its own. */
+/** Plays every recorded exchange, each against a router of its own. */
 @RunWith(Parameterized.class)
 public class ExchangesTest {
     @Parameterized.Parameters(name = "{0}")
--- a/src/test/java/magpiehub/LeavingTest.java
+++ b/src/test/java/magpiehub/LeavingTest.java
@@ -5,11 +5,11 @@
 import java.lang.management.ManagementFactory;
 import org.junit.Test;
 
-/** Clients that all leave at once, more than a file of exchanges has lines for. */
+/** Many clients that disconnect, more than a recorded exchange has lines for. */
 public class LeavingTest {
     private static final int CLIENTS = 300;
 
-    /** Clients that connect, ask once and go, one after another: no thread is started for each. */
+    /** Clients that connect, send one request and disconnect, one after another: no thread is started for each. */
     @Test
     public void manyShortConnectionsNeedFewThreads() throws Exception {
         try (Player p = new Player()) {
@@ -28,9 +28,9 @@
         }
     }
 
-    /** Their requests wait for the module; no engine hears of one of them, and who stays is served. */
+    /** Their requests wait for the dispatcher: none reaches an upstream, and a client that stays is served. */
     @Test
-    public void ofABurstOfClientsThatLeaveNobodyIsSentOn() throws Exception {
+    public void noRequestOfABurstOfDisconnectedClientsIsForwarded() throws Exception {
         try (Player p = new Player()) {
             p.step("most 400");
             p.step("engines e1");
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -10,11 +10,11 @@
 import org.junit.Assume;
 import org.junit.Test;
 
-/** A mailbox's owner waits without looking again and again, wherever those who post stand still. */
+/** A wait on a mailbox uses no CPU time, at whatever step the thread that posts is suspended. */
 public class WaitTest {
     private static final int TAKES = 4_000;
 
-    /** Two threads on one core; whoever goes first does so at any moment of the other. */
+    /** Two threads on one core: the taker has priority, and interrupts the poster at any step. */
     public static final class Hammer {
         private Hammer() {}
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Seen with the library's Condition in the mailbox: the taker ran on and on after 124 waits. */
+    /** With a {@link java.util.concurrent.locks.Condition} in the mailbox, the taker was seen to spin after 124 waits. */
     @Test
     public void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
         Assume.assumeTrue("the first-in-first-out class", StepProof.allowed());
--- a/src/test/java/magpiehub/concurrent/CachedThreadPoolTest.java
+++ b/src/test/java/magpiehub/concurrent/CachedThreadPoolTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Threads that are used again, never twice at once, and never lost between two pieces of work. */
+/** Threads are reused, each for one piece of work at a time, and no work is lost between two of them. */
 @Timeout(60)
 class CachedThreadPoolTest {
-    private static final long LONG_STAY = 30_000_000;
+    private static final long LONG_KEEP_ALIVE_MICROS = 30_000_000;
 
-    /** Runs one piece after another; returns the threads that did it. */
-    private static Set<Thread> oneByOne(CachedThreadPool cache, int pieces) throws InterruptedException {
+    /** Runs so many pieces of work one after another; returns the threads that ran them. */
+    private static Set<Thread> oneByOne(CachedThreadPool pool, int pieces) throws InterruptedException {
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < pieces; i++) {
             CountDownLatch done = new CountDownLatch(1);
-            cache.execute(() -> {
+            pool.execute(() -> {
                 threads.add(Thread.currentThread());
                 done.countDown();
             });
@@ -33,15 +33,17 @@
     @Test
     void aThreadThatHasFinishedTakesTheNextWork() throws InterruptedException {
         // A thread may still be on its way back to the idle ones when the next work comes.
-        assertTrue(oneByOne(new CachedThreadPool("t", LONG_STAY), 1000).size() < 100);
+        assertTrue(oneByOne(new CachedThreadPool("t", LONG_KEEP_ALIVE_MICROS), 1000)
+                        .size()
+                < 100);
     }
 
     @Test
     void workThatBlocksHoldsUpNoOther() throws InterruptedException {
-        CachedThreadPool cache = new CachedThreadPool("t", LONG_STAY);
+        CachedThreadPool pool = new CachedThreadPool("t", LONG_KEEP_ALIVE_MICROS);
         CountDownLatch all = new CountDownLatch(50);
         for (int i = 0; i < 50; i++) {
-            cache.execute(() -> {
+            pool.execute(() -> {
                 all.countDown();
                 try {
                     all.await();
@@ -61,14 +63,14 @@
         }
     }
 
-    /** Work that comes in the very moment in which the thread gives up waiting is done, once. */
+    /** Work that is submitted at the moment at which an idle thread ends is run, and once. */
     @Test
     void workThatCrossesTheEndOfAThreadIsDoneOnce() throws InterruptedException {
-        CachedThreadPool cache = new CachedThreadPool("t", 0);
+        CachedThreadPool pool = new CachedThreadPool("t", 0);
         AtomicInteger done = new AtomicInteger();
         CountDownLatch all = new CountDownLatch(20_000);
         for (int i = 0; i < 20_000; i++) {
-            cache.execute(() -> {
+            pool.execute(() -> {
                 done.incrementAndGet();
                 all.countDown();
             });
