--- a/src/main/java/magpiehub/concurrent/ActorThreadPool.java
+++ b/src/main/java/magpiehub/concurrent/ActorThreadPool.java
@@ -5,9 +5,9 @@
 
 /**
  * The threads on which the actors without a thread of their own take their turns, in the order in which the turns were
- * handed in. The pool keeps few threads, since each thread that stops and continues costs the process CPU time. A turn may
- * block on a peer that does not read; therefore one thread is added when all have been busy for a while, and threads
- * that are in a blocking call for long are not counted among the few.
+ * handed in. The pool keeps few threads, since each thread that stops and continues costs the process CPU time. A turn
+ * may block on a peer that does not read; therefore one thread is added when all have been busy for a while, and
+ * threads that are in a blocking call for long are not counted among the few.
  *
  * <p>That one actor never runs on two threads at once is ensured by its {@link Mailbox}.
  *
@@ -50,8 +50,8 @@
     }
 
     /**
-     * To be called on a pool's thread right before a call that may wait for a peer, such as a write to its socket; keeps
-     * peers that do not read from occupying all threads. Has no effect on other threads.
+     * To be called on a pool's thread right before a call that may wait for a peer, such as a write to its socket;
+     * keeps peers that do not read from occupying all threads. Has no effect on other threads.
      */
     public static void enterBlockingCall() {
         if (Thread.currentThread() instanceof Worker worker) {
@@ -91,9 +91,9 @@
     }
 
     /**
-     * With the monitor held: adds a thread if there are fewer than the core, or none has taken a turn for a while, or so
-     * many are blocked that the rest is fewer than the core. The pending turns wait if there is no memory for a thread,
-     * unless there is none at all.
+     * With the monitor held: adds a thread if there are fewer than the core, or none has taken a turn for a while, or
+     * so many are blocked that the rest is fewer than the core. The pending turns wait if there is no memory for a
+     * thread, unless there is none at all.
      */
     private void addWorkerIfStalled() {
         long nowNanos = System.nanoTime();
--- a/src/main/java/magpiehub/concurrent/CachedThreadPool.java
+++ b/src/main/java/magpiehub/concurrent/CachedThreadPool.java
@@ -10,9 +10,9 @@
  *
  * <p>Safe for use from any thread.
  *
- * <p><b>Locking.</b> The monitor of {@link #idleWorkers} guards that queue. Each worker has a monitor of its own for the
- * hand-over of work, which is taken before that of the queue, never after. A worker that was removed from the queue
- * is given work exactly once, by whoever removed it, or ends, if it removed itself.
+ * <p><b>Locking.</b> The monitor of {@link #idleWorkers} guards that queue. Each worker has a monitor of its own for
+ * the hand-over of work, which is taken before that of the queue, never after. A worker that was removed from the
+ * queue is given work exactly once, by whoever removed it, or ends, if it removed itself.
  */
 public final class CachedThreadPool {
     private static final long DEFAULT_KEEP_ALIVE_MICROS = 2_000_000;
--- a/src/main/java/magpiehub/concurrent/Mailbox.java
+++ b/src/main/java/magpiehub/concurrent/Mailbox.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * An actor's queue of messages, first in, first out, bounded by the bytes of the messages' payload. The actor either has
- * a thread of its own, which waits in {@link #take}, or is given turns on a shared {@link ActorThreadPool} through
+ * An actor's queue of messages, first in, first out, bounded by the bytes of the messages' payload. The actor either
+ * has a thread of its own, which waits in {@link #take}, or is given turns on a shared {@link ActorThreadPool} through
  * {@link #attach}, which suits actors that are many and mostly idle.
  *
  * <p>A message is never dropped silently: {@link #post} returns false if the message does not fit or the mailbox is
@@ -15,8 +15,8 @@
  *
  * <p><b>Locking.</b> The monitor of {@link #queue} guards all other fields. No foreign code runs while it is held, but
  * for the clock; in particular a turn is handed to the pool after it was released, so that the pool's monitor is never
- * taken inside of it. All waits on the monitor are woken by {@code notifyAll}, since the actor, which waits for messages,
- * and a reader, which waits for capacity, may wait at the same time.
+ * taken inside of it. All waits on the monitor are woken by {@code notifyAll}, since the actor, which waits for
+ * messages, and a reader, which waits for capacity, may wait at the same time.
  *
  * @param <M> the type of the messages
  */
@@ -89,9 +89,9 @@
     }
 
     /**
-     * Waits until there is capacity for a message, then adds it. Meant for the thread that reads from one peer: while it
-     * waits, only what that peer sends is held back. A message larger than the whole mailbox is added once the mailbox
-     * is empty.
+     * Waits until there is capacity for a message, then adds it. Meant for the thread that reads from one peer: while
+     * it waits, only what that peer sends is held back. A message larger than the whole mailbox is added once the
+     * mailbox is empty.
      *
      * @return false if the mailbox is closed
      */
--- a/src/main/java/magpiehub/concurrent/MonotonicClock.java
+++ b/src/main/java/magpiehub/concurrent/MonotonicClock.java
@@ -26,9 +26,10 @@
      * early, as {@link Object#wait()} may, and up to one millisecond late, since it waits by whole milliseconds: to be
      * called in a loop that tests the condition and the time.
      *
-     * <p>A monitor is used in place of a {@link java.util.concurrent.locks.Condition}: when a timed wait on a Condition
-     * is over while the signalling thread is suspended between two steps of its signal, the waiting thread polls without
-     * pause until that thread runs on. It never does where threads of a real-time scheduling class share one core.
+     * <p>A monitor is used in place of a {@link java.util.concurrent.locks.Condition}: when a timed wait on a
+     * Condition is over while the signalling thread is suspended between two steps of its signal, the waiting thread
+     * polls without pause until that thread runs on. It never does where threads of a real-time scheduling class share
+     * one core.
      *
      * @param untilMicros the time; {@link Long#MAX_VALUE} waits for a notification alone
      */
--- a/src/main/java/magpiehub/dispatch/RequestDispatcher.java
+++ b/src/main/java/magpiehub/dispatch/RequestDispatcher.java
@@ -124,12 +124,12 @@
      * Counts and logs what a handler has thrown; the dispatcher goes on with the next message, since ending the process
      * would end all requests instead of one.
      *
-     * <p>Still sound after an OutOfMemoryError or StackOverflowError at any point: the mailbox and the timer queue, from
-     * which the message was removed before it was handled, so that it is not handled again; and the table of open
+     * <p>Still sound after an OutOfMemoryError or StackOverflowError at any point: the mailbox and the timer queue,
+     * from which the message was removed before it was handled, so that it is not handled again; and the table of open
      * requests, which is changed by one operation at a time. A request that was open stays open, and its timer answers
-     * it after its deadline. Not certain: the policy may have applied the event in part, so that its statistics and its
-     * count of requests in flight may be off by this one; and a request whose timer could not be scheduled stays open
-     * until its client closes the connection.
+     * it after its deadline. Not certain: the policy may have applied the event in part, so that its statistics and
+     * its count of requests in flight may be off by this one; and a request whose timer could not be scheduled stays
+     * open until its client closes the connection.
      */
     private void reportFailure(Throwable failure) {
         eventLog.count("module_exceptions");
--- a/src/main/java/magpiehub/dispatch/RequestTable.java
+++ b/src/main/java/magpiehub/dispatch/RequestTable.java
@@ -14,9 +14,9 @@
  */
 final class RequestTable {
     /**
-     * The Retry-After of rejections for which the routing policy names no time (us). The policy's overload control takes
-     * one step in this time, so before it nothing need have changed; with a shorter time clients came back into the same
-     * overload.
+     * The Retry-After of rejections for which the routing policy names no time (us). The policy's overload control
+     * takes one step in this time, so before it nothing need have changed; with a shorter time clients came back into
+     * the same overload.
      */
     private static final long DEFAULT_RETRY_AFTER_MICROS = 500_000;
 
--- a/src/main/java/magpiehub/dispatch/TimerQueue.java
+++ b/src/main/java/magpiehub/dispatch/TimerQueue.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Events ordered by the time at which they are due; events of the same time keep the order in which they were scheduled.
- * Timers can't be cancelled: whoever handles an event checks whether it still applies. Not thread-safe.
+ * Events ordered by the time at which they are due; events of the same time keep the order in which they were
+ * scheduled. Timers can't be cancelled: whoever handles an event checks whether it still applies. Not thread-safe.
  *
  * @param <E> what is to happen
  */
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -42,7 +42,9 @@
         }
     }
 
-    /** With a {@link java.util.concurrent.locks.Condition} in the mailbox, the taker was seen to spin after 124 waits. */
+    /**
+     * With a {@link java.util.concurrent.locks.Condition} in the mailbox, the taker was seen to spin after 124 waits.
+     */
     @Test
     public void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
         Assume.assumeTrue("the first-in-first-out class", StepProof.allowed());
