--- a/lab/src/main/java/magpiehub/lab/Clients.java
+++ b/lab/src/main/java/magpiehub/lab/Clients.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 import org.HdrHistogram.Histogram;
 
@@ -176,7 +176,7 @@
     private final Truth truth;
     private final List<Front> fronts = new ArrayList<>();
     private final List<Result> results = new ArrayList<>();
-    private final ExecutorService callers = Executors.newCachedThreadPool(r -> Mailbox.thread("client", r));
+    private final ExecutorService callers = Executors.newCachedThreadPool(r -> DaemonThreads.newThread("client", r));
     private int out;
     private volatile long counted;
     private volatile boolean over;
@@ -203,7 +203,7 @@
         }
         for (Front f : fronts) {
             for (Target t : targets) {
-                Mailbox.thread("front", () -> f.watch(t.router)).start();
+                DaemonThreads.newThread("front", () -> f.watch(t.router)).start();
             }
         }
         long until = EngineSite.micros() + patienceUs;
@@ -243,7 +243,7 @@
         List<Thread> all = new ArrayList<>();
         for (Front f : fronts) {
             SplittableRandom random = new SplittableRandom(scenario.seed * 31 + f.site);
-            Thread t = Mailbox.thread("arrivals", () -> arrivals(f, from, random));
+            Thread t = DaemonThreads.newThread("arrivals", () -> arrivals(f, from, random));
             t.start();
             all.add(t);
         }
--- a/lab/src/main/java/magpiehub/lab/Discovery.java
+++ b/lab/src/main/java/magpiehub/lab/Discovery.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 
 /**
@@ -62,7 +62,7 @@
         server.setReuseAddress(true);
         server.bind(at, 512);
         servers.add(server);
-        Mailbox.thread("discovery-" + sites.get(site), () -> {
+        DaemonThreads.newThread("discovery-" + sites.get(site), () -> {
                     while (true) {
                         try {
                             Socket s = server.accept();
@@ -73,7 +73,7 @@
                                 }
                                 open.add(s);
                             }
-                            Mailbox.thread("discovery-call", () -> call(router, site, s))
+                            DaemonThreads.newThread("discovery-call", () -> call(router, site, s))
                                     .start();
                         } catch (IOException e) {
                             return;
--- a/lab/src/main/java/magpiehub/lab/EngineSite.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSite.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 
 /**
@@ -53,8 +53,8 @@
         }
 
         void start() {
-            Mailbox.thread(id + "-steps", this).start();
-            Mailbox.thread(id + "-accept", this::accept).start();
+            DaemonThreads.newThread(id + "-steps", this).start();
+            DaemonThreads.newThread(id + "-accept", this::accept).start();
         }
 
         private void accept() {
@@ -65,7 +65,7 @@
                     synchronized (this) {
                         open.add(s);
                     }
-                    Mailbox.thread(id + "-call", () -> serve(s)).start();
+                    DaemonThreads.newThread(id + "-call", () -> serve(s)).start();
                 } catch (IOException e) {
                     return;
                 }
@@ -314,7 +314,7 @@
                 new java.io.BufferedOutputStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), 1 << 16),
                 false,
                 StandardCharsets.UTF_8));
-        Mailbox.thread("reports", site::reports).start();
+        DaemonThreads.newThread("reports", site::reports).start();
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String l = in.readLine(); l != null; l = in.readLine()) {
             try {
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -19,7 +19,7 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 
 /**
@@ -228,7 +228,7 @@
         }
         discovery.late(s.listLateMs * 1000);
         long from = EngineSite.micros() + Clients.WARM + 300_000;
-        Mailbox.thread("samples", this::samples).start();
+        DaemonThreads.newThread("samples", this::samples).start();
         List<Thread> arrivals = clients.send(from);
         for (Scenario.Fault f : s.faults) {
             until(from + f.at() * 1000);
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -81,7 +81,7 @@
             }
             Fleet.Outcome[] both = new Fleet.Outcome[1];
             IOException[] failed = new IOException[1];
-            Thread t = Mailbox.thread("base", () -> {
+            Thread t = DaemonThreads.newThread("base", () -> {
                 try {
                     both[0] = one(s, base, out.resolve("base"), net + 110, Map.of(), "base: ");
                 } catch (IOException e) {
--- a/lab/src/main/java/magpiehub/lab/Processes.java
+++ b/lab/src/main/java/magpiehub/lab/Processes.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 
 /**
  * The processes of a play: started, hit with signals, looked at, and ended with the rig, whatever ends it. It
@@ -92,7 +92,7 @@
                 all.add(p);
             }
         }
-        Mailbox.thread("log-" + name, () -> {
+        DaemonThreads.newThread("log-" + name, () -> {
                     try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8)) {
                         for (String l = in.readLine(); l != null; l = in.readLine()) {
                             line.accept(l);
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 
 /**
  * What lies between any two processes of the rig: a listener that hands each connection on to one address,
@@ -213,7 +213,7 @@
         fresh.bind(at, now == Door.OPEN ? BACKLOG : 1);
         server = fresh;
         if (now == Door.OPEN) {
-            acceptor = Mailbox.thread("relay-" + path.name, () -> accept(fresh));
+            acceptor = DaemonThreads.newThread("relay-" + path.name, () -> accept(fresh));
             acceptor.start();
             return;
         }
@@ -245,7 +245,7 @@
             down = true;
             apply();
         }
-        Mailbox.thread("relay-knock", () -> {
+        DaemonThreads.newThread("relay-knock", () -> {
                     while (true) {
                         EngineSite.sleep(KNOCK);
                         try (Socket s = new Socket()) {
@@ -319,7 +319,7 @@
         }
 
         void start() {
-            Mailbox.thread("relay-forth", this::forth).start();
+            DaemonThreads.newThread("relay-forth", this::forth).start();
         }
 
         private void forth() {
@@ -333,7 +333,7 @@
                 refuse();
                 return;
             }
-            Mailbox.thread("relay-back", () -> pump(1, target, opener)).start();
+            DaemonThreads.newThread("relay-back", () -> pump(1, target, opener)).start();
             pump(0, opener, target);
         }
 
--- a/lab/src/test/java/magpiehub/lab/ClientsTest.java
+++ b/lab/src/test/java/magpiehub/lab/ClientsTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 import org.junit.Rule;
 import org.junit.Test;
@@ -82,11 +82,12 @@
                         "\"sites\": [{\"name\": \"north\", \"routers\": 1," + " \"engines\": 1, \"rate\": 30}],")
                 .replaceFirst("(?s)\"faults\": \\[.*", "\"faults\": []}");
         try (ServerSocket router = new ServerSocket(0, 128, InetAddress.getLoopbackAddress())) {
-            Mailbox.thread("router", () -> {
+            DaemonThreads.newThread("router", () -> {
                         while (true) {
                             try {
                                 Socket s = router.accept();
-                                Mailbox.thread("call", () -> serve(s, answer)).start();
+                                DaemonThreads.newThread("call", () -> serve(s, answer))
+                                        .start();
                             } catch (IOException e) {
                                 return;
                             }
--- a/src/main/java/magpiehub/admin/AdminCommandHandler.java
+++ b/src/main/java/magpiehub/admin/AdminCommandHandler.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.telemetry.EventLog;
@@ -63,7 +64,7 @@
     /** Applies the stored state, and from then on follows the file on a thread of its own. */
     public void start() {
         followFile();
-        Mailbox.thread("operators", this::pollFile).start();
+        DaemonThreads.newThread("operators", this::pollFile).start();
     }
 
     private void pollFile() {
--- a/src/main/java/magpiehub/admin/AdminServer.java
+++ b/src/main/java/magpiehub/admin/AdminServer.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.UnaryOperator;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Sockets;
 import magpiehub.telemetry.EventLog;
 
@@ -54,7 +54,7 @@
 
     /** Starts to accept connections, on a thread of its own. */
     public void start() {
-        Mailbox.thread("console", this::acceptConnections).start();
+        DaemonThreads.newThread("console", this::acceptConnections).start();
     }
 
     private void acceptConnections() {
@@ -64,7 +64,8 @@
                 accepted = server.accept();
                 register(accepted);
                 Socket connection = accepted;
-                Mailbox.thread("console-caller", () -> serve(connection)).start();
+                DaemonThreads.newThread("console-caller", () -> serve(connection))
+                        .start();
             } catch (IOException | OutOfMemoryError e) {
                 // OutOfMemoryError: no further thread can be started.
                 log.count("console_accept_failures");
--- a/src/main/java/magpiehub/concurrent/Mailbox.java
+++ b/src/main/java/magpiehub/concurrent/Mailbox.java
@@ -11,7 +11,7 @@
  * closed, and the caller has to end the peer that the message concerns.
  *
  * <p><b>Threads.</b> Any thread may post or close. {@link #take} and {@link #poll} are for the actor, that is for one
- * thread at a time. Posting never blocks, but for {@link #postWhenRoom}.
+ * thread at a time. Posting never blocks, but for {@link #postBlocking}.
  *
  * <p><b>Locking.</b> The monitor of {@link #queue} guards all other fields. No foreign code runs while it is held, but
  * for the clock; in particular a turn is handed to the pool after it was released, so that the pool's monitor is never
@@ -95,7 +95,7 @@
      *
      * @return false if the mailbox is closed
      */
-    public boolean postWhenRoom(M message, int bytes) throws InterruptedException {
+    public boolean postBlocking(M message, int bytes) throws InterruptedException {
         boolean startTurn;
         synchronized (queue) {
             while (!closed && queuedBytes > 0 && queuedBytes + bytes > maxBytes) {
@@ -137,11 +137,6 @@
         }
     }
 
-    /** Creates a thread; see {@link DaemonThreads#newThread}. */
-    public static Thread thread(String name, Runnable body) {
-        return DaemonThreads.newThread(name, body);
-    }
-
     /** With the monitor held: adds a message. Returns whether the caller has to hand a turn to the pool. */
     private boolean enqueue(M message, int bytes) {
         queuedBytes += bytes;
--- a/src/main/java/magpiehub/discovery/Announcer.java
+++ b/src/main/java/magpiehub/discovery/Announcer.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import javax.net.ssl.SSLContext;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.http.Http;
@@ -56,7 +57,7 @@
 
     /** Starts its thread. */
     public void start() {
-        Mailbox.thread("registry-announce", this::run).start();
+        DaemonThreads.newThread("registry-announce", this::run).start();
     }
 
     /** Removes the entry, and waits for that at most so long (ms). Any thread. */
--- a/src/main/java/magpiehub/discovery/Discovery.java
+++ b/src/main/java/magpiehub/discovery/Discovery.java
@@ -15,6 +15,7 @@
 import java.util.Set;
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationException;
@@ -103,7 +104,7 @@
             MonotonicClock clock,
             EventLog journal,
             long seed) {
-        this(address, site, engines, clock, journal, seed, read -> Mailbox.thread("discovery-reader", read)
+        this(address, site, engines, clock, journal, seed, read -> DaemonThreads.newThread("discovery-reader", read)
                 .start());
     }
 
@@ -138,7 +139,7 @@
                 journal.log("known-list-unreadable", "error", e.getMessage());
             }
         }
-        Mailbox.thread("discovery", this::run).start();
+        DaemonThreads.newThread("discovery", this::run).start();
     }
 
     @Override
--- a/src/main/java/magpiehub/discovery/Registry.java
+++ b/src/main/java/magpiehub/discovery/Registry.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
 import javax.net.ssl.SSLContext;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationException;
@@ -231,7 +232,7 @@
 
         private void post(Runnable what, int size) throws IOException, InterruptedException {
             call.first = false;
-            if (!mailbox.postWhenRoom(new Word(call, what), size)) {
+            if (!mailbox.postBlocking(new Word(call, what), size)) {
                 throw new IOException("stopped");
             }
         }
@@ -399,7 +400,7 @@
         now = clock.micros();
         if (options.listFile() != null) {
             restore();
-            Mailbox.thread("registry-disk", this::writeLists).start();
+            DaemonThreads.newThread("registry-disk", this::writeLists).start();
         }
         try {
             current = new Session(options, now);
@@ -410,7 +411,7 @@
     }
 
     private void begin(String name, Runnable body) {
-        Thread t = Mailbox.thread(name, body);
+        Thread t = DaemonThreads.newThread(name, body);
         if (tap != null) {
             tap.began(t);
         }
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -18,6 +18,7 @@
 import java.util.function.Supplier;
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.CachedThreadPool;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.dispatch.ClientCallback;
@@ -135,9 +136,9 @@
     }
 
     public void start() {
-        Mailbox.thread("accept", this::accept).start();
-        Mailbox.thread("client-times", this::times).start();
-        Mailbox.thread("greeter", this::greet).start();
+        DaemonThreads.newThread("accept", this::accept).start();
+        DaemonThreads.newThread("client-times", this::times).start();
+        DaemonThreads.newThread("greeter", this::greet).start();
     }
 
     /** Guards against a thread for each client that says nothing: when there are many, a connection gets its
--- a/src/main/java/magpiehub/lifecycle/ClassArchiveTrainer.java
+++ b/src/main/java/magpiehub/lifecycle/ClassArchiveTrainer.java
@@ -11,7 +11,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 
 /**
  * Exercises a router on loopback with fake peers while the JVM records the classes that it loads in an archive (JEP
@@ -74,8 +74,8 @@
         Path file = Files.createTempFile("rehearsal", ".json");
         file.toFile().deleteOnExit();
         Files.writeString(file, CONFIGURATION.formatted(routerPort, peersPort, endpointList));
-        Mailbox.thread("peers", () -> acceptPeers(peers, endpointList)).start();
-        Mailbox.thread("client", () -> runClient(routerPort)).start();
+        DaemonThreads.newThread("peers", () -> acceptPeers(peers, endpointList)).start();
+        DaemonThreads.newThread("client", () -> runClient(routerPort)).start();
         return Map.of("ROUTER_CONFIG", file.toString());
     }
 
@@ -91,7 +91,7 @@
         while (true) {
             try {
                 Socket connection = peers.accept();
-                Mailbox.thread("peer", () -> serveConnection(connection, endpointList))
+                DaemonThreads.newThread("peer", () -> serveConnection(connection, endpointList))
                         .start();
             } catch (IOException e) {
                 return;
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -8,7 +8,7 @@
 import magpiehub.admin.AdminCommandHandler;
 import magpiehub.admin.AdminServer;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.HostPort;
@@ -100,7 +100,7 @@
     public void run() throws IOException {
         discovery.start(dispatcher, configuration.initialEndpoints());
         startReloader();
-        Mailbox.thread("module", dispatcher::run).start();
+        DaemonThreads.newThread("module", dispatcher::run).start();
         warmUp();
         // Not before: a request that waits in the socket of a process that can't read it yet loses time that
         // nobody counts, for its deadline runs from when it was sent.
@@ -200,7 +200,7 @@
     private void startReloader() {
         ConfigurationReloader reloader =
                 new ConfigurationReloader(configuration, signals, discovery, REGISTRY_FILE, log, this::applySettings);
-        Mailbox.thread("reload", reloader).start();
+        DaemonThreads.newThread("reload", reloader).start();
     }
 
     private void applySettings(SiteSettings later) throws IOException {
--- a/src/main/java/magpiehub/store/PeerLink.java
+++ b/src/main/java/magpiehub/store/PeerLink.java
@@ -5,6 +5,7 @@
 import java.net.Socket;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.HostPort;
@@ -57,7 +58,7 @@
 
     /** Starts to dial the peer, on a thread of the link's own; only that thread writes to the socket. */
     void start() {
-        Mailbox.thread("store-link", this::run).start();
+        DaemonThreads.newThread("store-link", this::run).start();
     }
 
     private void run() {
@@ -81,7 +82,7 @@
             Mailbox<byte[]> newQueue = new Mailbox<>(clock, MAX_QUEUED_BYTES);
             queue = newQueue;
             sendEntries(connection.getOutputStream());
-            Mailbox.thread("store-watch", () -> watchForEnd(connection, newQueue))
+            DaemonThreads.newThread("store-watch", () -> watchForEnd(connection, newQueue))
                     .start();
             log.count("store_links");
             sendWrites(connection.getOutputStream(), newQueue);
--- a/src/main/java/magpiehub/store/PeerListener.java
+++ b/src/main/java/magpiehub/store/PeerListener.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Sockets;
 import magpiehub.telemetry.EventLog;
 
@@ -38,7 +38,7 @@
         this.log = log;
         server.setReuseAddress(true);
         server.bind(listenAddress);
-        acceptThread = Mailbox.thread("store-accept", this::acceptConnections);
+        acceptThread = DaemonThreads.newThread("store-accept", this::acceptConnections);
         acceptThread.start();
     }
 
@@ -53,7 +53,8 @@
                 Socket connection = server.accept();
                 connections.add(connection);
                 connection.setTcpNoDelay(true);
-                Mailbox.thread("store-reader", () -> readMessages(connection)).start();
+                DaemonThreads.newThread("store-reader", () -> readMessages(connection))
+                        .start();
             } catch (IOException | OutOfMemoryError e) {
                 // OutOfMemoryError: no further thread can be started.
                 log.count("store_link_failures");
--- a/src/main/java/magpiehub/telemetry/SyslogEventLog.java
+++ b/src/main/java/magpiehub/telemetry/SyslogEventLog.java
@@ -5,6 +5,7 @@
 import java.time.Instant;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 
@@ -51,7 +52,7 @@
     /** Starts the thread that writes the lines. */
     public void start() {
         started = true;
-        Mailbox.thread("log", this::writeUntilInterrupted).start();
+        DaemonThreads.newThread("log", this::writeUntilInterrupted).start();
     }
 
     private void writeUntilInterrupted() {
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -13,6 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.CachedThreadPool;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.HostPort;
@@ -109,7 +110,7 @@
 
     /** Tells connections whose time has come, however many there are. */
     public void start() {
-        Mailbox.thread("engine-times", () -> {
+        DaemonThreads.newThread("engine-times", () -> {
                     Mailbox<Object> nothing = new Mailbox<>(clock, 0);
                     long now = clock.micros();
                     try {
@@ -244,7 +245,7 @@
     @Override
     public void probe(String server) {
         long sentAt = clock.micros();
-        Mailbox.thread("probe", () -> {
+        DaemonThreads.newThread("probe", () -> {
                     AttemptOutcome o = AttemptOutcome.RESET;
                     boolean sent = false;
                     LoadReport load = null;
@@ -798,7 +799,7 @@
                             // by it.
                             Streams.Flow f = flow;
                             streams.came(f, e.length);
-                            if (!mailbox.postWhenRoom(new Event(s, e, f), e.length)) {
+                            if (!mailbox.postBlocking(new Event(s, e, f), e.length)) {
                                 streams.dropped(f, e.length);
                                 throw new IOException("ended");
                             }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Pattern;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
@@ -206,7 +206,7 @@
         clients.start();
         log.start();
         discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes(UTF_8));
-        module = Mailbox.thread("module", actor::run);
+        module = DaemonThreads.newThread("module", actor::run);
         module.start();
     }
 
@@ -309,7 +309,8 @@
             }
             case ">&" -> { // Events of so many bytes, and the last chunk, by a thread: it may have to wait.
                 Socket to = p.socket;
-                Mailbox.thread("sends", () -> many(to, Integer.parseInt(rest))).start();
+                DaemonThreads.newThread("sends", () -> many(to, Integer.parseInt(rest)))
+                        .start();
             }
             case ">~" -> {
                 byte[] event = unescape(rest).getBytes(StandardCharsets.UTF_8);
@@ -401,7 +402,7 @@
                         .getBytes(StandardCharsets.UTF_8));
         p.begun = new CompletableFuture<>();
         p.outcome = new CompletableFuture<>();
-        Mailbox.thread("answer", () -> {
+        DaemonThreads.newThread("answer", () -> {
                     try {
                         p.outcome.complete(answer(p) + " at " + at());
                     } catch (IOException | RuntimeException | AssertionError e) {
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -21,6 +21,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.http.Http;
@@ -88,7 +89,7 @@
         }
 
         private static void after(long us, String name, Runnable then) {
-            Mailbox.thread(name, () -> {
+            DaemonThreads.newThread(name, () -> {
                         try {
                             new Mailbox<>(MonotonicClock.SYSTEM, 1).take(MonotonicClock.SYSTEM.micros() + us);
                             then.run();
@@ -128,12 +129,12 @@
     private ServerSocket serve(Service service) throws IOException {
         ServerSocket server = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
         servers.add(server);
-        Mailbox.thread("accept", () -> {
+        DaemonThreads.newThread("accept", () -> {
                     while (!server.isClosed()) {
                         try {
                             Socket s = server.accept();
                             s.setTcpNoDelay(true);
-                            Mailbox.thread("peer", () -> {
+                            DaemonThreads.newThread("peer", () -> {
                                         try (s) {
                                             service.serve(s);
                                         } catch (IOException | InterruptedException e) {
@@ -282,7 +283,7 @@
         router = b.start();
         Runtime.getRuntime().addShutdownHook(new Thread(router::destroyForcibly));
         BufferedReader log = router.inputReader();
-        Mailbox.thread("log", () -> {
+        DaemonThreads.newThread("log", () -> {
                     try {
                         for (String l = log.readLine(); l != null; l = log.readLine()) {
                             if (l.contains(" started ")) {
@@ -422,7 +423,7 @@
                     for (int i = 0; i < 24; i++) {
                         int number = i;
                         SplittableRandom own = random.split();
-                        clients.add(Mailbox.thread("client", () -> client(number, own)));
+                        clients.add(DaemonThreads.newThread("client", () -> client(number, own)));
                         clients.get(i).start();
                     }
                 }
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -5,6 +5,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.util.List;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import org.junit.Assume;
@@ -20,7 +21,7 @@
 
         public static void main(String[] args) throws IOException {
             Mailbox<Object> box = new Mailbox<>(MonotonicClock.SYSTEM, 1);
-            Mailbox.thread("taker", () -> {
+            DaemonThreads.newThread("taker", () -> {
                         try {
                             for (int i = 0; i < TAKES; i++) {
                                 box.take(MonotonicClock.SYSTEM.micros() + 30 + i % 90);
--- a/src/test/java/magpiehub/concurrent/MailboxTest.java
+++ b/src/test/java/magpiehub/concurrent/MailboxTest.java
@@ -19,12 +19,12 @@
 
     private final Mailbox<String> mailbox = new Mailbox<>(MonotonicClock.SYSTEM, CAPACITY);
 
-    /** Posts with {@link Mailbox#postWhenRoom} on a thread of its own, and returns once that thread waits. */
+    /** Posts with {@link Mailbox#postBlocking} on a thread of its own, and returns once that thread waits. */
     private CompletableFuture<Boolean> postAndWait(String message, int bytes) throws InterruptedException {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         Thread poster = DaemonThreads.newThread("poster", () -> {
             try {
-                result.complete(mailbox.postWhenRoom(message, bytes));
+                result.complete(mailbox.postBlocking(message, bytes));
             } catch (InterruptedException e) {
                 result.completeExceptionally(e);
             }
--- a/src/test/java/magpiehub/discovery/DiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/DiscoveryTest.java
@@ -10,7 +10,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicInteger;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
@@ -49,12 +49,12 @@
                         if (calls.incrementAndGet() == 1) {
                             throw new OutOfMemoryError("unable to create native thread");
                         }
-                        Mailbox.thread("reader", read).start();
+                        DaemonThreads.newThread("reader", read).start();
                     });
             RequestDispatcher module = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
             engines.module(module);
             discovery.start(module, null);
-            Thread thread = Mailbox.thread("module", module::run);
+            Thread thread = DaemonThreads.newThread("module", module::run);
             thread.start();
             try (Socket second = server.accept()) {
                 assertEquals(2, calls.get());
--- a/src/test/java/magpiehub/discovery/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.EndpointEntry;
@@ -163,7 +163,7 @@
             engines.module(module);
             registry.tap = this;
             registry.start(module, null);
-            Mailbox.thread("module", module::run).start();
+            DaemonThreads.newThread("module", module::run).start();
         }
 
         @Override
--- a/src/test/java/magpiehub/discovery/StandIn.java
+++ b/src/test/java/magpiehub/discovery/StandIn.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
@@ -212,7 +212,7 @@
         Endpoint() throws IOException {
             server = new ServerSocket(0, 512, InetAddress.getByName("127.0.0.1"));
             port = server.getLocalPort();
-            Mailbox.thread("stand-in", () -> accept(server)).start();
+            DaemonThreads.newThread("stand-in", () -> accept(server)).start();
         }
 
         String address() {
@@ -246,7 +246,7 @@
                         open.remove(c);
                         continue;
                     }
-                    Mailbox.thread("stand-in-peer", () -> serve(c)).start();
+                    DaemonThreads.newThread("stand-in-peer", () -> serve(c)).start();
                 } catch (IOException e) {
                     return;
                 }
--- a/src/test/java/magpiehub/streaming/StreamsProof.java
+++ b/src/test/java/magpiehub/streaming/StreamsProof.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 
@@ -131,7 +131,7 @@
             try {
                 Socket s = server.accept();
                 s.setTcpNoDelay(true);
-                Mailbox.thread("engine", () -> serve(s)).start();
+                DaemonThreads.newThread("engine", () -> serve(s)).start();
             } catch (IOException e) {
                 return;
             }
@@ -317,7 +317,7 @@
         for (int i = 0; i < ENGINES; i++) {
             ServerSocket s = new ServerSocket(0, 512, InetAddress.getByName("127.0.0.1"));
             engines.add(s);
-            Mailbox.thread("accept", () -> engine(s)).start();
+            DaemonThreads.newThread("accept", () -> engine(s)).start();
             known.append(i == 0 ? "" : ",")
                     .append("{\"id\":\"e")
                     .append(i)
@@ -372,13 +372,13 @@
         router = b.start();
         // A proof that is stopped from outside leaves no router behind.
         Runtime.getRuntime().addShutdownHook(new Thread(router::destroyForcibly));
-        Mailbox.thread("discovery", () -> {
+        DaemonThreads.newThread("discovery", () -> {
                     try {
                         while (true) {
                             Socket s = discovery.accept();
                             s.getOutputStream()
                                     .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
-                            Mailbox.thread("watch", () -> {
+                            DaemonThreads.newThread("watch", () -> {
                                         try {
                                             while (true) {
                                                 s.getOutputStream().write("1\r\n\n\r\n".getBytes(UTF_8));
@@ -397,7 +397,7 @@
                 .start();
         BufferedReader log = router.inputReader();
         CountDownLatch started = new CountDownLatch(1);
-        Mailbox.thread("log", () -> {
+        DaemonThreads.newThread("log", () -> {
                     try {
                         for (String l = log.readLine(); l != null; l = log.readLine()) {
                             if (l.contains(" started ")) {
@@ -467,7 +467,7 @@
                                     ? kinds[1 + i - healthy]
                                     : kinds[1 + random.nextInt(kinds.length - 1)];
             String id = name + i + "-" + t;
-            Thread c = Mailbox.thread("client", () -> client(id, t, t == Trouble.NONE ? gaps : null));
+            Thread c = DaemonThreads.newThread("client", () -> client(id, t, t == Trouble.NONE ? gaps : null));
             all.add(c);
         }
         java.util.Collections.shuffle(all, new java.util.Random(random.nextLong()));
@@ -483,7 +483,7 @@
 
     /** SIGTERM in the middle of all troubles; returns the endings that the router counted by its end. */
     private long stopped(int healthy, int troubled) throws InterruptedException {
-        Thread t = Mailbox.thread("last", () -> {
+        Thread t = DaemonThreads.newThread("last", () -> {
             try {
                 play("t", healthy, troubled);
             } catch (InterruptedException e) {
@@ -512,7 +512,7 @@
     /** What is measured here is measured by threads that wait for a core themselves: a bound on time holds
      *  beyond the longest that one had to wait. On a machine with cores to spare that is a millisecond. */
     private void measureLateness() {
-        Thread t = Mailbox.thread("lateness", () -> {
+        Thread t = DaemonThreads.newThread("lateness", () -> {
             try {
                 while (true) {
                     long begun = System.nanoTime();
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
@@ -205,7 +205,7 @@
         UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
         module = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, engines, roster, log);
         engines.module(module);
-        thread = Mailbox.thread("module", module::run);
+        thread = DaemonThreads.newThread("module", module::run);
         thread.start();
         module.updateEndpoints(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
         engines.place("e", "127.0.0.1:" + engine.getLocalPort(), takes, false);
