--- a/src/main/java/magpiehub/config/SiteSettings.java
+++ b/src/main/java/magpiehub/config/SiteSettings.java
@@ -64,14 +64,14 @@
     private static RoutingSettings withTables(
             RoutingSettings settings, List<RequestClass> classes, List<Tenant> tenants) {
         return new RoutingSettings(
-                settings.me(),
-                settings.instances(),
-                settings.myZone(),
-                settings.zones(),
-                settings.subscribe(),
-                settings.resume(),
-                settings.weights(),
-                settings.overShareWorth(),
+                settings.instanceIndex(),
+                settings.instanceCount(),
+                settings.ownZone(),
+                settings.zoneCount(),
+                settings.subscribesToEndpoints(),
+                settings.resumesStreams(),
+                settings.weightMeaning(),
+                settings.overQuotaWeight(),
                 classes,
                 tenants,
                 settings.limits(),
--- a/src/main/java/magpiehub/config/SiteSettingsParser.java
+++ b/src/main/java/magpiehub/config/SiteSettingsParser.java
@@ -69,9 +69,9 @@
 
     private static Idempotency idempotency(String effect) {
         return switch (effect) {
-            case SettingsKeys.EFFECT_PURE -> Idempotency.PURE;
-            case "token" -> Idempotency.TOKEN;
-            case "side_effect" -> Idempotency.SIDE_EFFECT;
+            case SettingsKeys.EFFECT_PURE -> Idempotency.IDEMPOTENT;
+            case "token" -> Idempotency.IDEMPOTENT_WITH_KEY;
+            case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new ConfigurationException("classes.effect", "is no effect: " + effect);
         };
     }
--- a/src/main/java/magpiehub/discovery/Discovery.java
+++ b/src/main/java/magpiehub/discovery/Discovery.java
@@ -145,7 +145,7 @@
     @Override
     public boolean known() {
         // Where lists are pushed, what the agent has counts as told from the first moment.
-        return known && (heard || site.get().routing().subscribe());
+        return known && (heard || site.get().routing().subscribesToEndpoints());
     }
 
     @Override
--- a/src/main/java/magpiehub/dispatch/EndpointWatch.java
+++ b/src/main/java/magpiehub/dispatch/EndpointWatch.java
@@ -28,7 +28,7 @@
     }
 
     void updateSettings(RoutingSettings settings) {
-        policySubscribes = settings.subscribe();
+        policySubscribes = settings.subscribesToEndpoints();
     }
 
     /** Opens the watch if none is open and the routing policy opens none. */
--- a/src/main/java/magpiehub/dispatch/RequestTable.java
+++ b/src/main/java/magpiehub/dispatch/RequestTable.java
@@ -34,8 +34,8 @@
     }
 
     void updateSettings(RoutingSettings settings) {
-        maxOpenRequests = settings.limits().mostHeld();
-        defaultRetryAfterMicros = settings.limits().retryAfter()
+        maxOpenRequests = settings.limits().maxInFlight();
+        defaultRetryAfterMicros = settings.limits().sendsRetryAfter()
                 ? defaultRetryAfter(settings.limits().maxRetryAfter())
                 : 0;
     }
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -888,7 +888,8 @@
                 over(true);
                 return;
             }
-            Streams.Flow f = streams.open(call.request.cls(), call.request.tenant(), call.request.id(), this);
+            Streams.Flow f =
+                    streams.open(call.request.classIndex(), call.request.tenantIndex(), call.request.id(), this);
             if (f == null) {
                 journal.count("answered_refused");
                 journal.count("requests_shed");
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -112,7 +112,7 @@
             }
             if (awaitingRequests && elapsedMillis >= phases.finishMillis()) {
                 awaitingRequests = false;
-                dispatcher.shutDown(site.get().routing().resume());
+                dispatcher.shutDown(site.get().routing().resumesStreams());
             }
             if (!awaitingRequests) {
                 listeners.forEach(listener -> listener.letGoStuck(STUCK_CLIENT_MICROS));
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -168,7 +168,7 @@
         }
         SiteSettings siteSettings = configuration.site();
         return new SiteFailoverPlan(
-                settings, siteSettings.zones(), siteSettings.routing().myZone(), configuration.seed(), log);
+                settings, siteSettings.zones(), siteSettings.routing().ownZone(), configuration.seed(), log);
     }
 
     private RequestDispatcher createDispatcher() {
--- a/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
+++ b/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
@@ -16,13 +16,13 @@
     private final Set<String> unreachable = new HashSet<>();
 
     @Override
-    public void number(int zones) {
+    public void setZoneCount(int zones) {
         failedAt = Arrays.copyOf(failedAt, Math.max(failedAt.length, zones));
         failures = Arrays.copyOf(failures, failedAt.length);
     }
 
     @Override
-    public void told(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
+    public void recordEvidence(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
         if (sign == ZoneEvidence.NO_CONNECTION) {
             if (unreachable.add(replica)) {
                 failures[zone] = now - failedAt[zone] > 2 * PAUSE ? 1 : failures[zone] + 1;
@@ -35,15 +35,15 @@
     }
 
     @Override
-    public void fresh(String replica) {
+    public void forgetReplica(String replica) {
         unreachable.remove(replica);
     }
 
     @Override
-    public void listed(long now, int zone, int live) {}
+    public void setReplicaCount(long now, int zone, int live) {}
 
     @Override
-    public boolean takes(long now, int zone, double place) {
+    public boolean accepts(long now, int zone, double place) {
         return failures[zone] < FAILURES || now - failedAt[zone] >= PAUSE;
     }
 }
--- a/src/main/java/magpiehub/routing/Guarantees.java
+++ b/src/main/java/magpiehub/routing/Guarantees.java
@@ -3,9 +3,9 @@
 /** Figures of the rules that every node must keep by itself. */
 public record Guarantees(
         long answerSlack,
-        long askWithin,
-        long cold,
-        long fall,
+        long pollWithin,
+        long warmUpDuration,
+        long overloadWindow,
         double overloadFactor,
-        double startCapacity,
+        double initialCapacity,
         long stopSendingWithin) {}
--- a/src/main/java/magpiehub/routing/Idempotency.java
+++ b/src/main/java/magpiehub/routing/Idempotency.java
@@ -3,9 +3,9 @@
 /** What a repeat of a request does. */
 public enum Idempotency {
     /** Harmless to repeat. */
-    PURE,
+    IDEMPOTENT,
     /** Repeats are dropped by one group of servers, for a time. */
-    TOKEN,
+    IDEMPOTENT_WITH_KEY,
     /** Never safe to repeat unless it is known that it did not run. */
-    SIDE_EFFECT
+    NOT_IDEMPOTENT
 }
--- a/src/main/java/magpiehub/routing/RequestClass.java
+++ b/src/main/java/magpiehub/routing/RequestClass.java
@@ -8,14 +8,14 @@
  */
 public record RequestClass(
         String name,
-        Idempotency effect,
-        DeduplicationScope group,
-        long window,
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        long deduplicationWindow,
         boolean stream,
-        long aim,
-        long aimPer1000,
-        double aimStretch,
+        long latencyObjective,
+        long latencyObjectivePer1000Tokens,
+        double latencyObjectiveStretch,
         long deadline,
-        long tokenAim,
-        double worth,
-        double lateShare) {}
+        long tokenIntervalObjective,
+        double priorityWeight,
+        double lateAnswerValue) {}
--- a/src/main/java/magpiehub/routing/RoutingLimits.java
+++ b/src/main/java/magpiehub/routing/RoutingLimits.java
@@ -2,12 +2,12 @@
 
 /** What the site permits. */
 public record RoutingLimits(
-        boolean cancel,
-        boolean probes,
-        boolean peers,
-        boolean parallel,
-        boolean retryAfter,
-        int mostAttempts,
-        int mostHeld,
+        boolean allowsCancellation,
+        boolean allowsHealthChecks,
+        boolean allowsPeerMessages,
+        boolean allowsParallelAttempts,
+        boolean sendsRetryAfter,
+        int maxAttempts,
+        int maxInFlight,
         long maxRetryAfter,
         long connectTimeout) {}
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -185,7 +185,7 @@
         this.now = now;
         this.zones = zones;
         sized();
-        stay = s.costs().crossZone() > 0 && s.zones() > 1 ? 0.5 : 0;
+        stay = s.costs().crossZone() > 0 && s.zoneCount() > 1 ? 0.5 : 0;
         allowanceAt = now;
         startedAt = now;
         seenAt = now;
@@ -195,7 +195,7 @@
         lastMiss = now;
         // Discovery serves callers in turn: first calls spread out.
         asking = new EndpointPollSchedule(
-                now + (long) (random() * Math.min(s.guarantees().askWithin() / 2, 250_000L * s.instances())));
+                now + (long) (random() * Math.min(s.guarantees().pollWithin() / 2, 250_000L * s.instanceCount())));
         out.timer(now + SWEEP, 1);
     }
 
@@ -231,8 +231,8 @@
         arrivals = Arrays.copyOf(arrivals, 2 * n);
         shedPart = Arrays.copyOf(shedPart, 2 * n);
         allowance = Arrays.copyOf(allowance, s.tenants().size());
-        zoneCount = Math.max(Math.max(1, zoneCount), s.zones());
-        zones.number(zoneCount);
+        zoneCount = Math.max(Math.max(1, zoneCount), s.zoneCount());
+        zones.setZoneCount(zoneCount);
         shutZones = Arrays.copyOf(shutZones, zoneCount);
     }
 
@@ -241,7 +241,7 @@
     public void list(long time, EndpointListKind kind, List<Endpoint> servers) {
         at(time);
         if (kind == EndpointListKind.ERROR) {
-            asking.failed(now, s.guarantees().askWithin(), random());
+            asking.failed(now, s.guarantees().pollWithin(), random());
             return;
         }
         if (kind != EndpointListKind.SAVED) {
@@ -269,9 +269,9 @@
             }
             boolean restarted = r.entry == null || e.onlineSince() > r.entry.onlineSince();
             // A live weight falls with the load: the most seen is the replica's size.
-            double size = s.weights() == WeightMeaning.NONE
+            double size = s.weightMeaning() == WeightMeaning.NONE
                     ? 1
-                    : s.weights() == WeightMeaning.LIVE ? Math.max(r.size, e.weight()) : e.weight();
+                    : s.weightMeaning() == WeightMeaning.LIVE ? Math.max(r.size, e.weight()) : e.weight();
             boolean live = e.state() == EndpointState.LIVE;
             boolean resized = Math.abs(size - r.size) > 0.1 * r.size;
             changed |= r.entry == null || r.entry.zone() != e.zone() || r.ready != live || resized;
@@ -323,14 +323,14 @@
             if (r.ready) {
                 ready.add(r);
                 inZone[zone(r.entry.zone())]++;
-                if (r.entry.zone() == s.myZone()) {
+                if (r.entry.zone() == s.ownZone()) {
                     near.add(r);
                 }
             }
         }
         readyCount = ready.size();
         for (int z = 0; z < zoneCount; z++) {
-            zones.listed(now, z, inZone[z]);
+            zones.setReplicaCount(now, z, inZone[z]);
         }
         warmAt = NEVER / 2;
         // A zone with few replicas keeps fewer keys; what others spill lands there too.
@@ -342,8 +342,8 @@
         stayMost = Math.min(STAY_MOST, mean * near.size() * inZone.length / Math.max(1, readyCount));
         stay = Math.min(stay, stayMost);
         all = new Ring(ready);
-        wide = priced() ? new Ring(subset(ready, s.me())) : all;
-        own = near.isEmpty() ? wide : new Ring(priced() ? subset(near, s.me() / inZone.length) : near);
+        wide = priced() ? new Ring(subset(ready, s.instanceIndex())) : all;
+        own = near.isEmpty() ? wide : new Ring(priced() ? subset(near, s.instanceIndex() / inZone.length) : near);
     }
 
     private boolean priced() {
@@ -382,7 +382,7 @@
         seenAt = now;
         retryBudget = Math.min(RETRY_SAVED, retryBudget + RETRY_EARN);
         // What came too late is no sign of overload, and no engine is asked for it.
-        if (r.cls() < 0 || r.cls() >= s.classes().size() || r.deadline() <= now || !admit(r)) {
+        if (r.classIndex() < 0 || r.classIndex() >= s.classes().size() || r.deadline() <= now || !admit(r)) {
             turnAway(h);
         } else {
             place(h);
@@ -403,18 +403,18 @@
         RoutingRequest r = h.r;
         Mapping m = null;
         int most = 1;
-        if (r.prefix() != 0) {
-            m = mappings.row(r.prefix(), false, now);
+        if (r.prefixId() != 0) {
+            m = mappings.row(r.prefixId(), false, now);
             double need = need(m);
             most = width(need, m);
-            if (need > MOST_WARM && r.session() != 0) {
+            if (need > MOST_WARM && r.sessionId() != 0) {
                 // A prefix too heavy for a deque is warm everywhere; the session's own tokens decide.
                 m = null;
                 most = 1;
             }
         }
-        if (m == null && r.session() != 0) {
-            m = mappings.row(r.session(), true, now);
+        if (m == null && r.sessionId() != 0) {
+            m = mappings.row(r.sessionId(), true, now);
             double need = need(m);
             // No conversation comes this often: a hot key, which would drown the one replica it lives on.
             if (m.demand > HOT_SESSION) {
@@ -437,7 +437,7 @@
     private Replica choose(Held h, int most) {
         Mapping m = h.mapping;
         Replica busy = null;
-        long same = h.r.session() != 0 ? h.r.session() : h.r.id().hashCode();
+        long same = h.r.sessionId() != 0 ? h.r.sessionId() : h.r.id().hashCode();
         standing = (mix(same ^ 0x51ab3c7d90e2f614L) >>> 11) * 0x1.0p-53;
         Replica tried = trial(h);
         if (tried != null) {
@@ -451,7 +451,7 @@
         boolean known = m != null && m.size >= most;
         if (known || (m != null && m.size > 0 && !h.attempts.isEmpty())) {
             // A session enters the deque at its own place, so that its next turn finds its tokens there.
-            boolean rotate = m.session || h.r.session() == 0;
+            boolean rotate = m.session || h.r.sessionId() == 0;
             int start = 0;
             for (int i = 1; i < m.size && !rotate; i++) {
                 start = rank(h, m.deque[i]) > rank(h, m.deque[start]) ? i : start;
@@ -484,7 +484,7 @@
 
     /** A session's own order of replicas: one that joins or leaves a deque moves its own sessions only. */
     private static long rank(Held h, Replica r) {
-        return mix(h.r.session() ^ r.hash);
+        return mix(h.r.sessionId() ^ r.hash);
     }
 
     private static boolean warm(Mapping m, Replica r) {
@@ -493,7 +493,7 @@
 
     /** The next ready replica under capacity, in turn from the key's place on the ring. */
     private Replica walk(Ring ring, long hash, Held h, boolean known) {
-        int capacity = Math.max(LEAST_KEYS, WARM_KEYS / s.instances());
+        int capacity = Math.max(LEAST_KEYS, WARM_KEYS / s.instanceCount());
         int n = ring.at.length;
         int i = ring.from(hash);
         Replica last = null;
@@ -605,7 +605,7 @@
     }
 
     private void cancelOthers(Held h) {
-        for (int i = 0; i < h.attempts.size() && h.limits.cancel(); i++) {
+        for (int i = 0; i < h.attempts.size() && h.limits.allowsCancellation(); i++) {
             Attempt a = h.attempts.get(i);
             if (!a.done && !a.begun) {
                 out.cancel(h.r.id(), i);
@@ -684,8 +684,8 @@
                 || h.attempts.size() >= Math.min(MOST_TRIES, h.mostAttempts(s.limits()))) {
             return false;
         }
-        RequestClass c = s.classes().get(h.r.cls());
-        if (now - h.arrived > aim(c, h.r) && c.lateShare() <= 0) {
+        RequestClass c = s.classes().get(h.r.classIndex());
+        if (now - h.arrived > aim(c, h.r) && c.lateAnswerValue() <= 0) {
             return false;
         }
         // While the fleet is short, a full replica's request waits with its client: its tokens are kept
@@ -705,16 +705,16 @@
     }
 
     private static double aim(RequestClass c, RoutingRequest r) {
-        return c.aim() + c.aimPer1000() * r.promptTokens() / 1000;
+        return c.latencyObjective() + c.latencyObjectivePer1000Tokens() * r.promptTokens() / 1000;
     }
 
     /** Rule 2: what an earlier attempt did, or may still do, decides where another may go. */
     private boolean maySend(Held h, Replica to) {
-        RequestClass c = s.classes().get(h.r.cls());
-        if (h.open > 0 && !h.limits.parallel()) {
+        RequestClass c = s.classes().get(h.r.classIndex());
+        if (h.open > 0 && !h.limits.allowsParallelAttempts()) {
             return false;
         }
-        if (c.effect() == Idempotency.PURE) {
+        if (c.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         Attempt first = h.mayHaveRun;
@@ -724,13 +724,13 @@
         if (first == null) {
             return true;
         }
-        if (c.effect() == Idempotency.SIDE_EFFECT || now - first.sentAt >= c.window()) {
+        if (c.idempotency() == Idempotency.NOT_IDEMPOTENT || now - first.sentAt >= c.deduplicationWindow()) {
             return false;
         }
         Endpoint was = first.replica.entry;
-        return c.group() == DeduplicationScope.ALL
-                || (c.group() == DeduplicationScope.ZONE && to.entry.zone() == was.zone())
-                || (c.group() == DeduplicationScope.CELL && to.entry.cell() == was.cell());
+        return c.deduplicationScope() == DeduplicationScope.ALL
+                || (c.deduplicationScope() == DeduplicationScope.ZONE && to.entry.zone() == was.zone())
+                || (c.deduplicationScope() == DeduplicationScope.CELL && to.entry.cell() == was.cell());
     }
 
     /** Whether a request may be answered as refused now, whatever became of its attempts. */
@@ -739,12 +739,13 @@
     }
 
     private boolean mayRefuse(Held h) {
-        if (h.r.cls() < 0 || h.r.cls() >= s.classes().size() || (h.open == 0 && h.mayHaveRun == null)) {
+        if (h.r.classIndex() < 0 || h.r.classIndex() >= s.classes().size() || (h.open == 0 && h.mayHaveRun == null)) {
             return true;
         }
-        RequestClass c = s.classes().get(h.r.cls());
-        return c.effect() == Idempotency.PURE
-                || (c.effect() == Idempotency.TOKEN && c.group() == DeduplicationScope.ALL);
+        RequestClass c = s.classes().get(h.r.classIndex());
+        return c.idempotency() == Idempotency.IDEMPOTENT
+                || (c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && c.deduplicationScope() == DeduplicationScope.ALL);
     }
 
     /** The final answer when there is nothing better: refused if a retry is harmless, else failed. */
@@ -769,19 +770,19 @@
 
     // ---- Health -----------------------------------------------------------------------------------------
     private void firstToken(Held h, Attempt a, long took) {
-        int c = h.r.cls();
+        int c = h.r.classIndex();
         double mean = meanFirst[c] == 0 ? took : meanFirst[c];
         meanFirst[c] = learnt(mean, (double) took);
         a.replica.heard = now;
         // A late answer that still earns a part is bad by the rest only.
         double worth =
-                took <= aim(s.classes().get(c), h.r) ? 1 : s.classes().get(c).lateShare();
+                took <= aim(s.classes().get(c), h.r) ? 1 : s.classes().get(c).lateAnswerValue();
         good += worth;
         bad += 1 - worth;
         double ratio = took / Math.max(20_000, mean);
         told(a.replica, ZoneEvidence.ANSWERED, took, ratio);
         overdue(a.replica, ratio);
-        if (a.replica.entry.zone() == s.myZone()) {
+        if (a.replica.entry.zone() == s.ownZone()) {
             ownPace += (Math.min(4, ratio) - ownPace) * 0.03;
         } else {
             otherPace += (Math.min(4, ratio) - otherPace) * 0.1;
@@ -828,8 +829,8 @@
                 if (r.inflight + 1 >= r.limit) {
                     r.limit += 1 / r.limit;
                 }
-                double mean = meanWhole[h.r.cls()] == 0 ? took : meanWhole[h.r.cls()];
-                meanWhole[h.r.cls()] = learnt(mean, (double) took);
+                double mean = meanWhole[h.r.classIndex()] == 0 ? took : meanWhole[h.r.classIndex()];
+                meanWhole[h.r.classIndex()] = learnt(mean, (double) took);
                 // A stream that takes long tells of a slow replica too, but answers differ in length.
                 if (took > SLOW_RATIO * mean) {
                     r.slow += (Math.min(10, took / mean) - r.slow) * 0.25;
@@ -875,7 +876,7 @@
     }
 
     private void told(Replica r, ZoneEvidence sign, long took, double ratio) {
-        zones.told(now, zone(r.entry.zone()), r.id, sign, took, ratio);
+        zones.recordEvidence(now, zone(r.entry.zone()), r.id, sign, took, ratio);
     }
 
     private void unreachable(Replica r, long took) {
@@ -888,14 +889,14 @@
     }
 
     private boolean takes(Replica r) {
-        return zones.takes(now, zone(r.entry.zone()), standing);
+        return zones.accepts(now, zone(r.entry.zone()), standing);
     }
 
     /** Where zones are planned for: silence is told while it lasts, what waits at a zone that gets nothing is
      *  given up early, and health checks ask what too few requests would tell late. */
     private void planZones() {
-        zones.tick(now);
-        if (!zones.plans()) {
+        zones.advance(now);
+        if (!zones.plansFailover()) {
             return;
         }
         double usual = Arrays.stream(meanFirst).max().orElse(0);
@@ -911,25 +912,27 @@
         for (Held h : List.copyOf(held.values())) {
             for (int n = 0; n < h.attempts.size(); n++) {
                 Attempt a = h.attempts.get(n);
-                long shut = zones.shutSince(zone(a.zone));
+                long shut = zones.closedSince(zone(a.zone));
                 if (shut != Long.MAX_VALUE
                         && !a.done
                         && !a.givenUp
                         && !h.streaming
                         && (a.silent || a.sentAt < shut)
-                        && s.limits().cancel()) {
+                        && s.limits().allowsCancellation()) {
                     a.givenUp = true;
                     out.cancel(h.r.id(), n);
                 }
             }
         }
         for (int z = 0; z < zoneCount; z++) {
-            boolean shut = zones.shutSince(z) != Long.MAX_VALUE;
+            boolean shut = zones.closedSince(z) != Long.MAX_VALUE;
             if (shutZones[z] && !shut) {
                 backInReach(z);
             }
             shutZones[z] = shut;
-            int checks = !s.limits().probes() ? 0 : zones.checks(z) + (zones.tries(now, z) ? 1 : 0);
+            int checks = !s.limits().allowsHealthChecks()
+                    ? 0
+                    : zones.acquireHealthChecks(z) + (zones.acquireTrial(now, z) ? 1 : 0);
             for (int i = 0; checks > 0 && i < fleet.size(); i++) {
                 Replica r = fleet.get(checkCursor++ % fleet.size());
                 if (r.ready && zone(r.entry.zone()) == z) {
@@ -951,13 +954,13 @@
 
     /** One request goes where nothing else does, if that is due and health checks can't. */
     private Replica trial(Held h) {
-        boolean may = zones.plans() && !s.limits().probes() && h.attempts.isEmpty();
+        boolean may = zones.plansFailover() && !s.limits().allowsHealthChecks() && h.attempts.isEmpty();
         for (int z = 0; may && z < zoneCount; z++) {
             int from = (int) (random() * fleet.size());
-            for (int i = 0; zones.shutSince(z) != Long.MAX_VALUE && i < fleet.size(); i++) {
+            for (int i = 0; zones.closedSince(z) != Long.MAX_VALUE && i < fleet.size(); i++) {
                 Replica r = fleet.get((from + i) % fleet.size());
                 if (r.ready && zone(r.entry.zone()) == z && allowed(h, r)) {
-                    if (zones.tries(now, z)) {
+                    if (zones.acquireTrial(now, z)) {
                         return r;
                     }
                     break;
@@ -988,7 +991,7 @@
         r.slow = 1;
         r.strikes = 0;
         r.trialOut = false;
-        zones.fresh(r.id);
+        zones.forgetReplica(r.id);
     }
 
     @Override
@@ -998,21 +1001,23 @@
         if (r != null && o == AttemptOutcome.OK) {
             r.heard = now;
             reported(r, load);
-            if (zones.plans()) {
+            if (zones.plansFailover()) {
                 told(r, ZoneEvidence.ANSWERED, took, 1);
             }
         }
         if (r != null && (o == AttemptOutcome.CONNECT_FAILED || o == AttemptOutcome.RESET)) {
             unreachable(r, took);
         }
-        if (r != null && o == AttemptOutcome.TIMEOUT && zones.plans()) {
+        if (r != null && o == AttemptOutcome.TIMEOUT && zones.plansFailover()) {
             told(r, ZoneEvidence.SILENCE, took, 1);
         }
     }
 
     /** Probes only replicas unheard of for a period, so that gateways times replicas stays small. */
     private void healthCheck() {
-        if (!s.limits().probes() || fleet.isEmpty() || now - lastCheck < CHECK_PERIOD * s.instances() / fleet.size()) {
+        if (!s.limits().allowsHealthChecks()
+                || fleet.isEmpty()
+                || now - lastCheck < CHECK_PERIOD * s.instanceCount() / fleet.size()) {
             return;
         }
         lastCheck = now;
@@ -1031,15 +1036,15 @@
     private void startCold(Replica r, long since) {
         r.coldSince = since;
         // Where a node's part is under one request, nodes have places evenly spread.
-        r.coldPlace = s.me() / (double) s.instances() + (mix(since ^ r.hash) >>> 11) * 0x1.0p-53;
+        r.coldPlace = s.instanceIndex() / (double) s.instanceCount() + (mix(since ^ r.hash) >>> 11) * 0x1.0p-53;
         r.coldAt = NEVER;
         r.limit = 64;
     }
 
     /** Part of its capacity that a replica has by now, by the least that the site promises. */
     private double warmth(Replica r) {
-        double start = s.guarantees().startCapacity();
-        double age = (double) (now - r.coldSince) / Math.max(1, s.guarantees().cold());
+        double start = s.guarantees().initialCapacity();
+        double age = (double) (now - r.coldSince) / Math.max(1, s.guarantees().warmUpDuration());
         return r.coldSince == NEVER || age >= 1 ? 1 : start + (1 - start) * Math.max(0, age);
     }
 
@@ -1079,12 +1084,12 @@
         // what fells it, and not nearer to that than the root of a half; as far below the due within the
         // first window, when one burst may spend the budget.
         double factor = s.guarantees().overloadFactor();
-        long window = (now - r.coldSince) / Math.max(1, s.guarantees().fall());
+        long window = (now - r.coldSince) / Math.max(1, s.guarantees().overloadWindow());
         double care = due * Math.min(Math.sqrt(window == 0 ? 1 / factor : factor), Math.sqrt(0.5) * factor);
         // A node that sees few spreads its keys by session: no key can lead all nodes to one replica.
         double most = seen < ENOUGH_SEEN
                 ? care * readyCount
-                : factor * due * perTime * s.guarantees().fall();
+                : factor * due * perTime * s.guarantees().overloadWindow();
         r.coldTokens = Math.min(
                 Math.min(1, most),
                 r.coldAt == NEVER ? care * readyCount : r.coldTokens + care * perTime * (now - r.coldAt));
@@ -1095,20 +1100,20 @@
     // ---- Fairness and overload --------------------------------------------------------------------------
     /** Under overload, the work that brings least worth for the time it holds a replica is refused first. */
     private boolean admit(RoutingRequest r) {
-        int k = 2 * r.cls() + (overShare(r.tenant()) ? 1 : 0);
+        int k = 2 * r.classIndex() + (overShare(r.tenantIndex()) ? 1 : 0);
         arrivals[k]++;
         // The rest of a stream that broke or was moved has cost most of its work already.
-        return r.again() || shedPart[k] <= 0 || now - sentAt >= SHED_LONGEST || random() >= shedPart[k];
+        return r.continuation() || shedPart[k] <= 0 || now - sentAt >= SHED_LONGEST || random() >= shedPart[k];
     }
 
     /** Beyond its allowance a tenant's work is worth little; each node counts its part of the allowance. */
     private boolean overShare(int tenant) {
         for (int i = 0; i < allowance.length; i++) {
-            double perS = s.tenants().get(i).allowancePerS() / s.instances();
+            double perS = s.tenants().get(i).quotaPerSecond() / s.instanceCount();
             allowance[i] = Math.min(2 * perS + 2, allowance[i] + perS * (now - allowanceAt) / 1e6);
         }
         allowanceAt = now;
-        if (tenant < 0 || tenant >= allowance.length || s.tenants().get(tenant).allowancePerS() <= 0) {
+        if (tenant < 0 || tenant >= allowance.length || s.tenants().get(tenant).quotaPerSecond() <= 0) {
             return false;
         }
         return allowance[tenant] < 1 || allowance[tenant]-- < 1;
@@ -1119,8 +1124,8 @@
     }
 
     private double worth(int k) {
-        return s.classes().get(k / 2).worth()
-                * (k % 2 == 1 ? s.overShareWorth() : 1)
+        return s.classes().get(k / 2).priorityWeight()
+                * (k % 2 == 1 ? s.overQuotaWeight() : 1)
                 / Math.max(50_000, meanWhole[k / 2]);
     }
 
@@ -1129,7 +1134,7 @@
         shed = total < 4 || bad <= SHED_AT * total
                 ? Math.max(0, shed - SHED_DOWN)
                 : Math.min(SHED_MOST, shed + SHED_UP);
-        if (s.costs().crossZone() > 0 && s.zones() > 1) {
+        if (s.costs().crossZone() > 0 && s.zoneCount() > 1) {
             stay = Math.max(
                     0,
                     Math.min(
@@ -1169,7 +1174,7 @@
             return;
         }
         out.timer(now + SWEEP, 1);
-        if (s.subscribe() && asking.due(now, s.guarantees().askWithin())) {
+        if (s.subscribesToEndpoints() && asking.due(now, s.guarantees().pollWithin())) {
             out.watch();
         }
         warmth();
--- a/src/main/java/magpiehub/routing/RoutingRequest.java
+++ b/src/main/java/magpiehub/routing/RoutingRequest.java
@@ -3,15 +3,15 @@
 /** A client's request. {@code session} and {@code prefix} are 0 when absent. */
 public record RoutingRequest(
         String id,
-        int cls,
-        int tenant,
-        long session,
-        long prefix,
+        int classIndex,
+        int tenantIndex,
+        long sessionId,
+        long prefixId,
         long deadline,
-        double work,
+        double predictedMillis,
         double promptTokens,
         double prefixTokens,
-        double maxOut,
-        boolean retry,
+        double maxOutputTokens,
+        boolean clientRetry,
         boolean write,
-        boolean again) {}
+        boolean continuation) {}
--- a/src/main/java/magpiehub/routing/RoutingSettings.java
+++ b/src/main/java/magpiehub/routing/RoutingSettings.java
@@ -4,14 +4,14 @@
 
 /** Everything a node is told when it starts. */
 public record RoutingSettings(
-        int me,
-        int instances,
-        int myZone,
-        int zones,
-        boolean subscribe,
-        boolean resume,
-        WeightMeaning weights,
-        double overShareWorth,
+        int instanceIndex,
+        int instanceCount,
+        int ownZone,
+        int zoneCount,
+        boolean subscribesToEndpoints,
+        boolean resumesStreams,
+        WeightMeaning weightMeaning,
+        double overQuotaWeight,
         List<RequestClass> classes,
         List<Tenant> tenants,
         RoutingLimits limits,
--- a/src/main/java/magpiehub/routing/State.java
+++ b/src/main/java/magpiehub/routing/State.java
@@ -256,7 +256,7 @@
 
         /** Fewer attempts bind a request under way too, more do not. */
         int mostAttempts(RoutingLimits inForce) {
-            return Math.min(limits.mostAttempts(), inForce.mostAttempts());
+            return Math.min(limits.maxAttempts(), inForce.maxAttempts());
         }
 
         /** Length of its key's deque, at least one. */
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -58,7 +58,7 @@
     // ---- The routing thread ---------------------------------------------------------------------------
 
     @Override
-    public void number(int zones) {
+    public void setZoneCount(int zones) {
         if (tracker == null) {
             tracker = new SiteHealthTracker(settings, zones, ownSite, seed);
             suspendedSince = new long[zones];
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void told(long now, int zone, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
+    public void recordEvidence(long now, int zone, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
         if (isTracked(zone)) {
             tracker.onEvidence(now, zone, replica, evidence, tookMicros, latencyRatio);
             publishTransitions(now);
@@ -80,10 +80,10 @@
     }
 
     @Override
-    public void fresh(String replica) {}
+    public void forgetReplica(String replica) {}
 
     @Override
-    public void listed(long now, int zone, int replicas) {
+    public void setReplicaCount(long now, int zone, int replicas) {
         if (isTracked(zone)) {
             tracker.onListed(now, zone, replicas, 0);
             publishTransitions(now);
@@ -91,32 +91,32 @@
     }
 
     @Override
-    public boolean takes(long now, int zone, double place) {
+    public boolean accepts(long now, int zone, double place) {
         return !isTracked(zone) || place < tracker.share(zone, now);
     }
 
     @Override
-    public long shutSince(int zone) {
+    public long closedSince(int zone) {
         return isTracked(zone) ? suspendedSince[zone] : NOT_SUSPENDED;
     }
 
     @Override
-    public boolean tries(long now, int zone) {
+    public boolean acquireTrial(long now, int zone) {
         return isTracked(zone) && tracker.takeTrial(zone, now);
     }
 
     @Override
-    public int checks(int zone) {
+    public int acquireHealthChecks(int zone) {
         return isTracked(zone) ? tracker.takeHealthChecks(zone) : 0;
     }
 
     @Override
-    public boolean plans() {
+    public boolean plansFailover() {
         return true;
     }
 
     @Override
-    public void tick(long now) {
+    public void advance(long now) {
         for (int site = 0; site < siteNames.size() && site < suspendedSince.length; site++) {
             if (withdrawnSites.contains(siteNames.get(site))) {
                 tracker.withdraw(now, site);
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -99,7 +99,7 @@
     public final void settings(SiteSettings site) {
         connectTimeoutMs = (int) Math.max(1, site.routing().limits().connectTimeout() / 1000);
         retireAfter = Math.max(1, (long) (site.idleCloseMicros() * RETIRE_AT));
-        resume = site.routing().resume();
+        resume = site.routing().resumesStreams();
         reports = new LoadReportParser(site.loadReports());
     }
 
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.List;
 import magpiehub.routing.AttemptOutcome;
-import magpiehub.routing.Bench;
+import magpiehub.routing.RoutingPolicyFixture;
 import magpiehub.routing.DeduplicationScope;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
@@ -102,14 +102,14 @@
         @Override
         public void log(String event, String... namesAndValues) {}
     };
-    private RequestDispatcher dispatcher = newDispatcher(Bench.settings(1));
+    private RequestDispatcher dispatcher = newDispatcher(RoutingPolicyFixture.settings(1));
 
     private RequestDispatcher newDispatcher(RoutingSettings settings) {
         return new RequestDispatcher(settings, 7, () -> now, fleet, endpointSource, eventLog);
     }
 
     private static RoutingSettings settings(boolean subscribe, RoutingLimits limits) {
-        RoutingSettings base = Bench.settings(1);
+        RoutingSettings base = RoutingPolicyFixture.settings(1);
         return new RoutingSettings(
                 0,
                 1,
@@ -117,7 +117,7 @@
                 2,
                 subscribe,
                 false,
-                base.weights(),
+                base.weightMeaning(),
                 0.1,
                 base.classes(),
                 base.tenants(),
@@ -136,7 +136,7 @@
     private void submitWithEndpoints(String... endpointIds) throws InterruptedException {
         dispatcher.updateEndpoints(
                 EndpointListKind.SAVED,
-                Arrays.stream(endpointIds).map(Bench::server).toList());
+                Arrays.stream(endpointIds).map(RoutingPolicyFixture::server).toList());
         dispatcher.submit(
                 new RoutingRequest("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false),
                 client,
@@ -186,7 +186,7 @@
     /** The watch is opened at the start, and again a while after each failure. */
     @Test
     public void aWatchIsKeptOpenWhereEndpointListsArePushed() throws InterruptedException {
-        dispatcher.updateSettings(settings(false, Bench.settings(1).limits()));
+        dispatcher.updateSettings(settings(false, RoutingPolicyFixture.settings(1).limits()));
         runTurns();
         assertEquals(1, watches);
         dispatcher.updateEndpoints(EndpointListKind.ERROR, List.of());
@@ -263,12 +263,12 @@
         for (Idempotency effect : Idempotency.values()) {
             for (DeduplicationScope group : DeduplicationScope.values()) {
                 calls.clear();
-                dispatcher = newDispatcher(Bench.settings(1, Bench.cls(effect, group)));
+                dispatcher = newDispatcher(RoutingPolicyFixture.settings(1, RoutingPolicyFixture.cls(effect, group)));
                 submitWithEndpoints("a");
                 dispatcher.shutDown(false);
                 runTurns();
                 boolean retryIsSafe =
-                        effect == Idempotency.PURE || (effect == Idempotency.TOKEN && group == DeduplicationScope.ALL);
+                        effect == Idempotency.IDEMPOTENT || (effect == Idempotency.IDEMPOTENT_WITH_KEY && group == DeduplicationScope.ALL);
                 assertEquals(
                         effect + " " + group,
                         List.of("start a", "abort a", (retryIsSafe ? "refuse" : "fail") + " at 1000000"),
--- a/src/test/java/magpiehub/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/magpiehub/lifecycle/GracefulShutdownTest.java
@@ -14,7 +14,8 @@
 /** The phases of a shutdown follow from the deadlines of the classes. */
 class GracefulShutdownTest {
     private static RequestClass withDeadline(long ms) {
-        return new RequestClass("c", Idempotency.PURE, DeduplicationScope.ALL, 0, true, 0, 0, 0, ms * 1000, 0, 1, 0);
+        return new RequestClass(
+                "c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, true, 0, 0, 0, ms * 1000, 0, 1, 0);
     }
 
     @ParameterizedTest
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -124,7 +124,7 @@
         }
 
         void start(List<Endpoint> list) {
-            RoutingSettings t = Bench.settings(fleet.shares.length);
+            RoutingSettings t = RoutingPolicyFixture.settings(fleet.shares.length);
             Guarantees g = new Guarantees(8_000, 10 * S, COLD, FALL, FACTOR, START, 2 * S);
             open.clear();
             rules = new RoutingPolicy(
@@ -135,7 +135,7 @@
                             2,
                             false,
                             false,
-                            t.weights(),
+                            t.weightMeaning(),
                             0.1,
                             t.classes(),
                             List.of(),
@@ -185,7 +185,7 @@
                 to.outcome(
                         fleet.now, id, n, breaks ? AttemptOutcome.RESET : AttemptOutcome.OK, 500_000, true, 800, null);
                 if (breaks) {
-                    fleet.ask(r.session(), true); // Its client asks for the rest.
+                    fleet.ask(r.sessionId(), true); // Its client asks for the rest.
                 }
             }));
         }
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -108,7 +108,7 @@
         settings = drawSettings();
         meanGap = 2_000 + random.nextInt(60_000);
         reportsLoad = random.nextBoolean();
-        ZoneHealth zones = seed % 3 == 0 && settings.zones() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
+        ZoneHealth zones = seed % 3 == 0 && settings.zoneCount() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
         module = new RoutingPolicy(settings, seed, this, now, zones);
         int fleet = 4 + random.nextInt(28);
         for (int i = 0; i < fleet; i++) {
@@ -164,10 +164,10 @@
     // ---- Settings and the fleet -------------------------------------------------------------------------
     private ZoneHealth plannedZones(long seed) {
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < settings.zones(); i++) {
+        for (int i = 0; i < settings.zoneCount(); i++) {
             names.add("zone" + i);
         }
-        return new SiteFailoverPlan(SiteFailoverSettings.DEFAULTS, names, settings.myZone(), seed, new EventLog() {
+        return new SiteFailoverPlan(SiteFailoverSettings.DEFAULTS, names, settings.ownZone(), seed, new EventLog() {
             @Override
             public void count(String name) {
                 record("count", name);
@@ -247,7 +247,7 @@
         int number = engineCount++;
         Engine engine = new Engine(
                 "10.0." + number / 200 + "." + number % 200 + ":9000",
-                random.nextInt(settings.zones()),
+                random.nextInt(settings.zoneCount()),
                 random.nextInt(4),
                 0.5 + random.nextInt(4),
                 0.7 + 0.6 * random.nextDouble());
@@ -257,7 +257,7 @@
     }
 
     private Endpoint entry(Engine engine) {
-        double load = settings.weights() == WeightMeaning.LIVE ? random.nextDouble() : 1;
+        double load = settings.weightMeaning() == WeightMeaning.LIVE ? random.nextDouble() : 1;
         return new Endpoint(
                 engine.id, engine.zone, 0, engine.cell, engine.state, engine.weight * load, engine.onlineSince);
     }
@@ -339,14 +339,14 @@
             classes.add(drawClass("class" + classes.size()));
         }
         settings = new RoutingSettings(
-                settings.me(),
-                other.instances(),
-                settings.myZone(),
-                settings.zones(),
-                settings.subscribe(),
-                settings.resume(),
-                settings.weights(),
-                other.overShareWorth(),
+                settings.instanceIndex(),
+                other.instanceCount(),
+                settings.ownZone(),
+                settings.zoneCount(),
+                settings.subscribesToEndpoints(),
+                settings.resumesStreams(),
+                settings.weightMeaning(),
+                other.overQuotaWeight(),
                 classes,
                 settings.tenants().isEmpty() ? other.tenants() : settings.tenants(),
                 other.limits(),
@@ -448,7 +448,7 @@
 
     private AttemptOutcome drawOutcome(Engine engine) {
         int percent = random.nextInt(100);
-        if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zones()) {
+        if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zoneCount()) {
             return AttemptOutcome.CONNECT_FAILED;
         }
         if (phase == Phase.HANG && isTarget(engine)) {
--- a/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -9,10 +9,10 @@
 class EmbeddingExampleTest {
     @Test
     void oneRequestFromStartToEnd() {
-        Bench actions = new Bench(Bench.settings(1));
+        RoutingPolicyFixture actions = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1));
         long now = 2_000_000;
         RoutingPolicy rules = new RoutingPolicy(actions.settings, 7, actions, now);
-        rules.list(now, EndpointListKind.SAVED, List.of(Bench.server("10.0.0.1:9000")));
+        rules.list(now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("10.0.0.1:9000")));
         rules.request(
                 now, new RoutingRequest("a1", 0, 0, 17, 4, now + 4_000_000, 0, 1800, 1200, 256, false, false, false));
         assertEquals("10.0.0.1:9000", actions.where("a1"));
@@ -23,7 +23,7 @@
 
     @Test
     void misuseHasADefinedResult() {
-        Bench actions = new Bench(Bench.settings(1)).list("a");
+        RoutingPolicyFixture actions = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list("a");
         String id = actions.ask(9, 0, 0, 1);
         assertEquals("refused", actions.finals.get(id), "a class out of range");
         RoutingRequest twice =
--- a/src/test/java/magpiehub/routing/OverloadControlTest.java
+++ b/src/test/java/magpiehub/routing/OverloadControlTest.java
@@ -11,17 +11,17 @@
 
 /** Refusals over drawn deployments: no router turns away everything, and no conversation is singled out. */
 class OverloadControlTest {
-    private static final long S = Bench.S;
+    private static final long S = RoutingPolicyFixture.S;
     private static final long WINDOW = 4 * S;
     private static final int ENOUGH = 15;
 
     /** A node of a site with one to four classes of drawn worth, after a long overload on all of them. */
-    private static Bench overloaded(SplittableRandom random) {
+    private static RoutingPolicyFixture overloaded(SplittableRandom random) {
         RequestClass[] classes = new RequestClass[1 + random.nextInt(4)];
         for (int i = 0; i < classes.length; i++) {
             classes[i] = new RequestClass(
                     "c" + i,
-                    Idempotency.PURE,
+                    Idempotency.IDEMPOTENT,
                     DeduplicationScope.ALL,
                     0,
                     true,
@@ -33,7 +33,8 @@
                     1 + random.nextInt(9),
                     random.nextDouble());
         }
-        Bench b = new Bench(Bench.settings(1 + random.nextInt(20), classes));
+        RoutingPolicyFixture b =
+                new RoutingPolicyFixture(RoutingPolicyFixture.settings(1 + random.nextInt(20), classes));
         String[] names = new String[4 + random.nextInt(12)];
         for (int i = 0; i < names.length; i++) {
             names[i] = "10.0.0." + i + ":" + (9000 + random.nextInt(1000));
@@ -58,7 +59,7 @@
         int routers = 60;
         for (int seed = 1; seed <= routers; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Bench b = overloaded(random);
+            RoutingPolicyFixture b = overloaded(random);
             int cls = random.nextInt(b.settings.classes().size());
             ArrayDeque<Long> refusedInARow = new ArrayDeque<>();
             boolean all = false;
@@ -89,7 +90,7 @@
     void noSetOfConversationsIsRefusedThroughout() {
         for (int seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Bench b = overloaded(random);
+            RoutingPolicyFixture b = overloaded(random);
             int cls = random.nextInt(b.settings.classes().size());
             int conversations = 40;
             int turns = 5;
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -59,7 +59,7 @@
             for (int i = 0; i < classes.length; i++) {
                 classes[i] = new RequestClass(
                         "c" + i,
-                        Idempotency.PURE,
+                        Idempotency.IDEMPOTENT,
                         DeduplicationScope.ALL,
                         0,
                         true,
@@ -72,10 +72,10 @@
                         random.nextBoolean() ? 0 : random.nextDouble());
             }
             replicas = 4 + random.nextInt(9);
-            rules = new RoutingPolicy(Bench.settings(1, classes), seed, this, now);
+            rules = new RoutingPolicy(RoutingPolicyFixture.settings(1, classes), seed, this, now);
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < replicas; i++) {
-                list.add(Bench.server("10.0.0." + i + ":" + random.nextInt(9000)));
+                list.add(RoutingPolicyFixture.server("10.0.0." + i + ":" + random.nextInt(9000)));
             }
             rules.list(now, EndpointListKind.COMPLETE, list);
         }
@@ -151,7 +151,7 @@
         /** The answered part of the longest prompts of a class over that of the whole class. */
         double longestAgainstAll(int cls) {
             List<Asked> ofClass = new ArrayList<>(all);
-            ofClass.removeIf(a -> a.request.cls() != cls);
+            ofClass.removeIf(a -> a.request.classIndex() != cls);
             ofClass.sort(Comparator.comparingDouble(a -> -a.request.promptTokens()));
             int longest = ofClass.size() / (ofClass.size() < MANY_REQUESTS ? 4 : 10);
             return answered(ofClass.subList(0, longest)) / answered(ofClass);
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -16,7 +16,7 @@
 
 /** Seeded random events over many settings, with the rules checked after each action. */
 class RandomEventsTest {
-    private static final long S = Bench.S;
+    private static final long S = RoutingPolicyFixture.S;
 
     /** A world that checks what one node does. */
     private static final class World extends QuietActions {
@@ -68,7 +68,7 @@
             }
             List<Tenant> tenants =
                     rnd.nextBoolean() ? List.of() : List.of(new Tenant("t", 0.5, 5), new Tenant("u", 0.5, 0));
-            s = Bench.settings(
+            s = RoutingPolicyFixture.settings(
                     1 + rnd.nextInt(30),
                     rnd.nextBoolean(),
                     rnd.nextBoolean(),
@@ -85,23 +85,23 @@
             assertTrue(everListed.contains(server), "sent to a server never listed");
             Endpoint e = known.get(server);
             assertTrue(e != null && e.state() == EndpointState.LIVE, "sent to a draining or missing server");
-            assertTrue(j.at.size() < s.limits().mostAttempts());
-            assertTrue(s.limits().parallel() || j.open() == 0, "two at once");
+            assertTrue(j.at.size() < s.limits().maxAttempts());
+            assertTrue(s.limits().allowsParallelAttempts() || j.open() == 0, "two at once");
             for (int i = 0; i < j.at.size(); i++) {
                 AttemptOutcome o = j.ended.get(i);
-                if (j.c.effect() == Idempotency.PURE || (o != null && o.neverRan)) {
+                if (j.c.idempotency() == Idempotency.IDEMPOTENT || (o != null && o.neverRan)) {
                     continue;
                 }
-                assertEquals(Idempotency.TOKEN, j.c.effect(), "a side effect may happen twice");
-                assertTrue(now - j.sentAt.get(i) <= j.c.window(), "outside the window");
+                assertEquals(Idempotency.IDEMPOTENT_WITH_KEY, j.c.idempotency(), "a side effect may happen twice");
+                assertTrue(now - j.sentAt.get(i) <= j.c.deduplicationWindow(), "outside the window");
                 Endpoint was = everKnown.get(j.at.get(i));
                 assertTrue(
-                        j.c.group() == DeduplicationScope.ALL
-                                || (j.c.group() == DeduplicationScope.ZONE && was.zone() == e.zone())
-                                || (j.c.group() == DeduplicationScope.CELL && was.cell() == e.cell()),
+                        j.c.deduplicationScope() == DeduplicationScope.ALL
+                                || (j.c.deduplicationScope() == DeduplicationScope.ZONE && was.zone() == e.zone())
+                                || (j.c.deduplicationScope() == DeduplicationScope.CELL && was.cell() == e.cell()),
                         "outside the group");
             }
-            if (e.onlineSince() > 0 && now - e.onlineSince() < s.guarantees().fall()) {
+            if (e.onlineSince() > 0 && now - e.onlineSince() < s.guarantees().overloadWindow()) {
                 coldSends.merge(server + "@" + e.onlineSince(), 1, Integer::sum);
             }
             j.at.add(server);
@@ -118,9 +118,10 @@
             assertFalse(j.over, "two final answers");
             for (int i = 0; refused && i < j.at.size(); i++) {
                 assertTrue(
-                        j.c.effect() == Idempotency.PURE
+                        j.c.idempotency() == Idempotency.IDEMPOTENT
                                 || (j.ended.get(i) != null && j.ended.get(i).neverRan)
-                                || (j.c.effect() == Idempotency.TOKEN && j.c.group() == DeduplicationScope.ALL),
+                                || (j.c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                        && j.c.deduplicationScope() == DeduplicationScope.ALL),
                         "refused what may have run");
             }
             assertEquals(-1, j.begun, "ended a stream that runs");
@@ -140,7 +141,8 @@
 
         @Override
         public void cancel(String id, int attempt) {
-            assertTrue(s.limits().cancel() && attempt < jobs.get(id).at.size());
+            assertTrue(
+                    s.limits().allowsCancellation() && attempt < jobs.get(id).at.size());
         }
 
         @Override
@@ -150,12 +152,12 @@
 
         @Override
         public void probe(String server) {
-            assertTrue(s.limits().probes() && everListed.contains(server));
+            assertTrue(s.limits().allowsHealthChecks() && everListed.contains(server));
         }
 
         @Override
         public void watch() {
-            assertTrue(s.subscribe());
+            assertTrue(s.subscribesToEndpoints());
             answers.add(now + rnd.nextInt(2_000_000));
         }
 
--- a/src/test/java/magpiehub/routing/Bench.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** One node under test: feeds events, records actions. Times are in microseconds. */
-public final class Bench implements RoutingActions {
+public final class RoutingPolicyFixture implements RoutingActions {
     public static final long S = 1_000_000;
 
     /** What was sent, and what became of it. */
@@ -27,11 +27,11 @@
     final RoutingPolicy node;
     private int ids;
 
-    Bench(RoutingSettings settings) {
+    RoutingPolicyFixture(RoutingSettings settings) {
         this(settings, new ConnectFailureZoneHealth());
     }
 
-    Bench(RoutingSettings settings, ZoneHealth zones) {
+    RoutingPolicyFixture(RoutingSettings settings, ZoneHealth zones) {
         this.settings = settings;
         node = new RoutingPolicy(settings, 42, this, now, zones);
     }
@@ -47,7 +47,7 @@
     public static RoutingSettings settings(
             int instances, boolean parallel, boolean subscribe, List<Tenant> tenants, RequestClass... classes) {
         List<RequestClass> c =
-                classes.length == 0 ? List.of(cls(Idempotency.PURE, DeduplicationScope.ALL)) : List.of(classes);
+                classes.length == 0 ? List.of(cls(Idempotency.IDEMPOTENT, DeduplicationScope.ALL)) : List.of(classes);
         return new RoutingSettings(
                 0,
                 instances,
@@ -72,7 +72,7 @@
         return new Endpoint(id, 0, 0, 0, state, 1, online);
     }
 
-    public Bench list(String... ids) {
+    public RoutingPolicyFixture list(String... ids) {
         List<Endpoint> l = new ArrayList<>();
         for (String id : ids) {
             l.add(server(id));
--- a/src/test/java/magpiehub/routing/RoutingPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -14,7 +14,7 @@
 
 /** The ordinary path step by step, and each exception to it. */
 class RoutingPolicyTest {
-    private static final long S = Bench.S;
+    private static final long S = RoutingPolicyFixture.S;
 
     private static String[] names(int n) {
         String[] r = new String[n];
@@ -26,7 +26,7 @@
 
     @Test
     void knownSessionStaysAndNewOnesSpread() {
-        Bench b = new Bench(Bench.settings(1)).list(names(8));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         Map<Long, String> at = new HashMap<>();
         for (long k = 1; k <= 64; k++) {
             at.put(k, b.serve(0, k));
@@ -39,8 +39,8 @@
 
     @Test
     void nodesBeginAtTheSamePlace() {
-        Bench a = new Bench(Bench.settings(2)).list(names(8));
-        Bench b = new Bench(Bench.settings(2)).list(names(8));
+        RoutingPolicyFixture a = new RoutingPolicyFixture(RoutingPolicyFixture.settings(2)).list(names(8));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(2)).list(names(8));
         for (long k = 1; k <= 30; k++) {
             a.serve(0, 1000 + k);
         }
@@ -53,33 +53,33 @@
      * served. */
     @Test
     void newSettingsBindFromTheNextDecision() {
-        RoutingSettings s = Bench.settings(1);
-        Bench b = new Bench(s).list(names(4));
+        RoutingSettings s = RoutingPolicyFixture.settings(1);
+        RoutingPolicyFixture b = new RoutingPolicyFixture(s).list(names(4));
         String under = b.ask(0, 0);
         RequestClass strict = new RequestClass(
-                "c", Idempotency.SIDE_EFFECT, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
+                "c", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
         RoutingLimits l = s.limits();
         b.node.settings(
                 b.now,
                 new RoutingSettings(
-                        s.me(),
-                        s.instances(),
-                        s.myZone(),
-                        s.zones(),
-                        s.subscribe(),
-                        s.resume(),
-                        s.weights(),
-                        s.overShareWorth(),
+                        s.instanceIndex(),
+                        s.instanceCount(),
+                        s.ownZone(),
+                        s.zoneCount(),
+                        s.subscribesToEndpoints(),
+                        s.resumesStreams(),
+                        s.weightMeaning(),
+                        s.overQuotaWeight(),
                         List.of(s.classes().get(0), strict),
                         List.of(new Tenant("t", 1, 5)),
                         new RoutingLimits(
-                                l.cancel(),
-                                l.probes(),
-                                l.peers(),
-                                l.parallel(),
-                                l.retryAfter(),
+                                l.allowsCancellation(),
+                                l.allowsHealthChecks(),
+                                l.allowsPeerMessages(),
+                                l.allowsParallelAttempts(),
+                                l.sendsRetryAfter(),
                                 2,
-                                l.mostHeld(),
+                                l.maxInFlight(),
                                 l.maxRetryAfter(),
                                 l.connectTimeout()),
                         s.guarantees(),
@@ -99,7 +99,7 @@
     /** Its client has stopped waiting: an attempt could only waste an engine's work. */
     @Test
     void aRequestWithoutTimeLeftIsRefusedAndNotSent() {
-        Bench b = new Bench(Bench.settings(1)).list(names(4));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(4));
         for (long late : new long[] {0, 1, S}) {
             String id = "late" + late;
             b.node.request(
@@ -112,27 +112,27 @@
     /** More attempts, and attempts in parallel, are for requests that come after the reload. */
     @Test
     void aRequestKeepsTheLimitsThatItCameUnder() {
-        RoutingSettings wide = Bench.settings(1, true, false, List.of());
+        RoutingSettings wide = RoutingPolicyFixture.settings(1, true, false, List.of());
         RoutingLimits l = wide.limits();
         RoutingLimits narrow = new RoutingLimits(
-                l.cancel(),
-                l.probes(),
-                l.peers(),
+                l.allowsCancellation(),
+                l.allowsHealthChecks(),
+                l.allowsPeerMessages(),
                 false,
-                l.retryAfter(),
+                l.sendsRetryAfter(),
                 2,
-                l.mostHeld(),
+                l.maxInFlight(),
                 l.maxRetryAfter(),
                 l.connectTimeout());
-        Bench b = new Bench(new RoutingSettings(
-                        wide.me(),
-                        wide.instances(),
-                        wide.myZone(),
-                        wide.zones(),
-                        wide.subscribe(),
-                        wide.resume(),
-                        wide.weights(),
-                        wide.overShareWorth(),
+        RoutingPolicyFixture b = new RoutingPolicyFixture(new RoutingSettings(
+                        wide.instanceIndex(),
+                        wide.instanceCount(),
+                        wide.ownZone(),
+                        wide.zoneCount(),
+                        wide.subscribesToEndpoints(),
+                        wide.resumesStreams(),
+                        wide.weightMeaning(),
+                        wide.overQuotaWeight(),
                         wide.classes(),
                         wide.tenants(),
                         narrow,
@@ -153,7 +153,7 @@
 
     @Test
     void prefixAndSessionIdsAreApart() {
-        Bench b = new Bench(Bench.settings(1)).list(names(16));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(16));
         int same = 0;
         for (long k = 1; k <= 40; k++) {
             same += b.serve(k, 0).equals(b.serve(0, k)) ? 1 : 0;
@@ -163,7 +163,7 @@
 
     @Test
     void requestsWithNoIdsGoRoundTheFleet() {
-        Bench b = new Bench(Bench.settings(1)).list(names(4));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(4));
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < 40; i++) {
             seen.add(b.serve(0, 0));
@@ -173,13 +173,14 @@
 
     @Test
     void drainingReplicaGetsNothingAndOthersKeepTheirKeys() {
-        Bench b = new Bench(Bench.settings(1)).list(names(8));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         Map<Long, String> at = new HashMap<>();
         for (long k = 1; k <= 80; k++) {
             at.put(k, b.serve(0, k));
         }
         String gone = at.get(1L);
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(gone, EndpointState.DRAINING, 0)));
+        b.node.list(
+                b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(gone, EndpointState.DRAINING, 0)));
         for (long k = 1; k <= 80; k++) {
             String now = b.serve(0, k);
             if (at.get(k).equals(gone)) {
@@ -192,7 +193,7 @@
 
     @Test
     void replicaMissingFromAFullListGetsNothing() {
-        Bench b = new Bench(Bench.settings(1)).list(names(3));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(3));
         b.list("10.0.0.1:9000");
         for (long k = 1; k < 20; k++) {
             assertEquals("10.0.0.1:9000", b.serve(0, k));
@@ -201,7 +202,7 @@
 
     @Test
     void noReplicaMeansRefusedAtOnce() {
-        Bench b = new Bench(Bench.settings(1));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1));
         String id = b.ask(1, 1);
         assertNull(b.where(id));
         assertEquals("refused", b.finals.get(id));
@@ -211,7 +212,7 @@
     void fullAndFailedConnectionsFailOver() {
         for (AttemptOutcome o : List.of(
                 AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.ERROR, AttemptOutcome.RESET)) {
-            Bench b = new Bench(Bench.settings(1)).list(names(6));
+            RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(6));
             String id = b.ask(0, 7);
             String first = b.where(id);
             b.outcome(id, o);
@@ -223,7 +224,7 @@
 
     @Test
     void everyAttemptFailingEndsInOneAnswer() {
-        Bench b = new Bench(Bench.settings(1)).list(names(6));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(6));
         String id = b.ask(0, 7);
         for (int i = 0; i < 10 && b.finals.get(id) == null; i++) {
             b.outcome(id, AttemptOutcome.FULL);
@@ -233,7 +234,7 @@
 
     @Test
     void unreachableReplicaIsPassedOverThenTriedAgain() {
-        Bench b = new Bench(Bench.settings(1)).list(names(6));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(6));
         String home = b.serve(0, 7);
         String id = b.ask(0, 7);
         b.outcome(id, AttemptOutcome.CONNECT_FAILED);
@@ -251,7 +252,7 @@
 
     @Test
     void slowReplicaIsEjectedButNeverMostOfTheFleet() {
-        Bench b = new Bench(Bench.settings(1)).list(names(9));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(9));
         for (long k = 1; k <= 90; k++) {
             b.serve(0, k);
         }
@@ -263,7 +264,7 @@
             b.outcome(id, AttemptOutcome.OK);
         }
         assertNotEquals(slow, b.serve(0, 7));
-        Bench all = new Bench(Bench.settings(1)).list(names(9));
+        RoutingPolicyFixture all = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(9));
         for (long k = 1; k <= 90; k++) {
             all.serve(0, k);
         }
@@ -283,13 +284,14 @@
 
     @Test
     void coldReplicaGetsAPartOfAWarmShare() {
-        Bench b = new Bench(Bench.settings(1)).list(names(5));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(5));
         for (int i = 0; i < 400; i++) {
             b.serve(0, i + 1);
             b.pass(25_000);
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
+        b.node.list(
+                b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
@@ -309,17 +311,30 @@
     /** The budget comes from the site's multiple, also where that is small. */
     @Test
     void coldReplicaStaysUnderASmallMultiple() {
-        RoutingSettings t = Bench.settings(1);
+        RoutingSettings t = RoutingPolicyFixture.settings(1);
         Guarantees g = new Guarantees(8_000, 10 * S, 20 * S, 2 * S, 1, 0.2, 2 * S);
-        Bench b = new Bench(new RoutingSettings(
-                        0, 1, 0, 2, false, false, t.weights(), 0.1, t.classes(), t.tenants(), t.limits(), g, t.costs()))
+        RoutingPolicyFixture b = new RoutingPolicyFixture(new RoutingSettings(
+                        0,
+                        1,
+                        0,
+                        2,
+                        false,
+                        false,
+                        t.weightMeaning(),
+                        0.1,
+                        t.classes(),
+                        t.tenants(),
+                        t.limits(),
+                        g,
+                        t.costs()))
                 .list(names(5));
         for (int i = 0; i < 400; i++) {
             b.serve(0, i + 1);
             b.pass(25_000);
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
+        b.node.list(
+                b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
         for (int window = 0; window < 4; window++) {
             int n = 0;
             for (int i = 0; i < 80; i++) {
@@ -337,15 +352,15 @@
         int nodes = 20;
         int total = 0;
         for (int me = 0; me < nodes; me++) {
-            RoutingSettings t = Bench.settings(nodes);
-            Bench b = new Bench(new RoutingSettings(
+            RoutingSettings t = RoutingPolicyFixture.settings(nodes);
+            RoutingPolicyFixture b = new RoutingPolicyFixture(new RoutingSettings(
                             me,
                             nodes,
                             0,
                             2,
                             false,
                             false,
-                            t.weights(),
+                            t.weightMeaning(),
                             0.1,
                             t.classes(),
                             t.tenants(),
@@ -358,7 +373,10 @@
                 b.pass(S / 2);
             }
             String cold = "10.0.0.0:9000";
-            b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
+            b.node.list(
+                    b.now,
+                    EndpointListKind.CHANGES,
+                    List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
             for (int i = 0; i < 4; i++) {
                 total += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
                 b.pass(S / 2);
@@ -373,19 +391,19 @@
         int nodes = 14;
         int warm = 16;
         int fleet = 40;
-        RoutingSettings t = Bench.settings(nodes);
+        RoutingSettings t = RoutingPolicyFixture.settings(nodes);
         Guarantees g = new Guarantees(8_000, 10 * S, 9 * S, S, 4, 0.3, 2 * S);
         Map<String, Integer> sent = new HashMap<>();
         Map<String, Integer> firstSecond = new HashMap<>();
         for (int me = 0; me < nodes; me++) {
-            Bench b = new Bench(new RoutingSettings(
+            RoutingPolicyFixture b = new RoutingPolicyFixture(new RoutingSettings(
                     me,
                     nodes,
                     me % 2,
                     2,
                     false,
                     false,
-                    t.weights(),
+                    t.weightMeaning(),
                     0.1,
                     t.classes(),
                     t.tenants(),
@@ -394,7 +412,7 @@
                     t.costs()));
             List<Endpoint> list = new java.util.ArrayList<>();
             for (int i = 0; i < fleet; i++) {
-                list.add(Bench.server(names(fleet)[i], EndpointState.LIVE, i < warm ? 0 : b.now));
+                list.add(RoutingPolicyFixture.server(names(fleet)[i], EndpointState.LIVE, i < warm ? 0 : b.now));
             }
             b.node.list(b.now, EndpointListKind.COMPLETE, list);
             for (int i = 0; i < 50; i++) {
@@ -423,7 +441,7 @@
 
     @Test
     void replicaWhereARequestWaitsIsPassedOverUntilItBegins() {
-        Bench b = new Bench(Bench.settings(1)).list(names(8));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
         String waits = b.ask(0, 7);
         assertEquals(home, b.where(waits));
@@ -444,7 +462,7 @@
     }
 
     private static boolean staysWhileShort(long kept) {
-        Bench b = new Bench(Bench.settings(1)).list(names(8));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
         for (int i = 0; i < 12; i++) {
             String id = b.ask(0, 100 + i);
@@ -458,8 +476,9 @@
 
     @Test
     void sideEffectGoesOutAgainOnlyIfItNeverRan() {
-        Bench b =
-                new Bench(Bench.settings(1, Bench.cls(Idempotency.SIDE_EFFECT, DeduplicationScope.ALL))).list(names(6));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(
+                        1, RoutingPolicyFixture.cls(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)))
+                .list(names(6));
         String id = b.ask(0, 7);
         b.outcome(id, AttemptOutcome.FULL);
         assertEquals(2, b.tries.get(id));
@@ -470,13 +489,13 @@
 
     @Test
     void aLoneResetEjectsNobodyButTwoDo() {
-        Bench b = new Bench(Bench.settings(1)).list(names(8));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
         b.outcome(b.ask(0, 7), AttemptOutcome.RESET);
         assertEquals(home, b.serve(0, 7), "it may have been the request's fault");
         b.outcome(b.ask(0, 7), AttemptOutcome.RESET);
         assertNotEquals(home, b.where(b.ask(0, 7)), "twice in a short time");
-        Bench c = new Bench(Bench.settings(1)).list(names(8));
+        RoutingPolicyFixture c = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         home = c.serve(0, 7);
         c.outcome(c.ask(0, 7), AttemptOutcome.SPOILT);
         c.outcome(c.ask(0, 7), AttemptOutcome.SPOILT);
@@ -485,9 +504,9 @@
 
     @Test
     void whatHasGoneIsForgotten() {
-        Bench b = new Bench(Bench.settings(1)).list("a", "b");
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list("a", "b");
         String home = b.serve(0, 7);
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(home, EndpointState.DEAD, 0)));
+        b.node.list(b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(home, EndpointState.DEAD, 0)));
         assertNotEquals(home, b.serve(0, 7));
         assertEquals(1, b.node.known());
     }
@@ -501,11 +520,11 @@
     @Test
     void effectsByOutcomes() {
         Object[][] rows = {
-            {Idempotency.PURE, DeduplicationScope.ALL, "anywhere", "refused"},
-            {Idempotency.TOKEN, DeduplicationScope.ALL, "anywhere", "refused"},
-            {Idempotency.TOKEN, DeduplicationScope.ZONE, "zone", "failed"},
-            {Idempotency.TOKEN, DeduplicationScope.CELL, "cell", "failed"},
-            {Idempotency.SIDE_EFFECT, DeduplicationScope.ALL, "nowhere", "failed"},
+            {Idempotency.IDEMPOTENT, DeduplicationScope.ALL, "anywhere", "refused"},
+            {Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL, "anywhere", "refused"},
+            {Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, "zone", "failed"},
+            {Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, "cell", "failed"},
+            {Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, "nowhere", "failed"},
         };
         for (long deadline : new long[] {200_000, S, 60 * S}) {
             for (Object[] row : rows) {
@@ -527,7 +546,8 @@
     private static void effect(
             Idempotency effect, DeduplicationScope group, String keeps, String last, AttemptOutcome o, long deadline) {
         String what = effect + " " + group + " " + o + " " + deadline;
-        Bench b = new Bench(Bench.settings(1, Bench.cls(effect, group)));
+        RoutingPolicyFixture b =
+                new RoutingPolicyFixture(RoutingPolicyFixture.settings(1, RoutingPolicyFixture.cls(effect, group)));
         List<Endpoint> list = new java.util.ArrayList<>();
         for (int i = 0; i < 12; i++) {
             list.add(new Endpoint("s" + i, i % 2, 0, i % 4, EndpointState.LIVE, 1, 0));
@@ -564,7 +584,8 @@
 
     @Test
     void keyedRequestStaysInItsGroupAndWindow() {
-        Bench b = new Bench(Bench.settings(1, Bench.cls(Idempotency.TOKEN, DeduplicationScope.CELL)));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(
+                1, RoutingPolicyFixture.cls(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL)));
         b.node.list(
                 b.now,
                 EndpointListKind.COMPLETE,
@@ -586,7 +607,9 @@
 
     @Test
     void keyedRequestIsNotSentAfterItsWindow() {
-        Bench b = new Bench(Bench.settings(1, Bench.cls(Idempotency.TOKEN, DeduplicationScope.ALL))).list(names(6));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(
+                        1, RoutingPolicyFixture.cls(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL)))
+                .list(names(6));
         String id = b.ask(0, 7);
         b.pass(3 * S);
         b.outcome(id, AttemptOutcome.RESET);
@@ -596,8 +619,8 @@
 
     @Test
     void subscriptionIsAskedForInTimeAndAgainAfterErrors() {
-        Bench b = new Bench(Bench.settings(8, true, true, List.of()));
-        b.node.list(b.now, EndpointListKind.SAVED, List.of(Bench.server("a")));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(8, true, true, List.of()));
+        b.node.list(b.now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("a")));
         b.pass(5 * S);
         assertEquals(1, b.watches);
         b.node.list(b.now, EndpointListKind.ERROR, List.of());
@@ -613,17 +636,17 @@
 
     @Test
     void silentReplicasAreProbedAtARateSharedByTheNodes() {
-        Bench one = new Bench(Bench.settings(1)).list(names(10));
+        RoutingPolicyFixture one = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         one.pass(60 * S);
         assertTrue(one.probes.size() >= 20 && one.probes.size() <= 70, "alone: " + one.probes.size());
-        Bench many = new Bench(Bench.settings(10)).list(names(10));
+        RoutingPolicyFixture many = new RoutingPolicyFixture(RoutingPolicyFixture.settings(10)).list(names(10));
         many.pass(60 * S);
         assertTrue(many.probes.size() <= 8, "one of ten: " + many.probes.size());
     }
 
     @Test
     void eventsForTheUnknownAreIgnored() {
-        Bench b = new Bench(Bench.settings(1)).list(names(2));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(2));
         b.node.begun(b.now, "x", 0, 1);
         b.node.outcome(b.now, "x", 0, AttemptOutcome.OK, 1, true, 0, null);
         b.node.abandoned(b.now, "x");
@@ -638,7 +661,7 @@
     }
 
     /** Serves traffic of many sessions so that shares of traffic are believed. */
-    private static void warmUp(Bench b) {
+    private static void warmUp(RoutingPolicyFixture b) {
         for (long k = 1; k <= 500; k++) {
             b.serve(0, 100_000 + k);
             b.pass(20_000);
@@ -647,7 +670,7 @@
 
     @Test
     void lightPrefixHasOneReplicaAndHeavyOneSeveral() {
-        Bench b = new Bench(Bench.settings(1)).list(names(20));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(20));
         warmUp(b);
         Set<String> light = new HashSet<>();
         for (int i = 0; i < 3; i++) {
@@ -663,7 +686,7 @@
 
     @Test
     void dequeIsUsedInRotation() {
-        Bench b = new Bench(Bench.settings(1)).list(names(20));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(20));
         warmUp(b);
         for (int i = 0; i < 60; i++) {
             b.serve(6, 0);
@@ -678,7 +701,7 @@
 
     @Test
     void servedFallbackJoinsThePrefixsDeque() {
-        Bench b = new Bench(Bench.settings(1)).list(names(10));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         warmUp(b);
         String home = b.serve(5, 0);
         String id = b.ask(5, 0);
@@ -693,7 +716,7 @@
 
     @Test
     void keptTokenMissMovesAPrefixButAFlushDoesNotMoveAll() {
-        Bench b = new Bench(Bench.settings(1)).list(names(10));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         warmUp(b);
         Map<Long, String> at = new HashMap<>();
         for (long k = 1; k <= 30; k++) {
@@ -715,7 +738,7 @@
 
     @Test
     void unusedMappingsAgeOut() {
-        Bench b = new Bench(Bench.settings(40)).list(names(2));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(40)).list(names(2));
         // 16 keys a replica are one node's part here: the table is full at 32, and pressure picks the owner
         // of the oldest mapping, which is dropped.
         for (long k = 1; k <= 40; k++) {
@@ -731,7 +754,7 @@
 
     @Test
     void heapedReplicaIsPassedOver() {
-        Bench b = new Bench(Bench.settings(1)).list(names(10));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         Map<String, Integer> load = new HashMap<>();
         for (int i = 0; i < 30; i++) {
             load.merge(b.where(b.ask(0, 7)), 1, Integer::sum);
@@ -742,7 +765,7 @@
 
     @Test
     void keysStayHomeWhileTheFleetIsShort() {
-        Bench b = new Bench(Bench.settings(1)).list(names(10));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         String home = b.serve(0, 7);
         for (long k = 100; k < 130; k++) {
             String id = b.ask(0, k);
@@ -759,7 +782,7 @@
 
     @Test
     void hotSessionIsSpread() {
-        Bench b = new Bench(Bench.settings(1)).list(names(10));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         warmUp(b);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
@@ -772,9 +795,10 @@
         return new Endpoint("10.0.0." + i + ":9000", i % 2, 0, 0, EndpointState.LIVE, weight, 0);
     }
 
-    private static Bench priced(int me, int nodes, double crossZone, double connection, WeightMeaning weights) {
-        RoutingSettings t = Bench.settings(nodes);
-        return new Bench(new RoutingSettings(
+    private static RoutingPolicyFixture priced(
+            int me, int nodes, double crossZone, double connection, WeightMeaning weights) {
+        RoutingSettings t = RoutingPolicyFixture.settings(nodes);
+        return new RoutingPolicyFixture(new RoutingSettings(
                 me,
                 nodes,
                 0,
@@ -792,7 +816,7 @@
 
     @Test
     void liveWeightsMostIsTheSize() {
-        Bench b = priced(0, 20, 0, 0, WeightMeaning.LIVE);
+        RoutingPolicyFixture b = priced(0, 20, 0, 0, WeightMeaning.LIVE);
         b.node.list(b.now, EndpointListKind.COMPLETE, List.of(sized(0, 3), sized(1, 1), sized(2, 1), sized(3, 1)));
         b.node.list(b.now, EndpointListKind.CHANGES, List.of(sized(0, 0.5)));
         int big = 0;
@@ -806,7 +830,7 @@
     void nodesKeepToFewReplicasWhereConnectionsHaveAPrice() {
         Map<String, Integer> nodes = new HashMap<>();
         for (int me = 0; me < 20; me++) {
-            Bench b = priced(me, 20, 0, 0.1, WeightMeaning.NONE).list(names(20));
+            RoutingPolicyFixture b = priced(me, 20, 0, 0.1, WeightMeaning.NONE).list(names(20));
             Set<String> used = new HashSet<>();
             for (long k = 1; k <= 60; k++) {
                 used.add(b.serve(0, k));
@@ -820,7 +844,7 @@
 
     @Test
     void keysLeaveASlowOwnZoneAndComeBack() {
-        Bench b = priced(0, 1, 0.1, 0, WeightMeaning.NONE);
+        RoutingPolicyFixture b = priced(0, 1, 0.1, 0, WeightMeaning.NONE);
         List<Endpoint> l = new java.util.ArrayList<>();
         for (int i = 0; i < 20; i++) {
             l.add(sized(i, 1));
@@ -844,7 +868,7 @@
 
     @Test
     void cutZoneIsLearntAtOnce() {
-        Bench b = priced(0, 20, 0, 0, WeightMeaning.NONE);
+        RoutingPolicyFixture b = priced(0, 20, 0, 0, WeightMeaning.NONE);
         List<Endpoint> l = new java.util.ArrayList<>();
         for (int i = 0; i < 20; i++) {
             l.add(sized(i, 1));
@@ -866,10 +890,10 @@
 
     @Test
     void overloadRefusesWhatIsWorthLeast() {
-        RequestClass c = Bench.cls(Idempotency.PURE, DeduplicationScope.ALL);
+        RequestClass c = RoutingPolicyFixture.cls(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         RequestClass dear = new RequestClass(
-                "dear", Idempotency.PURE, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 9, 0.3);
-        Bench b = new Bench(Bench.settings(1, c, dear)).list(names(4));
+                "dear", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 9, 0.3);
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1, c, dear)).list(names(4));
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
             int cls = i % 2;
@@ -890,7 +914,7 @@
         return new LoadReport(no, queue, no, latency, no, 0, no, no);
     }
 
-    private static void reports(Bench b, String id, LoadReport load) {
+    private static void reports(RoutingPolicyFixture b, String id, LoadReport load) {
         b.begun(id, 50_000);
         b.node.outcome(b.now, id, 0, AttemptOutcome.OK, 50_000, true, 800, load);
     }
@@ -898,7 +922,7 @@
     /** A report of waiting requests counts for a moment only: it is stale by then. */
     @Test
     void aReplicaThatReportsAQueueIsPassedOverForAMoment() {
-        Bench b = new Bench(Bench.settings(1)).list(names(8));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
         reports(b, b.ask(0, 7), load(2, 30));
         assertNotEquals(home, b.where(b.ask(0, 7)));
@@ -911,11 +935,11 @@
     @Test
     void slownessIsToldByReportsButNotOfAColdReplica() {
         for (boolean cold : new boolean[] {false, true}) {
-            Bench b = new Bench(Bench.settings(1)).list(names(8));
+            RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
             b.node.list(
                     b.now,
                     EndpointListKind.CHANGES,
-                    List.of(Bench.server(names(8)[3], EndpointState.LIVE, cold ? b.now : 0)));
+                    List.of(RoutingPolicyFixture.server(names(8)[3], EndpointState.LIVE, cold ? b.now : 0)));
             int late = 0;
             for (int i = 0; i < 300; i++) {
                 String id = b.ask(0, 1000 + i);
@@ -931,7 +955,7 @@
     /** The rest of a broken stream is asked for by its client: it is never what overload control refuses. */
     @Test
     void whatIsAskedForAgainIsNotShed() {
-        Bench b = new Bench(Bench.settings(1)).list(names(4));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(4));
         int refused = 0;
         for (int i = 0; i < 200; i++) {
             String id = b.ask(0, i + 1);
@@ -954,7 +978,7 @@
 
     @Test
     void coldShareGoesByWhatWasSentNotByWhatWasAsked() {
-        Bench b = new Bench(Bench.settings(1)).list(names(5));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(5));
         for (int i = 0; i < 200; i++) {
             b.serve(0, i + 1);
             b.pass(100_000);
@@ -963,7 +987,8 @@
             }
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(Bench.server(cold, EndpointState.LIVE, b.now)));
+        b.node.list(
+                b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
--- a/src/test/java/magpiehub/routing/ZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -22,47 +22,47 @@
         boolean tries;
 
         @Override
-        public void number(int zones) {}
+        public void setZoneCount(int zones) {}
 
         @Override
-        public void told(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
+        public void recordEvidence(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
             told.add(replica + " " + sign);
         }
 
         @Override
-        public void fresh(String replica) {
+        public void forgetReplica(String replica) {
             told.add(replica + " fresh");
         }
 
         @Override
-        public void listed(long now, int zone, int live) {}
+        public void setReplicaCount(long now, int zone, int live) {}
 
         @Override
-        public boolean takes(long now, int zone, double place) {
+        public boolean accepts(long now, int zone, double place) {
             return place < share[zone];
         }
 
         @Override
-        public long shutSince(int zone) {
+        public long closedSince(int zone) {
             return shut[zone];
         }
 
         @Override
-        public boolean tries(long now, int zone) {
+        public boolean acquireTrial(long now, int zone) {
             boolean t = tries && shut[zone] != Long.MAX_VALUE;
             tries &= !t;
             return t;
         }
 
         @Override
-        public int checks(int zone) {
+        public int acquireHealthChecks(int zone) {
             int n = zone == 1 ? checks : 0;
             checks -= n;
             return n;
         }
 
         @Override
-        public boolean plans() {
+        public boolean plansFailover() {
             return true;
         }
 
@@ -73,12 +73,12 @@
     }
 
     private final Said zones = new Said();
-    private Bench b = bench(true);
+    private RoutingPolicyFixture b = bench(true);
 
-    private Bench bench(boolean probes) {
-        RoutingSettings s = Bench.settings(1, true, true, List.of());
+    private RoutingPolicyFixture bench(boolean probes) {
+        RoutingSettings s = RoutingPolicyFixture.settings(1, true, true, List.of());
         RoutingLimits l = s.limits();
-        Bench bench = new Bench(
+        RoutingPolicyFixture bench = new RoutingPolicyFixture(
                 new RoutingSettings(
                         0,
                         1,
@@ -86,12 +86,20 @@
                         2,
                         true,
                         false,
-                        s.weights(),
+                        s.weightMeaning(),
                         0.1,
                         s.classes(),
                         List.of(),
                         new RoutingLimits(
-                                l.cancel(), probes, false, false, true, 6, 1000, l.maxRetryAfter(), l.connectTimeout()),
+                                l.allowsCancellation(),
+                                probes,
+                                false,
+                                false,
+                                true,
+                                6,
+                                1000,
+                                l.maxRetryAfter(),
+                                l.connectTimeout()),
                         s.guarantees(),
                         s.costs()),
                 zones);
@@ -152,14 +160,14 @@
         String id = there();
         b.begun(id, 50_000);
         zones.lose(b.now + 1);
-        b.pass(2 * Bench.S);
+        b.pass(2 * RoutingPolicyFixture.S);
         assertEquals(List.of(), b.cancels);
     }
 
     @Test
     public void silenceIsToldOnceWhileItLasts() {
         String id = there();
-        b.pass(3 * Bench.S);
+        b.pass(3 * RoutingPolicyFixture.S);
         assertEquals(
                 1,
                 zones.told.stream()
@@ -184,7 +192,7 @@
         }
         zones.share[1] = 1;
         Set<Long> later = new HashSet<>();
-        Bench fresh = bench(true);
+        RoutingPolicyFixture fresh = bench(true);
         for (long s = 1; s <= 200; s++) {
             if (fresh.serve(0, s * 7919).startsWith("b")) {
                 later.add(s);
@@ -222,7 +230,7 @@
         assertTrue("one", b.where(b.ask(0, 6)).startsWith("a"));
         b.pass(200_000);
         assertEquals("it has its time", List.of(), b.cancels);
-        b.pass(Bench.S);
+        b.pass(RoutingPolicyFixture.S);
         assertEquals("silent, it is given up", List.of(trial + "/0"), b.cancels);
     }
 
--- a/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
+++ b/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
@@ -57,42 +57,42 @@
 
     @Test
     public void aLossIsLoggedWithItsCauseAndSuspendsTheSiteUntilItAnswers() {
-        plan.number(3);
+        plan.setZoneCount(3);
         for (int i = 0; i < 3; i++) {
-            plan.listed(0, i, 8);
+            plan.setReplicaCount(0, i, 8);
         }
         for (int i = 0; i < 6; i++) {
-            plan.told(SECOND + i * 10_000L, 1, "s" + i, ZoneEvidence.NO_CONNECTION, 1_000, 1);
-            plan.told(SECOND + i * 10_000L + 5_000, 2, "w" + i, ZoneEvidence.ANSWERED, 400, 1);
+            plan.recordEvidence(SECOND + i * 10_000L, 1, "s" + i, ZoneEvidence.NO_CONNECTION, 1_000, 1);
+            plan.recordEvidence(SECOND + i * 10_000L + 5_000, 2, "w" + i, ZoneEvidence.ANSWERED, 400, 1);
         }
         assertEquals(0, plan.siteNames().indexOf("north"));
         assertTrue(
                 logged.toString(),
                 logged.contains("site name south from doubted to lost cause no_connection")
                         && logged.contains("site_lost"));
-        assertFalse(plan.takes(2 * SECOND, 1, 0));
-        assertTrue(plan.takes(2 * SECOND, 2, 0.99));
-        assertTrue("since it was seen", plan.shutSince(1) <= SECOND + 60_000);
-        plan.tick(2 * SECOND);
+        assertFalse(plan.accepts(2 * SECOND, 1, 0));
+        assertTrue(plan.accepts(2 * SECOND, 2, 0.99));
+        assertTrue("since it was seen", plan.closedSince(1) <= SECOND + 60_000);
+        plan.advance(2 * SECOND);
         assertEquals("lost share=0% cause=no_connection", plan.siteStatus().get("south"));
         assertTrue(plan.metrics().contains("site_south lost share=0% cause=no_connection\n"));
-        plan.told(4 * SECOND, 1, "s1", ZoneEvidence.ANSWERED, 1_000, 1);
-        assertEquals(Long.MAX_VALUE, plan.shutSince(1));
-        assertTrue("a tenth first", plan.takes(4 * SECOND, 1, 0.09) && !plan.takes(4 * SECOND, 1, 0.11));
+        plan.recordEvidence(4 * SECOND, 1, "s1", ZoneEvidence.ANSWERED, 1_000, 1);
+        assertEquals(Long.MAX_VALUE, plan.closedSince(1));
+        assertTrue("a tenth first", plan.accepts(4 * SECOND, 1, 0.09) && !plan.accepts(4 * SECOND, 1, 0.11));
     }
 
     @Test
     public void aWithdrawalEmptiesASiteGraduallyAndItsReturnGoesInSteps() {
-        plan.number(3);
-        plan.tick(SECOND);
+        plan.setZoneCount(3);
+        plan.advance(SECOND);
         plan.setWithdrawnSites(Set.of("west"));
-        plan.tick(2 * SECOND);
-        assertTrue("at first nearly all", plan.takes(2 * SECOND + 100_000, 2, 0.9));
-        assertFalse("then none", plan.takes(6 * SECOND, 2, 0));
-        assertTrue(plan.takes(6 * SECOND, 1, 0.99));
+        plan.advance(2 * SECOND);
+        assertTrue("at first nearly all", plan.accepts(2 * SECOND + 100_000, 2, 0.9));
+        assertFalse("then none", plan.accepts(6 * SECOND, 2, 0));
+        assertTrue(plan.accepts(6 * SECOND, 1, 0.99));
         plan.setWithdrawnSites(Set.of());
-        plan.tick(7 * SECOND);
+        plan.advance(7 * SECOND);
         assertTrue(plan.siteStatus().get("west"), plan.siteStatus().get("west").startsWith("returning share=10%"));
-        assertTrue("a zone that the file did not name is the module's", plan.takes(7 * SECOND, 9, 1));
+        assertTrue("a zone that the file did not name is the module's", plan.accepts(7 * SECOND, 9, 1));
     }
 }
--- a/src/test/java/magpiehub/streaming/ModulesTest.java
+++ b/src/test/java/magpiehub/streaming/ModulesTest.java
@@ -195,7 +195,7 @@
     private static final List<RequestClass> CLASSES = List.of(cls("chat"), cls("bulk"));
 
     private static RequestClass cls(String name) {
-        return new RequestClass(name, Idempotency.PURE, DeduplicationScope.ALL, 0, true, 0, 0, 0, 0, 0, 0, 0);
+        return new RequestClass(name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, true, 0, 0, 0, 0, 0, 0, 0);
     }
 
     private static StreamLimits of(String json) throws Exception {
