--- a/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
@@ -62,14 +62,14 @@
     public void onProbeCompleted(DispatcherMessage.ProbeCompleted message) {
         long nowMicros = clock.nowMicros();
         long roundTripMicros = nowMicros - message.sentAtMicros();
-        policy.probed(nowMicros, message.endpointId(), message.outcome(), roundTripMicros, message.load());
+        policy.onProbeResult(nowMicros, message.endpointId(), message.outcome(), roundTripMicros, message.load());
     }
 
     @Override
     public void onEndpointsUpdated(DispatcherMessage.EndpointsUpdated message) {
         EndpointListKind kind = message.kind();
         fleet.updateEndpoints(kind, message.endpoints());
-        policy.list(clock.nowMicros(), kind, message.endpoints());
+        policy.onEndpoints(clock.nowMicros(), kind, message.endpoints());
         if (kind == EndpointListKind.ERROR) {
             watch.onFailure();
         }
@@ -80,7 +80,7 @@
     public void onSettingsUpdated(DispatcherMessage.SettingsUpdated message) {
         requests.updateSettings(message.settings());
         watch.updateSettings(message.settings());
-        policy.settings(clock.nowMicros(), message.settings());
+        policy.onSettings(clock.nowMicros(), message.settings());
         watch.ensureOpen();
     }
 
@@ -111,6 +111,6 @@
 
     @Override
     public void onPolicyTimerDue(TimerEvent.PolicyTimerDue event) {
-        policy.timer(clock.nowMicros(), event.token());
+        policy.onTimer(clock.nowMicros(), event.token());
     }
 }
--- a/src/main/java/magpiehub/dispatch/DispatcherShutdown.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherShutdown.java
@@ -27,7 +27,7 @@
             if (!request.isStreaming()) {
                 lifecycle.answerForShutdown(request);
             } else if (migrateStreams) {
-                actions.move(request.id());
+                actions.migrateStream(request.id());
             }
         }
     }
--- a/src/main/java/magpiehub/dispatch/RequestLifecycle.java
+++ b/src/main/java/magpiehub/dispatch/RequestLifecycle.java
@@ -68,7 +68,7 @@
         requests.add(openRequest);
         eventLog.count("taken");
         timers.schedule(request.deadline() + OVERDUE_AFTER_MICROS, new TimerEvent.RequestOverdue(openRequest));
-        policy.request(clock.nowMicros(), request);
+        policy.onRequest(clock.nowMicros(), request);
     }
 
     /** Gives the stream that has started to the client, unless the request or the attempt is over. */
@@ -80,7 +80,7 @@
         request.markStreaming(attempt);
         attempt.grant();
         long nowMicros = clock.nowMicros();
-        policy.begun(nowMicros, request.id(), attempt.number(), attempt.elapsedMicros(nowMicros));
+        policy.onStreamStarted(nowMicros, request.id(), attempt.number(), attempt.elapsedMicros(nowMicros));
     }
 
     /** Reports the end of an attempt to the policy, which may send another; ignored if the attempt is over. */
@@ -100,7 +100,7 @@
             requests.close(request, resultOf(outcome));
         }
         long nowMicros = clock.nowMicros();
-        policy.outcome(
+        policy.onAttemptEnded(
                 nowMicros,
                 request.id(),
                 attempt.number(),
@@ -127,7 +127,7 @@
             return;
         }
         requests.close(request, RequestResult.ABANDONED);
-        policy.abandoned(clock.nowMicros(), requestId);
+        policy.onClientGone(clock.nowMicros(), requestId);
         for (Attempt attempt : request.attempts()) {
             if (!attempt.isOver()) {
                 abortAndReport(attempt, AttemptOutcome.CANCELLED);
@@ -154,7 +154,7 @@
         }
         eventLog.count("answered_by_backstop");
         requests.fail(request, "deadline");
-        policy.abandoned(clock.nowMicros(), request.id());
+        policy.onClientGone(clock.nowMicros(), request.id());
     }
 
     /**
@@ -162,11 +162,11 @@
      * on it and a repetition is not safe, it has failed; else it is rejected and may be retried.
      */
     void answerForShutdown(OpenRequest request) {
-        if (policy.mayRefuse(request.id())) {
+        if (policy.mayReject(request.id())) {
             requests.reject(request, requests.defaultRetryAfterMicros());
         } else {
             requests.fail(request, "stopping");
         }
-        policy.abandoned(clock.nowMicros(), request.id());
+        policy.onClientGone(clock.nowMicros(), request.id());
     }
 }
--- a/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
+++ b/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void send(String requestId, String endpointId, long timeoutMicros) {
+    public void sendAttempt(String requestId, String endpointId, long timeoutMicros) {
         OpenRequest request = requests.find(requestId);
         if (request == null || request.isAnswered()) {
             return;
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void cancel(String requestId, int attemptNumber) {
+    public void cancelAttempt(String requestId, int attemptNumber) {
         OpenRequest request = requests.find(requestId);
         if (request == null
                 || attemptNumber < 0
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void refuse(String requestId, long retryAfterMicros) {
+    public void reject(String requestId, long retryAfterMicros) {
         OpenRequest request = requests.find(requestId);
         if (request != null && !request.isStreaming()) {
             requests.reject(request, retryAfterMicros > 0 ? retryAfterMicros : requests.defaultRetryAfterMicros());
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void move(String requestId) {
+    public void migrateStream(String requestId) {
         OpenRequest request = requests.find(requestId);
         if (request == null || !request.isStreaming()) {
             return;
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void timer(long dueMicros, long token) {
+    public void setTimer(long dueMicros, long token) {
         timers.schedule(dueMicros, new TimerEvent.PolicyTimerDue(token));
     }
 
@@ -152,13 +152,13 @@
     }
 
     @Override
-    public void close(String endpointId) {
+    public void closeIdleConnections(String endpointId) {
         fleet.closeIdleConnections(endpointId);
     }
 
     /** Messages between routers are not carried; the counter shows that the policy tried to send one. */
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         eventLog.count("peer_messages_not_sent");
     }
 
--- a/src/main/java/magpiehub/routing/RoutingEvents.java
+++ b/src/main/java/magpiehub/routing/RoutingEvents.java
@@ -5,16 +5,16 @@
 /** What a node may be told. {@code load} is null where no report came. */
 public interface RoutingEvents {
     /** Discovery's word on the servers; {@code servers} is empty for {@link EndpointListKind#ERROR}. */
-    void list(long now, EndpointListKind kind, List<Endpoint> servers);
+    void onEndpoints(long now, EndpointListKind kind, List<Endpoint> servers);
 
     /** A client's request has come; exactly one final answer is owed. */
-    void request(long now, RoutingRequest request);
+    void onRequest(long now, RoutingRequest request);
 
     /** A stream has started: the attempt belongs to the client now. */
-    void begun(long now, String id, int attempt, long took);
+    void onStreamStarted(long now, String id, int attempt, long took);
 
     /** An attempt has ended; {@code settled} if the request is over. {@code kept} is -1 if not told. */
-    void outcome(
+    void onAttemptEnded(
             long now,
             String id,
             int attempt,
@@ -25,17 +25,17 @@
             LoadReport load);
 
     /** The client is gone; nothing more is owed. */
-    void abandoned(long now, String id);
+    void onClientGone(long now, String id);
 
     /** A timer set by {@link Actions#timer} has come due. */
-    void timer(long now, long token);
+    void onTimer(long now, long token);
 
     /** A probe has come back. */
-    void probed(long now, String server, AttemptOutcome outcome, long took, LoadReport load);
+    void onProbeResult(long now, String server, AttemptOutcome outcome, long took, LoadReport load);
 
     /** Other settings hold from now on. Classes and tenants keep their places, new ones come behind. */
-    void settings(long now, RoutingSettings settings);
+    void onSettings(long now, RoutingSettings settings);
 
     /** Another node of the tier has sent a message. */
-    void message(long now, int peer, byte[] payload);
+    void onPeerMessage(long now, int peer, byte[] payload);
 }
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -196,7 +196,7 @@
         // Discovery serves callers in turn: first calls spread out.
         asking = new EndpointPollSchedule(
                 now + (long) (random() * Math.min(s.guarantees().pollWithin() / 2, 250_000L * s.instanceCount())));
-        out.timer(now + SWEEP, 1);
+        out.setTimer(now + SWEEP, 1);
     }
 
     private double random() {
@@ -216,7 +216,7 @@
     }
 
     @Override
-    public void settings(long time, RoutingSettings settings) {
+    public void onSettings(long time, RoutingSettings settings) {
         at(time);
         s = settings;
         sized();
@@ -238,7 +238,7 @@
 
     // ---- Fleet list -------------------------------------------------------------------------------------
     @Override
-    public void list(long time, EndpointListKind kind, List<Endpoint> servers) {
+    public void onEndpoints(long time, EndpointListKind kind, List<Endpoint> servers) {
         at(time);
         if (kind == EndpointListKind.ERROR) {
             asking.failed(now, s.guarantees().pollWithin(), random());
@@ -371,7 +371,7 @@
 
     // ---- Requests: admission, then the ordinary path ----------------------------------------------------
     @Override
-    public void request(long time, RoutingRequest r) {
+    public void onRequest(long time, RoutingRequest r) {
         at(time);
         if (held.containsKey(r.id())) {
             return;
@@ -587,12 +587,12 @@
         if (r.coldSince != NEVER) {
             r.coldTokens--;
         }
-        out.send(h.r.id(), r.id, 0);
+        out.sendAttempt(h.r.id(), r.id, 0);
     }
 
     // ---- Attempts and failover --------------------------------------------------------------------------
     @Override
-    public void begun(long time, String id, int n, long took) {
+    public void onStreamStarted(long time, String id, int n, long took) {
         at(time);
         Held h = held.get(id);
         if (h == null || n < 0 || n >= h.attempts.size() || h.streaming) {
@@ -608,13 +608,13 @@
         for (int i = 0; i < h.attempts.size() && h.limits.allowsCancellation(); i++) {
             Attempt a = h.attempts.get(i);
             if (!a.done && !a.begun) {
-                out.cancel(h.r.id(), i);
+                out.cancelAttempt(h.r.id(), i);
             }
         }
     }
 
     @Override
-    public void outcome(
+    public void onAttemptEnded(
             long time, String id, int n, AttemptOutcome o, long took, boolean settled, long kept, LoadReport load) {
         at(time);
         Held h = held.get(id);
@@ -630,7 +630,7 @@
             a.replica.trialOut = false;
         }
         if (priced() && a.replica.inflight == 0 && !own.holds(a.replica) && !wide.holds(a.replica)) {
-            out.close(a.replica.id);
+            out.closeIdleConnections(a.replica.id);
         }
         if (!o.neverRan && h.mayHaveRun == null) {
             h.mayHaveRun = a;
@@ -734,11 +734,11 @@
     }
 
     /** Whether a request may be answered as refused now, whatever became of its attempts. */
-    public boolean mayRefuse(String id) {
-        return !held.containsKey(id) || mayRefuse(held.get(id));
+    public boolean mayReject(String id) {
+        return !held.containsKey(id) || mayReject(held.get(id));
     }
 
-    private boolean mayRefuse(Held h) {
+    private boolean mayReject(Held h) {
         if (h.r.classIndex() < 0 || h.r.classIndex() >= s.classes().size() || (h.open == 0 && h.mayHaveRun == null)) {
             return true;
         }
@@ -750,8 +750,8 @@
 
     /** The final answer when there is nothing better: refused if a retry is harmless, else failed. */
     private void turnAway(Held h) {
-        if (mayRefuse(h)) {
-            out.refuse(h.r.id(), 0);
+        if (mayReject(h)) {
+            out.reject(h.r.id(), 0);
         } else {
             out.fail(h.r.id());
         }
@@ -759,7 +759,7 @@
     }
 
     @Override
-    public void abandoned(long time, String id) {
+    public void onClientGone(long time, String id) {
         at(time);
         Held h = held.get(id);
         if (h != null) {
@@ -920,7 +920,7 @@
                         && (a.silent || a.sentAt < shut)
                         && s.limits().allowsCancellation()) {
                     a.givenUp = true;
-                    out.cancel(h.r.id(), n);
+                    out.cancelAttempt(h.r.id(), n);
                 }
             }
         }
@@ -995,7 +995,7 @@
     }
 
     @Override
-    public void probed(long time, String server, AttemptOutcome o, long took, LoadReport load) {
+    public void onProbeResult(long time, String server, AttemptOutcome o, long took, LoadReport load) {
         at(time);
         Replica r = replicas.get(server);
         if (r != null && o == AttemptOutcome.OK) {
@@ -1168,12 +1168,12 @@
 
     // ---- The timer --------------------------------------------------------------------------------------
     @Override
-    public void timer(long time, long token) {
+    public void onTimer(long time, long token) {
         at(time);
         if (token != 1) {
             return;
         }
-        out.timer(now + SWEEP, 1);
+        out.setTimer(now + SWEEP, 1);
         if (s.subscribesToEndpoints() && asking.due(now, s.guarantees().pollWithin())) {
             out.watch();
         }
@@ -1187,7 +1187,7 @@
     }
 
     @Override
-    public void message(long time, int peer, byte[] payload) {
+    public void onPeerMessage(long time, int peer, byte[] payload) {
         at(time);
     }
 }
--- a/src/main/java/magpiehub/simulator/SimulatorAdapter.java
+++ b/src/main/java/magpiehub/simulator/SimulatorAdapter.java
@@ -180,7 +180,7 @@
                 need(job, "job");
                 field = "dropDeadMs";
                 check(!Double.isNaN(dropDead), "is missing");
-                node.request(
+                node.onRequest(
                         now,
                         new RoutingRequest(
                                 job,
@@ -197,14 +197,14 @@
                                 write,
                                 again));
             }
-            case "BEGUN" -> node.begun(now, need(job, "job"), attempt, micros(took));
-            case "ANSWER" -> node.outcome(
+            case "BEGUN" -> node.onStreamStarted(now, need(job, "job"), attempt, micros(took));
+            case "ANSWER" -> node.onAttemptEnded(
                     now, need(job, "job"), attempt, outcome(reason), micros(took), settled, detail, load);
-            case "ABANDONED" -> node.abandoned(now, need(job, "job"));
-            case "TICK_DUE" -> node.timer(now, nonce);
-            case "STATUS_BACK" -> node.probed(now, need(engine, "engine"), outcome(reason), micros(took), load);
-            case "MESSAGE" -> node.message(now, peer, payload);
-            case "PEERS_KNOWN" -> node.list(now, listKind(need(kind, "kind")), servers);
+            case "ABANDONED" -> node.onClientGone(now, need(job, "job"));
+            case "TICK_DUE" -> node.onTimer(now, nonce);
+            case "STATUS_BACK" -> node.onProbeResult(now, need(engine, "engine"), outcome(reason), micros(took), load);
+            case "MESSAGE" -> node.onPeerMessage(now, peer, payload);
+            case "PEERS_KNOWN" -> node.onEndpoints(now, listKind(need(kind, "kind")), servers);
             default -> throw new ConfigurationException("is no message of this wire");
         }
     }
@@ -432,7 +432,7 @@
         }
 
         @Override
-        public void send(String id, String server, long timeout) {
+        public void sendAttempt(String id, String server, long timeout) {
             reply.open("PASS_ON", node).text("job", id).text("engine", server);
             if (timeout != 0) {
                 reply.millis("giveUpAfterMs", timeout);
@@ -441,12 +441,12 @@
         }
 
         @Override
-        public void cancel(String id, int n) {
+        public void cancelAttempt(String id, int n) {
             reply.open("ABANDON", node).text("job", id).number("n", n).close();
         }
 
         @Override
-        public void refuse(String id, long retryAfter) {
+        public void reject(String id, long retryAfter) {
             reply.open("REJECT", node).text("job", id);
             if (retryAfter > 0) {
                 reply.millis("comeBackMs", retryAfter);
@@ -465,7 +465,7 @@
         }
 
         @Override
-        public void timer(long at, long token) {
+        public void setTimer(long at, long token) {
             reply.open("SCHEDULE", node)
                     .millis("alarmTimeMs", at)
                     .number("nonce", token)
@@ -478,7 +478,7 @@
         }
 
         @Override
-        public void move(String id) {
+        public void migrateStream(String id) {
             reply.open("GO_AWAY", node).text("job", id).close();
         }
 
@@ -493,12 +493,12 @@
         }
 
         @Override
-        public void close(String server) {
+        public void closeIdleConnections(String server) {
             reply.open("CLOSE", node).text("engine", server).close();
         }
 
         @Override
-        public void tell(int to, byte[] bytes) {
+        public void sendToPeer(int to, byte[] bytes) {
             reply.open("SHARE", node);
             if (to < 0) {
                 reply.text("whom", "*");
--- a/src/test/java/magpiehub/discovery/WatchesTest.java
+++ b/src/test/java/magpiehub/discovery/WatchesTest.java
@@ -171,7 +171,7 @@
             for (long[] t : List.copyOf(timers)) {
                 if (t[0] <= fleet.now) {
                     timers.remove(t);
-                    rules.timer(fleet.now, t[1]);
+                    rules.onTimer(fleet.now, t[1]);
                 }
             }
             if (live != null && live.open && !live.closed) {
@@ -189,7 +189,7 @@
                 live = l;
                 toldAt = fleet.now;
                 beatAt = fleet.now;
-                rules.list(
+                rules.onEndpoints(
                         fleet.now,
                         EndpointListKind.COMPLETE,
                         List.of(new Endpoint("e1", 0, 0, 0, EndpointState.LIVE, 1, 0)));
@@ -225,7 +225,7 @@
 
         @Override
         public void failed(Watches.Call c, String why) {
-            rules.list(fleet.now, EndpointListKind.ERROR, List.of());
+            rules.onEndpoints(fleet.now, EndpointListKind.ERROR, List.of());
         }
 
         @Override
@@ -234,12 +234,12 @@
         }
 
         @Override
-        public void timer(long at, long token) {
+        public void setTimer(long at, long token) {
             timers.add(new long[] {at, token});
         }
 
         @Override
-        public void send(String id, String server, long timeout) {
+        public void sendAttempt(String id, String server, long timeout) {
             sent.add(server);
         }
     }
@@ -389,7 +389,7 @@
             while (f.now < until) {
                 f.step();
             }
-            r.rules.request(
+            r.rules.onRequest(
                     f.now, new RoutingRequest("r" + i, 0, 0, i, 0, f.now + 4 * S, 0, 10, 0, 10, false, false, false));
             assertEquals("after " + (i + 1) + " s", i + 1, r.sent.size());
         }
@@ -412,9 +412,9 @@
             f.step();
             if (f.now % S == S / 2 && f.now > silent + 4 * S) {
                 r.watches.spoke(old, f.now);
-                r.rules.list(f.now, EndpointListKind.CHANGES, List.of());
+                r.rules.onEndpoints(f.now, EndpointListKind.CHANGES, List.of());
                 if (r.watches.forsaken()) {
-                    r.rules.list(f.now, EndpointListKind.ERROR, List.of());
+                    r.rules.onEndpoints(f.now, EndpointListKind.ERROR, List.of());
                 }
             }
             if (f.discoveries.get(0).calls > calls) {
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -263,7 +263,7 @@
         for (Idempotency effect : Idempotency.values()) {
             for (DeduplicationScope group : DeduplicationScope.values()) {
                 calls.clear();
-                dispatcher = newDispatcher(RoutingPolicyFixture.settings(1, RoutingPolicyFixture.cls(effect, group)));
+                dispatcher = newDispatcher(RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(effect, group)));
                 submitWithEndpoints("a");
                 dispatcher.shutDown(false);
                 runTurns();
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -101,7 +101,8 @@
             List<Endpoint> list = List.copyOf(servers);
             for (Router r : routers) {
                 dues.add(new Due(
-                        now + random.nextLong(300_000), () -> r.rules.list(now, EndpointListKind.COMPLETE, list)));
+                        now + random.nextLong(300_000),
+                        () -> r.rules.onEndpoints(now, EndpointListKind.COMPLETE, list)));
                 if (restarts && random.nextInt(10) < 7) {
                     dues.add(new Due(now + 300_000 + random.nextLong(2 * S), () -> r.start(list)));
                 }
@@ -145,12 +146,12 @@
                     fleet.random.nextLong(),
                     this,
                     fleet.now);
-            rules.list(fleet.now, EndpointListKind.COMPLETE, List.copyOf(list));
+            rules.onEndpoints(fleet.now, EndpointListKind.COMPLETE, List.copyOf(list));
         }
 
         void step() {
             if (timer <= fleet.now) {
-                rules.timer(fleet.now, 1);
+                rules.onTimer(fleet.now, 1);
             }
         }
 
@@ -163,11 +164,11 @@
             RoutingRequest r = new RoutingRequest(
                     id, 0, 0, session, prefix, fleet.now + 4 * S, 0, 1000, 0, 100, false, false, again);
             open.put(id, r);
-            rules.request(fleet.now, r);
+            rules.onRequest(fleet.now, r);
         }
 
         @Override
-        public void send(String id, String server, long timeout) {
+        public void sendAttempt(String id, String server, long timeout) {
             fleet.sent.computeIfAbsent(server, k -> new ArrayList<>()).add(fleet.now);
             int n = tries.merge(id, 1, Integer::sum) - 1;
             RoutingPolicy to = rules;
@@ -175,14 +176,14 @@
             int how = fleet.random.nextInt(100);
             if (how < 4) { // Fails, and is tried elsewhere.
                 AttemptOutcome o = how < 2 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-                fleet.dues.add(
-                        new Due(fleet.now + 20_000, () -> to.outcome(fleet.now, id, n, o, 20_000, false, -1, null)));
+                fleet.dues.add(new Due(
+                        fleet.now + 20_000, () -> to.onAttemptEnded(fleet.now, id, n, o, 20_000, false, -1, null)));
                 return;
             }
-            fleet.dues.add(new Due(fleet.now + 60_000, () -> to.begun(fleet.now, id, n, 60_000)));
+            fleet.dues.add(new Due(fleet.now + 60_000, () -> to.onStreamStarted(fleet.now, id, n, 60_000)));
             boolean breaks = how < 8;
             fleet.dues.add(new Due(fleet.now + 500_000, () -> {
-                to.outcome(
+                to.onAttemptEnded(
                         fleet.now, id, n, breaks ? AttemptOutcome.RESET : AttemptOutcome.OK, 500_000, true, 800, null);
                 if (breaks) {
                     fleet.ask(r.sessionId(), true); // Its client asks for the rest.
@@ -191,7 +192,7 @@
         }
 
         @Override
-        public void timer(long at, long token) {
+        public void setTimer(long at, long token) {
             timer = at;
         }
     }
@@ -303,7 +304,7 @@
                     f.dues.clear();
                     for (Router r : f.routers) {
                         if (!prefix) {
-                            r.rules.list(f.now, EndpointListKind.CHANGES, one);
+                            r.rules.onEndpoints(f.now, EndpointListKind.CHANGES, one);
                         }
                         r.ask(f.session(), key, false);
                         r.ask(f.session(), key, false);
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -141,7 +141,7 @@
         next.event.run();
         if (events % 16 == 0 && !openIds.isEmpty()) {
             String id = openIds.get(random.nextInt(openIds.size()));
-            record("may refuse", id, module.mayRefuse(id));
+            record("may refuse", id, module.mayReject(id));
         }
     }
 
@@ -263,14 +263,14 @@
     }
 
     private void listAll(EndpointListKind kind) {
-        module.list(now, kind, listed.stream().map(this::entry).toList());
+        module.onEndpoints(now, kind, listed.stream().map(this::entry).toList());
     }
 
     private void listOne(Engine engine) {
         if (random.nextInt(8) == 0) {
             listAll(EndpointListKind.COMPLETE);
         } else {
-            module.list(now, EndpointListKind.CHANGES, List.of(entry(engine)));
+            module.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(engine)));
         }
     }
 
@@ -325,7 +325,7 @@
         }
         engine.state = EndpointState.DEAD;
         if (random.nextBoolean()) {
-            module.list(now, EndpointListKind.CHANGES, List.of(entry(engine)));
+            module.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(engine)));
         } else {
             listAll(EndpointListKind.COMPLETE);
         }
@@ -352,7 +352,7 @@
                 other.limits(),
                 other.guarantees(),
                 other.costs());
-        module.settings(now, settings);
+        module.onSettings(now, settings);
     }
 
     // ---- Traffic ----------------------------------------------------------------------------------------
@@ -391,9 +391,9 @@
         if (random.nextInt(40) == 0) {
             plan(random.nextInt(1_000_000), () -> leave(call));
         }
-        module.request(now, call.request);
+        module.onRequest(now, call.request);
         if (random.nextInt(200) == 0) {
-            module.request(now - 10, call.request);
+            module.onRequest(now - 10, call.request);
         }
     }
 
@@ -409,11 +409,11 @@
             return;
         }
         call.settled = true;
-        module.abandoned(now, call.request.id());
+        module.onClientGone(now, call.request.id());
     }
 
     @Override
-    public void send(String id, String server, long timeout) {
+    public void sendAttempt(String id, String server, long timeout) {
         record("send", id, server, timeout);
         Call call = calls.get(id);
         Engine engine = engines.get(server);
@@ -472,7 +472,7 @@
     private void begin(Call call, int number) {
         Attempt attempt = call.attempts.get(number);
         if (!attempt.ended && !call.settled) {
-            module.begun(now, call.request.id(), number, now - attempt.sentAt);
+            module.onStreamStarted(now, call.request.id(), number, now - attempt.sentAt);
         }
     }
 
@@ -488,7 +488,7 @@
         long kept = random.nextInt(5) == 0
                 ? -1
                 : phase == Phase.RELEASE ? 0 : (long) (call.request.promptTokens() * random.nextDouble());
-        module.outcome(
+        module.onAttemptEnded(
                 now,
                 call.request.id(),
                 number,
@@ -516,13 +516,13 @@
 
     // ---- The module's other actions ---------------------------------------------------------------------
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         record("cancel", id, attempt);
         plan(1_000, () -> end(calls.get(id), attempt, AttemptOutcome.CANCELLED, false));
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
+    public void reject(String id, long retryAfter) {
         record("refuse", id, retryAfter);
         calls.get(id).settled = true;
     }
@@ -538,18 +538,18 @@
         record("watch");
         plan(random.nextInt(1_500_000), () -> {
             if (random.nextInt(3) == 0) {
-                module.list(now, EndpointListKind.ERROR, List.of());
+                module.onEndpoints(now, EndpointListKind.ERROR, List.of());
             } else {
                 listOne(anyListed());
             }
         });
-        plan(4 * SECOND, () -> module.list(now, EndpointListKind.ERROR, List.of()));
+        plan(4 * SECOND, () -> module.onEndpoints(now, EndpointListKind.ERROR, List.of()));
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         record("timer", at, token);
-        plan(at - now, () -> module.timer(now, token));
+        plan(at - now, () -> module.onTimer(now, token));
     }
 
     @Override
@@ -561,11 +561,11 @@
                 ? outcome
                 : AttemptOutcome.OK;
         long took = 2_000 + random.nextInt(20_000);
-        plan(took, () -> module.probed(now, server, seen, took, drawLoad(engine)));
+        plan(took, () -> module.onProbeResult(now, server, seen, took, drawLoad(engine)));
     }
 
     @Override
-    public void move(String id) {
+    public void migrateStream(String id) {
         record("move", id);
     }
 
@@ -580,12 +580,12 @@
     }
 
     @Override
-    public void close(String server) {
+    public void closeIdleConnections(String server) {
         record("close", server);
     }
 
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         record("tell", peer, payload.length);
     }
 
--- a/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -12,24 +12,24 @@
         RoutingPolicyFixture actions = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1));
         long now = 2_000_000;
         RoutingPolicy rules = new RoutingPolicy(actions.settings, 7, actions, now);
-        rules.list(now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("10.0.0.1:9000")));
-        rules.request(
+        rules.onEndpoints(now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("10.0.0.1:9000")));
+        rules.onRequest(
                 now, new RoutingRequest("a1", 0, 0, 17, 4, now + 4_000_000, 0, 1800, 1200, 256, false, false, false));
-        assertEquals("10.0.0.1:9000", actions.where("a1"));
-        rules.begun(now + 80_000, "a1", 0, 80_000);
-        rules.outcome(now + 900_000, "a1", 0, AttemptOutcome.OK, 900_000, true, 1200, null);
-        assertEquals(0, actions.finals.size(), "the stream itself was the answer");
+        assertEquals("10.0.0.1:9000", actions.replicaOf("a1"));
+        rules.onStreamStarted(now + 80_000, "a1", 0, 80_000);
+        rules.onAttemptEnded(now + 900_000, "a1", 0, AttemptOutcome.OK, 900_000, true, 1200, null);
+        assertEquals(0, actions.finalAnswers.size(), "the stream itself was the answer");
     }
 
     @Test
     void misuseHasADefinedResult() {
         RoutingPolicyFixture actions = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list("a");
-        String id = actions.ask(9, 0, 0, 1);
-        assertEquals("refused", actions.finals.get(id), "a class out of range");
+        String id = actions.submit(9, 0, 0, 1);
+        assertEquals("refused", actions.finalAnswers.get(id), "a class out of range");
         RoutingRequest twice =
                 new RoutingRequest("x", 0, 0, 1, 0, actions.now + 4_000_000, 0, 10, 0, 10, false, false, false);
-        actions.node.request(actions.now, twice);
-        actions.node.request(actions.now - 500_000, twice);
-        assertEquals(1, actions.tries.get("x"), "an id that is held already");
+        actions.policy.onRequest(actions.now, twice);
+        actions.policy.onRequest(actions.now - 500_000, twice);
+        assertEquals(1, actions.attemptCounts.get("x"), "an id that is held already");
     }
 }
--- a/src/test/java/magpiehub/routing/OverloadControlTest.java
+++ b/src/test/java/magpiehub/routing/OverloadControlTest.java
@@ -11,7 +11,7 @@
 
 /** Refusals over drawn deployments: no router turns away everything, and no conversation is singled out. */
 class OverloadControlTest {
-    private static final long S = RoutingPolicyFixture.S;
+    private static final long S = RoutingPolicyFixture.SECOND;
     private static final long WINDOW = 4 * S;
     private static final int ENOUGH = 15;
 
@@ -41,12 +41,12 @@
         }
         b.list(names);
         for (int i = 0; i < 600; i++) {
-            String id = b.ask(random.nextInt(classes.length), 0, 0, random.nextLong(1, 1L << 53));
-            if (b.finals.get(id) == null) {
-                b.begun(id, 3 * S + random.nextLong(S / 2));
-                b.outcome(id, AttemptOutcome.OK);
+            String id = b.submit(random.nextInt(classes.length), 0, 0, random.nextLong(1, 1L << 53));
+            if (b.finalAnswers.get(id) == null) {
+                b.startStream(id, 3 * S + random.nextLong(S / 2));
+                b.endAttempt(id, AttemptOutcome.OK);
             }
-            b.pass(50_000);
+            b.advance(50_000);
         }
         return b;
     }
@@ -66,17 +66,17 @@
             long from = b.now;
             int late = 0;
             while (b.now < from + 20 * S) {
-                String id = b.ask(cls, 0, 0, random.nextLong(1, 1L << 53));
-                if (b.finals.get(id) == null) {
+                String id = b.submit(cls, 0, 0, random.nextLong(1, 1L << 53));
+                if (b.finalAnswers.get(id) == null) {
                     refusedInARow.clear();
-                    b.begun(id, 50_000);
-                    b.outcome(id, AttemptOutcome.OK);
+                    b.startStream(id, 50_000);
+                    b.endAttempt(id, AttemptOutcome.OK);
                 } else {
                     refusedInARow.addLast(b.now);
                     late += b.now >= from + 10 * S ? 1 : 0;
                 }
                 all |= refusedInARow.size() >= ENOUGH && b.now - refusedInARow.getFirst() >= WINDOW - WINDOW / ENOUGH;
-                b.pass(WINDOW / ENOUGH);
+                b.advance(WINDOW / ENOUGH);
             }
             turnedAllAway += all ? 1 : 0;
             assertEquals(0, late, "seed " + seed + ": refused 10 s after the overload");
@@ -100,8 +100,8 @@
             List<String> open = new ArrayList<>();
             for (int i = 0; i < turns * conversations; i++) {
                 int k = i % conversations;
-                String id = b.ask(cls, 0, 0, sessions[k]);
-                if (b.finals.get(id) == null) {
+                String id = b.submit(cls, 0, 0, sessions[k]);
+                if (b.finalAnswers.get(id) == null) {
                     open.add(id);
                 } else {
                     refused[k]++;
@@ -109,10 +109,10 @@
                 }
                 if (open.size() > 4) {
                     String done = open.remove(0);
-                    b.begun(done, 3 * S);
-                    b.outcome(done, AttemptOutcome.OK);
+                    b.startStream(done, 3 * S);
+                    b.endAttempt(done, AttemptOutcome.OK);
                 }
-                b.pass(100_000);
+                b.advance(100_000);
             }
             double part = (double) all / (turns * conversations);
             int throughout = 0;
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -77,7 +77,7 @@
             for (int i = 0; i < replicas; i++) {
                 list.add(RoutingPolicyFixture.server("10.0.0." + i + ":" + random.nextInt(9000)));
             }
-            rules.list(now, EndpointListKind.COMPLETE, list);
+            rules.onEndpoints(now, EndpointListKind.COMPLETE, list);
         }
 
         /** Plays the day with traffic that takes a part of what the replicas can read. */
@@ -113,11 +113,11 @@
                     false));
             all.add(asked);
             open.put(id, asked);
-            rules.request(now, asked.request);
+            rules.onRequest(now, asked.request);
         }
 
         @Override
-        public void send(String id, String server, long timeout) {
+        public void sendAttempt(String id, String server, long timeout) {
             long sentAt = now;
             RoutingRequest r = open.get(id).request;
             long begins = Math.max(now, freeAt.getOrDefault(server, 0L));
@@ -134,18 +134,18 @@
 
         private void served(String id, long sentAt) {
             open.get(id).answered = true;
-            rules.begun(now, id, 0, now - sentAt);
+            rules.onStreamStarted(now, id, 0, now - sentAt);
             outcome(id, AttemptOutcome.OK, sentAt);
         }
 
         private void outcome(String id, AttemptOutcome outcome, long sentAt) {
             open.remove(id);
-            rules.outcome(now, id, 0, outcome, now - sentAt, true, -1, null);
+            rules.onAttemptEnded(now, id, 0, outcome, now - sentAt, true, -1, null);
         }
 
         @Override
-        public void timer(long at, long token) {
-            events.add(new Due(at, () -> rules.timer(now, token)));
+        public void setTimer(long at, long token) {
+            events.add(new Due(at, () -> rules.onTimer(now, token)));
         }
 
         /** The answered part of the longest prompts of a class over that of the whole class. */
--- a/src/test/java/magpiehub/routing/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -3,13 +3,13 @@
 /** A node's host that does nothing: tests say what they look at. */
 public class QuietActions implements RoutingActions {
     @Override
-    public void send(String id, String server, long timeout) {}
+    public void sendAttempt(String id, String server, long timeout) {}
 
     @Override
-    public void cancel(String id, int attempt) {}
+    public void cancelAttempt(String id, int attempt) {}
 
     @Override
-    public void refuse(String id, long retryAfter) {}
+    public void reject(String id, long retryAfter) {}
 
     @Override
     public void fail(String id) {}
@@ -18,13 +18,13 @@
     public void watch() {}
 
     @Override
-    public void timer(long at, long token) {}
+    public void setTimer(long at, long token) {}
 
     @Override
     public void probe(String server) {}
 
     @Override
-    public void move(String id) {}
+    public void migrateStream(String id) {}
 
     @Override
     public void fetch() {}
@@ -33,10 +33,10 @@
     public void unwatch() {}
 
     @Override
-    public void close(String server) {}
+    public void closeIdleConnections(String server) {}
 
     @Override
-    public void tell(int peer, byte[] payload) {}
+    public void sendToPeer(int peer, byte[] payload) {}
 
     @Override
     public void log(String text) {}
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -16,7 +16,7 @@
 
 /** Seeded random events over many settings, with the rules checked after each action. */
 class RandomEventsTest {
-    private static final long S = RoutingPolicyFixture.S;
+    private static final long S = RoutingPolicyFixture.SECOND;
 
     /** A world that checks what one node does. */
     private static final class World extends QuietActions {
@@ -78,7 +78,7 @@
         }
 
         @Override
-        public void send(String id, String server, long timeout) {
+        public void sendAttempt(String id, String server, long timeout) {
             Job j = jobs.get(id);
             assertNotNull(j, "sent what it did not get");
             assertFalse(j.over, "sent after the final answer");
@@ -130,7 +130,7 @@
         }
 
         @Override
-        public void refuse(String id, long retryAfter) {
+        public void reject(String id, long retryAfter) {
             over(id, true);
         }
 
@@ -140,13 +140,13 @@
         }
 
         @Override
-        public void cancel(String id, int attempt) {
+        public void cancelAttempt(String id, int attempt) {
             assertTrue(
                     s.limits().allowsCancellation() && attempt < jobs.get(id).at.size());
         }
 
         @Override
-        public void timer(long at, long token) {
+        public void setTimer(long at, long token) {
             timers.add(at);
         }
 
@@ -164,12 +164,12 @@
         private final List<Long> answers = new ArrayList<>();
 
         @Override
-        public void move(String id) {
+        public void migrateStream(String id) {
             throw new AssertionError("not allowed here");
         }
 
         @Override
-        public void tell(int peer, byte[] payload) {
+        public void sendToPeer(int peer, byte[] payload) {
             throw new AssertionError("not allowed here");
         }
 
@@ -198,7 +198,7 @@
                 everKnown.put(id, e);
                 everListed.add(id);
             }
-            node.list(now, kind, l);
+            node.onEndpoints(now, kind, l);
         }
 
         private void step() {
@@ -206,7 +206,7 @@
             for (long t : new ArrayList<>(timers)) {
                 if (t <= now) {
                     timers.remove(t);
-                    node.timer(now, 1);
+                    node.onTimer(now, 1);
                 }
             }
             if (rnd.nextInt(60) == 0) {
@@ -232,7 +232,7 @@
                         false);
                 jobs.put(j.r.id(), j);
                 live.add(j);
-                node.request(now, j.r);
+                node.onRequest(now, j.r);
             }
             for (int k = rnd.nextInt(4); k > 0 && !live.isEmpty(); k--) {
                 advance(live.get(rnd.nextInt(live.size())));
@@ -259,10 +259,10 @@
                 }
                 if (j.begun < 0 && !j.over && rnd.nextInt(3) > 0) {
                     j.begun = i;
-                    node.begun(now, j.r.id(), i, now - j.sentAt.get(i));
+                    node.onStreamStarted(now, j.r.id(), i, now - j.sentAt.get(i));
                 } else if (j.begun < 0 && !j.over && rnd.nextInt(10) == 0) {
                     j.over = true;
-                    node.abandoned(now, j.r.id());
+                    node.onClientGone(now, j.r.id());
                 } else {
                     end(
                             j,
@@ -283,7 +283,7 @@
             if (settles) {
                 j.begun = -1;
             }
-            node.outcome(now, j.r.id(), i, told, now - j.sentAt.get(i), j.over, 0, null);
+            node.onAttemptEnded(now, j.r.id(), i, told, now - j.sentAt.get(i), j.over, 0, null);
         }
     }
 
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -7,24 +7,24 @@
 
 /** One node under test: feeds events, records actions. Times are in microseconds. */
 public final class RoutingPolicyFixture implements RoutingActions {
-    public static final long S = 1_000_000;
+    public static final long SECOND = 1_000_000;
 
     /** What was sent, and what became of it. */
     record Sent(String id, String server, long at, long timeout) {}
 
     final List<Sent> sent = new ArrayList<>();
-    final Map<String, Integer> tries = new HashMap<>();
-    final Map<String, String> finals = new HashMap<>();
-    final List<String> probes = new ArrayList<>();
-    final List<String> cancels = new ArrayList<>();
-    final List<String> closes = new ArrayList<>();
-    final List<String> moves = new ArrayList<>();
+    final Map<String, Integer> attemptCounts = new HashMap<>();
+    final Map<String, String> finalAnswers = new HashMap<>();
+    final List<String> probedReplicas = new ArrayList<>();
+    final List<String> cancelledAttempts = new ArrayList<>();
+    final List<String> closedConnections = new ArrayList<>();
+    final List<String> migratedStreams = new ArrayList<>();
     final List<String> logs = new ArrayList<>();
     final List<Long> timers = new ArrayList<>();
-    int watches;
-    long now = S;
+    int watchCount;
+    long now = SECOND;
     final RoutingSettings settings;
-    final RoutingPolicy node;
+    final RoutingPolicy policy;
     private int ids;
 
     RoutingPolicyFixture(RoutingSettings settings) {
@@ -33,11 +33,11 @@
 
     RoutingPolicyFixture(RoutingSettings settings, ZoneHealth zones) {
         this.settings = settings;
-        node = new RoutingPolicy(settings, 42, this, now, zones);
+        policy = new RoutingPolicy(settings, 42, this, now, zones);
     }
 
-    public static RequestClass cls(Idempotency effect, DeduplicationScope group) {
-        return new RequestClass("c", effect, group, 3 * S, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
+    public static RequestClass requestClass(Idempotency effect, DeduplicationScope group) {
+        return new RequestClass("c", effect, group, 3 * SECOND, true, SECOND, 0, 0, 4 * SECOND, 60_000, 1, 0.3);
     }
 
     public static RoutingSettings settings(int instances, RequestClass... classes) {
@@ -46,8 +46,9 @@
 
     public static RoutingSettings settings(
             int instances, boolean parallel, boolean subscribe, List<Tenant> tenants, RequestClass... classes) {
-        List<RequestClass> c =
-                classes.length == 0 ? List.of(cls(Idempotency.IDEMPOTENT, DeduplicationScope.ALL)) : List.of(classes);
+        List<RequestClass> c = classes.length == 0
+                ? List.of(requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL))
+                : List.of(classes);
         return new RoutingSettings(
                 0,
                 instances,
@@ -59,8 +60,8 @@
                 0.1,
                 c,
                 tenants,
-                new RoutingLimits(true, true, false, parallel, true, 6, 1000, 2 * S, S / 4),
-                new Guarantees(20_000, 10 * S, 20 * S, 2 * S, 2.5, 0.12, S / 2),
+                new RoutingLimits(true, true, false, parallel, true, 6, 1000, 2 * SECOND, SECOND / 4),
+                new Guarantees(20_000, 10 * SECOND, 20 * SECOND, 2 * SECOND, 2.5, 0.12, SECOND / 2),
                 new RoutingCosts(0.03, 0.05, 0.002, 0.03, 0, 0));
     }
 
@@ -77,26 +78,26 @@
         for (String id : ids) {
             l.add(server(id));
         }
-        node.list(now, EndpointListKind.COMPLETE, l);
+        policy.onEndpoints(now, EndpointListKind.COMPLETE, l);
         return this;
     }
 
     /** Sends a request in; returns its id. */
-    String ask(long prefix, long session) {
-        return ask(0, 0, prefix, session);
+    String submit(long prefix, long session) {
+        return submit(0, 0, prefix, session);
     }
 
-    String ask(int cls, int tenant, long prefix, long session) {
+    String submit(int cls, int tenant, long prefix, long session) {
         String id = "r" + ids++;
-        node.request(
+        policy.onRequest(
                 now,
                 new RoutingRequest(
-                        id, cls, tenant, session, prefix, now + 4 * S, 0, 1000, 800, 100, false, false, false));
+                        id, cls, tenant, session, prefix, now + 4 * SECOND, 0, 1000, 800, 100, false, false, false));
         return id;
     }
 
     /** The server that the newest attempt of a request went to; null if it was not sent. */
-    String where(String id) {
+    String replicaOf(String id) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).id.equals(id)) {
                 return sent.get(i).server;
@@ -105,34 +106,34 @@
         return null;
     }
 
-    void begun(String id, long took) {
-        node.begun(now, id, tries.get(id) - 1, took);
+    void startStream(String id, long took) {
+        policy.onStreamStarted(now, id, attemptCounts.get(id) - 1, took);
     }
 
-    void outcome(String id, AttemptOutcome o) {
+    void endAttempt(String id, AttemptOutcome o) {
         boolean ok = o == AttemptOutcome.OK;
         if (ok) {
-            finals.merge(id, "ok", (a, b) -> a + "," + b);
+            finalAnswers.merge(id, "ok", (a, b) -> a + "," + b);
         }
-        node.outcome(now, id, tries.get(id) - 1, o, 50_000, ok, 800, null);
+        policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, o, 50_000, ok, 800, null);
     }
 
     /** Served, with so many prompt tokens found kept. */
-    void kept(String id, long tokens) {
-        finals.merge(id, "ok", (a, b) -> a + "," + b);
-        node.outcome(now, id, tries.get(id) - 1, AttemptOutcome.OK, 50_000, true, tokens, null);
+    void serveWithCachedTokens(String id, long tokens) {
+        finalAnswers.merge(id, "ok", (a, b) -> a + "," + b);
+        policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, AttemptOutcome.OK, 50_000, true, tokens, null);
     }
 
     /** A request from start to end; returns where it was served. */
     String serve(long prefix, long session) {
-        String id = ask(prefix, session);
-        String at = where(id);
-        begun(id, 50_000);
-        outcome(id, AttemptOutcome.OK);
+        String id = submit(prefix, session);
+        String at = replicaOf(id);
+        startStream(id, 50_000);
+        endAttempt(id, AttemptOutcome.OK);
         return at;
     }
 
-    void pass(long us) {
+    void advance(long us) {
         long end = now + us;
         while (now < end) {
             now = Math.min(end, now + 100_000);
@@ -140,7 +141,7 @@
             timers.clear();
             for (long t : due) {
                 if (t <= now) {
-                    node.timer(now, 1);
+                    policy.onTimer(now, 1);
                 } else {
                     timers.add(t);
                 }
@@ -149,44 +150,44 @@
     }
 
     @Override
-    public void send(String id, String server, long timeout) {
+    public void sendAttempt(String id, String server, long timeout) {
         sent.add(new Sent(id, server, now, timeout));
-        tries.merge(id, 1, Integer::sum);
+        attemptCounts.merge(id, 1, Integer::sum);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
-        cancels.add(id + "/" + attempt);
+    public void cancelAttempt(String id, int attempt) {
+        cancelledAttempts.add(id + "/" + attempt);
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
-        finals.merge(id, "refused", (a, b) -> a + "," + b);
+    public void reject(String id, long retryAfter) {
+        finalAnswers.merge(id, "refused", (a, b) -> a + "," + b);
     }
 
     @Override
     public void fail(String id) {
-        finals.merge(id, "failed", (a, b) -> a + "," + b);
+        finalAnswers.merge(id, "failed", (a, b) -> a + "," + b);
     }
 
     @Override
     public void watch() {
-        watches++;
+        watchCount++;
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         timers.add(at);
     }
 
     @Override
     public void probe(String server) {
-        probes.add(server);
+        probedReplicas.add(server);
     }
 
     @Override
-    public void move(String id) {
-        moves.add(id);
+    public void migrateStream(String id) {
+        migratedStreams.add(id);
     }
 
     @Override
@@ -200,12 +201,12 @@
     }
 
     @Override
-    public void close(String server) {
-        closes.add(server);
+    public void closeIdleConnections(String server) {
+        closedConnections.add(server);
     }
 
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         throw new AssertionError("the module has no peers");
     }
 
--- a/src/test/java/magpiehub/routing/RoutingPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -14,7 +14,7 @@
 
 /** The ordinary path step by step, and each exception to it. */
 class RoutingPolicyTest {
-    private static final long S = RoutingPolicyFixture.S;
+    private static final long S = RoutingPolicyFixture.SECOND;
 
     private static String[] names(int n) {
         String[] r = new String[n];
@@ -55,11 +55,11 @@
     void newSettingsBindFromTheNextDecision() {
         RoutingSettings s = RoutingPolicyFixture.settings(1);
         RoutingPolicyFixture b = new RoutingPolicyFixture(s).list(names(4));
-        String under = b.ask(0, 0);
+        String under = b.submit(0, 0);
         RequestClass strict = new RequestClass(
                 "c", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 1, 0.3);
         RoutingLimits l = s.limits();
-        b.node.settings(
+        b.policy.onSettings(
                 b.now,
                 new RoutingSettings(
                         s.instanceIndex(),
@@ -84,16 +84,16 @@
                                 l.connectTimeout()),
                         s.guarantees(),
                         s.costs()));
-        b.outcome(under, AttemptOutcome.RESET);
-        assertEquals(2, b.tries.get(under), "its own class may be repeated");
-        b.outcome(under, AttemptOutcome.RESET);
-        assertEquals(2, b.tries.get(under), "two attempts are the most now");
-        assertEquals("refused", b.finals.get(under));
-        String fresh = b.ask(1, 0, 0, 0);
-        b.outcome(fresh, AttemptOutcome.RESET);
-        assertEquals(1, b.tries.get(fresh), "the stricter class is never repeated");
-        assertEquals("failed", b.finals.get(fresh));
-        b.pass(S);
+        b.endAttempt(under, AttemptOutcome.RESET);
+        assertEquals(2, b.attemptCounts.get(under), "its own class may be repeated");
+        b.endAttempt(under, AttemptOutcome.RESET);
+        assertEquals(2, b.attemptCounts.get(under), "two attempts are the most now");
+        assertEquals("refused", b.finalAnswers.get(under));
+        String fresh = b.submit(1, 0, 0, 0);
+        b.endAttempt(fresh, AttemptOutcome.RESET);
+        assertEquals(1, b.attemptCounts.get(fresh), "the stricter class is never repeated");
+        assertEquals("failed", b.finalAnswers.get(fresh));
+        b.advance(S);
     }
 
     /** Its client has stopped waiting: an attempt could only waste an engine's work. */
@@ -102,10 +102,10 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(4));
         for (long late : new long[] {0, 1, S}) {
             String id = "late" + late;
-            b.node.request(
+            b.policy.onRequest(
                     b.now, new RoutingRequest(id, 0, 0, 7, 0, b.now - late, 0, 1000, 800, 100, false, false, false));
-            assertEquals("refused", b.finals.get(id));
-            assertNull(b.where(id));
+            assertEquals("refused", b.finalAnswers.get(id));
+            assertNull(b.replicaOf(id));
         }
     }
 
@@ -139,16 +139,16 @@
                         wide.guarantees(),
                         wide.costs()))
                 .list(names(8));
-        String under = b.ask(0, 0);
-        b.node.settings(b.now, wide);
-        b.outcome(under, AttemptOutcome.RESET);
-        b.outcome(under, AttemptOutcome.RESET);
-        assertEquals(2, b.tries.get(under));
-        assertEquals("refused", b.finals.get(under));
-        String fresh = b.ask(0, 0);
-        b.outcome(fresh, AttemptOutcome.RESET);
-        b.outcome(fresh, AttemptOutcome.RESET);
-        assertEquals(3, b.tries.get(fresh), "the new limit holds for what comes now");
+        String under = b.submit(0, 0);
+        b.policy.onSettings(b.now, wide);
+        b.endAttempt(under, AttemptOutcome.RESET);
+        b.endAttempt(under, AttemptOutcome.RESET);
+        assertEquals(2, b.attemptCounts.get(under));
+        assertEquals("refused", b.finalAnswers.get(under));
+        String fresh = b.submit(0, 0);
+        b.endAttempt(fresh, AttemptOutcome.RESET);
+        b.endAttempt(fresh, AttemptOutcome.RESET);
+        assertEquals(3, b.attemptCounts.get(fresh), "the new limit holds for what comes now");
     }
 
     @Test
@@ -179,7 +179,7 @@
             at.put(k, b.serve(0, k));
         }
         String gone = at.get(1L);
-        b.node.list(
+        b.policy.onEndpoints(
                 b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(gone, EndpointState.DRAINING, 0)));
         for (long k = 1; k <= 80; k++) {
             String now = b.serve(0, k);
@@ -203,9 +203,9 @@
     @Test
     void noReplicaMeansRefusedAtOnce() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1));
-        String id = b.ask(1, 1);
-        assertNull(b.where(id));
-        assertEquals("refused", b.finals.get(id));
+        String id = b.submit(1, 1);
+        assertNull(b.replicaOf(id));
+        assertEquals("refused", b.finalAnswers.get(id));
     }
 
     @Test
@@ -213,38 +213,38 @@
         for (AttemptOutcome o : List.of(
                 AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.ERROR, AttemptOutcome.RESET)) {
             RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(6));
-            String id = b.ask(0, 7);
-            String first = b.where(id);
-            b.outcome(id, o);
-            assertEquals(2, b.tries.get(id), o.toString());
-            assertNotEquals(first, b.where(id));
-            assertNull(b.finals.get(id));
+            String id = b.submit(0, 7);
+            String first = b.replicaOf(id);
+            b.endAttempt(id, o);
+            assertEquals(2, b.attemptCounts.get(id), o.toString());
+            assertNotEquals(first, b.replicaOf(id));
+            assertNull(b.finalAnswers.get(id));
         }
     }
 
     @Test
     void everyAttemptFailingEndsInOneAnswer() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(6));
-        String id = b.ask(0, 7);
-        for (int i = 0; i < 10 && b.finals.get(id) == null; i++) {
-            b.outcome(id, AttemptOutcome.FULL);
+        String id = b.submit(0, 7);
+        for (int i = 0; i < 10 && b.finalAnswers.get(id) == null; i++) {
+            b.endAttempt(id, AttemptOutcome.FULL);
         }
-        assertEquals("refused", b.finals.get(id));
+        assertEquals("refused", b.finalAnswers.get(id));
     }
 
     @Test
     void unreachableReplicaIsPassedOverThenTriedAgain() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(6));
         String home = b.serve(0, 7);
-        String id = b.ask(0, 7);
-        b.outcome(id, AttemptOutcome.CONNECT_FAILED);
-        b.begun(id, 50_000);
-        b.outcome(id, AttemptOutcome.OK);
+        String id = b.submit(0, 7);
+        b.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
+        b.startStream(id, 50_000);
+        b.endAttempt(id, AttemptOutcome.OK);
         assertNotEquals(home, b.serve(0, 7), "ejected");
-        b.pass(5 * S);
+        b.advance(5 * S);
         boolean back = false;
         for (int i = 0; i < 100; i++) {
-            b.pass(S / 10);
+            b.advance(S / 10);
             back |= b.serve(0, 7).equals(home);
         }
         assertTrue(back, "half-open trial brings it back");
@@ -258,10 +258,10 @@
         }
         String slow = b.serve(0, 7);
         for (int i = 0; i < 4; i++) {
-            String id = b.ask(0, 7);
-            boolean there = b.where(id).equals(slow);
-            b.begun(id, there ? 2 * S : 50_000);
-            b.outcome(id, AttemptOutcome.OK);
+            String id = b.submit(0, 7);
+            boolean there = b.replicaOf(id).equals(slow);
+            b.startStream(id, there ? 2 * S : 50_000);
+            b.endAttempt(id, AttemptOutcome.OK);
         }
         assertNotEquals(slow, b.serve(0, 7));
         RoutingPolicyFixture all = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(9));
@@ -270,10 +270,10 @@
         }
         Set<String> used = new HashSet<>();
         for (long k = 1; k <= 200; k++) {
-            String id = all.ask(0, k);
-            used.add(all.where(id));
-            all.begun(id, 2 * S);
-            all.outcome(id, AttemptOutcome.OK);
+            String id = all.submit(0, k);
+            used.add(all.replicaOf(id));
+            all.startStream(id, 2 * S);
+            all.endAttempt(id, AttemptOutcome.OK);
         }
         Set<String> after = new HashSet<>();
         for (long k = 1; k <= 200; k++) {
@@ -287,20 +287,20 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(5));
         for (int i = 0; i < 400; i++) {
             b.serve(0, i + 1);
-            b.pass(25_000);
+            b.advance(25_000);
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(
+        b.policy.onEndpoints(
                 b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
-            b.pass(25_000);
+            b.advance(25_000);
         }
         // 2 s at 40 a second over 5 replicas is 16 for a warm one; at an eighth of its capacity, 2.5 times
         // that capacity is the rule's bound if the fleet is full.
         assertTrue(early <= 5, "sent to the cold one: " + early);
-        b.pass(30 * S);
+        b.advance(30 * S);
         int later = 0;
         for (int i = 0; i < 400; i++) {
             later += b.serve(0, 9000 + i).equals(cold) ? 1 : 0;
@@ -330,16 +330,16 @@
                 .list(names(5));
         for (int i = 0; i < 400; i++) {
             b.serve(0, i + 1);
-            b.pass(25_000);
+            b.advance(25_000);
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(
+        b.policy.onEndpoints(
                 b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
         for (int window = 0; window < 4; window++) {
             int n = 0;
             for (int i = 0; i < 80; i++) {
                 n += b.serve(0, 5000 + 80 * window + i).equals(cold) ? 1 : 0;
-                b.pass(25_000);
+                b.advance(25_000);
             }
             // 80 over 5 replicas are 16 for a warm one, which may be fully used by them.
             double may = (0.2 + 0.8 * (window + 1) / 10) * 16;
@@ -370,16 +370,16 @@
                     .list(names(5));
             for (int i = 0; i < 100; i++) {
                 b.serve(0, i + 1);
-                b.pass(S / 2);
+                b.advance(S / 2);
             }
             String cold = "10.0.0.0:9000";
-            b.node.list(
+            b.policy.onEndpoints(
                     b.now,
                     EndpointListKind.CHANGES,
                     List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
             for (int i = 0; i < 4; i++) {
                 total += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
-                b.pass(S / 2);
+                b.advance(S / 2);
             }
         }
         // Together 40 a second, 16 in the 2 s for a warm one of five.
@@ -414,12 +414,12 @@
             for (int i = 0; i < fleet; i++) {
                 list.add(RoutingPolicyFixture.server(names(fleet)[i], EndpointState.LIVE, i < warm ? 0 : b.now));
             }
-            b.node.list(b.now, EndpointListKind.COMPLETE, list);
+            b.policy.onEndpoints(b.now, EndpointListKind.COMPLETE, list);
             for (int i = 0; i < 50; i++) {
                 String at = b.serve(0, 1000L * me + i + 1);
                 sent.merge(at, 1, Integer::sum);
                 firstSecond.merge(at, i < 12 ? 1 : 0, Integer::sum);
-                b.pass(80_000);
+                b.advance(80_000);
             }
         }
         double toWarm = 0;
@@ -443,15 +443,15 @@
     void replicaWhereARequestWaitsIsPassedOverUntilItBegins() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
-        String waits = b.ask(0, 7);
-        assertEquals(home, b.where(waits));
-        b.pass(300_000);
+        String waits = b.submit(0, 7);
+        assertEquals(home, b.replicaOf(waits));
+        b.advance(300_000);
         assertEquals(home, b.serve(0, 7), "what may begin at any moment is no sign");
-        b.pass(200_000);
-        String id = b.ask(0, 7);
-        assertNotEquals(home, b.where(id), "a request waits there, and its node sends more");
-        b.begun(waits, 100_000); // Told as short: this is not about replicas found slow by what they took.
-        assertEquals(home, b.where(b.ask(0, 7)), "begun: its place is right again");
+        b.advance(200_000);
+        String id = b.submit(0, 7);
+        assertNotEquals(home, b.replicaOf(id), "a request waits there, and its node sends more");
+        b.startStream(waits, 100_000); // Told as short: this is not about replicas found slow by what they took.
+        assertEquals(home, b.replicaOf(b.submit(0, 7)), "begun: its place is right again");
     }
 
     /** While the fleet is short, a key stays where its tokens are kept; where few are found, it does not. */
@@ -465,40 +465,40 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
         for (int i = 0; i < 12; i++) {
-            String id = b.ask(0, 100 + i);
-            b.begun(id, 1_100_000); // Late, as all are.
-            b.kept(id, kept);
+            String id = b.submit(0, 100 + i);
+            b.startStream(id, 1_100_000); // Late, as all are.
+            b.serveWithCachedTokens(id, kept);
         }
-        assertEquals(home, b.where(b.ask(0, 7)));
-        b.pass(410_000);
-        return home.equals(b.where(b.ask(0, 7)));
+        assertEquals(home, b.replicaOf(b.submit(0, 7)));
+        b.advance(410_000);
+        return home.equals(b.replicaOf(b.submit(0, 7)));
     }
 
     @Test
     void sideEffectGoesOutAgainOnlyIfItNeverRan() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(
-                        1, RoutingPolicyFixture.cls(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)))
+                        1, RoutingPolicyFixture.requestClass(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)))
                 .list(names(6));
-        String id = b.ask(0, 7);
-        b.outcome(id, AttemptOutcome.FULL);
-        assertEquals(2, b.tries.get(id));
-        b.outcome(id, AttemptOutcome.RESET);
-        assertEquals(2, b.tries.get(id), "it may have run");
-        assertEquals("failed", b.finals.get(id), "and may not be refused");
+        String id = b.submit(0, 7);
+        b.endAttempt(id, AttemptOutcome.FULL);
+        assertEquals(2, b.attemptCounts.get(id));
+        b.endAttempt(id, AttemptOutcome.RESET);
+        assertEquals(2, b.attemptCounts.get(id), "it may have run");
+        assertEquals("failed", b.finalAnswers.get(id), "and may not be refused");
     }
 
     @Test
     void aLoneResetEjectsNobodyButTwoDo() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
-        b.outcome(b.ask(0, 7), AttemptOutcome.RESET);
+        b.endAttempt(b.submit(0, 7), AttemptOutcome.RESET);
         assertEquals(home, b.serve(0, 7), "it may have been the request's fault");
-        b.outcome(b.ask(0, 7), AttemptOutcome.RESET);
-        assertNotEquals(home, b.where(b.ask(0, 7)), "twice in a short time");
+        b.endAttempt(b.submit(0, 7), AttemptOutcome.RESET);
+        assertNotEquals(home, b.replicaOf(b.submit(0, 7)), "twice in a short time");
         RoutingPolicyFixture c = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         home = c.serve(0, 7);
-        c.outcome(c.ask(0, 7), AttemptOutcome.SPOILT);
-        c.outcome(c.ask(0, 7), AttemptOutcome.SPOILT);
+        c.endAttempt(c.submit(0, 7), AttemptOutcome.SPOILT);
+        c.endAttempt(c.submit(0, 7), AttemptOutcome.SPOILT);
         assertEquals(home, c.serve(0, 7), "what can't be read comes from any replica");
     }
 
@@ -506,9 +506,10 @@
     void whatHasGoneIsForgotten() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list("a", "b");
         String home = b.serve(0, 7);
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(home, EndpointState.DEAD, 0)));
+        b.policy.onEndpoints(
+                b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(home, EndpointState.DEAD, 0)));
         assertNotEquals(home, b.serve(0, 7));
-        assertEquals(1, b.node.known());
+        assertEquals(1, b.policy.known());
     }
 
     private static Endpoint inCell(String id, int cell) {
@@ -546,37 +547,37 @@
     private static void effect(
             Idempotency effect, DeduplicationScope group, String keeps, String last, AttemptOutcome o, long deadline) {
         String what = effect + " " + group + " " + o + " " + deadline;
-        RoutingPolicyFixture b =
-                new RoutingPolicyFixture(RoutingPolicyFixture.settings(1, RoutingPolicyFixture.cls(effect, group)));
+        RoutingPolicyFixture b = new RoutingPolicyFixture(
+                RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(effect, group)));
         List<Endpoint> list = new java.util.ArrayList<>();
         for (int i = 0; i < 12; i++) {
             list.add(new Endpoint("s" + i, i % 2, 0, i % 4, EndpointState.LIVE, 1, 0));
         }
-        b.node.list(b.now, EndpointListKind.COMPLETE, list);
+        b.policy.onEndpoints(b.now, EndpointListKind.COMPLETE, list);
         int repeated = 0;
         for (int n = 0; n < 24; n++) {
             String id = "x" + n;
-            b.node.request(
+            b.policy.onRequest(
                     b.now,
                     new RoutingRequest(id, 0, 0, n + 1, 0, b.now + deadline, 0, 1000, 0, 100, false, false, false));
-            assertEquals(1, b.tries.get(id), what + ": one attempt, and none beside it");
-            int first = Integer.parseInt(b.where(id).substring(1));
+            assertEquals(1, b.attemptCounts.get(id), what + ": one attempt, and none beside it");
+            int first = Integer.parseInt(b.replicaOf(id).substring(1));
             b.now += 10_000;
-            b.outcome(id, o);
+            b.endAttempt(id, o);
             boolean mayHaveRun = !o.neverRan;
-            if (b.tries.get(id) > 1) {
+            if (b.attemptCounts.get(id) > 1) {
                 repeated++;
-                assertEquals(2, b.tries.get(id), what);
-                int second = Integer.parseInt(b.where(id).substring(1));
+                assertEquals(2, b.attemptCounts.get(id), what);
+                int second = Integer.parseInt(b.replicaOf(id).substring(1));
                 assertTrue(!mayHaveRun || !keeps.equals("nowhere"), what + " may have run");
                 assertTrue(!mayHaveRun || !keeps.equals("zone") || first % 2 == second % 2, what + ": zone");
                 assertTrue(!mayHaveRun || !keeps.equals("cell") || first % 4 == second % 4, what + ": cell");
                 b.now += 10_000;
-                b.outcome(id, AttemptOutcome.CANCELLED);
+                b.endAttempt(id, AttemptOutcome.CANCELLED);
             }
-            String word = mayHaveRun || b.tries.get(id) > 1 ? last : "refused";
-            assertEquals(word, b.finals.get(id), what + " after " + b.tries.get(id));
-            b.pass(4 * S);
+            String word = mayHaveRun || b.attemptCounts.get(id) > 1 ? last : "refused";
+            assertEquals(word, b.finalAnswers.get(id), what + " after " + b.attemptCounts.get(id));
+            b.advance(4 * S);
         }
         boolean again = o != AttemptOutcome.CANCELLED && !(keeps.equals("nowhere") && !o.neverRan);
         assertEquals(again, repeated > 0, what + ": repeated " + repeated);
@@ -585,86 +586,88 @@
     @Test
     void keyedRequestStaysInItsGroupAndWindow() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(
-                1, RoutingPolicyFixture.cls(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL)));
-        b.node.list(
+                1, RoutingPolicyFixture.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL)));
+        b.policy.onEndpoints(
                 b.now,
                 EndpointListKind.COMPLETE,
                 List.of(
                         inCell("a", 1), inCell("b", 1),
                         inCell("c", 2), inCell("d", 2)));
         for (long k = 1; k < 20; k++) {
-            String id = b.ask(0, k);
-            boolean low = b.where(id).compareTo("b") <= 0;
-            b.outcome(id, AttemptOutcome.RESET);
-            if (b.tries.get(id) == 2) {
-                assertEquals(low, b.where(id).compareTo("b") <= 0, "same cell");
-                b.outcome(id, AttemptOutcome.RESET);
+            String id = b.submit(0, k);
+            boolean low = b.replicaOf(id).compareTo("b") <= 0;
+            b.endAttempt(id, AttemptOutcome.RESET);
+            if (b.attemptCounts.get(id) == 2) {
+                assertEquals(low, b.replicaOf(id).compareTo("b") <= 0, "same cell");
+                b.endAttempt(id, AttemptOutcome.RESET);
             }
-            assertEquals("failed", b.finals.get(id), "only group all may be refused once it may have run");
-            b.pass(S);
+            assertEquals("failed", b.finalAnswers.get(id), "only group all may be refused once it may have run");
+            b.advance(S);
         }
     }
 
     @Test
     void keyedRequestIsNotSentAfterItsWindow() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(
-                        1, RoutingPolicyFixture.cls(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL)))
+                        1, RoutingPolicyFixture.requestClass(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL)))
                 .list(names(6));
-        String id = b.ask(0, 7);
-        b.pass(3 * S);
-        b.outcome(id, AttemptOutcome.RESET);
-        assertEquals(1, b.tries.get(id));
-        assertEquals("refused", b.finals.get(id));
+        String id = b.submit(0, 7);
+        b.advance(3 * S);
+        b.endAttempt(id, AttemptOutcome.RESET);
+        assertEquals(1, b.attemptCounts.get(id));
+        assertEquals("refused", b.finalAnswers.get(id));
     }
 
     @Test
     void subscriptionIsAskedForInTimeAndAgainAfterErrors() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(8, true, true, List.of()));
-        b.node.list(b.now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("a")));
-        b.pass(5 * S);
-        assertEquals(1, b.watches);
-        b.node.list(b.now, EndpointListKind.ERROR, List.of());
-        b.pass(4 * S);
-        assertEquals(2, b.watches);
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of());
-        b.pass(30 * S);
-        assertEquals(2, b.watches, "a subscription that stands is left alone");
-        b.node.list(b.now, EndpointListKind.ERROR, List.of());
-        b.pass(4 * S);
-        assertEquals(3, b.watches, "a broken one is renewed");
+        b.policy.onEndpoints(b.now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("a")));
+        b.advance(5 * S);
+        assertEquals(1, b.watchCount);
+        b.policy.onEndpoints(b.now, EndpointListKind.ERROR, List.of());
+        b.advance(4 * S);
+        assertEquals(2, b.watchCount);
+        b.policy.onEndpoints(b.now, EndpointListKind.CHANGES, List.of());
+        b.advance(30 * S);
+        assertEquals(2, b.watchCount, "a subscription that stands is left alone");
+        b.policy.onEndpoints(b.now, EndpointListKind.ERROR, List.of());
+        b.advance(4 * S);
+        assertEquals(3, b.watchCount, "a broken one is renewed");
     }
 
     @Test
     void silentReplicasAreProbedAtARateSharedByTheNodes() {
         RoutingPolicyFixture one = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
-        one.pass(60 * S);
-        assertTrue(one.probes.size() >= 20 && one.probes.size() <= 70, "alone: " + one.probes.size());
+        one.advance(60 * S);
+        assertTrue(
+                one.probedReplicas.size() >= 20 && one.probedReplicas.size() <= 70,
+                "alone: " + one.probedReplicas.size());
         RoutingPolicyFixture many = new RoutingPolicyFixture(RoutingPolicyFixture.settings(10)).list(names(10));
-        many.pass(60 * S);
-        assertTrue(many.probes.size() <= 8, "one of ten: " + many.probes.size());
+        many.advance(60 * S);
+        assertTrue(many.probedReplicas.size() <= 8, "one of ten: " + many.probedReplicas.size());
     }
 
     @Test
     void eventsForTheUnknownAreIgnored() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(2));
-        b.node.begun(b.now, "x", 0, 1);
-        b.node.outcome(b.now, "x", 0, AttemptOutcome.OK, 1, true, 0, null);
-        b.node.abandoned(b.now, "x");
-        b.node.timer(b.now, 99);
-        b.node.probed(b.now, "x", AttemptOutcome.CONNECT_FAILED, 1, null);
-        b.node.message(b.now, 1, new byte[0]);
-        String id = b.ask(0, 1);
-        b.node.outcome(b.now, id, 5, AttemptOutcome.OK, 1, true, 0, null);
-        b.node.abandoned(b.now, id);
-        b.node.outcome(b.now - S, id, 0, AttemptOutcome.CANCELLED, 1, true, 0, null);
-        assertTrue(b.finals.isEmpty());
+        b.policy.onStreamStarted(b.now, "x", 0, 1);
+        b.policy.onAttemptEnded(b.now, "x", 0, AttemptOutcome.OK, 1, true, 0, null);
+        b.policy.onClientGone(b.now, "x");
+        b.policy.onTimer(b.now, 99);
+        b.policy.onProbeResult(b.now, "x", AttemptOutcome.CONNECT_FAILED, 1, null);
+        b.policy.onPeerMessage(b.now, 1, new byte[0]);
+        String id = b.submit(0, 1);
+        b.policy.onAttemptEnded(b.now, id, 5, AttemptOutcome.OK, 1, true, 0, null);
+        b.policy.onClientGone(b.now, id);
+        b.policy.onAttemptEnded(b.now - S, id, 0, AttemptOutcome.CANCELLED, 1, true, 0, null);
+        assertTrue(b.finalAnswers.isEmpty());
     }
 
     /** Serves traffic of many sessions so that shares of traffic are believed. */
     private static void warmUp(RoutingPolicyFixture b) {
         for (long k = 1; k <= 500; k++) {
             b.serve(0, 100_000 + k);
-            b.pass(20_000);
+            b.advance(20_000);
         }
     }
 
@@ -704,13 +707,13 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         warmUp(b);
         String home = b.serve(5, 0);
-        String id = b.ask(5, 0);
-        b.outcome(id, AttemptOutcome.ERROR);
-        String second = b.where(id);
-        b.begun(id, 50_000);
-        b.outcome(id, AttemptOutcome.OK);
+        String id = b.submit(5, 0);
+        b.endAttempt(id, AttemptOutcome.ERROR);
+        String second = b.replicaOf(id);
+        b.startStream(id, 50_000);
+        b.endAttempt(id, AttemptOutcome.OK);
         assertNotEquals(home, second);
-        b.pass(8 * S);
+        b.advance(8 * S);
         assertEquals(second, b.serve(5, 0), "the deque's one entry is the fallback now");
     }
 
@@ -723,11 +726,11 @@
             at.put(k, b.serve(k, 0));
             b.serve(k, 0);
         }
-        b.pass(2 * S);
+        b.advance(2 * S);
         for (long k = 1; k <= 30; k++) {
-            String id = b.ask(k, 0);
-            b.begun(id, 50_000);
-            b.kept(id, 0);
+            String id = b.submit(k, 0);
+            b.startStream(id, 50_000);
+            b.serveWithCachedTokens(id, 0);
         }
         int stayed = 0;
         for (long k = 1; k <= 30; k++) {
@@ -744,7 +747,7 @@
         for (long k = 1; k <= 40; k++) {
             assertTrue(b.serve(0, k) != null, "pressure still serves");
         }
-        b.pass(70 * S);
+        b.advance(70 * S);
         Set<String> used = new HashSet<>();
         for (long k = 100; k <= 130; k++) {
             used.add(b.serve(0, k));
@@ -757,7 +760,7 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         Map<String, Integer> load = new HashMap<>();
         for (int i = 0; i < 30; i++) {
-            load.merge(b.where(b.ask(0, 7)), 1, Integer::sum);
+            load.merge(b.replicaOf(b.submit(0, 7)), 1, Integer::sum);
         }
         assertTrue(load.size() > 1, "one key's requests that pile up spill");
         assertTrue(load.values().stream().allMatch(n -> n <= 10), load.toString());
@@ -768,16 +771,16 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(10));
         String home = b.serve(0, 7);
         for (long k = 100; k < 130; k++) {
-            String id = b.ask(0, k);
-            b.outcome(id, AttemptOutcome.FULL);
-            for (int i = 0; i < 5 && b.finals.get(id) == null; i++) {
-                b.outcome(id, AttemptOutcome.FULL);
+            String id = b.submit(0, k);
+            b.endAttempt(id, AttemptOutcome.FULL);
+            for (int i = 0; i < 5 && b.finalAnswers.get(id) == null; i++) {
+                b.endAttempt(id, AttemptOutcome.FULL);
             }
         }
-        assertEquals(home, b.where(b.ask(0, 7)), "full a moment ago, but its tokens are there");
-        String id = b.ask(0, 8);
-        b.outcome(id, AttemptOutcome.FULL);
-        assertEquals(1, b.tries.get(id), "no retry of full");
+        assertEquals(home, b.replicaOf(b.submit(0, 7)), "full a moment ago, but its tokens are there");
+        String id = b.submit(0, 8);
+        b.endAttempt(id, AttemptOutcome.FULL);
+        assertEquals(1, b.attemptCounts.get(id), "no retry of full");
     }
 
     @Test
@@ -817,8 +820,9 @@
     @Test
     void liveWeightsMostIsTheSize() {
         RoutingPolicyFixture b = priced(0, 20, 0, 0, WeightMeaning.LIVE);
-        b.node.list(b.now, EndpointListKind.COMPLETE, List.of(sized(0, 3), sized(1, 1), sized(2, 1), sized(3, 1)));
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(sized(0, 0.5)));
+        b.policy.onEndpoints(
+                b.now, EndpointListKind.COMPLETE, List.of(sized(0, 3), sized(1, 1), sized(2, 1), sized(3, 1)));
+        b.policy.onEndpoints(b.now, EndpointListKind.CHANGES, List.of(sized(0, 0.5)));
         int big = 0;
         for (long k = 1; k <= 60; k++) {
             big += b.serve(0, k).equals("10.0.0.0:9000") ? 1 : 0;
@@ -849,18 +853,18 @@
         for (int i = 0; i < 20; i++) {
             l.add(sized(i, 1));
         }
-        b.node.list(b.now, EndpointListKind.COMPLETE, l);
+        b.policy.onEndpoints(b.now, EndpointListKind.COMPLETE, l);
         int[] own = new int[3];
         long k = 1;
         for (int phase = 0; phase < 3; phase++) {
             for (int i = 0; i < 600; i++) {
-                String id = b.ask(0, k++);
-                String at = b.where(id);
+                String id = b.submit(0, k++);
+                String at = b.replicaOf(id);
                 boolean home = Integer.parseInt(at.substring(7, at.indexOf(':'))) % 2 == 0;
                 own[phase] += i >= 400 && home ? 1 : 0;
-                b.begun(id, phase == 1 && home ? 150_000 : 60_000);
-                b.outcome(id, AttemptOutcome.OK);
-                b.pass(50_000);
+                b.startStream(id, phase == 1 && home ? 150_000 : 60_000);
+                b.endAttempt(id, AttemptOutcome.OK);
+                b.advance(50_000);
             }
         }
         assertTrue(own[0] > 150 && own[1] < 140 && own[2] > 150, own[0] + " " + own[1] + " " + own[2]);
@@ -873,38 +877,38 @@
         for (int i = 0; i < 20; i++) {
             l.add(sized(i, 1));
         }
-        b.node.list(b.now, EndpointListKind.COMPLETE, l);
+        b.policy.onEndpoints(b.now, EndpointListKind.COMPLETE, l);
         int failed = 0;
         for (long k = 1; k <= 60; k++) {
-            String id = b.ask(0, k);
-            while (b.finals.get(id) == null) {
-                String at = b.where(id);
+            String id = b.submit(0, k);
+            while (b.finalAnswers.get(id) == null) {
+                String at = b.replicaOf(id);
                 boolean cut = Integer.parseInt(at.substring(7, at.indexOf(':'))) % 2 == 1;
                 failed += cut ? 1 : 0;
-                b.outcome(id, cut ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK);
+                b.endAttempt(id, cut ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK);
             }
-            b.pass(5_000);
+            b.advance(5_000);
         }
         assertTrue(failed >= 3 && failed <= 9, "failed connections: " + failed);
     }
 
     @Test
     void overloadRefusesWhatIsWorthLeast() {
-        RequestClass c = RoutingPolicyFixture.cls(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        RequestClass c = RoutingPolicyFixture.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         RequestClass dear = new RequestClass(
                 "dear", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, true, S, 0, 0, 4 * S, 60_000, 9, 0.3);
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1, c, dear)).list(names(4));
         int[] refused = new int[2];
         for (int i = 0; i < 400; i++) {
             int cls = i % 2;
-            String id = b.ask(cls, 0, 0, i + 1);
-            if ("refused".equals(b.finals.get(id))) {
+            String id = b.submit(cls, 0, 0, i + 1);
+            if ("refused".equals(b.finalAnswers.get(id))) {
                 refused[cls]++;
             } else {
-                b.begun(id, 2 * S);
-                b.outcome(id, AttemptOutcome.OK);
+                b.startStream(id, 2 * S);
+                b.endAttempt(id, AttemptOutcome.OK);
             }
-            b.pass(20_000);
+            b.advance(20_000);
         }
         assertTrue(refused[0] > 60 && refused[0] > 2 * refused[1], refused[0] + " " + refused[1]);
     }
@@ -915,8 +919,8 @@
     }
 
     private static void reports(RoutingPolicyFixture b, String id, LoadReport load) {
-        b.begun(id, 50_000);
-        b.node.outcome(b.now, id, 0, AttemptOutcome.OK, 50_000, true, 800, load);
+        b.startStream(id, 50_000);
+        b.policy.onAttemptEnded(b.now, id, 0, AttemptOutcome.OK, 50_000, true, 800, load);
     }
 
     /** A report of waiting requests counts for a moment only: it is stale by then. */
@@ -924,11 +928,11 @@
     void aReplicaThatReportsAQueueIsPassedOverForAMoment() {
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
         String home = b.serve(0, 7);
-        reports(b, b.ask(0, 7), load(2, 30));
-        assertNotEquals(home, b.where(b.ask(0, 7)));
-        b.pass(500_000);
-        reports(b, b.ask(0, 7), load(0, 30));
-        assertEquals(home, b.where(b.ask(0, 7)));
+        reports(b, b.submit(0, 7), load(2, 30));
+        assertNotEquals(home, b.replicaOf(b.submit(0, 7)));
+        b.advance(500_000);
+        reports(b, b.submit(0, 7), load(0, 30));
+        assertEquals(home, b.replicaOf(b.submit(0, 7)));
     }
 
     /** Slow by its own word, though its first tokens come in time: it is ejected, unless it is cold. */
@@ -936,17 +940,17 @@
     void slownessIsToldByReportsButNotOfAColdReplica() {
         for (boolean cold : new boolean[] {false, true}) {
             RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(8));
-            b.node.list(
+            b.policy.onEndpoints(
                     b.now,
                     EndpointListKind.CHANGES,
                     List.of(RoutingPolicyFixture.server(names(8)[3], EndpointState.LIVE, cold ? b.now : 0)));
             int late = 0;
             for (int i = 0; i < 300; i++) {
-                String id = b.ask(0, 1000 + i);
-                boolean slow = b.where(id).equals(names(8)[3]);
+                String id = b.submit(0, 1000 + i);
+                boolean slow = b.replicaOf(id).equals(names(8)[3]);
                 late += slow && i >= 50 && i < 150 ? 1 : 0;
                 reports(b, id, load(0, slow ? 300 : 30));
-                b.pass(10_000);
+                b.advance(10_000);
             }
             assertEquals(!cold, late == 0, "sent to it once it was known: " + late);
         }
@@ -958,20 +962,20 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(4));
         int refused = 0;
         for (int i = 0; i < 200; i++) {
-            String id = b.ask(0, i + 1);
-            refused += "refused".equals(b.finals.get(id)) ? 1 : 0;
-            if (b.where(id) != null) {
-                b.begun(id, 2 * S);
-                b.outcome(id, AttemptOutcome.OK);
+            String id = b.submit(0, i + 1);
+            refused += "refused".equals(b.finalAnswers.get(id)) ? 1 : 0;
+            if (b.replicaOf(id) != null) {
+                b.startStream(id, 2 * S);
+                b.endAttempt(id, AttemptOutcome.OK);
             }
-            b.node.request(
+            b.policy.onRequest(
                     b.now,
                     new RoutingRequest(
                             "rest" + i, 0, 0, 1000 + i, 0, b.now + 4 * S, 0, 1000, 800, 100, false, false, true));
-            assertEquals(null, b.finals.get("rest" + i));
-            b.begun("rest" + i, 2 * S);
-            b.outcome("rest" + i, AttemptOutcome.OK);
-            b.pass(20_000);
+            assertEquals(null, b.finalAnswers.get("rest" + i));
+            b.startStream("rest" + i, 2 * S);
+            b.endAttempt("rest" + i, AttemptOutcome.OK);
+            b.advance(20_000);
         }
         assertTrue(refused > 40, "under overload others are: " + refused);
     }
@@ -981,18 +985,18 @@
         RoutingPolicyFixture b = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(names(5));
         for (int i = 0; i < 200; i++) {
             b.serve(0, i + 1);
-            b.pass(100_000);
+            b.advance(100_000);
             for (int k = 0; k < 60; k++) {
-                b.ask(9, 0, 0, 1);
+                b.submit(9, 0, 0, 1);
             }
         }
         String cold = "10.0.0.0:9000";
-        b.node.list(
+        b.policy.onEndpoints(
                 b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, b.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += b.serve(0, 5000 + i).equals(cold) ? 1 : 0;
-            b.pass(25_000);
+            b.advance(25_000);
         }
         // 10 a second were sent before, 2 for each of five: an eighth of that for 2 s is under one request,
         // and the denser burst now must not buy more.
--- a/src/test/java/magpiehub/routing/ZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -107,19 +107,19 @@
         for (int i = 0; i < 8; i++) {
             all.add(new Endpoint((i < 4 ? "a" : "b") + i, i < 4 ? 0 : 1, 0, 0, EndpointState.LIVE, 1, 0));
         }
-        bench.node.list(bench.now, EndpointListKind.COMPLETE, all);
+        bench.policy.onEndpoints(bench.now, EndpointListKind.COMPLETE, all);
         return bench;
     }
 
     /** A request that went to the second zone. */
     private String there() {
         for (int i = 1; i < 200; i++) {
-            String id = b.ask(0, i * 7919L);
-            if (b.where(id).startsWith("b")) {
+            String id = b.submit(0, i * 7919L);
+            if (b.replicaOf(id).startsWith("b")) {
                 return id;
             }
-            b.begun(id, 50_000);
-            b.outcome(id, AttemptOutcome.OK);
+            b.startStream(id, 50_000);
+            b.endAttempt(id, AttemptOutcome.OK);
         }
         throw new AssertionError("nothing goes there");
     }
@@ -128,11 +128,11 @@
     public void whatWaitsAtALostZoneIsGivenUpAndGoesElsewhereAtOnce() {
         String id = there();
         zones.lose(b.now + 1);
-        b.pass(100_000);
-        assertEquals("given up once", List.of(id + "/0"), b.cancels);
-        b.outcome(id, AttemptOutcome.CANCELLED);
-        assertTrue(b.where(id), b.where(id).startsWith("a"));
-        assertNull(b.finals.get(id));
+        b.advance(100_000);
+        assertEquals("given up once", List.of(id + "/0"), b.cancelledAttempts);
+        b.endAttempt(id, AttemptOutcome.CANCELLED);
+        assertTrue(b.replicaOf(id), b.replicaOf(id).startsWith("a"));
+        assertNull(b.finalAnswers.get(id));
     }
 
     /** An attempt that is stopped before its first byte since its replica drains tells nothing of its
@@ -140,38 +140,39 @@
     @Test
     public void aReplicaThatDrainsUnderAnAttemptIsNoSignOfALostZone() {
         String id = there();
-        String at = b.where(id);
+        String at = b.replicaOf(id);
         zones.told.clear();
-        b.node.list(b.now, EndpointListKind.CHANGES, List.of(new Endpoint(at, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
-        b.outcome(id, AttemptOutcome.CONNECT_FAILED);
+        b.policy.onEndpoints(
+                b.now, EndpointListKind.CHANGES, List.of(new Endpoint(at, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
+        b.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
         assertEquals("only that it is another one now", List.of(at + " fresh"), zones.told);
-        assertNotEquals("the request goes elsewhere", at, b.where(id));
+        assertNotEquals("the request goes elsewhere", at, b.replicaOf(id));
     }
 
     @Test
     public void whatTheHostCancelledByItselfIsNotTriedAgain() {
         String id = there();
-        b.outcome(id, AttemptOutcome.CANCELLED);
-        assertEquals("refused", b.finals.get(id));
+        b.endAttempt(id, AttemptOutcome.CANCELLED);
+        assertEquals("refused", b.finalAnswers.get(id));
     }
 
     @Test
     public void aStreamThatHasBegunAtALostZoneIsLeftAlone() {
         String id = there();
-        b.begun(id, 50_000);
+        b.startStream(id, 50_000);
         zones.lose(b.now + 1);
-        b.pass(2 * RoutingPolicyFixture.S);
-        assertEquals(List.of(), b.cancels);
+        b.advance(2 * RoutingPolicyFixture.SECOND);
+        assertEquals(List.of(), b.cancelledAttempts);
     }
 
     @Test
     public void silenceIsToldOnceWhileItLasts() {
         String id = there();
-        b.pass(3 * RoutingPolicyFixture.S);
+        b.advance(3 * RoutingPolicyFixture.SECOND);
         assertEquals(
                 1,
                 zones.told.stream()
-                        .filter(t -> t.equals(b.where(id) + " SILENCE"))
+                        .filter(t -> t.equals(b.replicaOf(id) + " SILENCE"))
                         .count());
     }
 
@@ -205,19 +206,23 @@
     @Test
     public void healthChecksAreAskedOfTheZoneAndTrialsTooWhereTheyMayBe() {
         zones.checks = 3;
-        b.pass(50_000);
-        b.pass(50_000);
+        b.advance(50_000);
+        b.advance(50_000);
         assertEquals(
-                3, b.probes.stream().filter(p -> p.startsWith("b")).distinct().count());
+                3,
+                b.probedReplicas.stream()
+                        .filter(p -> p.startsWith("b"))
+                        .distinct()
+                        .count());
         zones.lose(b.now);
         zones.tries = true;
-        b.probes.clear();
-        b.pass(100_000);
-        assertEquals(1, b.probes.size());
-        b.node.probed(b.now, b.probes.get(0), AttemptOutcome.OK, 1_000, null);
-        assertTrue(zones.told.contains(b.probes.get(0) + " ANSWERED"));
-        b.node.probed(b.now, b.probes.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
-        assertTrue(zones.told.contains(b.probes.get(0) + " SILENCE"));
+        b.probedReplicas.clear();
+        b.advance(100_000);
+        assertEquals(1, b.probedReplicas.size());
+        b.policy.onProbeResult(b.now, b.probedReplicas.get(0), AttemptOutcome.OK, 1_000, null);
+        assertTrue(zones.told.contains(b.probedReplicas.get(0) + " ANSWERED"));
+        b.policy.onProbeResult(b.now, b.probedReplicas.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
+        assertTrue(zones.told.contains(b.probedReplicas.get(0) + " SILENCE"));
     }
 
     @Test
@@ -225,27 +230,27 @@
         b = bench(false);
         zones.lose(b.now);
         zones.tries = true;
-        String trial = b.ask(0, 5);
-        assertTrue(b.where(trial).startsWith("b"));
-        assertTrue("one", b.where(b.ask(0, 6)).startsWith("a"));
-        b.pass(200_000);
-        assertEquals("it has its time", List.of(), b.cancels);
-        b.pass(RoutingPolicyFixture.S);
-        assertEquals("silent, it is given up", List.of(trial + "/0"), b.cancels);
+        String trial = b.submit(0, 5);
+        assertTrue(b.replicaOf(trial).startsWith("b"));
+        assertTrue("one", b.replicaOf(b.submit(0, 6)).startsWith("a"));
+        b.advance(200_000);
+        assertEquals("it has its time", List.of(), b.cancelledAttempts);
+        b.advance(RoutingPolicyFixture.SECOND);
+        assertEquals("silent, it is given up", List.of(trial + "/0"), b.cancelledAttempts);
     }
 
     @Test
     public void aZoneThatIsBackIsMetAsIfNothingHadBeenLearntMeanwhile() {
         for (int i = 0; i < 4; i++) {
             String id = there();
-            b.outcome(id, AttemptOutcome.CONNECT_FAILED);
+            b.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
         }
         zones.lose(b.now);
-        b.pass(100_000);
+        b.advance(100_000);
         zones.told.clear();
         zones.share[1] = 1;
         zones.shut[1] = Long.MAX_VALUE;
-        b.pass(100_000);
+        b.advance(100_000);
         assertEquals(
                 List.of("b4 fresh", "b5 fresh", "b6 fresh", "b7 fresh"),
                 zones.told.stream().sorted().toList());
