--- a/src/main/java/magpiehub/routing/AttemptOutcome.java
+++ b/src/main/java/magpiehub/routing/AttemptOutcome.java
@@ -1,19 +1,27 @@
 package magpiehub.routing;
 
-/** How one attempt ended. */
+/** How one attempt or health check ended. The constants' names are part of counter names. */
 public enum AttemptOutcome {
+    /** Answered completely. */
     OK(false),
+    /** The replica answered with an error. */
     ERROR(false),
+    /** The replica rejected it for lack of capacity. */
     FULL(true),
+    /** No answer in time. */
     TIMEOUT(false),
+    /** No connection could be opened. */
     CONNECT_FAILED(true),
+    /** The connection was lost before the answer was complete. */
     RESET(false),
+    /** Cancelled by this router or by its client. */
     CANCELLED(false),
+    /** Superseded: the request needed it no longer before it was executed. */
     MOOT(true),
-    /** An answer came that can't be read. */
+    /** The response was malformed. */
     SPOILT(false);
 
-    /** True if the outcome proves that the attempt never ran. */
+    /** True if the outcome proves that the attempt was not executed. */
     public final boolean neverRan;
 
     AttemptOutcome(boolean neverRan) {
--- a/src/main/java/magpiehub/routing/Endpoint.java
+++ b/src/main/java/magpiehub/routing/Endpoint.java
@@ -1,4 +1,14 @@
 package magpiehub.routing;
 
-/** An entry of the server list. {@code onlineSince} is 0 if it started long ago. */
+/**
+ * An entry of the endpoint list.
+ *
+ * @param id identifies the replica, over restarts too
+ * @param zone index of its zone
+ * @param kind index of its machine type
+ * @param cell number of its cell, a group within a zone
+ * @param state whether it takes requests
+ * @param weight its size, as {@link WeightMeaning} says
+ * @param onlineSince when it started, in microseconds of the host's clock; 0 if that was long ago
+ */
 public record Endpoint(String id, int zone, int kind, int cell, EndpointState state, double weight, long onlineSince) {}
--- a/src/main/java/magpiehub/routing/Idempotency.java
+++ b/src/main/java/magpiehub/routing/Idempotency.java
@@ -1,11 +1,11 @@
 package magpiehub.routing;
 
-/** What a repeat of a request does. */
+/** What happens if a request is executed twice; it decides where a retry may go. */
 public enum Idempotency {
-    /** Harmless to repeat. */
+    /** Repeating it is harmless. */
     IDEMPOTENT,
-    /** Repeats are dropped by one group of servers, for a time. */
+    /** Replicas of one {@link DeduplicationScope} recognise its key and drop repeats, for a limited time. */
     IDEMPOTENT_WITH_KEY,
-    /** Never safe to repeat unless it is known that it did not run. */
+    /** Never safe to repeat unless it is known that no earlier attempt was executed. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/magpiehub/routing/RoutingActions.java
+++ b/src/main/java/magpiehub/routing/RoutingActions.java
@@ -1,43 +1,46 @@
 package magpiehub.routing;
 
-/** What a node may do. */
+/**
+ * What the routing policy asks of its host. Calls come on the policy's thread, within an event; the host must not
+ * call back into the policy from them. Times are in microseconds of the host's clock.
+ */
 public interface RoutingActions {
-    /** Starts the next attempt of a request; a time-out of 0 lasts until the client gives up. */
-    void sendAttempt(String id, String server, long timeout);
+    /** Starts the next attempt of a request. A timeout of 0 lasts until the request's deadline. */
+    void sendAttempt(String id, String replica, long timeout);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an attempt, counted from 0. Its outcome is still reported. */
     void cancelAttempt(String id, int attempt);
 
-    /** Final answer: turned away, a retry is harmless. */
+    /** Final answer: rejected; a retry by the client is harmless. 0 names no time to come back. */
     void reject(String id, long retryAfter);
 
-    /** Final answer: failed, with no promise about effects. */
+    /** Final answer: failed; the request may have been executed. */
     void fail(String id);
 
-    /** Asks for list changes from now on. */
+    /** Opens a watch on the endpoint list. */
     void watch();
 
-    /** Asks for a timer event at a time. */
+    /** Asks for {@link RoutingEvents#onTimer} with this token at a time. */
     void setTimer(long at, long token);
 
-    /** Probes a server. */
-    void probe(String server);
+    /** Sends a health check to a replica. */
+    void probe(String replica);
 
-    /** Ends a running stream cleanly where the site can resume it elsewhere. */
+    /** Ends a running stream in order, so that its client resumes it elsewhere. */
     void migrateStream(String id);
 
-    /** Asks for the whole list once. */
+    /** Asks for the complete endpoint list once. */
     void fetch();
 
-    /** Stops asking for list changes. */
+    /** Closes the watch on the endpoint list. */
     void unwatch();
 
-    /** Closes the idle connections to a server. */
-    void closeIdleConnections(String server);
+    /** Closes the idle connections to a replica. */
+    void closeIdleConnections(String replica);
 
     /** Sends at most 256 bytes to one peer, or to all if {@code peer} is negative. */
     void sendToPeer(int peer, byte[] payload);
 
-    /** A line for the operators. */
+    /** Logs a line for operators. */
     void log(String text);
 }
--- a/src/main/java/magpiehub/routing/RoutingEvents.java
+++ b/src/main/java/magpiehub/routing/RoutingEvents.java
@@ -2,18 +2,28 @@
 
 import java.util.List;
 
-/** What a node may be told. {@code load} is null where no report came. */
+/**
+ * What the host tells the routing policy. All calls come on one thread. {@code now} is the host's clock in
+ * microseconds, {@code took} the time since the attempt or health check was sent. Events about requests, attempts
+ * or replicas that are not known are ignored.
+ */
 public interface RoutingEvents {
-    /** Discovery's word on the servers; {@code servers} is empty for {@link EndpointListKind#ERROR}. */
-    void onEndpoints(long now, EndpointListKind kind, List<Endpoint> servers);
+    /** An endpoint list has come; {@code endpoints} is empty for {@link EndpointListKind#ERROR}. */
+    void onEndpoints(long now, EndpointListKind kind, List<Endpoint> endpoints);
 
     /** A client's request has come; exactly one final answer is owed. */
     void onRequest(long now, RoutingRequest request);
 
-    /** A stream has started: the attempt belongs to the client now. */
+    /** The first token of an attempt has come; its stream is passed on to the client from now on. */
     void onStreamStarted(long now, String id, int attempt, long took);
 
-    /** An attempt has ended; {@code settled} if the request is over. {@code kept} is -1 if not told. */
+    /**
+     * An attempt has ended.
+     *
+     * @param settled whether the request is over for its client
+     * @param cachedTokens prompt tokens that the replica found in its cache, -1 if it did not say
+     * @param load the replica's load report, null if there was none
+     */
     void onAttemptEnded(
             long now,
             String id,
@@ -21,21 +31,21 @@
             AttemptOutcome outcome,
             long took,
             boolean settled,
-            long kept,
+            long cachedTokens,
             LoadReport load);
 
-    /** The client is gone; nothing more is owed. */
+    /** The client has disconnected; no answer is owed any more. */
     void onClientGone(long now, String id);
 
-    /** A timer set by {@link Actions#timer} has come due. */
+    /** A timer set by {@link RoutingActions#setTimer} has fired. */
     void onTimer(long now, long token);
 
-    /** A probe has come back. */
-    void onProbeResult(long now, String server, AttemptOutcome outcome, long took, LoadReport load);
+    /** A health check has ended; {@code load} is null if it brought no load report. */
+    void onProbeResult(long now, String replica, AttemptOutcome outcome, long took, LoadReport load);
 
-    /** Other settings hold from now on. Classes and tenants keep their places, new ones come behind. */
+    /** Other settings hold from now on. Classes and tenants keep their places, new ones follow them. */
     void onSettings(long now, RoutingSettings settings);
 
-    /** Another node of the tier has sent a message. */
+    /** Another router has sent a message. */
     void onPeerMessage(long now, int peer, byte[] payload);
 }
--- a/src/main/java/magpiehub/routing/ZoneEvidence.java
+++ b/src/main/java/magpiehub/routing/ZoneEvidence.java
@@ -1,15 +1,15 @@
 package magpiehub.routing;
 
-/** What an attempt or a health check tells of a replica. */
+/** What an attempt or a health check shows of the replica that it went to. */
 public enum ZoneEvidence {
-    /** It answered: a first token or anything whole. */
+    /** It answered: a first token, a complete answer or a rejection. */
     ANSWERED,
-    /** Nothing there. */
+    /** No connection could be opened. */
     NO_CONNECTION,
-    /** The connection ended under a request. */
+    /** The connection was lost under a request. */
     BROKEN,
-    /** Nothing said for long against what is usual. */
+    /** No first token for long, compared with what is usual. */
     SILENCE,
-    /** An error at once: it is there. */
+    /** It answered with an error, so it can be reached. */
     ERROR
 }
--- a/src/main/java/magpiehub/routing/ZoneHealth.java
+++ b/src/main/java/magpiehub/routing/ZoneHealth.java
@@ -1,49 +1,59 @@
 package magpiehub.routing;
 
 /**
- * How the zones of the list stand, as one node sees them: what the decision module asks before it sends, and
- * tells after. {@link ConnectFailureZoneHealth} is what holds where nothing else is set: a zone is passed over for a moment once
- * several of its replicas could not be reached. It owns what is known of zones; which replica of one gets a
- * request is the module's. Times in microseconds.
+ * How the zones of the fleet stand, as one router sees them. The routing policy asks it before sending and tells it
+ * what attempts and health checks show; which replica of a zone gets a request is the policy's choice.
+ * {@link ConnectFailureZoneHealth} is the plain implementation. An implementation that plans for the loss of a zone
+ * returns true from {@link #plansFailover()} and is then asked for trials and health checks as well.
+ *
+ * <p>All methods are called on the policy's thread. Times are in microseconds.
  */
 public interface ZoneHealth {
 
-    /** So many zones from now on. */
+    /** The fleet spans so many zones from now on; the number never falls. */
     void setZoneCount(int zones);
 
-    /** An attempt sent so long ago has told something; {@code ratio} is its first token's time against the
-     *  usual, 1 where nothing was measured. */
-    void recordEvidence(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio);
+    /**
+     * Records what an attempt or a health check showed.
+     *
+     * @param took time since it was sent
+     * @param ratio its time to the first token against the usual one, 1 where none was measured
+     */
+    void recordEvidence(long now, int zone, String replica, ZoneEvidence evidence, long took, double ratio);
 
-    /** A replica is another one under its old name, or gone. */
+    /** Forgets what was recorded of a replica: it restarted, is gone, or can be reached again. */
     void forgetReplica(String replica);
 
-    /** The list names so many replicas of a zone that take work. */
+    /** The endpoint list names so many replicas of a zone that take requests. */
     void setReplicaCount(long now, int zone, int live);
 
-    /** Whether the zone takes what stands at a place, from 0 to 1: of its usual work it takes a part. */
-    boolean accepts(long now, int zone, double place);
+    /**
+     * Whether a zone accepts a request now. A zone that recovers accepts a growing part of its usual traffic.
+     *
+     * @param position the request's place in that traffic, from 0 to 1, the same for a whole conversation
+     */
+    boolean accepts(long now, int zone, double position);
 
-    /** From when on the zone gets nothing but trials; {@link Long#MAX_VALUE} while it gets more. */
+    /** Since when the zone gets nothing but trials; {@link Long#MAX_VALUE} while it gets more. */
     default long closedSince(int zone) {
         return Long.MAX_VALUE;
     }
 
-    /** Whether one trial is due at a zone that gets nothing else. Asking takes it. */
+    /** Whether a trial is due at a zone that gets nothing else; true uses the trial up. */
     default boolean acquireTrial(long now, int zone) {
         return false;
     }
 
-    /** Replicas of the zone to be asked whether they live. Asking takes them. */
+    /** How many replicas of the zone are to be probed now; asking uses them up. */
     default int acquireHealthChecks(int zone) {
         return 0;
     }
 
-    /** Whether it wants to be told of silence and asked for checks and trials. */
+    /** Whether it plans for the loss of a zone: it wants silence reported, and trials and health checks made. */
     default boolean plansFailover() {
         return false;
     }
 
-    /** Time has passed. */
+    /** Called periodically with the current time. */
     default void advance(long now) {}
 }
