--- /dev/null
+++ b/src/main/java/magpiehub/routing/ActiveSettings.java
@@ -0,0 +1,18 @@
+package magpiehub.routing;
+
+/** The settings in force, shared by all parts of one policy. A reload replaces them between two events. */
+final class ActiveSettings {
+    private RoutingSettings settings;
+
+    ActiveSettings(RoutingSettings settings) {
+        this.settings = settings;
+    }
+
+    RoutingSettings get() {
+        return settings;
+    }
+
+    void replace(RoutingSettings newSettings) {
+        settings = newSettings;
+    }
+}
--- a/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
+++ b/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
@@ -4,31 +4,35 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A cut is learnt once, not replica by replica. */
+/**
+ * The plain zone health: a zone is passed over for a moment once several of its replicas could not be reached and none
+ * could, so that the loss of a network path is learnt once and not replica by replica.
+ */
 public final class ConnectFailureZoneHealth implements ZoneHealth {
-    /** A zone is passed over for this long (us) once this many of its replicas could not be reached
-     *  within twice that time, and none could. */
-    private static final long PAUSE = 1_000_000;
+    /** How long a zone is passed over, in microseconds; failures further apart than twice this are unrelated. */
+    private static final long PAUSE_MICROS = 1_000_000;
 
-    private static final int FAILURES = 3;
-    private long[] failedAt = new long[0];
+    /** Unreachable replicas, with none reached in between, from which a zone is passed over. */
+    private static final int MIN_FAILURES = 3;
+
+    private long[] lastFailureAt = new long[0];
     private int[] failures = new int[0];
     private final Set<String> unreachable = new HashSet<>();
 
     @Override
     public void setZoneCount(int zones) {
-        failedAt = Arrays.copyOf(failedAt, Math.max(failedAt.length, zones));
-        failures = Arrays.copyOf(failures, failedAt.length);
+        lastFailureAt = Arrays.copyOf(lastFailureAt, Math.max(lastFailureAt.length, zones));
+        failures = Arrays.copyOf(failures, lastFailureAt.length);
     }
 
     @Override
-    public void recordEvidence(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
-        if (sign == ZoneEvidence.NO_CONNECTION) {
+    public void recordEvidence(long now, int zone, String replica, ZoneEvidence evidence, long took, double ratio) {
+        if (evidence == ZoneEvidence.NO_CONNECTION) {
             if (unreachable.add(replica)) {
-                failures[zone] = now - failedAt[zone] > 2 * PAUSE ? 1 : failures[zone] + 1;
-                failedAt[zone] = now;
+                failures[zone] = now - lastFailureAt[zone] > 2 * PAUSE_MICROS ? 1 : failures[zone] + 1;
+                lastFailureAt[zone] = now;
             }
-        } else if (sign == ZoneEvidence.ANSWERED || sign == ZoneEvidence.ERROR) {
+        } else if (evidence == ZoneEvidence.ANSWERED || evidence == ZoneEvidence.ERROR) {
             unreachable.remove(replica);
             failures[zone] = 0;
         }
@@ -43,7 +47,7 @@
     public void setReplicaCount(long now, int zone, int live) {}
 
     @Override
-    public boolean accepts(long now, int zone, double place) {
-        return failures[zone] < FAILURES || now - failedAt[zone] >= PAUSE;
+    public boolean accepts(long now, int zone, double position) {
+        return failures[zone] < MIN_FAILURES || now - lastFailureAt[zone] >= PAUSE_MICROS;
     }
 }
--- a/src/main/java/magpiehub/routing/EndpointPollSchedule.java
+++ b/src/main/java/magpiehub/routing/EndpointPollSchedule.java
@@ -1,54 +1,71 @@
 package magpiehub.routing;
 
 /**
- * When the module asks for the list of engines again. It owns the backoff after calls that came to nothing.
- * It must never wait so long that a list which can be had is not in force in time: what discovery has and
- * could tell counts as told 6 s later, whatever happened before. The longest wait, a connection and an answer
- * that has queued for as long as discovery lets calls queue fit into that together. It knows no clock.
+ * Says when the endpoint list is asked for, with backoff after calls that failed. What discovery has and could send
+ * counts as sent 6 s later, whatever happened before; so the longest backoff, a connection, and an answer that has
+ * queued for as long as discovery lets calls queue fit into that time together.
  */
 final class EndpointPollSchedule {
-    /** Base of the wait after a watch was lost, and after each further failure (us). Half of it always, and
-     *  nearly as much by chance: a fleet that lost discovery together is to come back spread out. The
-     *  longest, with a second in vain for a connection, leaves half of the 6 s for an answer that waits. */
-    private static final long FIRST = 1_000_000;
-
-    private static final long AGAIN = 2_000_000;
-    private static final double LEAST = 0.5;
-    private static final double CHANCE = 0.45;
-    private boolean told;
-    private boolean failed;
-    /** Whether {@link #at} is the end of a wait, and not of a call's time. */
-    private boolean waits;
-
-    private long at;
-
-    /** Nothing is known yet; the first call is due at a time. */
-    EndpointPollSchedule(long first) {
-        at = first;
+    /**
+     * Base of the backoff after a watch was lost, and after each further failure (us). Half of it always, and nearly as
+     * much by chance: routers that lost discovery together are to come back spread out. The longest, with a second in
+     * vain for a connection, leaves half of the 6 s for an answer that waits.
+     */
+    private static final long FIRST_BACKOFF_MICROS = 1_000_000;
+
+    private static final long FURTHER_BACKOFF_MICROS = 2_000_000;
+    private static final double LEAST_BACKOFF = 0.5;
+    private static final double BACKOFF_JITTER = 0.45;
+
+    /** Discovery serves callers in turn: first calls are spread over this time (us) for each router. */
+    private static final long FIRST_POLL_SPREAD_MICROS = 250_000;
+
+    private boolean upToDate;
+    private boolean failedBefore;
+    /** Whether {@link #nextPollAt} is the end of a backoff, and not of a call's time. */
+    private boolean backingOff;
+
+    private long nextPollAt;
+
+    /** Nothing is known yet; the first poll is due at a time. */
+    EndpointPollSchedule(long firstPollAt) {
+        nextPollAt = firstPollAt;
+    }
+
+    /** A schedule whose first poll is due soon, at a random time, so that routers started together spread out. */
+    static EndpointPollSchedule startingAt(long now, RoutingSettings settings, double random) {
+        long spread =
+                Math.min(settings.guarantees().pollWithin() / 2, FIRST_POLL_SPREAD_MICROS * settings.instanceCount());
+        return new EndpointPollSchedule(now + (long) (random * spread));
     }
 
-    /** Discovery has spoken: nothing is due until a call fails. */
-    void told() {
-        told = true;
-        failed = false;
+    /** Discovery has sent a list: nothing is due until a call fails. */
+    void recordReceived() {
+        upToDate = true;
+        failedBefore = false;
     }
 
-    /** A call has failed, or a watch has ended. No word, and no second failure, puts off a call that is
-     *  waited for: each word of a watch that has fallen silent once would. */
-    void failed(long now, long within, double random) {
-        long next = now + (long) (Math.min(within, failed ? AGAIN : FIRST) * (LEAST + CHANCE * random));
-        at = waits ? Math.min(at, next) : next;
-        waits = true;
-        failed = true;
-        told = false;
+    /**
+     * A call has failed, or a watch has ended. Neither a list nor a second failure puts off a poll that is waited for:
+     * each message of a watch that has fallen silent once would.
+     */
+    void recordFailure(long now, long pollWithin, double random) {
+        long base = Math.min(pollWithin, failedBefore ? FURTHER_BACKOFF_MICROS : FIRST_BACKOFF_MICROS);
+        long next = now + (long) (base * (LEAST_BACKOFF + BACKOFF_JITTER * random));
+        nextPollAt = backingOff ? Math.min(nextPollAt, next) : next;
+        backingOff = true;
+        failedBefore = true;
+        upToDate = false;
     }
 
-    /** Whether to ask now. Asking takes it: the call is believed to be under way for half of the time that
-     *  the settings give for asking. */
-    boolean due(long now, long within) {
-        boolean due = !told && now >= at;
-        waits &= now < at;
-        at = due ? now + within / 2 : at;
+    /**
+     * Whether a poll is due; true uses it up. The call is then believed to be under way for half of the time that the
+     * settings give for polling.
+     */
+    boolean acquirePoll(long now, long pollWithin) {
+        boolean due = !upToDate && now >= nextPollAt;
+        backingOff &= now < nextPollAt;
+        nextPollAt = due ? now + pollWithin / 2 : nextPollAt;
         return due;
     }
 }
--- /dev/null
+++ b/src/main/java/magpiehub/routing/LatencyEstimator.java
@@ -0,0 +1,67 @@
+package magpiehub.routing;
+
+import java.util.Arrays;
+
+/**
+ * Means of latencies over all replicas, by request class: what a single replica's latencies are compared with. Times
+ * are in microseconds.
+ */
+final class LatencyEstimator {
+    /** Weight of the newest value in a mean. */
+    private static final double NEWEST_WEIGHT = 0.05;
+
+    /** A value counts as so many times the mean at most, so that an outlier does not move it far. */
+    private static final double OUTLIER_CAP = 4;
+
+    /** The least mean that a first token is compared with: below it, ratios are noise. */
+    private static final long SHORTEST_FIRST_TOKEN_MICROS = 20_000;
+
+    private double[] firstToken = {};
+    private double[] wholeAnswer = {};
+    private double reportedMillis;
+
+    /** Makes room for the classes of new settings; known classes keep their means. */
+    void resize(int classCount) {
+        int length = Math.max(1, classCount);
+        firstToken = Arrays.copyOf(firstToken, length);
+        wholeAnswer = Arrays.copyOf(wholeAnswer, length);
+    }
+
+    /** Records the time to a first token; returns its ratio to the mean before it. */
+    double recordFirstToken(int classIndex, long took) {
+        double mean = firstToken[classIndex] == 0 ? took : firstToken[classIndex];
+        firstToken[classIndex] = updated(mean, took);
+        return took / Math.max(SHORTEST_FIRST_TOKEN_MICROS, mean);
+    }
+
+    /** Records the time of a complete answer; returns the mean before it. */
+    double recordWholeAnswer(int classIndex, long took) {
+        double mean = wholeAnswer[classIndex] == 0 ? took : wholeAnswer[classIndex];
+        wholeAnswer[classIndex] = updated(mean, took);
+        return mean;
+    }
+
+    /** Records a time of service from a load report, in milliseconds; returns its ratio to the mean with it. */
+    double recordReported(double millis) {
+        reportedMillis = updated(reportedMillis == 0 ? millis : reportedMillis, millis);
+        return millis / reportedMillis;
+    }
+
+    private static double updated(double mean, double value) {
+        return mean + (Math.min(value, OUTLIER_CAP * mean) - mean) * NEWEST_WEIGHT;
+    }
+
+    /** Mean time of complete answers of a class; 0 before the first. */
+    double meanWholeAnswer(int classIndex) {
+        return wholeAnswer[classIndex];
+    }
+
+    /** The longest of the classes' mean times to the first token; 0 before the first. */
+    double longestMeanFirstToken() {
+        double longest = firstToken[0];
+        for (double mean : firstToken) {
+            longest = Math.max(longest, mean);
+        }
+        return longest;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/routing/ReplicaSelector.java
@@ -0,0 +1,268 @@
+package magpiehub.routing;
+
+/**
+ * Chooses the replica of an attempt: one that has the key's tokens cached; else the next one with capacity on the ring
+ * from the key's position; else a busy one that has the tokens; else whichever may take it at all.
+ */
+final class ReplicaSelector {
+    /** Replicas looked at beyond the affinity entry before the request settles for a busy one. */
+    private static final int MAX_STEPS = 6;
+
+    /** Replicas looked at, in one walk from a random place, before no replica is found. */
+    private static final int MAX_LAST_RESORT_STEPS = 4 * MAX_STEPS;
+
+    /** Affinity entries that one replica can serve from its cache, for all routers together; each counts its part. */
+    private static final int CACHED_KEYS_PER_REPLICA = 512;
+
+    /** A router's part is not less than this, however many routers there are. */
+    private static final int LEAST_CACHED_KEYS = 16;
+
+    /** Makes a conversation's position in its zones' traffic independent of its other hashes. */
+    private static final long ZONE_POSITION_SALT = 0x51ab3c7d90e2f614L;
+
+    private final ActiveSettings settings;
+    private final FleetState fleet;
+    private final ZoneHealth zones;
+    private final AffinityTable affinityTable;
+    private final ZoneAffinity zoneAffinity;
+    private final Mechanisms mechanisms;
+    private final SplitMix64 random;
+    /** Position of requests without a key: they go round the fleet. */
+    private long rotation;
+    /** The current request's place in its zones' traffic, 0 to 1: the same for a whole conversation. */
+    private double zonePosition;
+
+    /** The mechanisms that may forbid a replica or find it busy. */
+    record Mechanisms(
+            LoadTracker load,
+            OutlierDetector outliers,
+            SlowStart slowStart,
+            RetryPolicy retries,
+            OverloadDetector overload,
+            PromptCacheTracker promptCache) {}
+
+    ReplicaSelector(
+            ActiveSettings settings,
+            FleetState fleet,
+            ZoneHealth zones,
+            AffinityTable affinityTable,
+            ZoneAffinity zoneAffinity,
+            Mechanisms mechanisms,
+            SplitMix64 random) {
+        this.settings = settings;
+        this.fleet = fleet;
+        this.zones = zones;
+        this.affinityTable = affinityTable;
+        this.zoneAffinity = zoneAffinity;
+        this.mechanisms = mechanisms;
+        this.random = random;
+    }
+
+    /**
+     * The replica for a request's next attempt, null if no replica may take it.
+     *
+     * @param width replicas that the request's affinity key is spread over
+     */
+    Replica select(RequestInFlight request, int width, long now) {
+        zonePosition = SplitMix64.mixToUnitInterval(conversation(request.request()) ^ ZONE_POSITION_SALT);
+        Replica trial = selectZoneTrial(request, now);
+        if (trial != null) {
+            return trial;
+        }
+        AffinityEntry entry = request.affinityEntry();
+        if (entry != null) {
+            entry.retainReady(width);
+        }
+        boolean isPlaced = entry != null && entry.size() >= width;
+        Replica busy = null;
+        if (isPlaced || (entry != null && entry.size() > 0 && request.hasAttempts())) {
+            int first = firstInRotation(request);
+            Replica cached = selectCached(request, first, now);
+            if (cached != null) {
+                return cached;
+            }
+            busy = selectBusyCached(request, first, now);
+        }
+        Replica next = selectFromRings(request, isPlaced, now);
+        request.setServedOutsideAffinity(next == null || isPlaced || request.hasAttempts());
+        if (!request.isServedOutsideAffinity() && entry != null) {
+            entry.addFirst(next, width);
+        }
+        if (next != null) {
+            return next;
+        }
+        return busy != null ? busy : selectUnderPressure(request, now);
+    }
+
+    private static long conversation(RoutingRequest request) {
+        return request.sessionId() != 0 ? request.sessionId() : request.id().hashCode();
+    }
+
+    // ---- Affinity ---------------------------------------------------------------------------------------
+    /**
+     * Where in the entry the search begins. A session enters a prefix's entry at its own place, so that its next turn
+     * finds its tokens there; everything else takes the replicas in turn, which are kept in that order.
+     */
+    private static int firstInRotation(RequestInFlight request) {
+        AffinityEntry entry = request.affinityEntry();
+        int first = 0;
+        for (int i = 1; i < entry.size() && !rotates(request); i++) {
+            first = rank(request, entry.get(i)) > rank(request, entry.get(first)) ? i : first;
+        }
+        return first;
+    }
+
+    private static boolean rotates(RequestInFlight request) {
+        return request.affinityEntry().isSession() || request.request().sessionId() == 0;
+    }
+
+    /** A session's own order of replicas: one that joins or leaves an entry moves its own sessions only. */
+    private static long rank(RequestInFlight request, Replica replica) {
+        return SplitMix64.mix(request.request().sessionId() ^ replica.hash());
+    }
+
+    private Replica selectCached(RequestInFlight request, int first, long now) {
+        AffinityEntry entry = request.affinityEntry();
+        for (int step = 0; step < entry.size(); step++) {
+            int index = (first + step) % entry.size();
+            Replica replica = entry.get(index);
+            if (isAllowed(request, replica, now) && isAvailable(replica, now)) {
+                if (rotates(request)) {
+                    entry.moveToBack(index);
+                }
+                return replica;
+            }
+        }
+        return null;
+    }
+
+    private Replica selectBusyCached(RequestInFlight request, int first, long now) {
+        AffinityEntry entry = request.affinityEntry();
+        for (int step = 0; step < entry.size(); step++) {
+            Replica replica = entry.get((first + step) % entry.size());
+            if (isReachable(replica, now) && isAllowed(request, replica, now)) {
+                return replica;
+            }
+        }
+        return null;
+    }
+
+    // ---- Rings ------------------------------------------------------------------------------------------
+    private Replica selectFromRings(RequestInFlight request, boolean isPlaced, long now) {
+        AffinityEntry entry = request.affinityEntry();
+        long position = entry != null ? entry.ringPosition() : SplitMix64.mix(rotation++);
+        HashRing ring = zoneAffinity.ringFor(entry != null ? position : rotation);
+        Replica replica = walk(ring, position, request, isPlaced, now);
+        return replica == null && ring != fleet.fullRing()
+                ? walk(fleet.fullRing(), position, request, isPlaced, now)
+                : replica;
+    }
+
+    /** The next available replica with room for one more key, in turn from the position on the ring. */
+    private Replica walk(HashRing ring, long position, RequestInFlight request, boolean isPlaced, long now) {
+        int cachedKeys = Math.max(
+                LEAST_CACHED_KEYS, CACHED_KEYS_PER_REPLICA / settings.get().instanceCount());
+        int start = ring.firstPointFrom(position);
+        Replica last = null;
+        int looked = 0;
+        for (int step = 0; step < ring.pointCount() && looked < MAX_STEPS; step++) {
+            Replica replica = ring.replicaAt(start + step);
+            if (replica != last) {
+                last = replica;
+                looked++;
+                if (isAvailable(replica, now)
+                        && (isPlaced || replica.affinityEntryCount() < cachedKeys)
+                        && !request.hasAffinityTo(replica)
+                        && isAllowed(request, replica, now)) {
+                    return replica;
+                }
+            }
+        }
+        return null;
+    }
+
+    // ---- Exceptions -------------------------------------------------------------------------------------
+    /**
+     * All replicas are at capacity or busy. One of the least recently used affinity entry takes the request, and leaves
+     * that entry; if that finds none, any ready replica does, from a random place in one short walk.
+     */
+    private Replica selectUnderPressure(RequestInFlight request, long now) {
+        int looked = 0;
+        AffinityEntry entry = affinityTable.oldest();
+        while (entry != null && looked < MAX_STEPS) {
+            for (int i = 0; i < entry.size(); i++) {
+                Replica replica = entry.get(i);
+                if (isReachable(replica, now) && isAllowed(request, replica, now)) {
+                    entry.remove(i);
+                    return replica;
+                }
+            }
+            entry = entry.newer;
+            looked++;
+        }
+        return selectLastResort(request, now);
+    }
+
+    private Replica selectLastResort(RequestInFlight request, long now) {
+        int start = (int) (random.nextDouble() * fleet.size());
+        for (int step = 0; step < Math.min(fleet.size(), MAX_LAST_RESORT_STEPS); step++) {
+            Replica replica = fleet.get((start + step) % fleet.size());
+            if (replica.isReady() && isAllowed(request, replica, now)) {
+                return replica;
+            }
+        }
+        return null;
+    }
+
+    /** One new request goes to a closed zone as its trial, if one is due and health checks are not allowed. */
+    private Replica selectZoneTrial(RequestInFlight request, long now) {
+        if (!zones.plansFailover() || settings.get().limits().allowsHealthChecks() || request.hasAttempts()) {
+            return null;
+        }
+        for (int zone = 0; zone < fleet.zoneCount(); zone++) {
+            int start = (int) (random.nextDouble() * fleet.size());
+            if (zones.closedSince(zone) != Long.MAX_VALUE) {
+                Replica candidate = selectInZone(zone, start, request, now);
+                if (candidate != null && zones.acquireTrial(now, zone)) {
+                    return candidate;
+                }
+            }
+        }
+        return null;
+    }
+
+    private Replica selectInZone(int zone, int start, RequestInFlight request, long now) {
+        for (int step = 0; step < fleet.size(); step++) {
+            Replica replica = fleet.get((start + step) % fleet.size());
+            if (replica.isReady() && fleet.zoneOf(replica) == zone && isAllowed(request, replica, now)) {
+                return replica;
+            }
+        }
+        return null;
+    }
+
+    // ---- Eligibility ------------------------------------------------------------------------------------
+    /** Whether this request may go there: not twice, only where a repeat is safe, and within slow start. */
+    private boolean isAllowed(RequestInFlight request, Replica replica, long now) {
+        return !request.wasSentTo(replica)
+                && mechanisms.retries.allowsAttempt(request, replica, now)
+                && mechanisms.slowStart.allowsAttempt(replica, now);
+    }
+
+    /** Whether attempts may go there at all: ready, not ejected, in a zone that accepts the request. */
+    private boolean isReachable(Replica replica, long now) {
+        return replica.isReady()
+                && mechanisms.outliers.allowsAttempt(replica, now)
+                && zones.accepts(now, fleet.zoneOf(replica), zonePosition);
+    }
+
+    /**
+     * Whether it takes ordinary traffic now. While the fleet is overloaded a key stays, however busy its replica is:
+     * elsewhere its tokens would be computed anew and push the next one over. Where few tokens are found anyway, as
+     * after a release, a short queue is worth more than the place.
+     */
+    private boolean isAvailable(Replica replica, long now) {
+        boolean keysStay = mechanisms.overload.isOverloaded() && mechanisms.promptCache.isHitRatioHigh();
+        return isReachable(replica, now) && (keysStay || mechanisms.load.hasCapacity(replica, fleet.readyCount(), now));
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/routing/TenantQuotas.java
@@ -0,0 +1,48 @@
+package magpiehub.routing;
+
+import java.util.Arrays;
+
+/** Token buckets of the tenants' quotas; each router counts its part of them. */
+final class TenantQuotas {
+    /** What a bucket holds beyond two seconds' worth, so that a small quota lets bursts of a few through. */
+    private static final double EXTRA_BURST = 2;
+
+    private static final double BURST_SECONDS = 2;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final ActiveSettings settings;
+    private double[] tokens = {};
+    private long refilledAt;
+
+    TenantQuotas(ActiveSettings settings, long now) {
+        this.settings = settings;
+        refilledAt = now;
+        resize();
+    }
+
+    /** Makes room for the tenants of new settings; known tenants keep their tokens. */
+    void resize() {
+        tokens = Arrays.copyOf(tokens, settings.get().tenants().size());
+    }
+
+    /** Takes a token for a request; returns whether the request is beyond its tenant's quota. */
+    boolean isOverQuota(int tenant, long now) {
+        refill(now);
+        if (tenant < 0
+                || tenant >= tokens.length
+                || settings.get().tenants().get(tenant).quotaPerSecond() <= 0) {
+            return false;
+        }
+        return tokens[tenant] < 1 || tokens[tenant]-- < 1;
+    }
+
+    private void refill(long now) {
+        for (int i = 0; i < tokens.length; i++) {
+            double rate = settings.get().tenants().get(i).quotaPerSecond()
+                    / settings.get().instanceCount();
+            tokens[i] = Math.min(
+                    BURST_SECONDS * rate + EXTRA_BURST, tokens[i] + rate * (now - refilledAt) / MICROS_PER_SECOND);
+        }
+        refilledAt = now;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/routing/ZoneAffinity.java
@@ -0,0 +1,84 @@
+package magpiehub.routing;
+
+/**
+ * Decides which part of the affinity keys stays in the router's own zone where traffic between zones has a price. The
+ * part grows while first tokens come as fast from the own zone as from the others, and shrinks while they come later.
+ */
+final class ZoneAffinity {
+    /** The part at the start, before anything is known. */
+    private static final double INITIAL_PART = 0.5;
+
+    /** The most that ever stays: a few keys go on measuring the other zones. */
+    private static final double MAX_PART = 0.95;
+
+    /** Steps of the part, and the ratios of first-token times, own to other zones, at which it takes them. */
+    private static final double STEP_UP = 0.03;
+
+    private static final double STEP_DOWN = 0.06;
+    private static final double STEP_UP_BELOW = 1.1;
+    private static final double STEP_DOWN_ABOVE = 1.3;
+
+    /** Weights of the newest ratio; the other zones' first tokens are fewer. */
+    private static final double OWN_ZONE_WEIGHT = 0.03;
+
+    private static final double OTHER_ZONES_WEIGHT = 0.1;
+
+    /** A ratio counts as this at most. */
+    private static final double MAX_RATIO = 4;
+
+    private final ActiveSettings settings;
+    private final FleetState fleet;
+    private double part;
+    private double maxPart;
+    private double ownZoneLatency = 1;
+    private double otherZonesLatency = 1;
+
+    ZoneAffinity(ActiveSettings settings, FleetState fleet) {
+        this.settings = settings;
+        this.fleet = fleet;
+        part = settings.get().crossZoneTrafficCosts() ? INITIAL_PART : 0;
+    }
+
+    /** The ring on which a key is placed: the own zone's for the part of the keys that stays. */
+    HashRing ringFor(long key) {
+        return part > 0 && SplitMix64.mixToUnitInterval(key) < part ? fleet.ownZoneRing() : fleet.subsetRing();
+    }
+
+    /** Bounds the part after a rebuild of the fleet. */
+    void updateFleet() {
+        // A zone with few replicas keeps fewer keys; what others spill lands there too.
+        int ready = Math.max(1, fleet.readyCount());
+        int zoneCount = fleet.zoneCount();
+        double meanSpread = 0;
+        for (int zone = 0; zone < zoneCount; zone++) {
+            meanSpread += Math.min(1, (double) fleet.readyInZone(zone) / ready * zoneCount);
+        }
+        meanSpread /= zoneCount;
+        maxPart = Math.min(MAX_PART, meanSpread * fleet.readyInOwnZone() * zoneCount / ready);
+        part = Math.min(part, maxPart);
+    }
+
+    /** Records a time to the first token by its ratio to the mean. */
+    void recordFirstToken(Replica replica, double ratio) {
+        double capped = Math.min(MAX_RATIO, ratio);
+        if (fleet.isInOwnZone(replica)) {
+            ownZoneLatency += (capped - ownZoneLatency) * OWN_ZONE_WEIGHT;
+        } else {
+            otherZonesLatency += (capped - otherZonesLatency) * OTHER_ZONES_WEIGHT;
+        }
+    }
+
+    /** Moves the part by one step, if there is reason to. Called periodically. */
+    void adjust() {
+        if (settings.get().crossZoneTrafficCosts()) {
+            part = Math.max(0, Math.min(maxPart, part + step()));
+        }
+    }
+
+    private double step() {
+        if (ownZoneLatency > STEP_DOWN_ABOVE * otherZonesLatency) {
+            return -STEP_DOWN;
+        }
+        return ownZoneLatency < STEP_UP_BELOW * otherZonesLatency ? STEP_UP : 0;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/routing/ZoneFailover.java
@@ -0,0 +1,119 @@
+package magpiehub.routing;
+
+import java.util.Arrays;
+import java.util.Collection;
+import java.util.List;
+
+/**
+ * Serves a {@link ZoneHealth} that plans for the loss of a zone: reports silence while it lasts, gives up attempts that
+ * wait at a closed zone, and has replicas checked where too few requests would tell late.
+ */
+final class ZoneFailover {
+    private final ActiveSettings settings;
+    private final FleetState fleet;
+    private final ZoneHealth zones;
+    private final LoadTracker load;
+    private final OutlierDetector outliers;
+    private final OutcomeRecorder recorder;
+    private final LatencyEstimator latencies;
+    private final HealthChecker healthChecker;
+    private final RoutingActions actions;
+    /** Zones that were closed at the last tick. */
+    private boolean[] closed = {};
+
+    ZoneFailover(
+            ActiveSettings settings,
+            FleetState fleet,
+            ZoneHealth zones,
+            LoadTracker load,
+            OutlierDetector outliers,
+            OutcomeRecorder recorder,
+            LatencyEstimator latencies,
+            HealthChecker healthChecker,
+            RoutingActions actions) {
+        this.settings = settings;
+        this.fleet = fleet;
+        this.zones = zones;
+        this.load = load;
+        this.outliers = outliers;
+        this.recorder = recorder;
+        this.latencies = latencies;
+        this.healthChecker = healthChecker;
+        this.actions = actions;
+        resize();
+    }
+
+    /** Makes room for zones that new settings add. */
+    void resize() {
+        zones.setZoneCount(fleet.zoneCount());
+        closed = Arrays.copyOf(closed, fleet.zoneCount());
+    }
+
+    /** Called periodically. */
+    void tick(Collection<RequestInFlight> requests, long now) {
+        zones.advance(now);
+        if (!zones.plansFailover()) {
+            return;
+        }
+        reportSilence(now);
+        for (RequestInFlight request : List.copyOf(requests)) {
+            giveUpAttempts(request);
+        }
+        for (int zone = 0; zone < fleet.zoneCount(); zone++) {
+            forgetFailuresIfReopened(zone);
+            checkReplicas(zone, now);
+        }
+    }
+
+    private void reportSilence(long now) {
+        long usual = (long) (OutlierDetector.SLOW_RATIO * latencies.longestMeanFirstToken());
+        long patience = Math.max(LoadTracker.FIRST_TOKEN_PATIENCE_MICROS, usual);
+        for (int i = 0; i < fleet.size(); i++) {
+            for (Attempt attempt : load.possiblyAwaitingFirstToken(fleet.get(i))) {
+                long elapsed = now - attempt.sentAt();
+                if (attempt.awaitsFirstToken() && !attempt.isSilenceReported() && elapsed > patience) {
+                    attempt.markSilenceReported();
+                    recorder.recordSilence(attempt.replica(), elapsed, now);
+                }
+            }
+        }
+    }
+
+    /** What waits at a closed zone is cancelled, except a trial that has not been silent for long. */
+    private void giveUpAttempts(RequestInFlight request) {
+        for (int number = 0; number < request.attemptCount(); number++) {
+            Attempt attempt = request.findAttempt(number);
+            long closedSince = zones.closedSince(fleet.validZone(attempt.zone()));
+            if (closedSince != Long.MAX_VALUE
+                    && !attempt.hasEnded()
+                    && !attempt.isGivenUp()
+                    && !request.isStreaming()
+                    && (attempt.isSilenceReported() || attempt.sentAt() < closedSince)
+                    && settings.get().limits().allowsCancellation()) {
+                attempt.markGivenUp();
+                actions.cancelAttempt(request.id(), number);
+            }
+        }
+    }
+
+    /** What was learnt of a zone's replicas while nothing reached them says nothing once it is open again. */
+    private void forgetFailuresIfReopened(int zone) {
+        boolean isClosed = zones.closedSince(zone) != Long.MAX_VALUE;
+        if (closed[zone] && !isClosed) {
+            for (int i = 0; i < fleet.size(); i++) {
+                Replica replica = fleet.get(i);
+                if (replica.isReady() && fleet.zoneOf(replica) == zone) {
+                    outliers.reset(replica);
+                }
+            }
+        }
+        closed[zone] = isClosed;
+    }
+
+    private void checkReplicas(int zone, long now) {
+        if (settings.get().limits().allowsHealthChecks()) {
+            int count = zones.acquireHealthChecks(zone) + (zones.acquireTrial(now, zone) ? 1 : 0);
+            healthChecker.checkZone(zone, count);
+        }
+    }
+}
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -130,7 +130,7 @@
         for (int i = 0; i < STEPS_AFTERWARDS; i++) {
             step();
         }
-        record("known", module.known());
+        record("known", module.knownReplicaCount());
         return HexFormat.of().formatHex(digest.digest(), 0, 16);
     }
 
--- a/src/test/java/magpiehub/routing/RoutingPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -509,7 +509,7 @@
         b.policy.onEndpoints(
                 b.now, EndpointListKind.CHANGES, List.of(RoutingPolicyFixture.server(home, EndpointState.DEAD, 0)));
         assertNotEquals(home, b.serve(0, 7));
-        assertEquals(1, b.policy.known());
+        assertEquals(1, b.policy.knownReplicaCount());
     }
 
     private static Endpoint inCell(String id, int cell) {
