--- a/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's embedding example, compiled and run: one request from its coming to its answer. */
+/** The smallest host of a routing policy: one request from its arrival to its answer, and misuse. */
 class EmbeddingExampleTest {
     @Test
     void oneRequestFromStartToEnd() {
         RoutingPolicyFixture actions = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1));
         long now = 2_000_000;
-        RoutingPolicy rules = new RoutingPolicy(actions.settings, 7, actions, now);
-        rules.onEndpoints(now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("10.0.0.1:9000")));
-        rules.onRequest(
+        RoutingPolicy policy = new RoutingPolicy(actions.settings, 7, actions, now);
+        policy.onEndpoints(now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("10.0.0.1:9000")));
+        policy.onRequest(
                 now, new RoutingRequest("a1", 0, 0, 17, 4, now + 4_000_000, 0, 1800, 1200, 256, false, false, false));
         assertEquals("10.0.0.1:9000", actions.replicaOf("a1"));
-        rules.onStreamStarted(now + 80_000, "a1", 0, 80_000);
-        rules.onAttemptEnded(now + 900_000, "a1", 0, AttemptOutcome.OK, 900_000, true, 1200, null);
+        policy.onStreamStarted(now + 80_000, "a1", 0, 80_000);
+        policy.onAttemptEnded(now + 900_000, "a1", 0, AttemptOutcome.OK, 900_000, true, 1200, null);
         assertEquals(0, actions.finalAnswers.size(), "the stream itself was the answer");
     }
 
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** One node under test: feeds events, records actions. Times are in microseconds. */
+/** A routing policy under test with its host: feeds events and records actions. Times are in microseconds. */
 public final class RoutingPolicyFixture implements RoutingActions {
     public static final long SECOND = 1_000_000;
 
-    /** What was sent, and what became of it. */
+    /** An attempt that was sent. */
     record Sent(String id, String server, long at, long timeout) {}
 
     final List<Sent> sent = new ArrayList<>();
@@ -46,7 +46,7 @@
 
     public static RoutingSettings settings(
             int instances, boolean parallel, boolean subscribe, List<Tenant> tenants, RequestClass... classes) {
-        List<RequestClass> c = classes.length == 0
+        List<RequestClass> requestClasses = classes.length == 0
                 ? List.of(requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL))
                 : List.of(classes);
         return new RoutingSettings(
@@ -58,7 +58,7 @@
                 false,
                 WeightMeaning.NONE,
                 0.1,
-                c,
+                requestClasses,
                 tenants,
                 new RoutingLimits(true, true, false, parallel, true, 6, 1000, 2 * SECOND, SECOND / 4),
                 new Guarantees(20_000, 10 * SECOND, 20 * SECOND, 2 * SECOND, 2.5, 0.12, SECOND / 2),
@@ -87,12 +87,24 @@
         return submit(0, 0, prefix, session);
     }
 
-    String submit(int cls, int tenant, long prefix, long session) {
+    String submit(int classIndex, int tenant, long prefix, long session) {
         String id = "r" + ids++;
         policy.onRequest(
                 now,
                 new RoutingRequest(
-                        id, cls, tenant, session, prefix, now + 4 * SECOND, 0, 1000, 800, 100, false, false, false));
+                        id,
+                        classIndex,
+                        tenant,
+                        session,
+                        prefix,
+                        now + 4 * SECOND,
+                        0,
+                        1000,
+                        800,
+                        100,
+                        false,
+                        false,
+                        false));
         return id;
     }
 
@@ -110,12 +122,12 @@
         policy.onStreamStarted(now, id, attemptCounts.get(id) - 1, took);
     }
 
-    void endAttempt(String id, AttemptOutcome o) {
-        boolean ok = o == AttemptOutcome.OK;
+    void endAttempt(String id, AttemptOutcome outcome) {
+        boolean ok = outcome == AttemptOutcome.OK;
         if (ok) {
             finalAnswers.merge(id, "ok", (a, b) -> a + "," + b);
         }
-        policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, o, 50_000, ok, 800, null);
+        policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, outcome, 50_000, ok, 800, null);
     }
 
     /** Served, with so many prompt tokens found kept. */
@@ -214,4 +226,58 @@
     public void log(String text) {
         logs.add(text);
     }
+
+    // ---- Fixtures that several tests share ------------------------------------------------------------
+    /** The ids of so many replicas. */
+    static String[] replicaNames(int count) {
+        String[] names = new String[count];
+        for (int i = 0; i < count; i++) {
+            names[i] = "10.0.0." + i + ":9000";
+        }
+        return names;
+    }
+
+    /** A replica of a weight; even ones are in zone 0, odd ones in zone 1. */
+    static Endpoint endpointOfSize(int i, double weight) {
+        return new Endpoint("10.0.0." + i + ":9000", i % 2, 0, 0, EndpointState.LIVE, weight, 0);
+    }
+
+    /** A router where crossing zones and keeping connections have a price. */
+    static RoutingPolicyFixture withCosts(
+            int instanceIndex, int instanceCount, double crossZone, double connection, WeightMeaning weights) {
+        RoutingSettings defaults = settings(instanceCount);
+        return new RoutingPolicyFixture(new RoutingSettings(
+                instanceIndex,
+                instanceCount,
+                0,
+                2,
+                false,
+                false,
+                weights,
+                0.1,
+                defaults.classes(),
+                defaults.tenants(),
+                defaults.limits(),
+                defaults.guarantees(),
+                new RoutingCosts(crossZone, 0, 0, 0, connection, 0)));
+    }
+
+    /** Serves traffic of many sessions so that shares of traffic are believed. */
+    static void serveManySessions(RoutingPolicyFixture router) {
+        for (long session = 1; session <= 500; session++) {
+            router.serve(0, 100_000 + session);
+            router.advance(20_000);
+        }
+    }
+
+    static LoadReport loadReport(double queue, double latencyMs) {
+        double absent = Double.NaN;
+        return new LoadReport(absent, queue, absent, latencyMs, absent, 0, absent, absent);
+    }
+
+    /** Serves a request's first attempt, which brings a load report. */
+    static void serveWithReport(RoutingPolicyFixture router, String id, LoadReport load) {
+        router.startStream(id, 50_000);
+        router.policy.onAttemptEnded(router.now, id, 0, AttemptOutcome.OK, 50_000, true, 800, load);
+    }
 }
