--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -12,32 +12,32 @@
 
 /** A fleet of modules in virtual time, and servers that start cold: what all of them send together. */
 public class ColdFleetTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
-    private static final long COLD = 9 * S;
-    private static final long FALL = S;
-    private static final double FACTOR = 4;
-    private static final double START = 0.3;
+    private static final long WARM_UP = 9 * SECOND;
+    private static final long OVERLOAD_WINDOW = SECOND;
+    private static final double OVERLOAD_FACTOR = 4;
+    private static final double INITIAL_CAPACITY = 0.3;
     /** What part of the warm servers' capacity the traffic takes. */
     private static final double LOAD = 0.6;
 
-    private record Due(long at, Runnable what) {}
+    private record Planned(long at, Runnable what) {}
 
     private static final class Fleet {
         final SplittableRandom random;
         final List<Router> routers = new ArrayList<>();
-        final List<Endpoint> servers = new ArrayList<>();
+        final List<Endpoint> replicas = new ArrayList<>();
         final Map<String, List<Long>> sent = new HashMap<>();
-        final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        final PriorityQueue<Planned> agenda = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
         final double[] shares;
-        final double perS;
+        final double requestsPerSecond;
         final List<Long> sessions = new ArrayList<>();
-        long now = 100 * S;
+        long now = 100 * SECOND;
         int ids;
 
-        Fleet(int count, int engines, double perS, boolean even, long seed) {
+        Fleet(int count, int engines, double requestsPerSecond, boolean even, long seed) {
             random = new SplittableRandom(seed);
-            this.perS = perS;
+            this.requestsPerSecond = requestsPerSecond;
             shares = new double[count];
             double sum = 0;
             for (int i = 0; i < count; i++) {
@@ -46,7 +46,7 @@
                 sum += shares[i];
             }
             for (int i = 0; i < engines; i++) {
-                servers.add(new Endpoint("10.1.0." + i + ":" + seed, i % 2, 0, 0, EndpointState.LIVE, 1, 0));
+                replicas.add(new Endpoint("10.1.0." + i + ":" + seed, i % 2, 0, 0, EndpointState.LIVE, 1, 0));
             }
             for (int i = 0; i < count; i++) {
                 shares[i] /= sum;
@@ -54,57 +54,57 @@
             }
         }
 
-        double each() {
-            return perS / servers.size();
+        double requestsPerReplica() {
+            return requestsPerSecond / replicas.size();
         }
 
         void run(long us) {
             for (long end = now + us; now < end; ) {
                 now += STEP;
-                while (!dues.isEmpty() && dues.peek().at <= now) {
-                    dues.poll().what.run();
+                while (!agenda.isEmpty() && agenda.peek().at <= now) {
+                    agenda.poll().what.run();
                 }
                 routers.forEach(Router::step);
-                for (double x = perS * STEP / S; x > 0; x--) {
+                for (double x = requestsPerSecond * STEP / SECOND; x > 0; x--) {
                     if (random.nextDouble() < x) {
-                        ask(
+                        submit(
                                 random.nextInt(10) < 3 && !sessions.isEmpty()
                                         ? sessions.get(random.nextInt(sessions.size()))
-                                        : session(),
+                                        : newSession(),
                                 false);
                     }
                 }
             }
         }
 
-        private long session() {
+        private long newSession() {
             long s = random.nextLong();
             sessions.add(s);
             return s;
         }
 
-        void ask(long session, boolean again) {
+        void submit(long session, boolean continuation) {
             double x = random.nextDouble();
             int i = 0;
             while (i < shares.length - 1 && x >= shares[i]) {
                 x -= shares[i++];
             }
-            routers.get(i).ask(session, again);
+            routers.get(i).submit(session, continuation);
         }
 
         /** Servers start anew, all routers are told within a moment, and some of those start anew as well. */
-        void cold(int count, boolean restarts) {
+        void restartReplicas(int count, boolean restarts) {
             for (int i = 0; i < count; i++) {
-                Endpoint w = servers.get(i);
-                servers.set(i, new Endpoint(w.id(), w.zone(), 0, 0, EndpointState.LIVE, 1, now));
+                Endpoint w = replicas.get(i);
+                replicas.set(i, new Endpoint(w.id(), w.zone(), 0, 0, EndpointState.LIVE, 1, now));
             }
-            List<Endpoint> list = List.copyOf(servers);
+            List<Endpoint> list = List.copyOf(replicas);
             for (Router r : routers) {
-                dues.add(new Due(
+                agenda.add(new Planned(
                         now + random.nextLong(300_000),
-                        () -> r.rules.onEndpoints(now, EndpointListKind.COMPLETE, list)));
+                        () -> r.policy.onEndpoints(now, EndpointListKind.COMPLETE, list)));
                 if (restarts && random.nextInt(10) < 7) {
-                    dues.add(new Due(now + 300_000 + random.nextLong(2 * S), () -> r.start(list)));
+                    agenda.add(new Planned(now + 300_000 + random.nextLong(2 * SECOND), () -> r.start(list)));
                 }
             }
         }
@@ -112,81 +112,84 @@
 
     private static final class Router extends QuietActions {
         final Fleet fleet;
-        final int me;
+        final int instanceIndex;
         final Map<String, RoutingRequest> open = new HashMap<>();
-        final Map<String, Integer> tries = new HashMap<>();
-        RoutingPolicy rules;
+        final Map<String, Integer> attemptCounts = new HashMap<>();
+        RoutingPolicy policy;
         long timer;
 
-        Router(Fleet fleet, int me) {
+        Router(Fleet fleet, int instanceIndex) {
             this.fleet = fleet;
-            this.me = me;
-            start(fleet.servers);
+            this.instanceIndex = instanceIndex;
+            start(fleet.replicas);
         }
 
         void start(List<Endpoint> list) {
-            RoutingSettings t = RoutingPolicyFixture.settings(fleet.shares.length);
-            Guarantees g = new Guarantees(8_000, 10 * S, COLD, FALL, FACTOR, START, 2 * S);
+            RoutingSettings defaults = RoutingPolicyFixture.settings(fleet.shares.length);
+            Guarantees guarantees = new Guarantees(
+                    8_000, 10 * SECOND, WARM_UP, OVERLOAD_WINDOW, OVERLOAD_FACTOR, INITIAL_CAPACITY, 2 * SECOND);
             open.clear();
-            rules = new RoutingPolicy(
+            policy = new RoutingPolicy(
                     new RoutingSettings(
-                            me,
+                            instanceIndex,
                             fleet.shares.length,
-                            me % 2,
+                            instanceIndex % 2,
                             2,
                             false,
                             false,
-                            t.weightMeaning(),
+                            defaults.weightMeaning(),
                             0.1,
-                            t.classes(),
+                            defaults.classes(),
                             List.of(),
-                            t.limits(),
-                            g,
-                            t.costs()),
+                            defaults.limits(),
+                            guarantees,
+                            defaults.costs()),
                     fleet.random.nextLong(),
                     this,
                     fleet.now);
-            rules.onEndpoints(fleet.now, EndpointListKind.COMPLETE, List.copyOf(list));
+            policy.onEndpoints(fleet.now, EndpointListKind.COMPLETE, List.copyOf(list));
         }
 
         void step() {
             if (timer <= fleet.now) {
-                rules.onTimer(fleet.now, 1);
+                policy.onTimer(fleet.now, 1);
             }
         }
 
-        void ask(long session, boolean again) {
-            ask(session, 0, again);
+        void submit(long session, boolean continuation) {
+            submit(session, 0, continuation);
         }
 
-        void ask(long session, long prefix, boolean again) {
+        void submit(long session, long prefix, boolean continuation) {
             String id = "r" + fleet.ids++;
             RoutingRequest r = new RoutingRequest(
-                    id, 0, 0, session, prefix, fleet.now + 4 * S, 0, 1000, 0, 100, false, false, again);
+                    id, 0, 0, session, prefix, fleet.now + 4 * SECOND, 0, 1000, 0, 100, false, false, continuation);
             open.put(id, r);
-            rules.onRequest(fleet.now, r);
+            policy.onRequest(fleet.now, r);
         }
 
         @Override
-        public void sendAttempt(String id, String server, long timeout) {
-            fleet.sent.computeIfAbsent(server, k -> new ArrayList<>()).add(fleet.now);
-            int n = tries.merge(id, 1, Integer::sum) - 1;
-            RoutingPolicy to = rules;
+        public void sendAttempt(String id, String replica, long timeout) {
+            fleet.sent.computeIfAbsent(replica, k -> new ArrayList<>()).add(fleet.now);
+            int n = attemptCounts.merge(id, 1, Integer::sum) - 1;
+            RoutingPolicy recipient = policy;
             RoutingRequest r = open.get(id);
             int how = fleet.random.nextInt(100);
             if (how < 4) { // Fails, and is tried elsewhere.
-                AttemptOutcome o = how < 2 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-                fleet.dues.add(new Due(
-                        fleet.now + 20_000, () -> to.onAttemptEnded(fleet.now, id, n, o, 20_000, false, -1, null)));
+                AttemptOutcome outcome = how < 2 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
+                fleet.agenda.add(new Planned(
+                        fleet.now + 20_000,
+                        () -> recipient.onAttemptEnded(fleet.now, id, n, outcome, 20_000, false, -1, null)));
                 return;
             }
-            fleet.dues.add(new Due(fleet.now + 60_000, () -> to.onStreamStarted(fleet.now, id, n, 60_000)));
+            fleet.agenda.add(
+                    new Planned(fleet.now + 60_000, () -> recipient.onStreamStarted(fleet.now, id, n, 60_000)));
             boolean breaks = how < 8;
-            fleet.dues.add(new Due(fleet.now + 500_000, () -> {
-                to.onAttemptEnded(
+            fleet.agenda.add(new Planned(fleet.now + 500_000, () -> {
+                recipient.onAttemptEnded(
                         fleet.now, id, n, breaks ? AttemptOutcome.RESET : AttemptOutcome.OK, 500_000, true, 800, null);
                 if (breaks) {
-                    fleet.ask(r.sessionId(), true); // Its client asks for the rest.
+                    fleet.submit(r.sessionId(), true); // Its client asks for the rest.
                 }
             }));
         }
@@ -198,21 +201,26 @@
     }
 
     /** What one server is promised to be able to do, as a part of a warm one. */
-    private static double warmth(long age) {
-        return Math.min(1, START + (1 - START) * age / COLD);
+    private static double capacity(long age) {
+        return Math.min(1, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age / WARM_UP);
     }
 
     /** In every window that the rule looks at: the budget, and twice its root and two for chance. */
-    private static void keepsTheBudget(Fleet f, String server, long since, String what) {
-        List<Long> at = f.sent.getOrDefault(server, List.of());
+    private static void assertWithinBudget(Fleet fleet, String replica, long since, String what) {
+        List<Long> at = fleet.sent.getOrDefault(replica, List.of());
         for (int from = 0, to = 0; from < at.size(); from++) {
             if (at.get(from) < since) {
                 continue;
             }
-            while (to < at.size() && at.get(to) < at.get(from) + FALL) {
+            while (to < at.size() && at.get(to) < at.get(from) + OVERLOAD_WINDOW) {
                 to++;
             }
-            double n = FACTOR * warmth(at.get(from) - since) * f.each() / LOAD * FALL / S;
+            double n = OVERLOAD_FACTOR
+                    * capacity(at.get(from) - since)
+                    * fleet.requestsPerReplica()
+                    / LOAD
+                    * OVERLOAD_WINDOW
+                    / SECOND;
             assertTrue(
                     what + ": " + (to - from) + " in a window that allows " + n + ", " + (at.get(from) - since) / 1000
                             + " ms after the start",
@@ -221,13 +229,15 @@
         long last = since;
         for (long t : at) {
             // Of chance alone, one in three thousand times of this length has none.
-            assertTrue(what + ": unused for " + (t - last) / 1000 + " ms", t - last <= 8 * S / (START * f.each()));
+            assertTrue(
+                    what + ": unused for " + (t - last) / 1000 + " ms",
+                    t - last <= 8 * SECOND / (INITIAL_CAPACITY * fleet.requestsPerReplica()));
             last = t;
         }
     }
 
-    private static double due(Fleet f) {
-        return f.each() * (START + 1) / 2 * COLD / S;
+    private static double fairShare(Fleet fleet) {
+        return fleet.requestsPerReplica() * (INITIAL_CAPACITY + 1) / 2 * WARM_UP / SECOND;
     }
 
     @Test
@@ -237,18 +247,18 @@
             double due = 0;
             for (int seed = 1; seed <= 20; seed++) {
                 int engines = routers <= 12 ? 12 : 48;
-                Fleet f = new Fleet(routers, engines, 6.0 * engines, seed % 2 == 0, seed);
-                f.run(15 * S);
-                f.sent.clear();
-                long since = f.now;
+                Fleet fleet = new Fleet(routers, engines, 6.0 * engines, seed % 2 == 0, seed);
+                fleet.run(15 * SECOND);
+                fleet.sent.clear();
+                long since = fleet.now;
                 int cold = seed % 4 < 2 ? 1 : engines * 2 / 5;
-                f.cold(cold, seed % 3 == 0);
-                f.run(COLD);
+                fleet.restartReplicas(cold, seed % 3 == 0);
+                fleet.run(WARM_UP);
                 for (int i = 0; i < cold; i++) {
-                    String id = f.servers.get(i).id();
-                    keepsTheBudget(f, id, since, routers + " routers, seed " + seed + ", " + cold + " cold");
-                    got += f.sent.getOrDefault(id, List.of()).size();
-                    due += due(f);
+                    String id = fleet.replicas.get(i).id();
+                    assertWithinBudget(fleet, id, since, routers + " routers, seed " + seed + ", " + cold + " cold");
+                    got += fleet.sent.getOrDefault(id, List.of()).size();
+                    due += fairShare(fleet);
                 }
             }
             assertTrue(routers + " routers send cold servers " + got / due + " of their due", got >= 0.6 * due);
@@ -261,16 +271,18 @@
         double got = 0;
         double due = 0;
         for (int seed = 1; seed <= 20; seed++) {
-            Fleet f = new Fleet(100, 60, 70, seed % 2 == 0, seed);
-            f.run(15 * S);
-            f.sent.clear();
-            long since = f.now;
-            f.cold(24, false);
-            f.run(COLD);
+            Fleet fleet = new Fleet(100, 60, 70, seed % 2 == 0, seed);
+            fleet.run(15 * SECOND);
+            fleet.sent.clear();
+            long since = fleet.now;
+            fleet.restartReplicas(24, false);
+            fleet.run(WARM_UP);
             for (int i = 0; i < 24; i++) {
-                keepsTheBudget(f, f.servers.get(i).id(), since, "seed " + seed);
-                got += f.sent.getOrDefault(f.servers.get(i).id(), List.of()).size();
-                due += due(f);
+                assertWithinBudget(fleet, fleet.replicas.get(i).id(), since, "seed " + seed);
+                got += fleet.sent
+                        .getOrDefault(fleet.replicas.get(i).id(), List.of())
+                        .size();
+                due += fairShare(fleet);
             }
         }
         assertTrue("of their due: " + got / due, got >= 0.6 * due);
@@ -281,39 +293,44 @@
     @Test
     public void firstRequestsOfThirtyRoutersInOneWindow() {
         for (int seed = 1; seed <= 20; seed++) {
-            for (long after : new long[] {100_000, 2 * S, 5 * S, 8 * S}) {
+            for (long after : new long[] {100_000, 2 * SECOND, 5 * SECOND, 8 * SECOND}) {
                 for (boolean prefix : new boolean[] {false, true}) {
                     // With two a second each, keys are spread by session or not: either on half of the seeds.
-                    Fleet f = new Fleet(30, 12, seed % 2 == 0 ? 60 : 40, true, seed);
-                    f.run(40 * S);
-                    String cold = f.servers.get(0).id();
-                    long key = prefix ? leadsTo(f, cold) : 0;
-                    long since = f.now;
-                    f.cold(1, false);
-                    f.run(400_000);
-                    f.now = since + Math.max(after, f.now - since);
+                    Fleet fleet = new Fleet(30, 12, seed % 2 == 0 ? 60 : 40, true, seed);
+                    fleet.run(40 * SECOND);
+                    String cold = fleet.replicas.get(0).id();
+                    long key = prefix ? prefixPlacedAt(fleet, cold) : 0;
+                    long since = fleet.now;
+                    fleet.restartReplicas(1, false);
+                    fleet.run(400_000);
+                    fleet.now = since + Math.max(after, fleet.now - since);
                     List<Endpoint> one = new ArrayList<>();
-                    for (Endpoint s : f.servers) {
+                    for (Endpoint s : fleet.replicas) {
                         one.add(
                                 s.id().equals(cold)
                                         ? s
                                         : new Endpoint(
                                                 s.id(), s.zone(), 0, 0, EndpointState.DRAINING, 1, s.onlineSince()));
                     }
-                    f.sent.clear();
-                    f.dues.clear();
-                    for (Router r : f.routers) {
+                    fleet.sent.clear();
+                    fleet.agenda.clear();
+                    for (Router r : fleet.routers) {
                         if (!prefix) {
-                            r.rules.onEndpoints(f.now, EndpointListKind.CHANGES, one);
+                            r.policy.onEndpoints(fleet.now, EndpointListKind.CHANGES, one);
                         }
-                        r.ask(f.session(), key, false);
-                        r.ask(f.session(), key, false);
+                        r.submit(fleet.newSession(), key, false);
+                        r.submit(fleet.newSession(), key, false);
                     }
-                    int n = f.sent.getOrDefault(cold, List.of()).size();
-                    double may = FACTOR * warmth(f.now - since) * f.each() / LOAD * FALL / S;
+                    int n = fleet.sent.getOrDefault(cold, List.of()).size();
+                    double may = OVERLOAD_FACTOR
+                            * capacity(fleet.now - since)
+                            * fleet.requestsPerReplica()
+                            / LOAD
+                            * OVERLOAD_WINDOW
+                            / SECOND;
                     assertTrue(
-                            n + " at once, " + may + " allowed " + (f.now - since) / 1000 + " ms after the start, seed "
-                                    + seed + ", prefix " + prefix,
+                            n + " at once, " + may + " allowed " + (fleet.now - since) / 1000
+                                    + " ms after the start, seed " + seed + ", prefix " + prefix,
                             n <= may + 2 * Math.sqrt(may) + 2);
                 }
             }
@@ -321,15 +338,15 @@
     }
 
     /** A prefix that routers of both zones place at a server first. */
-    private static long leadsTo(Fleet f, String server) {
+    private static long prefixPlacedAt(Fleet fleet, String replica) {
         for (long key = 1; key < 5000; key++) {
-            f.sent.clear();
-            new Router(f, 0).ask(f.session(), key, false);
-            new Router(f, 1).ask(f.session(), key, false);
-            if (f.sent.getOrDefault(server, List.of()).size() == 2) {
+            fleet.sent.clear();
+            new Router(fleet, 0).submit(fleet.newSession(), key, false);
+            new Router(fleet, 1).submit(fleet.newSession(), key, false);
+            if (fleet.sent.getOrDefault(replica, List.of()).size() == 2) {
                 return key;
             }
         }
-        throw new AssertionError("no prefix leads to " + server);
+        throw new AssertionError("no prefix leads to " + replica);
     }
 }
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -40,7 +40,7 @@
         RELOAD
     }
 
-    private static final class Engine {
+    private static final class SimulatedReplica {
         final String id;
         final int zone;
         final int cell;
@@ -50,7 +50,7 @@
         long onlineSince;
         int inFlight;
 
-        Engine(String id, int zone, int cell, double weight, double pace) {
+        SimulatedReplica(String id, int zone, int cell, double weight, double pace) {
             this.id = id;
             this.zone = zone;
             this.cell = cell;
@@ -60,12 +60,12 @@
     }
 
     private static final class Attempt {
-        final Engine engine;
+        final SimulatedReplica replica;
         final long sentAt;
         boolean ended;
 
-        Attempt(Engine engine, long sentAt) {
-            this.engine = engine;
+        Attempt(SimulatedReplica replica, long sentAt) {
+            this.replica = replica;
             this.sentAt = sentAt;
         }
     }
@@ -84,14 +84,14 @@
     private record Planned(long at, long order, Runnable event) {}
 
     private final Random random;
-    private final RoutingPolicy module;
+    private final RoutingPolicy policy;
     private final MessageDigest digest = sha256();
     private final PriorityQueue<Planned> agenda =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<String, Call> calls = new HashMap<>();
     private final List<String> openIds = new ArrayList<>();
-    private final Map<String, Engine> engines = new HashMap<>();
-    private final List<Engine> listed = new ArrayList<>();
+    private final Map<String, SimulatedReplica> replicas = new HashMap<>();
+    private final List<SimulatedReplica> listed = new ArrayList<>();
     private RoutingSettings settings;
     private final double meanGap;
     private final boolean reportsLoad;
@@ -100,7 +100,7 @@
     private long now = SECOND;
     private long order;
     private int requests;
-    private int engineCount;
+    private int replicaCount;
     private int events;
 
     DecisionScenario(long seed) {
@@ -108,11 +108,12 @@
         settings = drawSettings();
         meanGap = 2_000 + random.nextInt(60_000);
         reportsLoad = random.nextBoolean();
-        ZoneHealth zones = seed % 3 == 0 && settings.zoneCount() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
-        module = new RoutingPolicy(settings, seed, this, now, zones);
+        ZoneHealth zones =
+                seed % 3 == 0 && settings.zoneCount() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
+        policy = new RoutingPolicy(settings, seed, this, now, zones);
         int fleet = 4 + random.nextInt(28);
         for (int i = 0; i < fleet; i++) {
-            addEngine(random.nextInt(6) == 0 ? now : 0);
+            addReplica(random.nextInt(6) == 0 ? now : 0);
         }
         listAll(EndpointListKind.SAVED);
         nextArrival();
@@ -130,7 +131,7 @@
         for (int i = 0; i < STEPS_AFTERWARDS; i++) {
             step();
         }
-        record("known", module.knownReplicaCount());
+        record("known", policy.knownReplicaCount());
         return HexFormat.of().formatHex(digest.digest(), 0, 16);
     }
 
@@ -141,7 +142,7 @@
         next.event.run();
         if (events % 16 == 0 && !openIds.isEmpty()) {
             String id = openIds.get(random.nextInt(openIds.size()));
-            record("may refuse", id, module.mayReject(id));
+            record("may refuse", id, policy.mayReject(id));
         }
     }
 
@@ -243,38 +244,38 @@
                 SECOND / 4);
     }
 
-    private void addEngine(long onlineSince) {
-        int number = engineCount++;
-        Engine engine = new Engine(
+    private void addReplica(long onlineSince) {
+        int number = replicaCount++;
+        SimulatedReplica replica = new SimulatedReplica(
                 "10.0." + number / 200 + "." + number % 200 + ":9000",
                 random.nextInt(settings.zoneCount()),
                 random.nextInt(4),
                 0.5 + random.nextInt(4),
                 0.7 + 0.6 * random.nextDouble());
-        engine.onlineSince = onlineSince;
-        engines.put(engine.id, engine);
-        listed.add(engine);
+        replica.onlineSince = onlineSince;
+        replicas.put(replica.id, replica);
+        listed.add(replica);
     }
 
-    private Endpoint entry(Engine engine) {
+    private Endpoint entry(SimulatedReplica replica) {
         double load = settings.weightMeaning() == WeightMeaning.LIVE ? random.nextDouble() : 1;
         return new Endpoint(
-                engine.id, engine.zone, 0, engine.cell, engine.state, engine.weight * load, engine.onlineSince);
+                replica.id, replica.zone, 0, replica.cell, replica.state, replica.weight * load, replica.onlineSince);
     }
 
     private void listAll(EndpointListKind kind) {
-        module.onEndpoints(now, kind, listed.stream().map(this::entry).toList());
+        policy.onEndpoints(now, kind, listed.stream().map(this::entry).toList());
     }
 
-    private void listOne(Engine engine) {
+    private void listOne(SimulatedReplica replica) {
         if (random.nextInt(8) == 0) {
             listAll(EndpointListKind.COMPLETE);
         } else {
-            module.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(engine)));
+            policy.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(replica)));
         }
     }
 
-    private Engine anyListed() {
+    private SimulatedReplica anyListed() {
         return listed.get(random.nextInt(listed.size()));
     }
 
@@ -294,7 +295,7 @@
     }
 
     private void replaceOne() {
-        Engine gone = anyListed();
+        SimulatedReplica gone = anyListed();
         if (random.nextBoolean()) {
             gone.onlineSince = now;
             gone.state = EndpointState.LIVE;
@@ -303,29 +304,29 @@
         }
         gone.state = EndpointState.DRAINING;
         listOne(gone);
-        addEngine(now);
+        addReplica(now);
         listOne(listed.get(listed.size() - 1));
         plan(SECOND, () -> remove(gone));
     }
 
     private void drainOne() {
-        Engine engine = anyListed();
-        engine.state = EndpointState.DRAINING;
-        listOne(engine);
+        SimulatedReplica replica = anyListed();
+        replica.state = EndpointState.DRAINING;
+        listOne(replica);
         plan(2 * SECOND, () -> {
-            engine.state = EndpointState.LIVE;
-            engine.onlineSince = random.nextBoolean() ? now : 0;
-            listOne(engine);
+            replica.state = EndpointState.LIVE;
+            replica.onlineSince = random.nextBoolean() ? now : 0;
+            listOne(replica);
         });
     }
 
-    private void remove(Engine engine) {
-        if (listed.size() < 4 || !listed.remove(engine)) {
+    private void remove(SimulatedReplica replica) {
+        if (listed.size() < 4 || !listed.remove(replica)) {
             return;
         }
-        engine.state = EndpointState.DEAD;
+        replica.state = EndpointState.DEAD;
         if (random.nextBoolean()) {
-            module.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(engine)));
+            policy.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(replica)));
         } else {
             listAll(EndpointListKind.COMPLETE);
         }
@@ -352,7 +353,7 @@
                 other.limits(),
                 other.guarantees(),
                 other.costs());
-        module.onSettings(now, settings);
+        policy.onSettings(now, settings);
     }
 
     // ---- Traffic ----------------------------------------------------------------------------------------
@@ -391,9 +392,9 @@
         if (random.nextInt(40) == 0) {
             plan(random.nextInt(1_000_000), () -> leave(call));
         }
-        module.onRequest(now, call.request);
+        policy.onRequest(now, call.request);
         if (random.nextInt(200) == 0) {
-            module.onRequest(now - 10, call.request);
+            policy.onRequest(now - 10, call.request);
         }
     }
 
@@ -409,19 +410,19 @@
             return;
         }
         call.settled = true;
-        module.onClientGone(now, call.request.id());
+        policy.onClientGone(now, call.request.id());
     }
 
     @Override
     public void sendAttempt(String id, String server, long timeout) {
         record("send", id, server, timeout);
         Call call = calls.get(id);
-        Engine engine = engines.get(server);
+        SimulatedReplica replica = replicas.get(server);
         int number = call.attempts.size();
-        call.attempts.add(new Attempt(engine, now));
-        engine.inFlight++;
-        AttemptOutcome outcome = drawOutcome(engine);
-        long first = (long) (engine.pace * (30_000 + random.nextInt(40_000)) * slowness(engine));
+        call.attempts.add(new Attempt(replica, now));
+        replica.inFlight++;
+        AttemptOutcome outcome = drawOutcome(replica);
+        long first = (long) (replica.pace * (30_000 + random.nextInt(40_000)) * slowness(replica));
         switch (outcome) {
             case OK, RESET, SPOILT -> {
                 if (outcome == AttemptOutcome.OK || random.nextInt(3) == 0) {
@@ -434,33 +435,35 @@
         }
     }
 
-    private boolean isTarget(Engine engine) {
-        return (engine.id.hashCode() & 7) == (target & 7);
+    private boolean isTarget(SimulatedReplica replica) {
+        return (replica.id.hashCode() & 7) == (target & 7);
     }
 
-    private double slowness(Engine engine) {
-        double cold = now - engine.onlineSince < 5 * SECOND ? 2.5 : 1;
-        double busy = 1 + engine.inFlight / 8.0;
+    private double slowness(SimulatedReplica replica) {
+        double cold = now - replica.onlineSince < 5 * SECOND ? 2.5 : 1;
+        double busy = 1 + replica.inFlight / 8.0;
         return cold
                 * busy
-                * (phase == Phase.OVERLOAD ? 6 + random.nextInt(12) : phase == Phase.SLOW && isTarget(engine) ? 12 : 1);
+                * (phase == Phase.OVERLOAD
+                        ? 6 + random.nextInt(12)
+                        : phase == Phase.SLOW && isTarget(replica) ? 12 : 1);
     }
 
-    private AttemptOutcome drawOutcome(Engine engine) {
+    private AttemptOutcome drawOutcome(SimulatedReplica replica) {
         int percent = random.nextInt(100);
-        if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zoneCount()) {
+        if (phase == Phase.ZONE_CUT && replica.zone == target % settings.zoneCount()) {
             return AttemptOutcome.CONNECT_FAILED;
         }
-        if (phase == Phase.HANG && isTarget(engine)) {
+        if (phase == Phase.HANG && isTarget(replica)) {
             return AttemptOutcome.TIMEOUT;
         }
-        if (phase == Phase.ERRORS && percent < (isTarget(engine) ? 80 : 50)) {
+        if (phase == Phase.ERRORS && percent < (isTarget(replica) ? 80 : 50)) {
             return AttemptOutcome.ERROR;
         }
         if (phase == Phase.RESETS && percent < 30) {
             return percent < 20 ? AttemptOutcome.RESET : AttemptOutcome.SPOILT;
         }
-        if (engine.inFlight > 12 || (phase == Phase.OVERLOAD && percent < 30)) {
+        if (replica.inFlight > 12 || (phase == Phase.OVERLOAD && percent < 30)) {
             return AttemptOutcome.FULL;
         }
         if (percent < 4) {
@@ -472,7 +475,7 @@
     private void begin(Call call, int number) {
         Attempt attempt = call.attempts.get(number);
         if (!attempt.ended && !call.settled) {
-            module.onStreamStarted(now, call.request.id(), number, now - attempt.sentAt);
+            policy.onStreamStarted(now, call.request.id(), number, now - attempt.sentAt);
         }
     }
 
@@ -482,13 +485,13 @@
             return;
         }
         attempt.ended = true;
-        attempt.engine.inFlight--;
+        attempt.replica.inFlight--;
         AttemptOutcome seen = call.settled && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
         call.settled |= served;
         long kept = random.nextInt(5) == 0
                 ? -1
                 : phase == Phase.RELEASE ? 0 : (long) (call.request.promptTokens() * random.nextDouble());
-        module.onAttemptEnded(
+        policy.onAttemptEnded(
                 now,
                 call.request.id(),
                 number,
@@ -496,18 +499,18 @@
                 now - attempt.sentAt,
                 call.settled,
                 kept,
-                drawLoad(attempt.engine));
+                drawLoad(attempt.replica));
     }
 
-    private LoadReport drawLoad(Engine engine) {
+    private LoadReport drawLoad(SimulatedReplica replica) {
         if (!reportsLoad || random.nextInt(3) == 0) {
             return null;
         }
         return new LoadReport(
-                engine.inFlight,
-                Math.max(0, engine.inFlight - 10),
+                replica.inFlight,
+                Math.max(0, replica.inFlight - 10),
                 Double.NaN,
-                50 * engine.pace * slowness(engine),
+                50 * replica.pace * slowness(replica),
                 Double.NaN,
                 0,
                 Double.NaN,
@@ -538,30 +541,30 @@
         record("watch");
         plan(random.nextInt(1_500_000), () -> {
             if (random.nextInt(3) == 0) {
-                module.onEndpoints(now, EndpointListKind.ERROR, List.of());
+                policy.onEndpoints(now, EndpointListKind.ERROR, List.of());
             } else {
                 listOne(anyListed());
             }
         });
-        plan(4 * SECOND, () -> module.onEndpoints(now, EndpointListKind.ERROR, List.of()));
+        plan(4 * SECOND, () -> policy.onEndpoints(now, EndpointListKind.ERROR, List.of()));
     }
 
     @Override
     public void setTimer(long at, long token) {
         record("timer", at, token);
-        plan(at - now, () -> module.onTimer(now, token));
+        plan(at - now, () -> policy.onTimer(now, token));
     }
 
     @Override
     public void probe(String server) {
         record("probe", server);
-        Engine engine = engines.get(server);
-        AttemptOutcome outcome = drawOutcome(engine);
+        SimulatedReplica replica = replicas.get(server);
+        AttemptOutcome outcome = drawOutcome(replica);
         AttemptOutcome seen = outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT
                 ? outcome
                 : AttemptOutcome.OK;
         long took = 2_000 + random.nextInt(20_000);
-        plan(took, () -> module.onProbeResult(now, server, seen, took, drawLoad(engine)));
+        plan(took, () -> policy.onProbeResult(now, server, seen, took, drawLoad(replica)));
     }
 
     @Override
--- a/src/test/java/magpiehub/routing/OverloadControlTest.java
+++ b/src/test/java/magpiehub/routing/OverloadControlTest.java
@@ -11,8 +11,8 @@
 
 /** Refusals over drawn deployments: no router turns away everything, and no conversation is singled out. */
 class OverloadControlTest {
-    private static final long S = RoutingPolicyFixture.SECOND;
-    private static final long WINDOW = 4 * S;
+    private static final long SECOND = RoutingPolicyFixture.SECOND;
+    private static final long WINDOW = 4 * SECOND;
     private static final int ENOUGH = 15;
 
     /** A node of a site with one to four classes of drawn worth, after a long overload on all of them. */
@@ -25,30 +25,30 @@
                     DeduplicationScope.ALL,
                     0,
                     true,
-                    S,
+                    SECOND,
                     0,
                     0,
-                    4 * S,
+                    4 * SECOND,
                     60_000,
                     1 + random.nextInt(9),
                     random.nextDouble());
         }
-        RoutingPolicyFixture b =
+        RoutingPolicyFixture router =
                 new RoutingPolicyFixture(RoutingPolicyFixture.settings(1 + random.nextInt(20), classes));
         String[] names = new String[4 + random.nextInt(12)];
         for (int i = 0; i < names.length; i++) {
             names[i] = "10.0.0." + i + ":" + (9000 + random.nextInt(1000));
         }
-        b.list(names);
+        router.list(names);
         for (int i = 0; i < 600; i++) {
-            String id = b.submit(random.nextInt(classes.length), 0, 0, random.nextLong(1, 1L << 53));
-            if (b.finalAnswers.get(id) == null) {
-                b.startStream(id, 3 * S + random.nextLong(S / 2));
-                b.endAttempt(id, AttemptOutcome.OK);
+            String id = router.submit(random.nextInt(classes.length), 0, 0, random.nextLong(1, 1L << 53));
+            if (router.finalAnswers.get(id) == null) {
+                router.startStream(id, 3 * SECOND + random.nextLong(SECOND / 2));
+                router.endAttempt(id, AttemptOutcome.OK);
             }
-            b.advance(50_000);
+            router.advance(50_000);
         }
-        return b;
+        return router;
     }
 
     /** Once little comes, and of one class only, control lets some of it through: no router turns away
@@ -59,24 +59,25 @@
         int routers = 60;
         for (int seed = 1; seed <= routers; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            RoutingPolicyFixture b = overloaded(random);
-            int cls = random.nextInt(b.settings.classes().size());
+            RoutingPolicyFixture router = overloaded(random);
+            int classIndex = random.nextInt(router.settings.classes().size());
             ArrayDeque<Long> refusedInARow = new ArrayDeque<>();
             boolean all = false;
-            long from = b.now;
+            long from = router.now;
             int late = 0;
-            while (b.now < from + 20 * S) {
-                String id = b.submit(cls, 0, 0, random.nextLong(1, 1L << 53));
-                if (b.finalAnswers.get(id) == null) {
+            while (router.now < from + 20 * SECOND) {
+                String id = router.submit(classIndex, 0, 0, random.nextLong(1, 1L << 53));
+                if (router.finalAnswers.get(id) == null) {
                     refusedInARow.clear();
-                    b.startStream(id, 50_000);
-                    b.endAttempt(id, AttemptOutcome.OK);
+                    router.startStream(id, 50_000);
+                    router.endAttempt(id, AttemptOutcome.OK);
                 } else {
-                    refusedInARow.addLast(b.now);
-                    late += b.now >= from + 10 * S ? 1 : 0;
+                    refusedInARow.addLast(router.now);
+                    late += router.now >= from + 10 * SECOND ? 1 : 0;
                 }
-                all |= refusedInARow.size() >= ENOUGH && b.now - refusedInARow.getFirst() >= WINDOW - WINDOW / ENOUGH;
-                b.advance(WINDOW / ENOUGH);
+                all |= refusedInARow.size() >= ENOUGH
+                        && router.now - refusedInARow.getFirst() >= WINDOW - WINDOW / ENOUGH;
+                router.advance(WINDOW / ENOUGH);
             }
             turnedAllAway += all ? 1 : 0;
             assertEquals(0, late, "seed " + seed + ": refused 10 s after the overload");
@@ -90,8 +91,8 @@
     void noSetOfConversationsIsRefusedThroughout() {
         for (int seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            RoutingPolicyFixture b = overloaded(random);
-            int cls = random.nextInt(b.settings.classes().size());
+            RoutingPolicyFixture router = overloaded(random);
+            int classIndex = random.nextInt(router.settings.classes().size());
             int conversations = 40;
             int turns = 5;
             long[] sessions = random.longs(conversations, 1, 1L << 53).toArray();
@@ -100,8 +101,8 @@
             List<String> open = new ArrayList<>();
             for (int i = 0; i < turns * conversations; i++) {
                 int k = i % conversations;
-                String id = b.submit(cls, 0, 0, sessions[k]);
-                if (b.finalAnswers.get(id) == null) {
+                String id = router.submit(classIndex, 0, 0, sessions[k]);
+                if (router.finalAnswers.get(id) == null) {
                     open.add(id);
                 } else {
                     refused[k]++;
@@ -109,10 +110,10 @@
                 }
                 if (open.size() > 4) {
                     String done = open.remove(0);
-                    b.startStream(done, 3 * S);
-                    b.endAttempt(done, AttemptOutcome.OK);
+                    router.startStream(done, 3 * SECOND);
+                    router.endAttempt(done, AttemptOutcome.OK);
                 }
-                b.advance(100_000);
+                router.advance(100_000);
             }
             double part = (double) all / (turns * conversations);
             int throughout = 0;
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -50,7 +50,7 @@
         final List<Asked> all = new ArrayList<>();
         final RequestClass[] classes;
         final int replicas;
-        final RoutingPolicy rules;
+        final RoutingPolicy policy;
         long now = 100 * SECOND;
 
         Day(long seed) {
@@ -72,12 +72,12 @@
                         random.nextBoolean() ? 0 : random.nextDouble());
             }
             replicas = 4 + random.nextInt(9);
-            rules = new RoutingPolicy(RoutingPolicyFixture.settings(1, classes), seed, this, now);
+            policy = new RoutingPolicy(RoutingPolicyFixture.settings(1, classes), seed, this, now);
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < replicas; i++) {
                 list.add(RoutingPolicyFixture.server("10.0.0." + i + ":" + random.nextInt(9000)));
             }
-            rules.onEndpoints(now, EndpointListKind.COMPLETE, list);
+            policy.onEndpoints(now, EndpointListKind.COMPLETE, list);
         }
 
         /** Plays the day with traffic that takes a part of what the replicas can read. */
@@ -113,7 +113,7 @@
                     false));
             all.add(asked);
             open.put(id, asked);
-            rules.onRequest(now, asked.request);
+            policy.onRequest(now, asked.request);
         }
 
         @Override
@@ -134,18 +134,18 @@
 
         private void served(String id, long sentAt) {
             open.get(id).answered = true;
-            rules.onStreamStarted(now, id, 0, now - sentAt);
+            policy.onStreamStarted(now, id, 0, now - sentAt);
             outcome(id, AttemptOutcome.OK, sentAt);
         }
 
         private void outcome(String id, AttemptOutcome outcome, long sentAt) {
             open.remove(id);
-            rules.onAttemptEnded(now, id, 0, outcome, now - sentAt, true, -1, null);
+            policy.onAttemptEnded(now, id, 0, outcome, now - sentAt, true, -1, null);
         }
 
         @Override
         public void setTimer(long at, long token) {
-            events.add(new Due(at, () -> rules.onTimer(now, token)));
+            events.add(new Due(at, () -> policy.onTimer(now, token)));
         }
 
         /** The answered part of the longest prompts of a class over that of the whole class. */
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -16,116 +16,123 @@
 
 /** Seeded random events over many settings, with the rules checked after each action. */
 class RandomEventsTest {
-    private static final long S = RoutingPolicyFixture.SECOND;
+    private static final long SECOND = RoutingPolicyFixture.SECOND;
 
     /** A world that checks what one node does. */
     private static final class World extends QuietActions {
         private static final class Job {
-            RoutingRequest r;
-            RequestClass c;
+            RoutingRequest request;
+            RequestClass requestClass;
             boolean over;
-            final List<String> at = new ArrayList<>();
+            final List<String> replicas = new ArrayList<>();
             final List<Long> sentAt = new ArrayList<>();
             final List<AttemptOutcome> ended = new ArrayList<>();
-            int begun = -1;
+            int streamingAttempt = -1;
 
             int open() {
-                return (int) ended.stream().filter(o -> o == null).count();
+                return (int) ended.stream().filter(outcome -> outcome == null).count();
             }
         }
 
-        final Random rnd;
-        final RoutingSettings s;
-        final RoutingPolicy node;
+        final Random random;
+        final RoutingSettings settings;
+        final RoutingPolicy policy;
         final Map<String, Job> jobs = new HashMap<>();
         final List<Job> live = new ArrayList<>();
         final Map<String, Endpoint> known = new HashMap<>();
         final Set<String> everListed = new HashSet<>();
         final Map<String, Integer> coldSends = new HashMap<>();
         final List<Long> timers = new ArrayList<>();
-        long now = S;
+        long now = SECOND;
         int requests;
         int sends;
         int finals;
 
         World(long seed) {
-            rnd = new Random(seed);
+            random = new Random(seed);
             List<RequestClass> classes = new ArrayList<>();
-            for (int i = 0; i < 1 + rnd.nextInt(4); i++) {
+            for (int i = 0; i < 1 + random.nextInt(4); i++) {
                 classes.add(new RequestClass(
                         "c" + i,
-                        Idempotency.values()[rnd.nextInt(3)],
-                        DeduplicationScope.values()[rnd.nextInt(3)],
-                        rnd.nextInt(3_000_000),
+                        Idempotency.values()[random.nextInt(3)],
+                        DeduplicationScope.values()[random.nextInt(3)],
+                        random.nextInt(3_000_000),
                         true,
-                        rnd.nextInt(2_000_000),
-                        rnd.nextInt(60_000),
+                        random.nextInt(2_000_000),
+                        random.nextInt(60_000),
                         0,
-                        4 * S,
+                        4 * SECOND,
                         60_000,
-                        rnd.nextInt(5),
-                        rnd.nextDouble()));
+                        random.nextInt(5),
+                        random.nextDouble()));
             }
             List<Tenant> tenants =
-                    rnd.nextBoolean() ? List.of() : List.of(new Tenant("t", 0.5, 5), new Tenant("u", 0.5, 0));
-            s = RoutingPolicyFixture.settings(
-                    1 + rnd.nextInt(30),
-                    rnd.nextBoolean(),
-                    rnd.nextBoolean(),
+                    random.nextBoolean() ? List.of() : List.of(new Tenant("t", 0.5, 5), new Tenant("u", 0.5, 0));
+            settings = RoutingPolicyFixture.settings(
+                    1 + random.nextInt(30),
+                    random.nextBoolean(),
+                    random.nextBoolean(),
                     tenants,
                     classes.toArray(new RequestClass[0]));
-            node = new RoutingPolicy(s, seed, this, now);
+            policy = new RoutingPolicy(settings, seed, this, now);
         }
 
         @Override
         public void sendAttempt(String id, String server, long timeout) {
-            Job j = jobs.get(id);
-            assertNotNull(j, "sent what it did not get");
-            assertFalse(j.over, "sent after the final answer");
+            Job job = jobs.get(id);
+            assertNotNull(job, "sent what it did not get");
+            assertFalse(job.over, "sent after the final answer");
             assertTrue(everListed.contains(server), "sent to a server never listed");
-            Endpoint e = known.get(server);
-            assertTrue(e != null && e.state() == EndpointState.LIVE, "sent to a draining or missing server");
-            assertTrue(j.at.size() < s.limits().maxAttempts());
-            assertTrue(s.limits().allowsParallelAttempts() || j.open() == 0, "two at once");
-            for (int i = 0; i < j.at.size(); i++) {
-                AttemptOutcome o = j.ended.get(i);
-                if (j.c.idempotency() == Idempotency.IDEMPOTENT || (o != null && o.neverRan)) {
+            Endpoint endpoint = known.get(server);
+            assertTrue(
+                    endpoint != null && endpoint.state() == EndpointState.LIVE, "sent to a draining or missing server");
+            assertTrue(job.replicas.size() < settings.limits().maxAttempts());
+            assertTrue(settings.limits().allowsParallelAttempts() || job.open() == 0, "two at once");
+            for (int i = 0; i < job.replicas.size(); i++) {
+                AttemptOutcome outcome = job.ended.get(i);
+                if (job.requestClass.idempotency() == Idempotency.IDEMPOTENT || (outcome != null && outcome.neverRan)) {
                     continue;
                 }
-                assertEquals(Idempotency.IDEMPOTENT_WITH_KEY, j.c.idempotency(), "a side effect may happen twice");
-                assertTrue(now - j.sentAt.get(i) <= j.c.deduplicationWindow(), "outside the window");
-                Endpoint was = everKnown.get(j.at.get(i));
+                assertEquals(
+                        Idempotency.IDEMPOTENT_WITH_KEY,
+                        job.requestClass.idempotency(),
+                        "a side effect may happen twice");
+                assertTrue(now - job.sentAt.get(i) <= job.requestClass.deduplicationWindow(), "outside the window");
+                Endpoint was = everKnown.get(job.replicas.get(i));
                 assertTrue(
-                        j.c.deduplicationScope() == DeduplicationScope.ALL
-                                || (j.c.deduplicationScope() == DeduplicationScope.ZONE && was.zone() == e.zone())
-                                || (j.c.deduplicationScope() == DeduplicationScope.CELL && was.cell() == e.cell()),
+                        job.requestClass.deduplicationScope() == DeduplicationScope.ALL
+                                || (job.requestClass.deduplicationScope() == DeduplicationScope.ZONE
+                                        && was.zone() == endpoint.zone())
+                                || (job.requestClass.deduplicationScope() == DeduplicationScope.CELL
+                                        && was.cell() == endpoint.cell()),
                         "outside the group");
             }
-            if (e.onlineSince() > 0 && now - e.onlineSince() < s.guarantees().overloadWindow()) {
-                coldSends.merge(server + "@" + e.onlineSince(), 1, Integer::sum);
+            if (endpoint.onlineSince() > 0
+                    && now - endpoint.onlineSince() < settings.guarantees().overloadWindow()) {
+                coldSends.merge(server + "@" + endpoint.onlineSince(), 1, Integer::sum);
             }
-            j.at.add(server);
-            j.sentAt.add(now);
-            j.ended.add(null);
+            job.replicas.add(server);
+            job.sentAt.add(now);
+            job.ended.add(null);
             sends++;
         }
 
         private final Map<String, Endpoint> everKnown = new HashMap<>();
 
         private void over(String id, boolean refused) {
-            Job j = jobs.get(id);
-            assertNotNull(j);
-            assertFalse(j.over, "two final answers");
-            for (int i = 0; refused && i < j.at.size(); i++) {
+            Job job = jobs.get(id);
+            assertNotNull(job);
+            assertFalse(job.over, "two final answers");
+            for (int i = 0; refused && i < job.replicas.size(); i++) {
                 assertTrue(
-                        j.c.idempotency() == Idempotency.IDEMPOTENT
-                                || (j.ended.get(i) != null && j.ended.get(i).neverRan)
-                                || (j.c.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                        && j.c.deduplicationScope() == DeduplicationScope.ALL),
+                        job.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                                || (job.ended.get(i) != null && job.ended.get(i).neverRan)
+                                || (job.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                        && job.requestClass.deduplicationScope() == DeduplicationScope.ALL),
                         "refused what may have run");
             }
-            assertEquals(-1, j.begun, "ended a stream that runs");
-            j.over = true;
+            assertEquals(-1, job.streamingAttempt, "ended a stream that runs");
+            job.over = true;
             finals++;
         }
 
@@ -141,8 +148,8 @@
 
         @Override
         public void cancelAttempt(String id, int attempt) {
-            assertTrue(
-                    s.limits().allowsCancellation() && attempt < jobs.get(id).at.size());
+            assertTrue(settings.limits().allowsCancellation()
+                    && attempt < jobs.get(id).replicas.size());
         }
 
         @Override
@@ -152,13 +159,13 @@
 
         @Override
         public void probe(String server) {
-            assertTrue(s.limits().allowsHealthChecks() && everListed.contains(server));
+            assertTrue(settings.limits().allowsHealthChecks() && everListed.contains(server));
         }
 
         @Override
         public void watch() {
-            assertTrue(s.subscribesToEndpoints());
-            answers.add(now + rnd.nextInt(2_000_000));
+            assertTrue(settings.subscribesToEndpoints());
+            answers.add(now + random.nextInt(2_000_000));
         }
 
         private final List<Long> answers = new ArrayList<>();
@@ -174,116 +181,116 @@
         }
 
         private void list() {
-            List<Endpoint> l = new ArrayList<>();
-            EndpointListKind kind = EndpointListKind.values()[rnd.nextInt(4)];
+            List<Endpoint> endpoints = new ArrayList<>();
+            EndpointListKind kind = EndpointListKind.values()[random.nextInt(4)];
             if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
                 known.clear();
             }
-            for (int i = rnd.nextInt(12); i > 0 && kind != EndpointListKind.ERROR; i--) {
-                String id = "s" + rnd.nextInt(12);
-                if (l.stream().anyMatch(e -> e.id().equals(id))) {
+            for (int i = random.nextInt(12); i > 0 && kind != EndpointListKind.ERROR; i--) {
+                String id = "s" + random.nextInt(12);
+                if (endpoints.stream().anyMatch(endpoint -> endpoint.id().equals(id))) {
                     continue;
                 }
-                EndpointState state = EndpointState.values()[rnd.nextInt(6) > 3 ? 1 + rnd.nextInt(2) : 0];
-                Endpoint e = new Endpoint(
+                EndpointState state = EndpointState.values()[random.nextInt(6) > 3 ? 1 + random.nextInt(2) : 0];
+                Endpoint endpoint = new Endpoint(
                         id,
                         id.hashCode() % 3,
                         0,
                         id.hashCode() % 4,
                         state,
-                        rnd.nextDouble() * 2,
-                        rnd.nextInt(8) == 0 ? now : 0);
-                l.add(e);
-                known.put(id, e);
-                everKnown.put(id, e);
+                        random.nextDouble() * 2,
+                        random.nextInt(8) == 0 ? now : 0);
+                endpoints.add(endpoint);
+                known.put(id, endpoint);
+                everKnown.put(id, endpoint);
                 everListed.add(id);
             }
-            node.onEndpoints(now, kind, l);
+            policy.onEndpoints(now, kind, endpoints);
         }
 
         private void step() {
-            now += rnd.nextInt(20_000);
+            now += random.nextInt(20_000);
             for (long t : new ArrayList<>(timers)) {
                 if (t <= now) {
                     timers.remove(t);
-                    node.onTimer(now, 1);
+                    policy.onTimer(now, 1);
                 }
             }
-            if (rnd.nextInt(60) == 0) {
+            if (random.nextInt(60) == 0) {
                 list();
             }
-            if (rnd.nextInt(3) > 0) {
-                Job j = new Job();
-                int cls = rnd.nextInt(s.classes().size());
-                j.c = s.classes().get(cls);
-                j.r = new RoutingRequest(
+            if (random.nextInt(3) > 0) {
+                Job job = new Job();
+                int classIndex = random.nextInt(settings.classes().size());
+                job.requestClass = settings.classes().get(classIndex);
+                job.request = new RoutingRequest(
                         "q" + requests++,
-                        cls,
-                        rnd.nextInt(3),
-                        rnd.nextInt(50),
-                        rnd.nextInt(12),
-                        now + 100_000 + rnd.nextInt(4_000_000),
+                        classIndex,
+                        random.nextInt(3),
+                        random.nextInt(50),
+                        random.nextInt(12),
+                        now + 100_000 + random.nextInt(4_000_000),
                         0,
-                        rnd.nextInt(9000),
-                        rnd.nextInt(5000),
+                        random.nextInt(9000),
+                        random.nextInt(5000),
                         100,
                         false,
                         false,
                         false);
-                jobs.put(j.r.id(), j);
-                live.add(j);
-                node.onRequest(now, j.r);
+                jobs.put(job.request.id(), job);
+                live.add(job);
+                policy.onRequest(now, job.request);
             }
-            for (int k = rnd.nextInt(4); k > 0 && !live.isEmpty(); k--) {
-                advance(live.get(rnd.nextInt(live.size())));
+            for (int k = random.nextInt(4); k > 0 && !live.isEmpty(); k--) {
+                advance(live.get(random.nextInt(live.size())));
             }
-            for (Job j : new ArrayList<>(live)) {
-                if (now >= j.r.deadline() && !j.over && j.begun < 0) {
-                    for (int i = 0; i < j.at.size(); i++) {
-                        if (j.ended.get(i) == null) {
-                            end(j, i, AttemptOutcome.TIMEOUT);
+            for (Job job : new ArrayList<>(live)) {
+                if (now >= job.request.deadline() && !job.over && job.streamingAttempt < 0) {
+                    for (int i = 0; i < job.replicas.size(); i++) {
+                        if (job.ended.get(i) == null) {
+                            end(job, i, AttemptOutcome.TIMEOUT);
                         }
                     }
-                    assertTrue(j.over, "no answer at the deadline");
+                    assertTrue(job.over, "no answer at the deadline");
                 }
-                if (j.over && j.open() == 0) {
-                    live.remove(j);
+                if (job.over && job.open() == 0) {
+                    live.remove(job);
                 }
             }
         }
 
-        private void advance(Job j) {
-            for (int i = 0; i < j.at.size(); i++) {
-                if (j.ended.get(i) != null || rnd.nextInt(3) == 0) {
+        private void advance(Job job) {
+            for (int i = 0; i < job.replicas.size(); i++) {
+                if (job.ended.get(i) != null || random.nextInt(3) == 0) {
                     continue;
                 }
-                if (j.begun < 0 && !j.over && rnd.nextInt(3) > 0) {
-                    j.begun = i;
-                    node.onStreamStarted(now, j.r.id(), i, now - j.sentAt.get(i));
-                } else if (j.begun < 0 && !j.over && rnd.nextInt(10) == 0) {
-                    j.over = true;
-                    node.onClientGone(now, j.r.id());
+                if (job.streamingAttempt < 0 && !job.over && random.nextInt(3) > 0) {
+                    job.streamingAttempt = i;
+                    policy.onStreamStarted(now, job.request.id(), i, now - job.sentAt.get(i));
+                } else if (job.streamingAttempt < 0 && !job.over && random.nextInt(10) == 0) {
+                    job.over = true;
+                    policy.onClientGone(now, job.request.id());
                 } else {
                     end(
-                            j,
+                            job,
                             i,
-                            j.begun == i
-                                    ? rnd.nextInt(8) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK
-                                    : AttemptOutcome.values()[rnd.nextInt(AttemptOutcome.values().length)]);
+                            job.streamingAttempt == i
+                                    ? random.nextInt(8) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK
+                                    : AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)]);
                 }
                 return;
             }
         }
 
-        private void end(Job j, int i, AttemptOutcome o) {
-            AttemptOutcome told = j.over && o == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : o;
-            j.ended.set(i, told);
-            boolean settles = told == AttemptOutcome.OK || j.begun == i;
-            j.over |= settles;
+        private void end(Job job, int i, AttemptOutcome outcome) {
+            AttemptOutcome told = job.over && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
+            job.ended.set(i, told);
+            boolean settles = told == AttemptOutcome.OK || job.streamingAttempt == i;
+            job.over |= settles;
             if (settles) {
-                j.begun = -1;
+                job.streamingAttempt = -1;
             }
-            node.onAttemptEnded(now, j.r.id(), i, told, now - j.sentAt.get(i), j.over, 0, null);
+            policy.onAttemptEnded(now, job.request.id(), i, told, now - job.sentAt.get(i), job.over, 0, null);
         }
     }
 
@@ -292,13 +299,13 @@
         int sends = 0;
         int finals = 0;
         for (long seed = 1; seed <= 150; seed++) {
-            World w = new World(seed);
+            World world = new World(seed);
             for (int i = 0; i < 1500; i++) {
-                w.step();
+                world.step();
             }
-            w.coldSends.forEach((who, n) -> assertTrue(n <= 12, who + " got " + n + " in its first moments"));
-            sends += w.sends;
-            finals += w.finals;
+            world.coldSends.forEach((who, n) -> assertTrue(n <= 12, who + " got " + n + " in its first moments"));
+            sends += world.sends;
+            finals += world.finals;
         }
         assertTrue(sends > 30_000 && finals > 10_000, sends + " sends, " + finals + " refused or failed");
     }
@@ -312,6 +319,6 @@
             b.step();
         }
         assertEquals(a.sends, b.sends);
-        a.jobs.forEach((id, j) -> assertEquals(j.at, b.jobs.get(id).at));
+        a.jobs.forEach((id, job) -> assertEquals(job.replicas, b.jobs.get(id).replicas));
     }
 }
--- a/src/test/java/magpiehub/routing/ZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -14,10 +14,10 @@
 /** What the decisions make of zones that are planned for: what is told, and what a share of 0 means. */
 public class ZoneHealthTest {
     /** Zones that stand as the test says. */
-    private static final class Said implements ZoneHealth {
+    private static final class ScriptedZones implements ZoneHealth {
         final double[] share = {1, 1};
         final long[] shut = {Long.MAX_VALUE, Long.MAX_VALUE};
-        final List<String> told = new ArrayList<>();
+        final List<String> evidence = new ArrayList<>();
         int checks;
         boolean tries;
 
@@ -26,12 +26,12 @@
 
         @Override
         public void recordEvidence(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
-            told.add(replica + " " + sign);
+            evidence.add(replica + " " + sign);
         }
 
         @Override
         public void forgetReplica(String replica) {
-            told.add(replica + " fresh");
+            evidence.add(replica + " fresh");
         }
 
         @Override
@@ -66,19 +66,19 @@
             return true;
         }
 
-        void lose(long now) {
+        void closeSecondZone(long now) {
             share[1] = 0;
             shut[1] = now;
         }
     }
 
-    private final Said zones = new Said();
-    private RoutingPolicyFixture b = bench(true);
+    private final ScriptedZones zones = new ScriptedZones();
+    private RoutingPolicyFixture router = router(true);
 
-    private RoutingPolicyFixture bench(boolean probes) {
-        RoutingSettings s = RoutingPolicyFixture.settings(1, true, true, List.of());
-        RoutingLimits l = s.limits();
-        RoutingPolicyFixture bench = new RoutingPolicyFixture(
+    private RoutingPolicyFixture router(boolean probes) {
+        RoutingSettings settings = RoutingPolicyFixture.settings(1, true, true, List.of());
+        RoutingLimits limits = settings.limits();
+        RoutingPolicyFixture fixture = new RoutingPolicyFixture(
                 new RoutingSettings(
                         0,
                         1,
@@ -86,93 +86,93 @@
                         2,
                         true,
                         false,
-                        s.weightMeaning(),
+                        settings.weightMeaning(),
                         0.1,
-                        s.classes(),
+                        settings.classes(),
                         List.of(),
                         new RoutingLimits(
-                                l.allowsCancellation(),
+                                limits.allowsCancellation(),
                                 probes,
                                 false,
                                 false,
                                 true,
                                 6,
                                 1000,
-                                l.maxRetryAfter(),
-                                l.connectTimeout()),
-                        s.guarantees(),
-                        s.costs()),
+                                limits.maxRetryAfter(),
+                                limits.connectTimeout()),
+                        settings.guarantees(),
+                        settings.costs()),
                 zones);
         List<Endpoint> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             all.add(new Endpoint((i < 4 ? "a" : "b") + i, i < 4 ? 0 : 1, 0, 0, EndpointState.LIVE, 1, 0));
         }
-        bench.policy.onEndpoints(bench.now, EndpointListKind.COMPLETE, all);
-        return bench;
+        fixture.policy.onEndpoints(fixture.now, EndpointListKind.COMPLETE, all);
+        return fixture;
     }
 
     /** A request that went to the second zone. */
-    private String there() {
+    private String requestInSecondZone() {
         for (int i = 1; i < 200; i++) {
-            String id = b.submit(0, i * 7919L);
-            if (b.replicaOf(id).startsWith("b")) {
+            String id = router.submit(0, i * 7919L);
+            if (router.replicaOf(id).startsWith("b")) {
                 return id;
             }
-            b.startStream(id, 50_000);
-            b.endAttempt(id, AttemptOutcome.OK);
+            router.startStream(id, 50_000);
+            router.endAttempt(id, AttemptOutcome.OK);
         }
         throw new AssertionError("nothing goes there");
     }
 
     @Test
     public void whatWaitsAtALostZoneIsGivenUpAndGoesElsewhereAtOnce() {
-        String id = there();
-        zones.lose(b.now + 1);
-        b.advance(100_000);
-        assertEquals("given up once", List.of(id + "/0"), b.cancelledAttempts);
-        b.endAttempt(id, AttemptOutcome.CANCELLED);
-        assertTrue(b.replicaOf(id), b.replicaOf(id).startsWith("a"));
-        assertNull(b.finalAnswers.get(id));
+        String id = requestInSecondZone();
+        zones.closeSecondZone(router.now + 1);
+        router.advance(100_000);
+        assertEquals("given up once", List.of(id + "/0"), router.cancelledAttempts);
+        router.endAttempt(id, AttemptOutcome.CANCELLED);
+        assertTrue(router.replicaOf(id), router.replicaOf(id).startsWith("a"));
+        assertNull(router.finalAnswers.get(id));
     }
 
     /** An attempt that is stopped before its first byte since its replica drains tells nothing of its
      *  zone. */
     @Test
     public void aReplicaThatDrainsUnderAnAttemptIsNoSignOfALostZone() {
-        String id = there();
-        String at = b.replicaOf(id);
-        zones.told.clear();
-        b.policy.onEndpoints(
-                b.now, EndpointListKind.CHANGES, List.of(new Endpoint(at, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
-        b.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
-        assertEquals("only that it is another one now", List.of(at + " fresh"), zones.told);
-        assertNotEquals("the request goes elsewhere", at, b.replicaOf(id));
+        String id = requestInSecondZone();
+        String at = router.replicaOf(id);
+        zones.evidence.clear();
+        router.policy.onEndpoints(
+                router.now, EndpointListKind.CHANGES, List.of(new Endpoint(at, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
+        router.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
+        assertEquals("only that it is another one now", List.of(at + " fresh"), zones.evidence);
+        assertNotEquals("the request goes elsewhere", at, router.replicaOf(id));
     }
 
     @Test
     public void whatTheHostCancelledByItselfIsNotTriedAgain() {
-        String id = there();
-        b.endAttempt(id, AttemptOutcome.CANCELLED);
-        assertEquals("refused", b.finalAnswers.get(id));
+        String id = requestInSecondZone();
+        router.endAttempt(id, AttemptOutcome.CANCELLED);
+        assertEquals("refused", router.finalAnswers.get(id));
     }
 
     @Test
     public void aStreamThatHasBegunAtALostZoneIsLeftAlone() {
-        String id = there();
-        b.startStream(id, 50_000);
-        zones.lose(b.now + 1);
-        b.advance(2 * RoutingPolicyFixture.SECOND);
-        assertEquals(List.of(), b.cancelledAttempts);
+        String id = requestInSecondZone();
+        router.startStream(id, 50_000);
+        zones.closeSecondZone(router.now + 1);
+        router.advance(2 * RoutingPolicyFixture.SECOND);
+        assertEquals(List.of(), router.cancelledAttempts);
     }
 
     @Test
     public void silenceIsToldOnceWhileItLasts() {
-        String id = there();
-        b.advance(3 * RoutingPolicyFixture.SECOND);
+        String id = requestInSecondZone();
+        router.advance(3 * RoutingPolicyFixture.SECOND);
         assertEquals(
                 1,
-                zones.told.stream()
-                        .filter(t -> t.equals(b.replicaOf(id) + " SILENCE"))
+                zones.evidence.stream()
+                        .filter(t -> t.equals(router.replicaOf(id) + " SILENCE"))
                         .count());
     }
 
@@ -180,23 +180,23 @@
     public void aZoneTakesTheSamePartOfTheConversationsAtEachStepAndMoreLater() {
         Set<Long> before = new HashSet<>();
         zones.share[1] = 0.25;
-        for (long s = 1; s <= 200; s++) {
-            if (b.serve(0, s * 7919).startsWith("b")) {
-                before.add(s);
+        for (long session = 1; session <= 200; session++) {
+            if (router.serve(0, session * 7919).startsWith("b")) {
+                before.add(session);
             }
         }
-        for (long s = 1; s <= 200; s++) {
+        for (long session = 1; session <= 200; session++) {
             assertEquals(
                     "its next turn goes where it was",
-                    before.contains(s),
-                    b.serve(0, s * 7919).startsWith("b"));
+                    before.contains(session),
+                    router.serve(0, session * 7919).startsWith("b"));
         }
         zones.share[1] = 1;
         Set<Long> later = new HashSet<>();
-        RoutingPolicyFixture fresh = bench(true);
-        for (long s = 1; s <= 200; s++) {
-            if (fresh.serve(0, s * 7919).startsWith("b")) {
-                later.add(s);
+        RoutingPolicyFixture fresh = router(true);
+        for (long session = 1; session <= 200; session++) {
+            if (fresh.serve(0, session * 7919).startsWith("b")) {
+                later.add(session);
             }
         }
         assertTrue("those of a smaller step are among them", later.containsAll(before));
@@ -206,54 +206,54 @@
     @Test
     public void healthChecksAreAskedOfTheZoneAndTrialsTooWhereTheyMayBe() {
         zones.checks = 3;
-        b.advance(50_000);
-        b.advance(50_000);
+        router.advance(50_000);
+        router.advance(50_000);
         assertEquals(
                 3,
-                b.probedReplicas.stream()
+                router.probedReplicas.stream()
                         .filter(p -> p.startsWith("b"))
                         .distinct()
                         .count());
-        zones.lose(b.now);
+        zones.closeSecondZone(router.now);
         zones.tries = true;
-        b.probedReplicas.clear();
-        b.advance(100_000);
-        assertEquals(1, b.probedReplicas.size());
-        b.policy.onProbeResult(b.now, b.probedReplicas.get(0), AttemptOutcome.OK, 1_000, null);
-        assertTrue(zones.told.contains(b.probedReplicas.get(0) + " ANSWERED"));
-        b.policy.onProbeResult(b.now, b.probedReplicas.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
-        assertTrue(zones.told.contains(b.probedReplicas.get(0) + " SILENCE"));
+        router.probedReplicas.clear();
+        router.advance(100_000);
+        assertEquals(1, router.probedReplicas.size());
+        router.policy.onProbeResult(router.now, router.probedReplicas.get(0), AttemptOutcome.OK, 1_000, null);
+        assertTrue(zones.evidence.contains(router.probedReplicas.get(0) + " ANSWERED"));
+        router.policy.onProbeResult(router.now, router.probedReplicas.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
+        assertTrue(zones.evidence.contains(router.probedReplicas.get(0) + " SILENCE"));
     }
 
     @Test
     public void whereThereAreNoHealthChecksOneRequestIsTheTrial() {
-        b = bench(false);
-        zones.lose(b.now);
+        router = router(false);
+        zones.closeSecondZone(router.now);
         zones.tries = true;
-        String trial = b.submit(0, 5);
-        assertTrue(b.replicaOf(trial).startsWith("b"));
-        assertTrue("one", b.replicaOf(b.submit(0, 6)).startsWith("a"));
-        b.advance(200_000);
-        assertEquals("it has its time", List.of(), b.cancelledAttempts);
-        b.advance(RoutingPolicyFixture.SECOND);
-        assertEquals("silent, it is given up", List.of(trial + "/0"), b.cancelledAttempts);
+        String trial = router.submit(0, 5);
+        assertTrue(router.replicaOf(trial).startsWith("b"));
+        assertTrue("one", router.replicaOf(router.submit(0, 6)).startsWith("a"));
+        router.advance(200_000);
+        assertEquals("it has its time", List.of(), router.cancelledAttempts);
+        router.advance(RoutingPolicyFixture.SECOND);
+        assertEquals("silent, it is given up", List.of(trial + "/0"), router.cancelledAttempts);
     }
 
     @Test
     public void aZoneThatIsBackIsMetAsIfNothingHadBeenLearntMeanwhile() {
         for (int i = 0; i < 4; i++) {
-            String id = there();
-            b.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
+            String id = requestInSecondZone();
+            router.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
         }
-        zones.lose(b.now);
-        b.advance(100_000);
-        zones.told.clear();
+        zones.closeSecondZone(router.now);
+        router.advance(100_000);
+        zones.evidence.clear();
         zones.share[1] = 1;
         zones.shut[1] = Long.MAX_VALUE;
-        b.advance(100_000);
+        router.advance(100_000);
         assertEquals(
                 List.of("b4 fresh", "b5 fresh", "b6 fresh", "b7 fresh"),
-                zones.told.stream().sorted().toList());
-        there();
+                zones.evidence.stream().sorted().toList());
+        requestInSecondZone();
     }
 }
