--- a/src/test/java/magpiehub/routing/AffinityTableTest.java
+++ b/src/test/java/magpiehub/routing/AffinityTableTest.java
@@ -17,8 +17,8 @@
     @Test
     void unusedEntriesAgeOut() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(40)).list(replicaNames(2));
-        // 16 keys a replica are one node's part here: the table is full at 32, and pressure picks the owner
-        // of the oldest mapping, which is dropped.
+        // 16 keys a replica are one router's part here: both are full at 32, and a replica of the least recently
+        // used entry takes the request and leaves that entry.
         for (long k = 1; k <= 40; k++) {
             assertTrue(router.serve(0, k) != null, "pressure still serves");
         }
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.Test;
 
-/** A fleet of modules in virtual time, and servers that start cold: what all of them send together. */
+/** Routers in virtual time and replicas that warm up: what all routers together send to one of them. */
 public class ColdFleetTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
@@ -18,7 +18,7 @@
     private static final long OVERLOAD_WINDOW = SECOND;
     private static final double OVERLOAD_FACTOR = 4;
     private static final double INITIAL_CAPACITY = 0.3;
-    /** What part of the warm servers' capacity the traffic takes. */
+    /** The part of the warm replicas' capacity that the traffic takes. */
     private static final double LOAD = 0.6;
 
     private record Planned(long at, Runnable what) {}
@@ -92,7 +92,7 @@
             routers.get(i).submit(session, continuation);
         }
 
-        /** Servers start anew, all routers are told within a moment, and some of those start anew as well. */
+        /** Replicas restart, all routers get the list within a moment, and some of those restart as well. */
         void restartReplicas(int count, boolean restarts) {
             for (int i = 0; i < count; i++) {
                 Endpoint w = replicas.get(i);
@@ -200,7 +200,7 @@
         }
     }
 
-    /** What one server is promised to be able to do, as a part of a warm one. */
+    /** The capacity that is promised for an age, as a part of a warm replica's. */
     private static double capacity(long age) {
         return Math.min(1, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age / WARM_UP);
     }
@@ -265,7 +265,7 @@
         }
     }
 
-    /** Thin and uneven: no router sends any one server a request in ten seconds. */
+    /** Little and uneven traffic: no router sends any one replica a request in ten seconds. */
     @Test
     public void routersThatSendLittleUseAColdServerTogether() {
         double got = 0;
@@ -288,7 +288,7 @@
         assertTrue("of their due: " + got / due, got >= 0.6 * due);
     }
 
-    /** The hard case: thirty routers that come to one cold server with their first requests in one moment,
+    /** The hard case: thirty routers that send one warming replica their first requests in one moment,
      *  since no other is left, or since all of them have the first requests of one new prefix. */
     @Test
     public void firstRequestsOfThirtyRoutersInOneWindow() {
@@ -337,7 +337,7 @@
         }
     }
 
-    /** A prefix that routers of both zones place at a server first. */
+    /** A prefix that routers of both zones place at a replica first. */
     private static long prefixPlacedAt(Fleet fleet, String replica) {
         for (long key = 1; key < 5000; key++) {
             fleet.sent.clear();
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -16,9 +16,9 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the decision module
+ * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the routing policy
  * with events and folds every action into one SHA-256 digest. Settings, traffic, faults, drains, restarts and
- * reloads are all drawn, so that each mechanism of the module takes part. Times are in microseconds.
+ * reloads are all drawn, so that each mechanism of the policy takes part. Times are in microseconds.
  */
 final class DecisionScenario extends QuietActions {
     private static final long SECOND = 1_000_000;
@@ -517,7 +517,7 @@
                 Double.NaN);
     }
 
-    // ---- The module's other actions ---------------------------------------------------------------------
+    // ---- The policy's other actions ---------------------------------------------------------------------
     @Override
     public void cancelAttempt(String id, int attempt) {
         record("cancel", id, attempt);
--- a/src/test/java/magpiehub/routing/OutlierDetectorTest.java
+++ b/src/test/java/magpiehub/routing/OutlierDetectorTest.java
@@ -80,7 +80,7 @@
         assertEquals(home, other.serve(0, 7), "what can't be read comes from any replica");
     }
 
-    /** Slow by its own word, though its first tokens come in time: it is ejected, unless it is cold. */
+    /** It reports that it is slow, though its first tokens come in time: it is ejected, unless it warms up. */
     @Test
     void loadReportsShowSlownessExceptOfAWarmingReplica() {
         for (boolean cold : new boolean[] {false, true}) {
--- a/src/test/java/magpiehub/routing/OverloadControlTest.java
+++ b/src/test/java/magpiehub/routing/OverloadControlTest.java
@@ -9,13 +9,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Refusals over drawn deployments: no router turns away everything, and no conversation is singled out. */
+/** Load shedding over drawn deployments: no router rejects everything, and no conversation is singled out. */
 class OverloadControlTest {
     private static final long SECOND = RoutingPolicyFixture.SECOND;
     private static final long WINDOW = 4 * SECOND;
     private static final int ENOUGH = 15;
 
-    /** A node of a site with one to four classes of drawn worth, after a long overload on all of them. */
+    /** A router with one to four classes of drawn value, after a long overload on all of them. */
     private static RoutingPolicyFixture overloaded(SplittableRandom random) {
         RequestClass[] classes = new RequestClass[1 + random.nextInt(4)];
         for (int i = 0; i < classes.length; i++) {
@@ -51,8 +51,8 @@
         return router;
     }
 
-    /** Once little comes, and of one class only, control lets some of it through: no router turns away
-     *  all of fifteen requests within 4 s, and after 10 s nothing is refused any more. */
+    /** Once little comes, and of one class only, some of it is admitted: no router rejects
+     *  all of fifteen requests within 4 s, and after 10 s nothing is rejected any more. */
     @Test
     void aRouterWithLittleTrafficLeavesOverloadControl() {
         int turnedAllAway = 0;
--- a/src/test/java/magpiehub/routing/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -1,6 +1,6 @@
 package magpiehub.routing;
 
-/** A node's host that does nothing: tests say what they look at. */
+/** A host that carries nothing out; tests override what they look at. */
 public class QuietActions implements RoutingActions {
     @Override
     public void sendAttempt(String id, String server, long timeout) {}
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -18,7 +18,7 @@
 class RandomEventsTest {
     private static final long SECOND = RoutingPolicyFixture.SECOND;
 
-    /** A world that checks what one node does. */
+    /** A host that draws events and checks every action. */
     private static final class World extends QuietActions {
         private static final class Job {
             RoutingRequest request;
--- a/src/test/java/magpiehub/routing/ReplicaSelectorTest.java
+++ b/src/test/java/magpiehub/routing/ReplicaSelectorTest.java
@@ -76,7 +76,7 @@
         assertEquals(1, router.attemptCounts.get(id), "no retry of full");
     }
 
-    /** While the fleet is short, a key stays where its tokens are kept; where few are found, it does not. */
+    /** While the fleet is overloaded, a key stays where its tokens are cached, unless few are found cached. */
     @Test
     void anOverloadedFleetMovesKeysOnlyIfFewTokensAreCached() {
         assertEquals(true, staysWhileOverloaded(900));
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -108,7 +108,7 @@
         return id;
     }
 
-    /** The server that the newest attempt of a request went to; null if it was not sent. */
+    /** The replica that the newest attempt of a request went to; null if it was not sent. */
     String replicaOf(String id) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).id.equals(id)) {
@@ -130,7 +130,7 @@
         policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, outcome, 50_000, ok, 800, null);
     }
 
-    /** Served, with so many prompt tokens found kept. */
+    /** Serves a request whose replica found so many prompt tokens cached. */
     void serveWithCachedTokens(String id, long tokens) {
         finalAnswers.merge(id, "ok", (a, b) -> a + "," + b);
         policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, AttemptOutcome.OK, 50_000, true, tokens, null);
--- a/src/test/java/magpiehub/routing/RoutingPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -69,7 +69,7 @@
         router.advance(SECOND);
     }
 
-    /** Its client has stopped waiting: an attempt could only waste an engine's work. */
+    /** Its client has stopped waiting: an attempt could only waste a replica's work. */
     @Test
     void aRequestWithoutTimeLeftIsRejectedAndNotSent() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(4));
--- a/src/test/java/magpiehub/routing/SlowStartTest.java
+++ b/src/test/java/magpiehub/routing/SlowStartTest.java
@@ -166,8 +166,8 @@
             toCold += i < warm ? 0 : sent.getOrDefault(replicaNames(fleet)[i], 0);
         }
         double part = toCold / (fleet - warm) / (toWarm / warm);
-        // Within 4 s their capacity is 0.3 to 0.61 of a warm one's. Nodes that take their own youth for a
-        // lack of traffic sent them 0.01 of a warm one's work, and the warm ones drowned.
+        // Within 4 s their capacity is 0.3 to 0.61 of a warm one's. Routers that took their own short life
+        // for a lack of traffic sent them 0.01 of a warm one's work, and overloaded the warm ones.
         assertTrue(part > 0.12 && part < 0.61, "a cold replica's part of a warm one's work: " + part);
         double each = 175.0 / fleet;
         for (int i = warm; i < fleet; i++) {
--- a/src/test/java/magpiehub/routing/ZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.Test;
 
-/** What the decisions make of zones that are planned for: what is told, and what a share of 0 means. */
+/** How the policy serves a ZoneHealth that plans for the loss of a zone. */
 public class ZoneHealthTest {
     /** Zones that stand as the test says. */
     private static final class ScriptedZones implements ZoneHealth {
