--- a/src/main/java/magpiehub/routing/AffinityTable.java
+++ b/src/main/java/magpiehub/routing/AffinityTable.java
@@ -31,11 +31,16 @@
         return size;
     }
 
-    /** The least recently used entry; {@link AffinityEntry#newer} leads on from it. Null if there is none. */
+    /** The least recently used entry, null if there is none. */
     AffinityEntry oldest() {
         return oldest;
     }
 
+    /** The entry that was used next after another one, null if that is the most recently used. */
+    AffinityEntry nextNewer(AffinityEntry entry) {
+        return entry.newer;
+    }
+
     /** The entry of a prefix, new if there was none; it becomes the most recently used one. */
     AffinityEntry usePrefix(long prefixId, long now) {
         return use(byPrefix, prefixId, false, now);
--- a/src/main/java/magpiehub/routing/AttemptOutcome.java
+++ b/src/main/java/magpiehub/routing/AttemptOutcome.java
@@ -21,10 +21,14 @@
     /** The response was malformed. */
     SPOILT(false);
 
-    /** True if the outcome proves that the attempt was not executed. */
-    public final boolean neverRan;
+    private final boolean neverExecuted;
 
-    AttemptOutcome(boolean neverRan) {
-        this.neverRan = neverRan;
+    AttemptOutcome(boolean neverExecuted) {
+        this.neverExecuted = neverExecuted;
+    }
+
+    /** Whether the outcome proves that the attempt was not executed, so that repeating it is harmless. */
+    public boolean wasNeverExecuted() {
+        return neverExecuted;
     }
 }
--- a/src/main/java/magpiehub/routing/ReplicaSelector.java
+++ b/src/main/java/magpiehub/routing/ReplicaSelector.java
@@ -197,7 +197,7 @@
                     return replica;
                 }
             }
-            entry = entry.newer;
+            entry = affinityTable.nextNewer(entry);
             looked++;
         }
         return selectLastResort(request, now);
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -23,13 +23,11 @@
 
     private final ActiveSettings settings;
     private final RoutingActions actions;
-    private final SplitMix64 random;
-    private final ZoneHealth zones;
-    private final EndpointPollSchedule pollSchedule;
     private final FleetState fleet;
+    private final EndpointListHandler endpointLists;
     private final TrafficMeter traffic;
-    private final ZoneAffinity zoneAffinity;
     private final AffinityResolver affinity;
+    private final ZoneAffinity zoneAffinity;
     private final PromptCacheTracker promptCache;
     private final LatencyEstimator latencies;
     private final OverloadDetector overload;
@@ -56,8 +54,7 @@
         this.settings = new ActiveSettings(initial);
         this.actions = actions;
         this.now = now;
-        this.zones = zones;
-        random = new SplitMix64(seed);
+        SplitMix64 random = new SplitMix64(seed);
         fleet = new FleetState(settings);
         traffic = new TrafficMeter(now);
         zoneAffinity = new ZoneAffinity(settings, fleet);
@@ -80,7 +77,8 @@
         healthChecker = new HealthChecker(settings, fleet, outliers, actions, now);
         zoneFailover =
                 new ZoneFailover(settings, fleet, zones, load, outliers, recorder, latencies, healthChecker, actions);
-        pollSchedule = EndpointPollSchedule.startingAt(now, initial, random.nextDouble());
+        endpointLists = new EndpointListHandler(
+                settings, fleet, zones, zoneAffinity, load, outliers, slowStart, random, actions, now);
         adjustedAt = now;
         setTimer();
     }
@@ -103,46 +101,13 @@
         admission.resize();
         fleet.growZones();
         zoneFailover.resize();
-        rebuildFleet();
+        endpointLists.rebuildFleet(now);
     }
 
     @Override
     public void onEndpoints(long time, EndpointListKind kind, List<Endpoint> endpoints) {
         advanceClock(time);
-        if (kind == EndpointListKind.ERROR) {
-            pollSchedule.recordFailure(now, settings.get().guarantees().pollWithin(), random.nextDouble());
-            return;
-        }
-        if (kind != EndpointListKind.SAVED) {
-            pollSchedule.recordReceived();
-        }
-        if (fleet.update(kind, endpoints, new ReplicaChanges())) {
-            rebuildFleet();
-        }
-    }
-
-    /** What a change of the endpoint list means for single replicas. */
-    private final class ReplicaChanges implements FleetState.Listener {
-        @Override
-        public void onReplicaStarted(Replica replica, long onlineSince) {
-            outliers.reset(replica);
-            slowStart.start(replica, onlineSince);
-            load.resetLimit(replica);
-        }
-
-        @Override
-        public void onReplicaUnavailable(Replica replica) {
-            outliers.reset(replica);
-        }
-    }
-
-    private void rebuildFleet() {
-        fleet.rebuild();
-        for (int zone = 0; zone < fleet.zoneCount(); zone++) {
-            zones.setReplicaCount(now, zone, fleet.readyInZone(zone));
-        }
-        slowStart.invalidateFleetCapacity();
-        zoneAffinity.updateFleet();
+        endpointLists.handle(kind, endpoints, now);
     }
 
     /** Replicas known, ready or not. */
@@ -268,7 +233,7 @@
             return;
         }
         release(request, attempt);
-        if (!outcome.neverRan) {
+        if (!outcome.wasNeverExecuted()) {
             request.markPossiblyExecuted(attempt);
         }
         recorder.recordOutcome(request, attempt, outcome, took, now);
@@ -321,10 +286,7 @@
             return;
         }
         setTimer();
-        if (settings.get().subscribesToEndpoints()
-                && pollSchedule.acquirePoll(now, settings.get().guarantees().pollWithin())) {
-            actions.watch();
-        }
+        endpointLists.pollIfDue(now);
         slowStart.updateFleetCapacity(now);
         zoneFailover.tick(requests.values(), now);
         healthChecker.checkSilentReplica(now);
--- a/src/test/java/magpiehub/routing/AffinityTableTest.java
+++ b/src/test/java/magpiehub/routing/AffinityTableTest.java
@@ -49,6 +49,7 @@
         table.usePrefix(1, SECOND);
         assertEquals(20_000, table.size(), "prefixes and sessions count together");
         assertEquals(3, table.oldest().key());
+        assertEquals(4, table.nextNewer(table.oldest()).key());
         assertSame(first, table.useSession(1, SECOND));
     }
 
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -90,7 +90,8 @@
             assertTrue(settings.limits().allowsParallelAttempts() || job.open() == 0, "two at once");
             for (int i = 0; i < job.replicas.size(); i++) {
                 AttemptOutcome outcome = job.ended.get(i);
-                if (job.requestClass.idempotency() == Idempotency.IDEMPOTENT || (outcome != null && outcome.neverRan)) {
+                if (job.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        || (outcome != null && outcome.wasNeverExecuted())) {
                     continue;
                 }
                 assertEquals(
@@ -126,7 +127,7 @@
             for (int i = 0; refused && i < job.replicas.size(); i++) {
                 assertTrue(
                         job.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                                || (job.ended.get(i) != null && job.ended.get(i).neverRan)
+                                || (job.ended.get(i) != null && job.ended.get(i).wasNeverExecuted())
                                 || (job.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                                         && job.requestClass.deduplicationScope() == DeduplicationScope.ALL),
                         "refused what may have run");
--- a/src/test/java/magpiehub/routing/RetryPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RetryPolicyTest.java
@@ -95,7 +95,7 @@
             int first = Integer.parseInt(router.replicaOf(id).substring(1));
             router.now += 10_000;
             router.endAttempt(id, outcome);
-            boolean mayHaveRun = !outcome.neverRan;
+            boolean mayHaveRun = !outcome.wasNeverExecuted();
             if (router.attemptCounts.get(id) > 1) {
                 repeated++;
                 assertEquals(2, router.attemptCounts.get(id), what);
@@ -110,7 +110,8 @@
             assertEquals(word, router.finalAnswers.get(id), what + " after " + router.attemptCounts.get(id));
             router.advance(4 * SECOND);
         }
-        boolean again = outcome != AttemptOutcome.CANCELLED && !(keeps.equals("nowhere") && !outcome.neverRan);
+        boolean again =
+                outcome != AttemptOutcome.CANCELLED && !(keeps.equals("nowhere") && !outcome.wasNeverExecuted());
         assertEquals(again, repeated > 0, what + ": repeated " + repeated);
     }
 
