--- a/src/main/java/magpiehub/routing/AdmissionController.java
+++ b/src/main/java/magpiehub/routing/AdmissionController.java
@@ -110,6 +110,6 @@
         boolean isOverQuota = bucket % 2 == 1;
         return settings.get().classes().get(classIndex).priorityWeight()
                 * (isOverQuota ? settings.get().overQuotaWeight() : 1)
-                / Math.max(SHORTEST_ANSWER_MICROS, latencies.meanWholeAnswer(classIndex));
+                / Math.max(SHORTEST_ANSWER_MICROS, latencies.meanCompleteAnswer(classIndex));
     }
 }
--- a/src/main/java/magpiehub/routing/Attempt.java
+++ b/src/main/java/magpiehub/routing/Attempt.java
@@ -61,7 +61,7 @@
         trial = true;
     }
 
-    /** Whether its zone has been told that no first token comes. */
+    /** Whether its zone health has been told that no first token comes. */
     boolean isSilenceReported() {
         return silenceReported;
     }
--- a/src/main/java/magpiehub/routing/LatencyEstimator.java
+++ b/src/main/java/magpiehub/routing/LatencyEstimator.java
@@ -17,14 +17,14 @@
     private static final long SHORTEST_FIRST_TOKEN_MICROS = 20_000;
 
     private double[] firstToken = {};
-    private double[] wholeAnswer = {};
+    private double[] completeAnswer = {};
     private double reportedMillis;
 
     /** Makes room for the classes of new settings; known classes keep their means. */
     void resize(int classCount) {
         int length = Math.max(1, classCount);
         firstToken = Arrays.copyOf(firstToken, length);
-        wholeAnswer = Arrays.copyOf(wholeAnswer, length);
+        completeAnswer = Arrays.copyOf(completeAnswer, length);
     }
 
     /** Records the time to a first token; returns its ratio to the mean before it. */
@@ -35,9 +35,9 @@
     }
 
     /** Records the time of a complete answer; returns the mean before it. */
-    double recordWholeAnswer(int classIndex, long took) {
-        double mean = wholeAnswer[classIndex] == 0 ? took : wholeAnswer[classIndex];
-        wholeAnswer[classIndex] = updated(mean, took);
+    double recordCompleteAnswer(int classIndex, long took) {
+        double mean = completeAnswer[classIndex] == 0 ? took : completeAnswer[classIndex];
+        completeAnswer[classIndex] = updated(mean, took);
         return mean;
     }
 
@@ -52,8 +52,8 @@
     }
 
     /** Mean time of complete answers of a class; 0 before the first. */
-    double meanWholeAnswer(int classIndex) {
-        return wholeAnswer[classIndex];
+    double meanCompleteAnswer(int classIndex) {
+        return completeAnswer[classIndex];
     }
 
     /** The longest of the classes' mean times to the first token; 0 before the first. */
--- a/src/main/java/magpiehub/routing/OutcomeRecorder.java
+++ b/src/main/java/magpiehub/routing/OutcomeRecorder.java
@@ -64,7 +64,7 @@
         switch (outcome) {
             case OK -> {
                 load.recordServed(replica);
-                double mean = latencies.recordWholeAnswer(request.request().classIndex(), took);
+                double mean = latencies.recordCompleteAnswer(request.request().classIndex(), took);
                 outliers.recordServed(replica, took, mean);
                 recordAnswer(replica, ZoneEvidence.ANSWERED, took, now);
             }
--- a/src/main/java/magpiehub/routing/OutlierDetector.java
+++ b/src/main/java/magpiehub/routing/OutlierDetector.java
@@ -32,10 +32,10 @@
     /** A malformed response may come from any replica, and shows that this one is there. */
     private static final double MALFORMED_WEIGHT = 0.5;
 
-    /** Weights of the newest ratio in the slowness: whole answers differ in length, so they tell less. */
+    /** Weights of the newest ratio in the slowness: complete answers differ in length, so they tell less. */
     private static final double FIRST_TOKEN_WEIGHT = 0.4;
 
-    private static final double WHOLE_ANSWER_WEIGHT = 0.25;
+    private static final double COMPLETE_ANSWER_WEIGHT = 0.25;
 
     /** A ratio counts as this at most; a timeout counts as it. */
     private static final double MAX_RATIO = 10;
@@ -114,7 +114,7 @@
         ReplicaStatus status = replica.outlierStatus;
         status.brokenAttempts.scale(BROKEN_DECREASE_PER_ANSWER);
         if (took > SLOW_RATIO * meanTime) {
-            status.slowness += (Math.min(MAX_RATIO, took / meanTime) - status.slowness) * WHOLE_ANSWER_WEIGHT;
+            status.slowness += (Math.min(MAX_RATIO, took / meanTime) - status.slowness) * COMPLETE_ANSWER_WEIGHT;
         }
     }
 
--- a/src/test/java/magpiehub/routing/LatencyEstimatorTest.java
+++ b/src/test/java/magpiehub/routing/LatencyEstimatorTest.java
@@ -23,10 +23,10 @@
     @Test
     void anOutlierCountsAsFourTimesTheMean() {
         LatencyEstimator estimator = estimator();
-        estimator.recordWholeAnswer(1, 100_000);
-        assertEquals(100_000, estimator.recordWholeAnswer(1, 9_000_000), "the mean before it");
-        assertEquals(115_000, estimator.meanWholeAnswer(1), 1e-6);
-        assertEquals(0, estimator.meanWholeAnswer(0), "classes are apart");
+        estimator.recordCompleteAnswer(1, 100_000);
+        assertEquals(100_000, estimator.recordCompleteAnswer(1, 9_000_000), "the mean before it");
+        assertEquals(115_000, estimator.meanCompleteAnswer(1), 1e-6);
+        assertEquals(0, estimator.meanCompleteAnswer(0), "classes are apart");
     }
 
     @Test
