--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -72,7 +72,8 @@
     }
 
     @Override
-    public void recordEvidence(long now, int zone, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
+    public void recordEvidence(
+            long now, int zone, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
         if (isTracked(zone)) {
             tracker.onEvidence(now, zone, replica, evidence, tookMicros, latencyRatio);
             publishTransitions(now);
