--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -40,25 +40,6 @@
         RELOAD
     }
 
-    private static final class SimulatedReplica {
-        final String id;
-        final int zone;
-        final int cell;
-        final double weight;
-        final double pace;
-        EndpointState state = EndpointState.LIVE;
-        long onlineSince;
-        int inFlight;
-
-        SimulatedReplica(String id, int zone, int cell, double weight, double pace) {
-            this.id = id;
-            this.zone = zone;
-            this.cell = cell;
-            this.weight = weight;
-            this.pace = pace;
-        }
-    }
-
     private static final class Attempt {
         final SimulatedReplica replica;
         final long sentAt;
@@ -84,6 +65,7 @@
     private record Planned(long at, long order, Runnable event) {}
 
     private final Random random;
+    private final RandomSettings settingsSource;
     private final RoutingPolicy policy;
     private final MessageDigest digest = sha256();
     private final PriorityQueue<Planned> agenda =
@@ -105,7 +87,8 @@
 
     DecisionScenario(long seed) {
         random = new Random(seed);
-        settings = drawSettings();
+        settingsSource = new RandomSettings(random);
+        settings = settingsSource.draw();
         meanGap = 2_000 + random.nextInt(60_000);
         reportsLoad = random.nextBoolean();
         ZoneHealth zones =
@@ -181,69 +164,6 @@
         });
     }
 
-    private RoutingSettings drawSettings() {
-        int zones = 1 + random.nextInt(4);
-        List<RequestClass> classes = new ArrayList<>();
-        for (int i = 1 + random.nextInt(4); i > 0; i--) {
-            classes.add(drawClass("class" + i));
-        }
-        List<Tenant> tenants = random.nextBoolean()
-                ? List.of()
-                : List.of(new Tenant("first", 0.5, 1 + random.nextInt(20)), new Tenant("second", 0.5, 0));
-        int instances = 1 + random.nextInt(random.nextBoolean() ? 4 : 60);
-        boolean priced = random.nextInt(4) == 0;
-        return new RoutingSettings(
-                random.nextInt(instances),
-                instances,
-                random.nextInt(zones),
-                zones,
-                random.nextBoolean(),
-                false,
-                WeightMeaning.values()[random.nextInt(WeightMeaning.values().length)],
-                random.nextDouble(),
-                classes,
-                tenants,
-                drawLimits(),
-                new Guarantees(
-                        20_000,
-                        (2 + random.nextInt(10)) * SECOND,
-                        (5 + random.nextInt(20)) * SECOND,
-                        (1 + random.nextInt(3)) * SECOND,
-                        1 + 3 * random.nextDouble(),
-                        0.1 + 0.5 * random.nextDouble(),
-                        SECOND / 2),
-                new RoutingCosts(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, priced ? 0.01 : 0, 0));
-    }
-
-    private RequestClass drawClass(String name) {
-        return new RequestClass(
-                name,
-                Idempotency.values()[random.nextInt(3)],
-                DeduplicationScope.values()[random.nextInt(3)],
-                random.nextInt(3_000_000),
-                true,
-                100_000 + random.nextInt(900_000),
-                random.nextInt(60_000),
-                0,
-                4 * SECOND,
-                60_000,
-                1 + random.nextInt(5),
-                random.nextDouble());
-    }
-
-    private RoutingLimits drawLimits() {
-        return new RoutingLimits(
-                random.nextInt(4) > 0,
-                random.nextInt(4) > 0,
-                false,
-                random.nextBoolean(),
-                true,
-                1 + random.nextInt(6),
-                1000,
-                2 * SECOND,
-                SECOND / 4);
-    }
-
     private void addReplica(long onlineSince) {
         int number = replicaCount++;
         SimulatedReplica replica = new SimulatedReplica(
@@ -332,27 +252,8 @@
         }
     }
 
-    /** Classes and tenants keep their places, limits and costs change, a class may come behind. */
     private void reload() {
-        RoutingSettings other = drawSettings();
-        List<RequestClass> classes = new ArrayList<>(settings.classes());
-        if (classes.size() < 6) {
-            classes.add(drawClass("class" + classes.size()));
-        }
-        settings = new RoutingSettings(
-                settings.instanceIndex(),
-                other.instanceCount(),
-                settings.ownZone(),
-                settings.zoneCount(),
-                settings.subscribesToEndpoints(),
-                settings.resumesStreams(),
-                settings.weightMeaning(),
-                other.overQuotaWeight(),
-                classes,
-                settings.tenants().isEmpty() ? other.tenants() : settings.tenants(),
-                other.limits(),
-                other.guarantees(),
-                other.costs());
+        settings = settingsSource.drawReload(settings);
         policy.onSettings(now, settings);
     }
 
--- /dev/null
+++ b/src/test/java/magpiehub/routing/SimulatedReplica.java
@@ -0,0 +1,21 @@
+package magpiehub.routing;
+
+/** A replica of a {@link DecisionScenario}: what the endpoint list says of it, and how fast it answers. */
+final class SimulatedReplica {
+    final String id;
+    final int zone;
+    final int cell;
+    final double weight;
+    final double pace;
+    EndpointState state = EndpointState.LIVE;
+    long onlineSince;
+    int inFlight;
+
+    SimulatedReplica(String id, int zone, int cell, double weight, double pace) {
+        this.id = id;
+        this.zone = zone;
+        this.cell = cell;
+        this.weight = weight;
+        this.pace = pace;
+    }
+}
