--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 import java.util.List;
 import magpiehub.routing.AttemptOutcome;
-import magpiehub.routing.RoutingPolicyFixture;
 import magpiehub.routing.DeduplicationScope;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.Idempotency;
 import magpiehub.routing.RoutingLimits;
+import magpiehub.routing.RoutingPolicyFixture;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.routing.RoutingSettings;
 import magpiehub.telemetry.EventLog;
@@ -186,7 +186,8 @@
     /** The watch is opened at the start, and again a while after each failure. */
     @Test
     public void aWatchIsKeptOpenWhereEndpointListsArePushed() throws InterruptedException {
-        dispatcher.updateSettings(settings(false, RoutingPolicyFixture.settings(1).limits()));
+        dispatcher.updateSettings(
+                settings(false, RoutingPolicyFixture.settings(1).limits()));
         runTurns();
         assertEquals(1, watches);
         dispatcher.updateEndpoints(EndpointListKind.ERROR, List.of());
@@ -263,12 +264,13 @@
         for (Idempotency effect : Idempotency.values()) {
             for (DeduplicationScope group : DeduplicationScope.values()) {
                 calls.clear();
-                dispatcher = newDispatcher(RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(effect, group)));
+                dispatcher = newDispatcher(
+                        RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(effect, group)));
                 submitWithEndpoints("a");
                 dispatcher.shutDown(false);
                 runTurns();
-                boolean retryIsSafe =
-                        effect == Idempotency.IDEMPOTENT || (effect == Idempotency.IDEMPOTENT_WITH_KEY && group == DeduplicationScope.ALL);
+                boolean retryIsSafe = effect == Idempotency.IDEMPOTENT
+                        || (effect == Idempotency.IDEMPOTENT_WITH_KEY && group == DeduplicationScope.ALL);
                 assertEquals(
                         effect + " " + group,
                         List.of("start a", "abort a", (retryIsSafe ? "refuse" : "fail") + " at 1000000"),
