--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -19,11 +19,11 @@
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.RouterConfiguration;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Announcer;
 import magpiehub.discovery.Discovery;
 import magpiehub.discovery.EndpointSource;
 import magpiehub.discovery.Options;
 import magpiehub.discovery.Registry;
+import magpiehub.discovery.RouterRegistration;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
@@ -180,7 +180,7 @@
             messages.start();
             log.log("messages-front", "listen", options.listen());
         }
-        AtomicReference<Announcer> announcer = new AtomicReference<>();
+        AtomicReference<RouterRegistration> announcer = new AtomicReference<>();
         GracefulShutdown shutdown =
                 new GracefulShutdown(fronts, module, site::get, log, store, r.name(), announcer::get, operators);
         Runtime.getRuntime().addShutdownHook(new Thread(shutdown));
@@ -196,7 +196,7 @@
         String listen = at(r.listen(), clients.port());
         log.log("started", "listen", listen);
         if (registry != null && registry.announce() != null) {
-            Announcer a = new Announcer(registry, r.name(), listen, clock, log, r.seed());
+            RouterRegistration a = new RouterRegistration(registry, r.name(), listen, clock, log, r.seed());
             announcer.set(a);
             a.start();
         }
--- a/src/main/java/magpiehub/discovery/Consul.java
+++ b/src/main/java/magpiehub/discovery/ConsulProtocol.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import java.io.InputStream;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -31,7 +30,7 @@
  * maintenance, means that it gets nothing new; what it has may end. Not covered: tags, weights, near, stale
  * and cached reads, prepared queries, more than one data centre.
  */
-final class Consul implements Driver {
+final class ConsulProtocol implements RegistryProtocol {
     private final String target;
     private final String probe;
     private final boolean health;
@@ -40,7 +39,7 @@
     private final String token;
     private final Entries entries;
 
-    private Consul(
+    private ConsulProtocol(
             String target, String probe, boolean health, int prefixLength, long wait, String token, Entries entries) {
         this.target = target;
         this.probe = probe;
@@ -52,17 +51,19 @@
     }
 
     /** The instances of a service; {@code wait} is how long a blocking query may take (us). */
-    static Consul health(String service, long wait, String token, Entries entries) {
+    static ConsulProtocol forHealth(String service, long wait, String token, Entries entries) {
         String t = "/v1/health/service/" + escaped(service);
         // A filter that nothing passes: the answer is an empty list under the index of the whole one.
-        return new Consul(t + "?", t + "?filter=" + escaped("Service.ID == \"\""), true, 0, wait, token, entries);
+        return new ConsulProtocol(
+                t + "?", t + "?filter=" + escaped("Service.ID == \"\""), true, 0, wait, token, entries);
     }
 
     /** The values under a prefix. */
-    static Consul values(String prefix, long wait, String token, Entries entries) {
+    static ConsulProtocol forKeyValues(String prefix, long wait, String token, Entries entries) {
         String t = "/v1/kv/" + escaped(prefix).replace("%2F", "/");
         // Keys up to the first separator: a few bytes under the index of all that is below.
-        return new Consul(t + "?recurse&", t + "?keys&separator=%2F", false, prefix.length(), wait, token, entries);
+        return new ConsulProtocol(
+                t + "?recurse&", t + "?keys&separator=%2F", false, prefix.length(), wait, token, entries);
     }
 
     static String escaped(String s) {
@@ -70,23 +71,24 @@
     }
 
     @Override
-    public boolean answersWhole() {
+    public boolean watchReturnsCompleteList() {
         return true;
     }
 
     @Override
-    public long quiet() {
+    public long maxQuietMicros() {
         return wait + wait / 16;
     }
 
     @Override
-    public void list(Wire w, Sink to) throws IOException, InterruptedException {
+    public void readList(RegistryConnection w, RegistryEventListener to) throws IOException, InterruptedException {
         String t = target.substring(0, target.length() - 1);
         whole(w, t, to);
     }
 
     @Override
-    public void watch(Wire w, View.Position from, Sink to) throws IOException, InterruptedException {
+    public void watch(RegistryConnection w, View.Position from, RegistryEventListener to)
+            throws IOException, InterruptedException {
         // By the documentation an index below 1 is to be taken for none: such a query would never block.
         whole(
                 w,
@@ -97,19 +99,19 @@
     }
 
     @Override
-    public void check(Wire w, Sink to) throws IOException, InterruptedException {
+    public void checkPosition(RegistryConnection w, RegistryEventListener to) throws IOException, InterruptedException {
         Http.Head h = ask(w, probe);
-        drain(w.content(h));
+        w.discardBody(h);
         View.Position at = position(h);
-        to.checked(at, at.number(), -1);
+        to.onPositionChecked(at, at.number(), -1);
     }
 
-    private Http.Head ask(Wire w, String what) throws IOException {
-        Http.Head h = w.ask("GET", what, null, health ? 0 : 404, "X-Consul-Token", token);
+    private Http.Head ask(RegistryConnection w, String what) throws IOException {
+        Http.Head h = w.send("GET", what, null, health ? 0 : 404, "X-Consul-Token", token);
         if ("false".equalsIgnoreCase(h.get("X-Consul-KnownLeader"))) {
             // The server may have been cut off from the others: what it says may be long past.
-            drain(w.content(h));
-            throw new Driver.Answer("no known leader");
+            w.discardBody(h);
+            throw new RegistryErrorException("no known leader");
         }
         return h;
     }
@@ -119,27 +121,19 @@
         try {
             return new View.Position("", 0, Math.max(0, Long.parseUnsignedLong(index == null ? "" : index)));
         } catch (NumberFormatException e) {
-            throw new Driver.Answer("no X-Consul-Index");
+            throw new RegistryErrorException("no X-Consul-Index");
         }
     }
 
-    static void drain(InputStream in) throws IOException {
-        byte[] b = new byte[4096];
-        int n = in.read(b);
-        while (n >= 0) {
-            n = in.read(b);
-        }
-    }
-
-    private void whole(Wire w, String what, Sink to) throws IOException, InterruptedException {
+    private void whole(RegistryConnection w, String what, RegistryEventListener to)
+            throws IOException, InterruptedException {
         Http.Head h = ask(w, what);
         View.Position at = position(h);
         List<View.Item> items = new ArrayList<>();
-        InputStream in = w.content(h);
         if (h.status() == 404) {
-            drain(in);
+            w.discardBody(h);
         } else {
-            try (JsonParser p = Config.JSON.createParser(in)) {
+            try (JsonParser p = Config.JSON.createParser(w.body(h))) {
                 if (p.nextToken() != JsonToken.START_ARRAY) {
                     throw new ConfigurationException("an array was due");
                 }
@@ -154,13 +148,13 @@
                 }
             }
         }
-        to.whole(at, items);
+        to.onCompleteList(at, items);
     }
 
     // ---- Entries --------------------------------------------------------------------------------------
     private View.Item value(JsonParser p) throws IOException {
         String[] f = {"", "0", ""};
-        Etcd.members(p, (q, name) -> {
+        JsonObjects.forEachMember(p, (q, name) -> {
             switch (name) {
                 case "Key" -> f[0] = Entries.scalar(q);
                 case "ModifyIndex" -> f[1] = Entries.scalar(q);
@@ -178,7 +172,7 @@
             return View.Item.read(
                     key, mod, entries.read(json, key.length() > prefixLength ? key.substring(prefixLength) : null));
         } catch (IOException | RuntimeException e) {
-            return View.Item.unreadable(key, mod, Etcd.why(e));
+            return View.Item.unreadable(key, mod, JsonObjects.describe(e));
         }
     }
 
@@ -190,9 +184,9 @@
         }
     }
 
-    private static void members(JsonParser p, Etcd.Members to) throws IOException {
+    private static void members(JsonParser p, JsonObjects.MemberReader to) throws IOException {
         if (p.currentToken() == JsonToken.START_OBJECT) {
-            Etcd.members(p, to);
+            JsonObjects.forEachMember(p, to);
         } else {
             p.skipChildren();
         }
@@ -240,7 +234,7 @@
             }
             return View.Item.read(key, mod, e);
         } catch (RuntimeException e) {
-            return View.Item.unreadable(key, mod, Etcd.why(e));
+            return View.Item.unreadable(key, mod, JsonObjects.describe(e));
         }
     }
 }
--- a/src/main/java/magpiehub/discovery/Etcd.java
+++ b/src/main/java/magpiehub/discovery/EtcdProtocol.java
@@ -1,11 +1,8 @@
 package magpiehub.discovery;
 
-import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -27,9 +24,9 @@
  * What a watch tells is passed on revision by revision: fragments are put together first. It must never take
  * the revision in the header of an answer with events for a position: an answer may leave out later events.
  */
-final class Etcd implements Driver {
+final class EtcdProtocol implements RegistryProtocol {
     /** A failure that etcd or its gateway names. */
-    static final class Failure extends Answer {
+    static final class Failure extends RegistryErrorException {
         private static final long serialVersionUID = 1L;
         final int code;
 
@@ -58,7 +55,7 @@
     private volatile String token;
 
     /** A driver for the keys under a prefix; {@code user} is null where the cluster asks for no login. */
-    Etcd(String prefix, int page, String user, String password, Entries entries) {
+    EtcdProtocol(String prefix, int page, String user, String password, Entries entries) {
         from = prefix.getBytes(StandardCharsets.UTF_8);
         prefixLength = prefix.length();
         to = rangeEnd(from);
@@ -81,47 +78,32 @@
     }
 
     @Override
-    public boolean answersWhole() {
+    public boolean watchReturnsCompleteList() {
         return false;
     }
 
     @Override
-    public long quiet() {
+    public long maxQuietMicros() {
         return Long.MAX_VALUE;
     }
 
     // ---- Calls ----------------------------------------------------------------------------------------
-    /** Writes a call's members. */
-    interface Body {
-        void write(JsonGenerator g) throws IOException;
-    }
-
-    static byte[] json(Body body) throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = Config.JSON.createGenerator(out)) {
-            g.writeStartObject();
-            body.write(g);
-            g.writeEndObject();
-        }
-        return out.toByteArray();
-    }
-
     /** Makes a call, with a login before it where one is due; a token that has expired is fetched anew once.
      *  */
-    Http.Head call(Wire w, String path, byte[] body) throws IOException {
+    Http.Head call(RegistryConnection w, String path, byte[] body) throws IOException {
         for (int i = 0; ; i++) {
             String t = token;
             if (login != null && t == null) {
                 t = authenticate(w);
             }
             try {
-                return w.ask("POST", path, body, 0, "Authorization", t);
-            } catch (Wire.Refused e) {
+                return w.send("POST", path, body, 0, "Authorization", t);
+            } catch (HttpStatusException e) {
                 Failure f = failure(e);
                 if (login == null
                         || i > 0
-                        || w.closed()
-                        || (e.status != 401 && (f == null || f.code != UNAUTHENTICATED))) {
+                        || w.isClosed()
+                        || (e.statusCode() != 401 && (f == null || f.code != UNAUTHENTICATED))) {
                     throw f != null && f.code == OUT_OF_RANGE ? f : e;
                 }
                 token = null;
@@ -129,17 +111,17 @@
         }
     }
 
-    private String authenticate(Wire w) throws IOException {
-        Http.Head h = w.ask(
+    private String authenticate(RegistryConnection w) throws IOException {
+        Http.Head h = w.send(
                 "POST",
                 "/v3/auth/authenticate",
-                json(g -> {
+                JsonObjects.toBytes(g -> {
                     g.writeStringField("name", login.user);
                     g.writeStringField("password", login.password);
                 }),
                 0);
         String[] t = new String[1];
-        read(w.content(h), (p, name) -> {
+        JsonObjects.read(w.body(h), (p, name) -> {
             if (name.equals("token")) {
                 t[0] = p.getValueAsString();
             } else {
@@ -154,7 +136,7 @@
     }
 
     /** What the gateway says of a failed call: {@code {"error":"...","code":11,"message":"..."}}. */
-    private static Failure failure(Wire.Refused e) {
+    private static Failure failure(HttpStatusException e) {
         String text = e.getMessage();
         int brace = text.indexOf('{');
         if (brace < 0) {
@@ -168,60 +150,14 @@
         }
     }
 
-    /** Called for each member of an object, with the parser at the value, to be read or skipped. */
-    interface Members {
-        void member(JsonParser p, String name) throws IOException;
-    }
-
-    static void members(JsonParser p, Members to) throws IOException {
-        if (p.currentToken() != JsonToken.START_OBJECT) {
-            throw new ConfigurationException("an object was due");
-        }
-        while (p.nextToken() == JsonToken.FIELD_NAME) {
-            String name = p.currentName();
-            p.nextToken();
-            to.member(p, name);
-        }
-    }
-
-    /** Reads one object and whatever blank follows it, so that the wire can serve the next call. */
-    static void read(InputStream in, Members to) throws IOException {
-        try (JsonParser p = Config.JSON.createParser(in)) {
-            p.nextToken();
-            members(p, to);
-            if (p.nextToken() != null) {
-                throw new ConfigurationException("more than one value");
-            }
-        }
-    }
-
-    private static void array(JsonParser p, Members each) throws IOException {
-        if (p.currentToken() != JsonToken.START_ARRAY) {
-            throw new ConfigurationException("an array was due");
-        }
-        while (p.nextToken() == JsonToken.START_OBJECT) {
-            each.member(p, "");
-        }
-        if (p.currentToken() != JsonToken.END_ARRAY) {
-            throw new ConfigurationException("must hold objects only");
-        }
-    }
-
-    private static long number(JsonParser p) throws IOException {
-        // Ids are unsigned: beyond 2^63 they come back negative, and are compared for being equal only.
-        return p.currentToken() == JsonToken.VALUE_STRING
-                ? Long.parseUnsignedLong(p.getText())
-                : p.getBigIntegerValue().longValue();
-    }
-
     // ---- Answers --------------------------------------------------------------------------------------
     private static View.Position header(JsonParser p) throws IOException {
         long[] n = new long[3];
-        members(p, (q, name) -> {
+        JsonObjects.forEachMember(p, (q, name) -> {
             switch (name) {
-                case "cluster_id" -> n[0] = number(q);
-                case "raft_term" -> n[1] = number(q);
-                case "revision" -> n[2] = number(q);
+                case "cluster_id" -> n[0] = JsonObjects.readUnsignedLong(q);
+                case "raft_term" -> n[1] = JsonObjects.readUnsignedLong(q);
+                case "revision" -> n[2] = JsonObjects.readUnsignedLong(q);
                 default -> q.skipChildren();
             }
         });
@@ -236,11 +172,11 @@
 
         static KeyValue read(JsonParser p) throws IOException {
             KeyValue kv = new KeyValue();
-            members(p, (q, name) -> {
+            JsonObjects.forEachMember(p, (q, name) -> {
                 switch (name) {
                     case "key" -> kv.key = q.getBinaryValue();
                     case "value" -> kv.value = q.getBinaryValue();
-                    case "mod_revision" -> kv.mod = number(q);
+                    case "mod_revision" -> kv.mod = JsonObjects.readUnsignedLong(q);
                     default -> q.skipChildren();
                 }
             });
@@ -257,19 +193,10 @@
             String id = key.length() > prefixLength ? key.substring(prefixLength) : null;
             return View.Item.read(key, kv.mod, entries.read(kv.value, id));
         } catch (IOException | RuntimeException e) {
-            return View.Item.unreadable(key, kv.mod, why(e));
+            return View.Item.unreadable(key, kv.mod, JsonObjects.describe(e));
         }
     }
 
-    static String why(Exception e) {
-        String m = e instanceof com.fasterxml.jackson.core.JsonProcessingException j
-                ? j.getOriginalMessage()
-                : String.valueOf(e.getMessage());
-        int source = m.indexOf(" (start marker"); // Where in Jackson's buffers: of no use to people.
-        m = source < 0 ? m : m.substring(0, source);
-        return m.length() > 200 ? m.substring(0, 200) : m;
-    }
-
     private static final class Page {
         View.Position header = View.Position.NONE;
         final List<KeyValue> kvs = new ArrayList<>();
@@ -277,14 +204,14 @@
         long count;
     }
 
-    private Page range(Wire w, Body request) throws IOException {
+    private Page range(RegistryConnection w, JsonObjects.MemberWriter request) throws IOException {
         Page page = new Page();
-        read(w.content(call(w, "/v3/kv/range", json(request))), (p, name) -> {
+        JsonObjects.read(w.body(call(w, "/v3/kv/range", JsonObjects.toBytes(request))), (p, name) -> {
             switch (name) {
                 case "header" -> page.header = header(p);
-                case "kvs" -> array(p, (q, none) -> page.kvs.add(KeyValue.read(q)));
+                case "kvs" -> JsonObjects.forEachObject(p, q -> page.kvs.add(KeyValue.read(q)));
                 case "more" -> page.more = p.getValueAsBoolean();
-                case "count" -> page.count = number(p);
+                case "count" -> page.count = JsonObjects.readUnsignedLong(p);
                 default -> p.skipChildren();
             }
         });
@@ -295,7 +222,7 @@
     }
 
     @Override
-    public void list(Wire w, Sink sink) throws IOException, InterruptedException {
+    public void readList(RegistryConnection w, RegistryEventListener sink) throws IOException, InterruptedException {
         for (int restarts = 0; ; restarts++) {
             try {
                 listOnce(w, sink);
@@ -309,7 +236,7 @@
         }
     }
 
-    private void listOnce(Wire w, Sink sink) throws IOException, InterruptedException {
+    private void listOnce(RegistryConnection w, RegistryEventListener sink) throws IOException, InterruptedException {
         List<View.Item> items = new ArrayList<>();
         byte[] key = from;
         View.Position at = null;
@@ -332,7 +259,7 @@
                 items.add(item(kv, false));
             }
             if (!p.more || p.kvs.isEmpty()) {
-                sink.whole(at, items);
+                sink.onCompleteList(at, items);
                 return;
             }
             byte[] last = p.kvs.get(p.kvs.size() - 1).key;
@@ -341,13 +268,14 @@
     }
 
     @Override
-    public void check(Wire w, Sink sink) throws IOException, InterruptedException {
+    public void checkPosition(RegistryConnection w, RegistryEventListener sink)
+            throws IOException, InterruptedException {
         Page p = newest(w, 0);
-        sink.checked(p.header, p.kvs.isEmpty() ? 0 : p.kvs.get(0).mod, p.count);
+        sink.onPositionChecked(p.header, p.kvs.isEmpty() ? 0 : p.kvs.get(0).mod, p.count);
     }
 
     /** The keys that had changed last by a revision, or the one that has now (0), and the count of all. */
-    private Page newest(Wire w, long revision) throws IOException {
+    private Page newest(RegistryConnection w, long revision) throws IOException {
         return range(w, g -> {
             g.writeBinaryField("key", from);
             g.writeBinaryField("range_end", to);
@@ -377,7 +305,8 @@
     }
 
     @Override
-    public void watch(Wire w, View.Position after, Sink sink) throws IOException, InterruptedException {
+    public void watch(RegistryConnection w, View.Position after, RegistryEventListener sink)
+            throws IOException, InterruptedException {
         // The answer is judged before what the watch tells; if it is another past, this call is no longer
         // heard.
         try {
@@ -386,14 +315,14 @@
             for (KeyValue kv : p.kvs) {
                 last.add(item(kv, false));
             }
-            sink.resumed(p.header, last, p.count);
+            sink.onWatchResumed(p.header, last, p.count);
         } catch (Failure e) {
             if (e.code == OUT_OF_RANGE) {
-                sink.compacted(e.getMessage());
+                sink.onCompacted(e.getMessage());
             }
             throw e;
         }
-        byte[] request = json(g -> {
+        byte[] request = JsonObjects.toBytes(g -> {
             g.writeObjectFieldStart("create_request");
             g.writeBinaryField("key", from);
             g.writeBinaryField("range_end", to);
@@ -405,7 +334,7 @@
         Http.Head h = call(w, "/v3/watch", request);
         List<View.Item> burst = new ArrayList<>();
         long[] newest = {0};
-        w.lines(h, bytes -> {
+        w.readLines(h, bytes -> {
             if (bytes.length > 0) {
                 line(parse(bytes), burst, newest, sink);
             }
@@ -417,9 +346,9 @@
         Line l = new Line();
         try (JsonParser p = Config.JSON.createParser(bytes)) {
             p.nextToken();
-            members(p, (q, name) -> {
+            JsonObjects.forEachMember(p, (q, name) -> {
                 switch (name) {
-                    case "result" -> members(q, (r, field) -> result(r, field, l));
+                    case "result" -> JsonObjects.forEachMember(q, (r, field) -> result(r, field, l));
                     case "error" -> {
                         ConfigurationObject f = new ConfigurationObject(Config.object(q), "error");
                         l.error = new Failure((int) f.number("grpc_code", f.number("code", 0)), f.text("message", ""));
@@ -437,12 +366,12 @@
             case "created" -> l.created = p.getValueAsBoolean();
             case "canceled" -> l.canceled = p.getValueAsBoolean();
             case "fragment" -> l.fragment = p.getValueAsBoolean();
-            case "compact_revision" -> l.compactRevision = number(p);
+            case "compact_revision" -> l.compactRevision = JsonObjects.readUnsignedLong(p);
             case "cancel_reason" -> l.reason = p.getValueAsString("");
-            case "events" -> array(p, (q, none) -> {
+            case "events" -> JsonObjects.forEachObject(p, q -> {
                 boolean[] delete = new boolean[1];
                 KeyValue[] kv = new KeyValue[1];
-                members(q, (r, name) -> {
+                JsonObjects.forEachMember(q, (r, name) -> {
                     switch (name) {
                             // The gateway leaves PUT out, which is 0; a number is the enumeration's.
                         case "type" -> delete[0] = r.currentToken() == JsonToken.VALUE_STRING
@@ -462,7 +391,7 @@
         }
     }
 
-    private void line(Line l, List<View.Item> burst, long[] newest, Sink sink)
+    private void line(Line l, List<View.Item> burst, long[] newest, RegistryEventListener sink)
             throws IOException, InterruptedException {
         if (l.error != null) {
             if (l.error.code == UNAUTHENTICATED) {
@@ -471,7 +400,7 @@
             throw l.error;
         }
         if (l.compactRevision > 0) {
-            sink.compacted("oldest kept is " + l.compactRevision);
+            sink.onCompacted("oldest kept is " + l.compactRevision);
             throw new Failure(OUT_OF_RANGE, "compacted at " + l.compactRevision);
         }
         if (l.canceled) {
@@ -481,7 +410,7 @@
             throw new Failure(0, "cancelled: " + l.reason);
         }
         if (l.created) {
-            sink.opened(l.header);
+            sink.onWatchOpened(l.header);
         }
         for (int i = 0; i < l.puts.size(); i++) {
             KeyValue kv = l.puts.get(i);
@@ -497,11 +426,11 @@
         }
         if (!burst.isEmpty()) {
             View.Position to = new View.Position(l.header.history(), l.header.term(), newest[0]);
-            sink.changes(to, List.copyOf(burst));
+            sink.onChanges(to, List.copyOf(burst));
             burst.clear();
         } else if (!l.created) {
             // A progress notice: all events up to this revision have been told.
-            sink.changes(l.header, List.of());
+            sink.onChanges(l.header, List.of());
         }
     }
 }
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/JsonObjects.java
@@ -0,0 +1,113 @@
+package magpiehub.discovery;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+
+/**
+ * Writes and reads JSON objects member by member, without a tree in between: a list of 10,000 endpoints takes
+ * megabytes.
+ */
+final class JsonObjects {
+    private static final int INITIAL_BYTES = 256;
+    private static final int MAX_DESCRIPTION_LENGTH = 200;
+
+    private JsonObjects() {}
+
+    /** Writes the members of one object. */
+    interface MemberWriter {
+        void write(JsonGenerator generator) throws IOException;
+    }
+
+    /** Called for each member of an object, with the parser at the value, which is to be read or skipped. */
+    interface MemberReader {
+        void read(JsonParser parser, String name) throws IOException;
+    }
+
+    /** Called for each object of an array, with the parser at its start. */
+    interface ElementReader {
+        void read(JsonParser parser) throws IOException;
+    }
+
+    /** One object as UTF-8 text. */
+    static byte[] toBytes(MemberWriter members) throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
+        try (JsonGenerator generator = Config.JSON.createGenerator(out)) {
+            generator.writeStartObject();
+            members.write(generator);
+            generator.writeEndObject();
+        }
+        return out.toByteArray();
+    }
+
+    /** Reads a stream that holds one object to its end, so that its connection can carry the next request. */
+    static void read(InputStream in, MemberReader reader) throws IOException {
+        try (JsonParser parser = Config.JSON.createParser(in)) {
+            parser.nextToken();
+            forEachMember(parser, reader);
+            if (parser.nextToken() != null) {
+                throw new ConfigurationException("more than one value");
+            }
+        }
+    }
+
+    /**
+     * Reads the object that the parser stands at the start of.
+     *
+     * @throws ConfigurationException if the parser is at something else
+     */
+    static void forEachMember(JsonParser parser, MemberReader reader) throws IOException {
+        if (parser.currentToken() != JsonToken.START_OBJECT) {
+            throw new ConfigurationException("an object was due");
+        }
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
+            reader.read(parser, name);
+        }
+    }
+
+    /**
+     * Reads the array of objects that the parser stands at the start of.
+     *
+     * @throws ConfigurationException if the parser is at something else, or the array holds something else
+     */
+    static void forEachObject(JsonParser parser, ElementReader reader) throws IOException {
+        if (parser.currentToken() != JsonToken.START_ARRAY) {
+            throw new ConfigurationException("an array was due");
+        }
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
+            reader.read(parser);
+        }
+        if (parser.currentToken() != JsonToken.END_ARRAY) {
+            throw new ConfigurationException("must hold objects only");
+        }
+    }
+
+    /**
+     * A 64-bit number that is written as a text or as a number. Numbers of 2^63 and above, which ids may be, come
+     * out negative; they may be compared for equality only.
+     */
+    static long readUnsignedLong(JsonParser parser) throws IOException {
+        return parser.currentToken() == JsonToken.VALUE_STRING
+                ? Long.parseUnsignedLong(parser.getText())
+                : parser.getBigIntegerValue().longValue();
+    }
+
+    /** Why a value can't be read, in a short text for the log. */
+    static String describe(Exception failure) {
+        String message = failure instanceof JsonProcessingException parsing
+                ? parsing.getOriginalMessage()
+                : String.valueOf(failure.getMessage());
+        // Jackson adds where in its own buffers the value started, which is of no use to people.
+        int source = message.indexOf(" (start marker");
+        String text = source < 0 ? message : message.substring(0, source);
+        return text.length() > MAX_DESCRIPTION_LENGTH ? text.substring(0, MAX_DESCRIPTION_LENGTH) : text;
+    }
+}
--- a/src/main/java/magpiehub/discovery/LastList.java
+++ b/src/main/java/magpiehub/discovery/LastList.java
@@ -106,7 +106,7 @@
         if (!Files.exists(file)) {
             return null;
         }
-        if (Files.size(file) > Wire.MOST_BYTES) {
+        if (Files.size(file) > RegistryConnection.MAX_RESPONSE_BYTES) {
             throw new Unusable("too large");
         }
         byte[] all = Files.readAllBytes(file);
@@ -146,7 +146,7 @@
         String[] history = {"", "0", "-1"};
         try (JsonParser p = Config.JSON.createParser(json)) {
             p.nextToken();
-            Etcd.members(p, (q, name) -> {
+            JsonObjects.forEachMember(p, (q, name) -> {
                 switch (name) {
                     case "history" -> history[0] = q.getText();
                     case "term" -> history[1] = q.getText();
--- a/src/main/java/magpiehub/discovery/Announcement.java
+++ b/src/main/java/magpiehub/discovery/RegistrationState.java
@@ -5,7 +5,7 @@
  * state machine: what calls came to goes in, the next step and its time come out. It owns the belief about
  * the entry's lease. It must never do I/O or read a clock; times are monotonic, in microseconds.
  */
-public final class Announcement {
+public final class RegistrationState {
     /** What is to be done. */
     public enum Step {
         NONE,
@@ -26,7 +26,7 @@
     private long keptAt;
 
     /** An entry that outlives its router by {@code ttl}; the first step is to register it. */
-    public Announcement(long ttl, long now) {
+    public RegistrationState(long ttl, long now) {
         this.ttl = ttl;
         this.at = now;
     }
--- a/src/main/java/magpiehub/discovery/Registry.java
+++ b/src/main/java/magpiehub/discovery/Registry.java
@@ -94,7 +94,7 @@
         final long startedAt;
         final boolean confirms;
         /** Set by its channel; null until it is connected or connecting. */
-        volatile Wire wire;
+        volatile RegistryConnection wire;
 
         volatile boolean cancelled;
         /** Its connection was lost between two calls. */
@@ -121,7 +121,7 @@
 
         void cancel() {
             cancelled = true;
-            Wire w = wire;
+            RegistryConnection w = wire;
             if (w != null) {
                 w.close();
             }
@@ -132,7 +132,7 @@
      *  check a second would start one a second. */
     private final class Channel {
         final Mailbox<Call> calls = new Mailbox<>(clock, 1 << 10);
-        private Wire kept;
+        private RegistryConnection kept;
         private long keptAt;
 
         Channel(String name) {
@@ -161,7 +161,7 @@
             IOException failure = null;
             try {
                 String endpoint = c.session.options.endpoints().get(c.endpoint);
-                boolean again = kept != null && kept.endpoint.equals(endpoint) && !kept.closed();
+                boolean again = kept != null && kept.endpoint().equals(endpoint) && !kept.isClosed();
                 if (!again && kept != null) {
                     kept.close();
                     kept = null;
@@ -198,31 +198,31 @@
         }
 
         private void exchange(Call c, String endpoint) throws IOException, InterruptedException {
-            if (kept == null || kept.closed()) {
-                kept = new Wire(endpoint, c.session.tls, clock, bytes);
+            if (kept == null || kept.isClosed()) {
+                kept = new RegistryConnection(endpoint, c.session.tls, clock, bytes);
                 c.wire = kept;
                 if (tap != null) {
                     tap.connects(c.kind, endpoint);
                 }
-                kept.open((int) Math.max(1, c.session.options.timeout() / 1000));
+                kept.connect((int) Math.max(1, c.session.options.timeout() / 1000));
             }
             c.wire = kept;
             if (c.cancelled) {
                 kept.close();
                 throw new IOException("cancelled");
             }
-            Driver.Sink sink = new Words(c);
+            RegistryEventListener sink = new Words(c);
             switch (c.kind) {
-                case LIST -> c.session.driver.list(kept, sink);
+                case LIST -> c.session.driver.readList(kept, sink);
                 case WATCH -> c.session.driver.watch(kept, c.asked, sink);
-                default -> c.session.driver.check(kept, sink);
+                default -> c.session.driver.checkPosition(kept, sink);
             }
         }
     }
 
     /** Makes messages of a call's words; waits where the actor is behind, so that only its own call is held.
      *  */
-    private final class Words implements Driver.Sink {
+    private final class Words implements RegistryEventListener {
         private final Call call;
 
         Words(Call call) {
@@ -237,28 +237,28 @@
         }
 
         @Override
-        public void opened(View.Position header) throws IOException, InterruptedException {
+        public void onWatchOpened(View.Position header) throws IOException, InterruptedException {
             post(() -> Registry.this.opened(call, header), 64);
         }
 
         @Override
-        public void whole(View.Position to, List<View.Item> items) throws IOException, InterruptedException {
+        public void onCompleteList(View.Position to, List<View.Item> items) throws IOException, InterruptedException {
             post(() -> Registry.this.whole(call, to, items), 64 + 256 * items.size());
         }
 
         @Override
-        public void changes(View.Position to, List<View.Item> items) throws IOException, InterruptedException {
+        public void onChanges(View.Position to, List<View.Item> items) throws IOException, InterruptedException {
             post(() -> Registry.this.changes(call, to, items), 64 + 256 * items.size());
         }
 
         @Override
-        public void resumed(View.Position of, List<View.Item> last, long count)
+        public void onWatchResumed(View.Position of, List<View.Item> last, long count)
                 throws IOException, InterruptedException {
             post(() -> reread(call, view.resumed(of, call.asked, last, count)), 64);
         }
 
         @Override
-        public void compacted(String why) throws IOException, InterruptedException {
+        public void onCompacted(String why) throws IOException, InterruptedException {
             post(
                     () -> {
                         journal.count("registry_compactions");
@@ -276,7 +276,8 @@
         }
 
         @Override
-        public void checked(View.Position of, long newest, long count) throws IOException, InterruptedException {
+        public void onPositionChecked(View.Position of, long newest, long count)
+                throws IOException, InterruptedException {
             post(() -> Registry.this.checked(call, of, newest, count), 64);
         }
     }
@@ -284,7 +285,7 @@
     /** All that belongs to one registry's settings. */
     private final class Session {
         final Options options;
-        final Driver driver;
+        final RegistryProtocol driver;
         final SSLContext tls;
         final Endpoints endpoints;
         final Channel mainChannel = new Channel("registry-main");
@@ -304,7 +305,7 @@
 
         Session(Options o, long now) throws IOException {
             options = o;
-            tls = o.tls() ? Wire.tls(o.authorities()) : null;
+            tls = o.tls() ? TlsContexts.trusting(o.authorities()) : null;
             driver = driver(o);
             endpoints = new Endpoints(o.endpoints().size(), o.waits(), seed ^ now);
             mainAt = now;
@@ -384,11 +385,11 @@
         this.membership = new Membership(options.membership());
     }
 
-    private Driver driver(Options o) {
+    private RegistryProtocol driver(Options o) {
         return switch (o.kind()) {
-            case "etcd" -> new Etcd(o.prefix(), o.page(), o.user(), o.secret(), entries);
-            case "consul-health" -> Consul.health(o.service(), o.block(), o.secret(), entries);
-            default -> Consul.values(o.prefix(), o.block(), o.secret(), entries);
+            case "etcd" -> new EtcdProtocol(o.prefix(), o.page(), o.user(), o.secret(), entries);
+            case "consul-health" -> ConsulProtocol.forHealth(o.service(), o.block(), o.secret(), entries);
+            default -> ConsulProtocol.forKeyValues(o.prefix(), o.block(), o.secret(), entries);
         };
     }
 
@@ -560,8 +561,8 @@
     private void step(Session s) {
         for (Call c : new Call[] {s.main, s.side}) {
             if (c != null && c.until <= now) {
-                Wire w = c.wire;
-                long heard = w == null ? c.startedAt : Math.max(c.startedAt, w.heard());
+                RegistryConnection w = c.wire;
+                long heard = w == null ? c.startedAt : Math.max(c.startedAt, w.lastReadMicros());
                 boolean comes = c.kind == Kind.LIST && heard + s.options.timeout() > now;
                 if (comes && c.startedAt + s.longest > now) {
                     c.until = Math.min(c.startedAt + s.longest, heard + s.options.timeout());
@@ -609,8 +610,8 @@
     private Call call(Session s, Kind kind, int endpoint, boolean confirms) {
         Call c = new Call(s, kind, endpoint, view.position(), now, confirms);
         c.until = now + s.options.timeout();
-        if (kind == Kind.WATCH && s.driver.answersWhole()) {
-            c.until += s.driver.quiet();
+        if (kind == Kind.WATCH && s.driver.watchReturnsCompleteList()) {
+            c.until += s.driver.maxQuietMicros();
             c.opened = true;
             // The time between two queries counts: nothing has been heard in it either.
             c.lastWord = Math.min(now, heardAt);
@@ -798,7 +799,7 @@
             s.side = null;
         }
         if (failure == null) {
-            if (wasMain && s.driver.answersWhole() && !c.behind) {
+            if (wasMain && s.driver.watchReturnsCompleteList() && !c.behind) {
                 s.mainAt = Math.max(now, c.startedAt + s.options.least());
             }
             return;
@@ -821,10 +822,10 @@
                 why);
         Endpoints.Loss loss = failure instanceof Silent
                 ? Endpoints.Loss.SILENCE
-                : failure instanceof Driver.Answer
+                : failure instanceof RegistryErrorException
                         ? Endpoints.Loss.ANSWER
                         : c.atRest ? Endpoints.Loss.REST : Endpoints.Loss.LINK;
-        s.endpoints.failed(c.endpoint, now, loss, failure instanceof Wire.Refused r ? r.retryAfter : 0);
+        s.endpoints.failed(c.endpoint, now, loss, failure instanceof HttpStatusException r ? r.retryAfterMicros() : 0);
         s.down = true;
         if (wasMain) {
             s.mainAt = Math.max(now, s.endpoints.readyAt());
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/RegistryConnection.java
@@ -0,0 +1,225 @@
+package magpiehub.discovery;
+
+import java.io.EOFException;
+import java.io.FilterInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.concurrent.atomic.AtomicLong;
+import javax.net.ssl.SSLContext;
+import javax.net.ssl.SSLParameters;
+import javax.net.ssl.SSLSocket;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.Config;
+import magpiehub.http.Http;
+import magpiehub.http.Sockets;
+
+/**
+ * An HTTP/1.1 connection, with TLS or without, to one endpoint of a registry. It carries one request at a time.
+ *
+ * <p>One thread connects, sends and reads. It neither retries nor, unless {@link #setReadTimeout} is called, times
+ * out: the holder ends a call in progress by {@link #close} from any thread, and the call fails with an exception.
+ */
+final class RegistryConnection implements AutoCloseable {
+    /** Bounds a response's body: a list of 10,000 entries of Consul's health takes some 10 MB. */
+    static final int MAX_RESPONSE_BYTES = 64 << 20;
+
+    /** Bounds one line of a watch: etcd answers with at most some 2 MB a page, and writes it in one chunk. */
+    private static final int MAX_LINE_BYTES = 8 << 20;
+
+    /**
+     * Bounds how long a {@code Retry-After} is heeded (us): changes in the registry are to reach the router within
+     * 6 s, whatever an endpoint says of when to come back.
+     */
+    private static final long MAX_RETRY_AFTER_MICROS = 2_000_000;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** How much of an error's body goes into the exception's message. */
+    private static final int MAX_ERROR_TEXT_BYTES = 512;
+
+    private static final int DRAIN_BUFFER_BYTES = 4096;
+
+    private final String endpoint;
+    private final Socket plainSocket = new Socket();
+    private final SSLContext tls;
+    private final MonotonicClock clock;
+    private final AtomicLong bytesRead;
+    private volatile Socket socket = plainSocket;
+    private volatile long lastReadMicros;
+    private volatile boolean closed;
+    private Http.Input input;
+
+    /**
+     * A connection that {@link #connect} opens.
+     *
+     * @param endpoint host and port
+     * @param tls null for a plain connection
+     * @param bytesRead is increased by what is read
+     */
+    RegistryConnection(String endpoint, SSLContext tls, MonotonicClock clock, AtomicLong bytesRead) {
+        this.endpoint = endpoint;
+        this.tls = tls;
+        this.clock = clock;
+        this.bytesRead = bytesRead;
+        this.lastReadMicros = clock.micros();
+    }
+
+    /** The host and port that this connection goes to. */
+    String endpoint() {
+        return endpoint;
+    }
+
+    /** Connects, and does the TLS handshake where TLS is used; the timeout bounds the TCP connect alone. */
+    void connect(int timeoutMillis) throws IOException {
+        plainSocket.setTcpNoDelay(true);
+        plainSocket.connect(Config.socketAddress(endpoint), timeoutMillis);
+        if (tls != null) {
+            startTls();
+        }
+        lastReadMicros = clock.micros();
+        input = new Http.Input(new CountingInputStream(socket.getInputStream()), clock::micros);
+        input.mostChunk(MAX_RESPONSE_BYTES);
+    }
+
+    private void startTls() throws IOException {
+        int colon = endpoint.lastIndexOf(':');
+        String host = endpoint.substring(0, colon);
+        int port = Integer.parseInt(endpoint.substring(colon + 1));
+        SSLSocket secured = (SSLSocket) tls.getSocketFactory().createSocket(plainSocket, host, port, true);
+        SSLParameters parameters = secured.getSSLParameters();
+        parameters.setEndpointIdentificationAlgorithm("HTTPS");
+        secured.setSSLParameters(parameters);
+        socket = secured; // Before the handshake, so that close() ends it.
+        secured.startHandshake();
+    }
+
+    /** Bounds how long one read may block, for callers whose calls nobody else ends. */
+    void setReadTimeout(int timeoutMillis) throws IOException {
+        plainSocket.setSoTimeout(timeoutMillis);
+    }
+
+    /** When a byte was last read (us). Any thread. */
+    long lastReadMicros() {
+        return lastReadMicros;
+    }
+
+    /**
+     * Sends a request and reads the head of its response.
+     *
+     * @param body a JSON text; null for none
+     * @param alsoAccepted a status besides 200 that is no error; 0 for none
+     * @param headers names and values in turn, without line ends; a header whose value is null is left out
+     * @throws HttpStatusException if the status is neither 200 nor {@code alsoAccepted}
+     */
+    Http.Head send(String method, String target, byte[] body, int alsoAccepted, String... headers) throws IOException {
+        writeRequest(method, target, body, headers);
+        if (!input.await()) {
+            throw new EOFException("ended before an answer");
+        }
+        Http.Head head = input.head(false);
+        if (head.status() != 200 && head.status() != alsoAccepted) {
+            throw new HttpStatusException(
+                    head.status(), readErrorText(head), parseRetryAfterMicros(head.get("Retry-After")));
+        }
+        return head;
+    }
+
+    private void writeRequest(String method, String target, byte[] body, String... headers) throws IOException {
+        Http.Output out = new Http.Output();
+        out.text(method + " " + target + " HTTP/1.1\r\nHost: " + endpoint + "\r\n");
+        for (int i = 0; i + 1 < headers.length; i += 2) {
+            if (headers[i + 1] != null) {
+                out.text(headers[i] + ": " + headers[i + 1] + "\r\n");
+            }
+        }
+        if (body != null) {
+            out.text("Content-Type: application/json\r\nContent-Length: " + body.length + "\r\n");
+        }
+        out.text("\r\n");
+        if (body != null) {
+            out.bytes(body);
+        }
+        out.flush(socket.getOutputStream());
+    }
+
+    /** The body of a response. It must be read to its end before the next request, or the connection closed. */
+    InputStream body(Http.Head head) throws IOException {
+        return input.content(head, MAX_RESPONSE_BYTES);
+    }
+
+    /** Reads and discards the body of a response, so that the next request can be sent. */
+    void discardBody(Http.Head head) throws IOException {
+        discard(body(head));
+    }
+
+    /** Hands the body's lines to a consumer, each as soon as it is complete. */
+    void readLines(Http.Head head, Http.Events consumer) throws IOException, InterruptedException {
+        input.lines(head, consumer, MAX_LINE_BYTES);
+    }
+
+    /** The beginning of an error's body in one line, for people; closes the connection if it can't be read. */
+    private String readErrorText(Http.Head head) {
+        try {
+            InputStream body = body(head);
+            byte[] start = body.readNBytes(MAX_ERROR_TEXT_BYTES);
+            discard(body);
+            return new String(start, StandardCharsets.UTF_8)
+                    .replaceAll("[\\x00-\\x1f]+", " ")
+                    .strip();
+        } catch (IOException e) {
+            close();
+            return "";
+        }
+    }
+
+    private static void discard(InputStream body) throws IOException {
+        byte[] buffer = new byte[DRAIN_BUFFER_BYTES];
+        int count = body.read(buffer);
+        while (count >= 0) {
+            count = body.read(buffer);
+        }
+    }
+
+    /** The wait that a {@code Retry-After} in seconds asks for (us), bounded; 0 if it is null or a date. */
+    static long parseRetryAfterMicros(String value) {
+        if (value == null) {
+            return 0;
+        }
+        try {
+            long micros = (long) (Double.parseDouble(value) * MICROS_PER_SECOND);
+            return Math.max(0, Math.min(MAX_RETRY_AFTER_MICROS, micros));
+        } catch (NumberFormatException e) {
+            return 0; // A date: the backoff of the endpoint will do.
+        }
+    }
+
+    boolean isClosed() {
+        return closed;
+    }
+
+    @Override
+    public void close() {
+        closed = true;
+        Sockets.closeQuietly(socket);
+        Sockets.closeQuietly(plainSocket);
+    }
+
+    /** Counts the bytes that are read and notes when. */
+    private final class CountingInputStream extends FilterInputStream {
+        CountingInputStream(InputStream in) {
+            super(in);
+        }
+
+        @Override
+        public int read(byte[] buffer, int offset, int length) throws IOException {
+            int count = super.read(buffer, offset, length);
+            if (count > 0) {
+                lastReadMicros = clock.micros();
+                bytesRead.addAndGet(count);
+            }
+            return count;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/RegistryEventListener.java
@@ -0,0 +1,31 @@
+package magpiehub.discovery;
+
+import java.io.IOException;
+import java.util.List;
+
+/**
+ * Receives what a call to a registry reports, on the thread that makes the call.
+ *
+ * <p>Each event is complete: a page, a line or a set of changes that was cut off is never reported. A method may
+ * block until its consumer has room.
+ */
+interface RegistryEventListener {
+    /** A watch was opened by a registry that stands at {@code header}. */
+    void onWatchOpened(View.Position header) throws IOException, InterruptedException;
+
+    /** The complete list as of {@code position}. */
+    void onCompleteList(View.Position position, List<View.Item> items) throws IOException, InterruptedException;
+
+    /** All changes up to {@code position}; none if the registry only reports its progress. */
+    void onChanges(View.Position position, List<View.Item> items) throws IOException, InterruptedException;
+
+    /** Reported before a watch goes on: what the registry holds at the position, see {@link View#resumed}. */
+    void onWatchResumed(View.Position header, List<View.Item> lastChanged, long count)
+            throws IOException, InterruptedException;
+
+    /** The changes asked for are not available: compacted, or not there yet. */
+    void onCompacted(String reason) throws IOException, InterruptedException;
+
+    /** The result of a position check, see {@link View#checked}. */
+    void onPositionChecked(View.Position header, long newest, long count) throws IOException, InterruptedException;
+}
--- a/src/main/java/magpiehub/discovery/Announcer.java
+++ b/src/main/java/magpiehub/discovery/RouterRegistration.java
@@ -14,10 +14,10 @@
  * The actor that keeps this router's own entry in the registry: in etcd a key under a lease
  * ({@code /v3/lease/grant}, {@code /v3/kv/put}, {@code /v3/lease/keepalive}, {@code /v3/lease/revoke}), in
  * Consul a service with a TTL check ({@code /v1/agent/service/register}, {@code /v1/agent/check/pass},
- * {@code /v1/agent/service/deregister}). {@link Announcement} says what is due. It owns the lease's id. It
+ * {@code /v1/agent/service/deregister}). {@link RegistrationState} says what is due. It owns the lease's id. It
  * must never hold up a request or the program's end: {@link #stop} waits a set time at most.
  */
-public final class Announcer {
+public final class RouterRegistration {
     /** A word of the registry that the entry is not there. */
     private static final class Lost extends IOException {
         private static final long serialVersionUID = 1L;
@@ -29,16 +29,17 @@
     private final MonotonicClock clock;
     private final EventLog journal;
     private final Mailbox<Object> mailbox;
-    private final Announcement state;
+    private final RegistrationState state;
     private final Endpoints endpoints;
     private final SSLContext tls;
-    private final Etcd etcd;
+    private final EtcdProtocol etcd;
     private final CountDownLatch done = new CountDownLatch(1);
-    private volatile Wire wire;
+    private volatile RegistryConnection wire;
     private long lease;
 
     /** An announcer for settings with {@code announce}; {@code address} is the router's own. */
-    public Announcer(Options options, String name, String address, MonotonicClock clock, EventLog journal, long seed)
+    public RouterRegistration(
+            Options options, String name, String address, MonotonicClock clock, EventLog journal, long seed)
             throws IOException {
         Options.Announce a = options.announce();
         this.options = options;
@@ -47,11 +48,12 @@
         this.clock = clock;
         this.journal = journal;
         this.mailbox = new Mailbox<>(clock, 0);
-        this.state = new Announcement(a.ttl(), clock.micros());
+        this.state = new RegistrationState(a.ttl(), clock.micros());
         this.endpoints = new Endpoints(options.endpoints().size(), options.waits(), seed);
-        this.tls = options.tls() ? Wire.tls(options.authorities()) : null;
-        this.etcd =
-                options.kind().equals("etcd") ? new Etcd(a.prefix(), 1, options.user(), options.secret(), null) : null;
+        this.tls = options.tls() ? TlsContexts.trusting(options.authorities()) : null;
+        this.etcd = options.kind().equals("etcd")
+                ? new EtcdProtocol(a.prefix(), 1, options.user(), options.secret(), null)
+                : null;
     }
 
     /** Starts its thread. */
@@ -62,7 +64,7 @@
     /** Removes the entry, and waits for that at most so long (ms). Any thread. */
     public void stop(long mostMs) throws InterruptedException {
         mailbox.post(this);
-        Wire w = wire;
+        RegistryConnection w = wire;
         if (w != null && !done.await(mostMs / 2, TimeUnit.MILLISECONDS)) {
             w.close(); // A call that hangs is not to keep the last one from being made.
         }
@@ -78,11 +80,11 @@
                     state.stop();
                 }
                 long now = clock.micros();
-                Announcement.Step step = state.step(now);
-                if (step == Announcement.Step.DONE) {
+                RegistrationState.Step step = state.step(now);
+                if (step == RegistrationState.Step.DONE) {
                     return;
                 }
-                if (step != Announcement.Step.NONE) {
+                if (step != RegistrationState.Step.NONE) {
                     carryOut(step, now);
                 }
             }
@@ -96,26 +98,26 @@
         }
     }
 
-    private void carryOut(Announcement.Step step, long now) {
+    private void carryOut(RegistrationState.Step step, long now) {
         int endpoint = endpoints.pick(now);
-        if (endpoint < 0 && step != Announcement.Step.DEREGISTER) {
+        if (endpoint < 0 && step != RegistrationState.Step.DEREGISTER) {
             state.failed(now, endpoints.readyAt() - now);
             return;
         }
         endpoint = Math.max(0, endpoint);
         try {
-            Wire w = connected(options.endpoints().get(endpoint));
+            RegistryConnection w = connected(options.endpoints().get(endpoint));
             switch (step) {
                 case REGISTER -> {
                     state.registered(now, register(w));
                     journal.count("registry_announced");
-                    journal.log("registry-announced", "id", id, "address", address, "endpoint", w.endpoint);
+                    journal.log("registry-announced", "id", id, "address", address, "endpoint", w.endpoint());
                 }
                 case KEEP -> state.kept(now, keep(w));
                 default -> {
                     deregister(w);
                     state.deregistered();
-                    journal.log("registry-deregistered", "id", id, "endpoint", w.endpoint);
+                    journal.log("registry-deregistered", "id", id, "endpoint", w.endpoint());
                 }
             }
             endpoints.up(endpoint);
@@ -140,34 +142,34 @@
             endpoints.failed(
                     endpoint,
                     now,
-                    e instanceof Wire.Refused ? Endpoints.Loss.ANSWER : Endpoints.Loss.LINK,
-                    e instanceof Wire.Refused r ? r.retryAfter : 0);
+                    e instanceof HttpStatusException ? Endpoints.Loss.ANSWER : Endpoints.Loss.LINK,
+                    e instanceof HttpStatusException r ? r.retryAfterMicros() : 0);
             state.failed(now, Math.max(options.waits().base(), endpoints.readyAt() - now));
-            if (step == Announcement.Step.DEREGISTER) {
+            if (step == RegistrationState.Step.DEREGISTER) {
                 state.deregistered(); // Once: the lease ends what is left.
             }
         }
     }
 
-    private Wire connected(String endpoint) throws IOException {
-        Wire w = wire;
-        if (w == null || w.closed() || !w.endpoint.equals(endpoint)) {
+    private RegistryConnection connected(String endpoint) throws IOException {
+        RegistryConnection w = wire;
+        if (w == null || w.isClosed() || !w.endpoint().equals(endpoint)) {
             if (w != null) {
                 w.close();
             }
-            w = new Wire(endpoint, tls, clock, new AtomicLong());
+            w = new RegistryConnection(endpoint, tls, clock, new AtomicLong());
             wire = w;
-            w.open((int) Math.max(1, options.timeout() / 1000));
-            w.patience((int) Math.max(1, options.timeout() / 1000));
+            w.connect((int) Math.max(1, options.timeout() / 1000));
+            w.setReadTimeout((int) Math.max(1, options.timeout() / 1000));
         }
         return w;
     }
 
     // ---- Calls ----------------------------------------------------------------------------------------
-    private long register(Wire w) throws IOException {
+    private long register(RegistryConnection w) throws IOException {
         long ttl = options.announce().ttl();
         if (etcd == null) {
-            call(w, "PUT", "/v1/agent/service/register", Etcd.json(g -> {
+            call(w, "PUT", "/v1/agent/service/register", JsonObjects.toBytes(g -> {
                 g.writeStringField("ID", id);
                 g.writeStringField("Name", options.announce().service());
                 g.writeStringField("Address", address.substring(0, address.lastIndexOf(':')));
@@ -182,11 +184,12 @@
             return ttl;
         }
         long[] granted = new long[2];
-        Etcd.read(
-                w.content(etcd.call(
+        JsonObjects.read(
+                w.body(etcd.call(
                         w,
                         "/v3/lease/grant",
-                        Etcd.json(g -> g.writeStringField("TTL", Long.toString((ttl + 999_999) / 1_000_000))))),
+                        JsonObjects.toBytes(
+                                g -> g.writeStringField("TTL", Long.toString((ttl + 999_999) / 1_000_000))))),
                 (p, name) -> {
                     switch (name) {
                         case "ID" -> granted[0] = Long.parseLong(p.getValueAsString());
@@ -195,10 +198,10 @@
                     }
                 });
         lease = granted[0];
-        Consul.drain(w.content(etcd.call(w, "/v3/kv/put", Etcd.json(g -> {
+        w.discardBody((etcd.call(w, "/v3/kv/put", JsonObjects.toBytes(g -> {
             g.writeBinaryField(
                     "key", (options.announce().prefix() + id).getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            g.writeBinaryField("value", Etcd.json(v -> {
+            g.writeBinaryField("value", JsonObjects.toBytes(v -> {
                 v.writeStringField("id", id);
                 v.writeStringField("host_port", address);
             }));
@@ -208,17 +211,17 @@
     }
 
     /** @throws Lost if the registry no longer knows the entry */
-    private long keep(Wire w) throws IOException {
+    private long keep(RegistryConnection w) throws IOException {
         if (etcd == null) {
-            call(w, "PUT", "/v1/agent/check/pass/service:" + Consul.escaped(id), new byte[0]);
+            call(w, "PUT", "/v1/agent/check/pass/service:" + ConsulProtocol.escaped(id), new byte[0]);
             return options.announce().ttl();
         }
         long[] ttl = new long[1];
-        Http.Head h =
-                etcd.call(w, "/v3/lease/keepalive", Etcd.json(g -> g.writeStringField("ID", Long.toString(lease))));
-        Etcd.read(w.content(h), (p, name) -> {
+        Http.Head h = etcd.call(
+                w, "/v3/lease/keepalive", JsonObjects.toBytes(g -> g.writeStringField("ID", Long.toString(lease))));
+        JsonObjects.read(w.body(h), (p, name) -> {
             if (name.equals("result")) {
-                Etcd.members(p, (q, field) -> {
+                JsonObjects.forEachMember(p, (q, field) -> {
                     if (field.equals("TTL")) {
                         ttl[0] = Long.parseLong(q.getValueAsString());
                     } else {
@@ -236,28 +239,29 @@
         return ttl[0] * 1_000_000;
     }
 
-    private void deregister(Wire w) throws IOException {
+    private void deregister(RegistryConnection w) throws IOException {
         if (etcd == null) {
-            call(w, "PUT", "/v1/agent/service/deregister/" + Consul.escaped(id), new byte[0]);
+            call(w, "PUT", "/v1/agent/service/deregister/" + ConsulProtocol.escaped(id), new byte[0]);
             return;
         }
         try {
-            Consul.drain(w.content(
-                    etcd.call(w, "/v3/lease/revoke", Etcd.json(g -> g.writeStringField("ID", Long.toString(lease))))));
-        } catch (Wire.Refused e) {
-            if (e.status != 404) {
+            w.discardBody((etcd.call(
+                    w, "/v3/lease/revoke", JsonObjects.toBytes(g -> g.writeStringField("ID", Long.toString(lease))))));
+        } catch (HttpStatusException e) {
+            if (e.statusCode() != 404) {
                 throw e;
             }
         }
     }
 
     /** A call to a Consul agent; one that it does not know the entry for is {@link Lost}. */
-    private void call(Wire w, String method, String path, byte[] body) throws IOException {
+    private void call(RegistryConnection w, String method, String path, byte[] body) throws IOException {
         try {
-            Consul.drain(w.content(w.ask(method, path, body, 0, "X-Consul-Token", options.secret())));
-        } catch (Wire.Refused e) {
+            w.discardBody((w.send(method, path, body, 0, "X-Consul-Token", options.secret())));
+        } catch (HttpStatusException e) {
             // 404 by today's documentation; agents before 1.12 said 500 and named the missing check.
-            if (e.status == 404 || (e.status == 500 && e.getMessage().contains("TTL"))) {
+            if (e.statusCode() == 404
+                    || (e.statusCode() == 500 && e.getMessage().contains("TTL"))) {
                 throw new Lost();
             }
             throw e;
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/TlsContexts.java
@@ -0,0 +1,54 @@
+package magpiehub.discovery;
+
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.GeneralSecurityException;
+import java.security.KeyStore;
+import java.security.cert.Certificate;
+import java.security.cert.CertificateFactory;
+import javax.net.ssl.SSLContext;
+import javax.net.ssl.TrustManagerFactory;
+import magpiehub.config.ConfigurationException;
+
+/** Creates TLS contexts of clients that trust given certificate authorities. */
+final class TlsContexts {
+    private TlsContexts() {}
+
+    /**
+     * A context that trusts the authorities of a PEM file, or those of the JDK where the file is null.
+     *
+     * @throws ConfigurationException if the file holds no certificate or can't be parsed
+     */
+    static SSLContext trusting(Path authorities) throws IOException {
+        try {
+            SSLContext context = SSLContext.getInstance("TLS");
+            if (authorities == null) {
+                context.init(null, null, null);
+                return context;
+            }
+            TrustManagerFactory factory = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
+            factory.init(readCertificates(authorities));
+            context.init(null, factory.getTrustManagers(), null);
+            return context;
+        } catch (GeneralSecurityException e) {
+            throw new ConfigurationException(
+                    (authorities == null ? "TLS" : authorities.toString()) + ": " + e.getMessage());
+        }
+    }
+
+    private static KeyStore readCertificates(Path authorities) throws GeneralSecurityException, IOException {
+        KeyStore store = KeyStore.getInstance(KeyStore.getDefaultType());
+        store.load(null, null);
+        int count = 0;
+        for (Certificate certificate : CertificateFactory.getInstance("X.509")
+                .generateCertificates(new ByteArrayInputStream(Files.readAllBytes(authorities)))) {
+            store.setCertificateEntry("ca" + count++, certificate);
+        }
+        if (count == 0) {
+            throw new ConfigurationException(authorities + " holds no certificate");
+        }
+        return store;
+    }
+}
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -6,7 +6,7 @@
 import magpiehub.admin.AdminCommandHandler;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Announcer;
+import magpiehub.discovery.RouterRegistration;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
 import magpiehub.routing.RequestClass;
@@ -62,7 +62,7 @@
     private final SyslogEventLog log;
     private final KeyValueStore store;
     private final String name;
-    private final Supplier<Announcer> announcer;
+    private final Supplier<RouterRegistration> announcer;
     private final AdminCommandHandler operators;
 
     /** A shutdown that has not begun; {@code store}, what {@code announcer} gives, and {@code operators} may
@@ -74,7 +74,7 @@
             SyslogEventLog log,
             KeyValueStore store,
             String name,
-            Supplier<Announcer> announcer,
+            Supplier<RouterRegistration> announcer,
             AdminCommandHandler operators) {
         this.fronts = fronts;
         this.module = module;
@@ -124,7 +124,7 @@
         if (store != null) {
             store.put("router/" + name, "stopping");
         }
-        Announcer announced = announcer.get();
+        RouterRegistration announced = announcer.get();
         if (announced != null) {
             announced.stop(DEREGISTER_MS);
         }
--- a/src/test/java/magpiehub/discovery/StandIn.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistry.java
@@ -30,7 +30,7 @@
  * their public descriptions, with several endpoints that fail as told. It owns the truth: every version of
  * every key. It must never fail by itself, or hold anything back that it was not told to hold back.
  */
-final class StandIn implements AutoCloseable {
+final class FakeRegistry implements AutoCloseable {
     static final String PREFIX = "fleet/engines/";
     /** How each further write of an endpoint ends. */
     enum Fault {
@@ -84,7 +84,7 @@
     private final Object[] healthBodies = new Object[2];
     private final Object[] valueBodies = new Object[2];
 
-    StandIn(int n) throws IOException {
+    FakeRegistry(int n) throws IOException {
         for (int i = 0; i < n; i++) {
             endpoints.add(new Endpoint());
         }
@@ -227,8 +227,8 @@
             if (f != Fault.SILENT && f != Fault.MUTE) {
                 cut();
             }
-            synchronized (StandIn.this) {
-                StandIn.this.notifyAll();
+            synchronized (FakeRegistry.this) {
+                FakeRegistry.this.notifyAll();
             }
         }
 
@@ -277,9 +277,9 @@
         }
 
         private void mayAnswer() throws InterruptedException {
-            synchronized (StandIn.this) {
+            synchronized (FakeRegistry.this) {
                 while (fault == Fault.SILENT) {
-                    StandIn.this.wait();
+                    FakeRegistry.this.wait();
                 }
             }
         }
@@ -329,7 +329,7 @@
                 throws IOException, InterruptedException {
             if (path.equals("/v3/auth/authenticate")) {
                 boolean right = f.text("password", "").equals(password);
-                synchronized (StandIn.this) {
+                synchronized (FakeRegistry.this) {
                     if (right) {
                         tokens.add("token." + ++logins);
                     }
@@ -345,7 +345,7 @@
                                 .getBytes(UTF_8));
                 return;
             }
-            synchronized (StandIn.this) {
+            synchronized (FakeRegistry.this) {
                 if (fault == Fault.UNAUTHORISED
                         || (password != null && !tokens.contains(String.valueOf(h.get("Authorization"))))) {
                     error(out, 401, 16, "etcdserver: invalid auth token");
@@ -399,7 +399,7 @@
             long wanted = Long.parseLong(f.text("revision", "0"));
             List<Map.Entry<String, Version>> all;
             byte[] head;
-            synchronized (StandIn.this) {
+            synchronized (FakeRegistry.this) {
                 if (wanted > 0) {
                     betweenPages.run();
                 }
@@ -413,7 +413,7 @@
                 }
                 all = new ArrayList<>(
                         at(wanted > 0 ? wanted : visible(), PREFIX).entrySet());
-                head = Etcd.json(this::header);
+                head = JsonObjects.toBytes(this::header);
             }
             all.removeIf(e -> e.getKey().compareTo(from) < 0 || e.getKey().compareTo(end) >= 0);
             int count = all.size();
@@ -422,7 +422,7 @@
             }
             int limit = (int) f.number("limit", 0);
             List<Map.Entry<String, Version>> some = limit > 0 && limit < all.size() ? all.subList(0, limit) : all;
-            byte[] rest = Etcd.json(g -> {
+            byte[] rest = JsonObjects.toBytes(g -> {
                 g.writeArrayFieldStart("kvs");
                 for (Map.Entry<String, Version> e : some) {
                     g.writeStartObject();
@@ -443,8 +443,8 @@
         }
 
         /** A line of the watch, its letters beyond ASCII as they are. */
-        private void line(OutputStream out, Etcd.Body result) throws IOException {
-            byte[] b = Etcd.json(g -> {
+        private void line(OutputStream out, JsonObjects.MemberWriter result) throws IOException {
+            byte[] b = JsonObjects.toBytes(g -> {
                 g.writeObjectFieldStart("result");
                 result.write(g);
                 g.writeStringField("note", "台南".repeat(10)); // Cuts fall inside letters, too.
@@ -460,7 +460,7 @@
             String prefix = text(f, "key");
             out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
             String created = cluster;
-            synchronized (StandIn.this) {
+            synchronized (FakeRegistry.this) {
                 line(out, g -> {
                     header(g);
                     g.writeStringField("watch_id", "0");
@@ -470,12 +470,12 @@
             while (true) {
                 List<Event> events;
                 long compactedAt = 0;
-                synchronized (StandIn.this) {
+                synchronized (FakeRegistry.this) {
                     while (next > compacted
                             && (fault == Fault.MUTE
                                     || fault == Fault.SILENT
                                     || after(next, visible(), prefix).isEmpty())) {
-                        StandIn.this.wait();
+                        FakeRegistry.this.wait();
                         if (!cluster.equals(created)) {
                             return;
                         }
@@ -514,7 +514,7 @@
         private String json(Event e) throws IOException {
             if (e.json[0] == null) {
                 e.json[0] = new String(
-                        Etcd.json(g -> {
+                        JsonObjects.toBytes(g -> {
                             if (e.value == null) {
                                 g.writeStringField("type", "DELETE");
                             }
@@ -528,7 +528,7 @@
         }
 
         private void lease(String path, ConfigurationObject f, OutputStream out) throws IOException {
-            synchronized (StandIn.this) {
+            synchronized (FakeRegistry.this) {
                 long id = Long.parseLong(f.text("ID", f.text("lease", "0")));
                 Set<String> held = leases.get(id);
                 switch (path) {
@@ -559,7 +559,7 @@
                         send(out, 200, "", "{}".getBytes(UTF_8));
                     }
                 }
-                StandIn.this.notifyAll();
+                FakeRegistry.this.notifyAll();
             }
         }
 
@@ -567,7 +567,7 @@
         private void agent(String path, byte[] body, OutputStream out) throws IOException {
             String id = path.substring(path.lastIndexOf('/') + 1).replaceFirst("^service:", "");
             boolean known;
-            synchronized (StandIn.this) {
+            synchronized (FakeRegistry.this) {
                 if (path.endsWith("/register")) {
                     services.add(Config.facts(body, "service").text("ID", ""));
                     known = true;
@@ -601,10 +601,10 @@
             Map<String, Version> all = null;
             long at;
             boolean health = path.startsWith("/v1/health");
-            synchronized (StandIn.this) {
+            synchronized (FakeRegistry.this) {
                 long left = (until - System.nanoTime()) / 1_000_000;
                 while ((index > 0 && index == visible() && left > 0) || (index > 0 && fault == Fault.MUTE)) {
-                    StandIn.this.wait(Math.max(1, left));
+                    FakeRegistry.this.wait(Math.max(1, left));
                     left = (until - System.nanoTime()) / 1_000_000;
                 }
                 at = visible();
@@ -650,7 +650,7 @@
                     }
                     b.write(i);
                 } else {
-                    b.write(Etcd.json(g -> {
+                    b.write(JsonObjects.toBytes(g -> {
                         g.writeStringField("Key", e.getKey());
                         g.writeNumberField("ModifyIndex", e.getValue().rev);
                         g.writeBinaryField("Value", value);
@@ -671,7 +671,7 @@
             ConfigurationObject e = f;
             String[] address = (e.text("host_port", "") + ":x").split(":");
             String phase = e.text("phase", "Ready");
-            return Etcd.json(g -> {
+            return JsonObjects.toBytes(g -> {
                 g.writeObjectFieldStart("Node");
                 g.writeStringField("Node", "節點".repeat(5) + "-1");
                 g.writeStringField("Address", "127.0.0.1");
--- a/src/test/java/magpiehub/discovery/PartsTest.java
+++ b/src/test/java/magpiehub/discovery/PartsTest.java
@@ -119,11 +119,11 @@
     /** A registry that asks to be left alone for a minute is asked again in time all the same. */
     @Test
     public void noWordOfTheRegistryPutsTheListOff() {
-        assertEquals(0, Wire.retryAfter(null));
-        assertEquals(S / 5, Wire.retryAfter("0.2"));
-        assertEquals(2 * S, Wire.retryAfter("60"));
-        assertEquals(0, Wire.retryAfter("-1"));
-        assertEquals(0, Wire.retryAfter("Wed, 21 Oct 2026 07:28:00 GMT"));
+        assertEquals(0, RegistryConnection.parseRetryAfterMicros(null));
+        assertEquals(S / 5, RegistryConnection.parseRetryAfterMicros("0.2"));
+        assertEquals(2 * S, RegistryConnection.parseRetryAfterMicros("60"));
+        assertEquals(0, RegistryConnection.parseRetryAfterMicros("-1"));
+        assertEquals(0, RegistryConnection.parseRetryAfterMicros("Wed, 21 Oct 2026 07:28:00 GMT"));
     }
 
     // ---- The list on disk -----------------------------------------------------------------------------
@@ -161,19 +161,19 @@
     public void aStartWithoutARegistryServesTheLastList() throws Exception {
         Path file = folder.getRoot().toPath().resolve("last");
         String more = ",\"list_file\":\"" + file + "\",\"list_every_ms\":100";
-        try (StandIn registry = new StandIn(1)) {
+        try (FakeRegistry registry = new FakeRegistry(1)) {
             registry.put("e1", Rig.engine(1, "Ready"));
             registry.put("e2", Rig.engine(2, "Ready"));
             try (Rig.Client c = new Rig.Client(Rig.options("etcd", registry.addresses(), more))) {
                 c.follows(registry);
                 Rig.await(() -> c.counted("registry_list_writes") > 0, () -> c.logged.toString());
             }
-            registry.endpoints.get(0).fault(StandIn.Fault.DOWN);
+            registry.endpoints.get(0).fault(FakeRegistry.Fault.DOWN);
             try (Rig.Client c = new Rig.Client(Rig.options("etcd", registry.addresses(), more))) {
                 c.follows(registry);
                 assertTrue(c.logged.indexOf("registry-list-restored engines 2") >= 0);
                 registry.delete("e1");
-                registry.endpoints.get(0).fault(StandIn.Fault.NONE);
+                registry.endpoints.get(0).fault(FakeRegistry.Fault.NONE);
                 c.follows(registry);
                 Rig.await(() -> c.counted("registry_list_writes") > 0, () -> c.logged.toString());
             }
@@ -196,33 +196,33 @@
     // ---- Announcing -----------------------------------------------------------------------------------
     @Test
     public void anAnnouncementIsKeptMadeAnewAndTakenBack() {
-        Announcement a = new Announcement(9 * S, 0);
-        assertEquals(Announcement.Step.REGISTER, a.step(0));
+        RegistrationState a = new RegistrationState(9 * S, 0);
+        assertEquals(RegistrationState.Step.REGISTER, a.step(0));
         a.failed(0, 100);
-        assertEquals(Announcement.Step.NONE, a.step(99));
+        assertEquals(RegistrationState.Step.NONE, a.step(99));
         a.registered(100, 6 * S);
         assertEquals("a third of what was granted", 100 + 2 * S, a.next());
-        assertEquals(Announcement.Step.KEEP, a.step(a.next()));
+        assertEquals(RegistrationState.Step.KEEP, a.step(a.next()));
         a.lost(3 * S);
-        assertEquals(Announcement.Step.REGISTER, a.step(3 * S));
+        assertEquals(RegistrationState.Step.REGISTER, a.step(3 * S));
         a.registered(3 * S, 9 * S);
         a.failed(6 * S, 10 * S);
-        assertEquals("its lease has run out", Announcement.Step.REGISTER, a.step(16 * S));
+        assertEquals("its lease has run out", RegistrationState.Step.REGISTER, a.step(16 * S));
         a.stop();
-        assertEquals("it may still stand", Announcement.Step.DEREGISTER, a.step(16 * S));
+        assertEquals("it may still stand", RegistrationState.Step.DEREGISTER, a.step(16 * S));
         a.deregistered();
-        assertEquals(Announcement.Step.DONE, a.step(17 * S));
-        Announcement none = new Announcement(S, 0);
+        assertEquals(RegistrationState.Step.DONE, a.step(17 * S));
+        RegistrationState none = new RegistrationState(S, 0);
         none.stop();
-        assertEquals("never made", Announcement.Step.DONE, none.step(0));
+        assertEquals("never made", RegistrationState.Step.DONE, none.step(0));
     }
 
     @Test
     public void aRouterAnnouncesItselfAgainAfterALossAndLeavesInOrder() throws Exception {
         for (String kind : List.of("etcd", "consul-kv")) {
-            try (StandIn registry = new StandIn(1);
+            try (FakeRegistry registry = new FakeRegistry(1);
                     Rig.Client journal = new Rig.Client(Rig.options(kind, registry.addresses(), ""))) {
-                Announcer a = new Announcer(
+                RouterRegistration a = new RouterRegistration(
                         Rig.options(
                                 kind,
                                 registry.addresses(),
@@ -248,7 +248,7 @@
         }
     }
 
-    private static boolean announced(StandIn r) {
+    private static boolean announced(FakeRegistry r) {
         synchronized (r) {
             return r.services.contains("n1") || r.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
         }
--- a/src/test/java/magpiehub/discovery/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -51,7 +51,7 @@
 
     /** The truth of one dialect's registry, with the times of all that it became. */
     private static final class Truth {
-        final StandIn registry;
+        final FakeRegistry registry;
         final Map<String, List<Change>> changes = new ConcurrentHashMap<>();
         final Map<String, Integer> now = new HashMap<>();
         /** Cells written before the last restore may come back by it. */
@@ -63,7 +63,7 @@
         volatile String phase = "";
         int cell;
 
-        Truth(StandIn registry) {
+        Truth(FakeRegistry registry) {
             this.registry = registry;
         }
 
@@ -87,20 +87,22 @@
 
         /** After a restore everything is as the registry says now. */
         void restored() {
-            Map<String, Integer> is = state(registry.at(Long.MAX_VALUE, StandIn.PREFIX));
+            Map<String, Integer> is = state(registry.at(Long.MAX_VALUE, FakeRegistry.PREFIX));
             for (String id : List.copyOf(now.keySet())) {
                 became(id, is.getOrDefault(id, 0));
             }
         }
     }
 
-    private static Map<String, Integer> state(Map<String, StandIn.Version> all) {
+    private static Map<String, Integer> state(Map<String, FakeRegistry.Version> all) {
         Map<String, Integer> m = new TreeMap<>();
         all.forEach((k, v) -> {
             String s = new String(v.value(), StandardCharsets.UTF_8);
             int at = s.indexOf("\"cell\":");
             if (at >= 0) {
-                m.put(k.substring(StandIn.PREFIX.length()), Integer.parseInt(s.substring(at + 7, s.indexOf(',', at))));
+                m.put(
+                        k.substring(FakeRegistry.PREFIX.length()),
+                        Integer.parseInt(s.substring(at + 7, s.indexOf(',', at))));
             }
         });
         return m;
@@ -213,7 +215,7 @@
                 if (CLOCK.micros() - truth.reachableAt <= 3 * S || truth.registry.rev < at) {
                     return;
                 }
-                then = state(truth.registry.at(at, StandIn.PREFIX));
+                then = state(truth.registry.at(at, FakeRegistry.PREFIX));
             }
             SAMPLES.incrementAndGet();
             int n = differences(then);
@@ -302,13 +304,13 @@
 
     /** The rival: reads the whole list each second, and applies it. */
     private static final class Poller extends Thread {
-        private final Driver driver;
-        private final StandIn registry;
+        private final RegistryProtocol driver;
+        private final FakeRegistry registry;
         final AtomicLong bytes = new AtomicLong();
         volatile long cpuNanos;
         volatile boolean over;
 
-        Poller(Driver driver, StandIn registry) {
+        Poller(RegistryProtocol driver, FakeRegistry registry) {
             this.driver = driver;
             this.registry = registry;
             setDaemon(true);
@@ -317,35 +319,36 @@
         @Override
         public void run() {
             View view = new View();
-            Wire wire = null;
+            RegistryConnection wire = null;
             for (int i = 0; !over; i++) {
                 long next = System.nanoTime() + 1_000_000_000L;
                 try {
-                    if (wire == null || wire.closed()) {
-                        wire = new Wire(registry.addresses().get(i % registry.endpoints.size()), null, CLOCK, bytes);
-                        wire.open(800);
-                        wire.patience(800);
+                    if (wire == null || wire.isClosed()) {
+                        wire = new RegistryConnection(
+                                registry.addresses().get(i % registry.endpoints.size()), null, CLOCK, bytes);
+                        wire.connect(800);
+                        wire.setReadTimeout(800);
                     }
-                    driver.list(wire, new Driver.Sink() {
+                    driver.readList(wire, new RegistryEventListener() {
                         @Override
-                        public void opened(View.Position header) {}
+                        public void onWatchOpened(View.Position header) {}
 
                         @Override
-                        public void whole(View.Position to, List<View.Item> items) {
+                        public void onCompleteList(View.Position to, List<View.Item> items) {
                             view.whole(to, view.position(), items, true);
                         }
 
                         @Override
-                        public void changes(View.Position to, List<View.Item> items) {}
+                        public void onChanges(View.Position to, List<View.Item> items) {}
 
                         @Override
-                        public void resumed(View.Position of, List<View.Item> last, long count) {}
+                        public void onWatchResumed(View.Position of, List<View.Item> last, long count) {}
 
                         @Override
-                        public void compacted(String why) {}
+                        public void onCompacted(String why) {}
 
                         @Override
-                        public void checked(View.Position of, long newest, long count) {}
+                        public void onPositionChecked(View.Position of, long newest, long count) {}
                     });
                 } catch (IOException | InterruptedException | RuntimeException e) {
                     if (wire != null) {
@@ -365,7 +368,7 @@
     /** Changes and faults as a seed says; every kind of fault comes at least once. */
     private static final class Script {
         private final Truth truth;
-        private final StandIn registry;
+        private final FakeRegistry registry;
         private final SplittableRandom random;
         private final int engines;
         private final boolean etcd;
@@ -412,7 +415,7 @@
             }
         }
 
-        private StandIn.Endpoint any() {
+        private FakeRegistry.Endpoint any() {
             return registry.endpoints.get(random.nextInt(registry.endpoints.size()));
         }
 
@@ -425,13 +428,13 @@
 
         private void down() {
             truth.wentDownAt = CLOCK.micros();
-            registry.endpoints.forEach(e -> e.fault(StandIn.Fault.DOWN));
+            registry.endpoints.forEach(e -> e.fault(FakeRegistry.Fault.DOWN));
         }
 
         private void up() {
             truth.reachableAt = CLOCK.micros();
             truth.wentDownAt = Long.MAX_VALUE;
-            registry.endpoints.forEach(e -> e.fault(StandIn.Fault.NONE));
+            registry.endpoints.forEach(e -> e.fault(FakeRegistry.Fault.NONE));
         }
 
         void run(int changes) {
@@ -456,12 +459,12 @@
                 pause(100 + random.nextInt(250));
             }
             burst(Math.max(0, changes - made));
-            registry.endpoints.forEach(e -> e.fault(StandIn.Fault.NONE));
+            registry.endpoints.forEach(e -> e.fault(FakeRegistry.Fault.NONE));
             registry.endpoints.forEach(e -> e.lag = 0);
         }
 
         private void fault(int kind, long old, int during) {
-            StandIn.Endpoint e = any();
+            FakeRegistry.Endpoint e = any();
             switch (kind) {
                 case 0 -> registry.cutAll();
                 case 1 -> { // In the middle of whatever is written next: a line, a chunk, a letter.
@@ -481,32 +484,32 @@
                         Long.toString(random.nextLong(1, 1L << 60)),
                         registry.rev + 500);
                 case 5 -> {
-                    e.fault(StandIn.Fault.SILENT);
+                    e.fault(FakeRegistry.Fault.SILENT);
                     burst(during);
                     pause(1800);
-                    e.fault(StandIn.Fault.NONE);
+                    e.fault(FakeRegistry.Fault.NONE);
                 }
                 case 6 -> {
-                    e.fault(StandIn.Fault.MUTE);
+                    e.fault(FakeRegistry.Fault.MUTE);
                     burst(during);
                     pause(1800);
-                    e.fault(StandIn.Fault.NONE);
+                    e.fault(FakeRegistry.Fault.NONE);
                 }
                 case 7 -> {
                     registry.lead();
                     burst(during);
                 }
                 case 8 -> {
-                    e.fault(etcd ? StandIn.Fault.UNAUTHORISED : StandIn.Fault.NO_LEADER);
+                    e.fault(etcd ? FakeRegistry.Fault.UNAUTHORISED : FakeRegistry.Fault.NO_LEADER);
                     burst(during);
                     pause(500);
-                    e.fault(StandIn.Fault.NONE);
+                    e.fault(FakeRegistry.Fault.NONE);
                 }
                 case 9 -> {
-                    e.fault(StandIn.Fault.REFUSING);
+                    e.fault(FakeRegistry.Fault.REFUSING);
                     burst(during);
                     pause(500);
-                    e.fault(StandIn.Fault.NONE);
+                    e.fault(FakeRegistry.Fault.NONE);
                 }
                 case 10 -> { // One that lags, and breaks that lead to it.
                     e.lag = 40;
@@ -547,7 +550,7 @@
 
         private void restore(long to, String cluster, long rev) {
             truth.wentDownAt = CLOCK.micros();
-            registry.endpoints.forEach(e -> e.fault(StandIn.Fault.DOWN));
+            registry.endpoints.forEach(e -> e.fault(FakeRegistry.Fault.DOWN));
             synchronized (registry) {
                 truth.restoredAt = truth.cell;
                 registry.restore(to, cluster, rev == 0 ? to : rev);
@@ -563,9 +566,9 @@
         final List<String> bad = new ArrayList<>();
     }
 
-    private static Options options(String kind, StandIn registry, boolean whole, Path list) throws IOException {
+    private static Options options(String kind, FakeRegistry registry, boolean whole, Path list) throws IOException {
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", registry.addresses())
-                + "\"],\"prefix\":\"" + StandIn.PREFIX + "\",\"service\":\"engines\""
+                + "\"],\"prefix\":\"" + FakeRegistry.PREFIX + "\",\"service\":\"engines\""
                 + (whole ? ",\"list_file\":\"" + list + "\"" : "") + "}";
         return Options.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
@@ -574,7 +577,7 @@
             throws Exception {
         Result r = new Result();
         Path folder = Files.createTempDirectory("proof-registry");
-        StandIn registry = new StandIn(3);
+        FakeRegistry registry = new FakeRegistry(3);
         registry.fragment = 10;
         Truth truth = new Truth(registry);
         for (int i = 0; i < engines; i++) {
@@ -593,8 +596,8 @@
         Entries entries = Entries.strict(Rig.site(), 0);
         Poller poller = new Poller(
                 etcd
-                        ? new Etcd(o.prefix(), o.page(), null, null, entries)
-                        : Consul.health(o.service(), o.block(), null, entries),
+                        ? new EtcdProtocol(o.prefix(), o.page(), null, null, entries)
+                        : ConsulProtocol.forHealth(o.service(), o.block(), null, entries),
                 registry);
         poller.start();
         long started = CLOCK.micros();
@@ -621,7 +624,7 @@
         }
         List<Long> lags = new ArrayList<>();
         int different = 0;
-        Map<String, Integer> is = state(registry.at(Long.MAX_VALUE, StandIn.PREFIX));
+        Map<String, Integer> is = state(registry.at(Long.MAX_VALUE, FakeRegistry.PREFIX));
         for (Follower f : followers) {
             synchronized (f) {
                 lags.addAll(f.lags);
@@ -678,7 +681,7 @@
     /** Waits until no view differs, or the time is over. */
     private static void settle(Truth truth, List<Follower> followers, long most) {
         long end = CLOCK.micros() + most;
-        Map<String, Integer> is = state(truth.registry.at(Long.MAX_VALUE, StandIn.PREFIX));
+        Map<String, Integer> is = state(truth.registry.at(Long.MAX_VALUE, FakeRegistry.PREFIX));
         while (CLOCK.micros() < end && followers.stream().anyMatch(f -> f.differences(is) > 0)) {
             Script.pause(50);
         }
--- a/src/test/java/magpiehub/discovery/RegistryTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryTest.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.discovery.StandIn.Fault;
+import magpiehub.discovery.FakeRegistry.Fault;
 import magpiehub.routing.EndpointState;
 import org.junit.After;
 import org.junit.Before;
@@ -27,12 +27,12 @@
     @Parameterized.Parameter
     public String kind;
 
-    private StandIn registry;
+    private FakeRegistry registry;
     private Rig.Client client;
 
     @Before
     public void start() throws Exception {
-        registry = new StandIn(2);
+        registry = new FakeRegistry(2);
         for (int i = 0; i < 40; i++) {
             registry.put("e" + i, Rig.engine(i, "Ready"));
         }
@@ -254,7 +254,7 @@
     @Test
     public void anotherRegistryIsFollowedInTheMiddleOfABurst() throws Exception {
         connect("");
-        try (StandIn second = new StandIn(1)) {
+        try (FakeRegistry second = new FakeRegistry(1)) {
             second.put("only", Rig.engine(1, "Ready"));
             second.put("e5", Rig.engine(2, "Ready"));
             second.endpoints.get(0).fault(Fault.SILENT);
--- a/src/test/java/magpiehub/discovery/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -103,7 +103,7 @@
         }
 
         /** Waits until this client has what the registry has, and nothing was told amiss. */
-        void follows(StandIn of) {
+        void follows(FakeRegistry of) {
             await(
                     () -> same(of),
                     () -> "fleet " + brief(fleet) + "\ntruth " + brief(truth(of)) + "\n" + counts + "\n"
@@ -111,7 +111,7 @@
             assertTrue(fault, fault.isEmpty());
         }
 
-        boolean same(StandIn of) {
+        boolean same(FakeRegistry of) {
             return addresses(fleet).equals(truth(of));
         }
     }
@@ -129,13 +129,13 @@
     }
 
     /** The readable engines that the registry has. */
-    static Map<String, String> truth(StandIn of) {
+    static Map<String, String> truth(FakeRegistry of) {
         Map<String, String> m = new TreeMap<>();
-        of.at(Long.MAX_VALUE, StandIn.PREFIX).forEach((k, v) -> {
+        of.at(Long.MAX_VALUE, FakeRegistry.PREFIX).forEach((k, v) -> {
             try {
                 ConfigurationObject f = Config.facts(v.value(), "value");
                 m.put(
-                        f.text("id", k.substring(StandIn.PREFIX.length())),
+                        f.text("id", k.substring(FakeRegistry.PREFIX.length())),
                         Config.address(f.text("host_port", ""))
                                 + " " + (f.text("phase", "Ready").equals("Ready") ? "LIVE" : "DRAINING") + " "
                                 + (int) f.number("cell", 0));
@@ -160,7 +160,7 @@
     /** Settings for a dialect with quick waits; {@code more} are further members of the file. */
     static Options options(String kind, List<String> endpoints, String more) throws IOException {
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", endpoints) + "\"],"
-                + "\"prefix\":\"" + StandIn.PREFIX + "\",\"service\":\"engines\",\"reconnect_spread_ms\":50,"
+                + "\"prefix\":\"" + FakeRegistry.PREFIX + "\",\"service\":\"engines\",\"reconnect_spread_ms\":50,"
                 + "\"backoff_base_ms\":20,\"backoff_cap_ms\":200,\"least_interval_ms\":20,"
                 + "\"check_every_ms\":200,\"timeout_ms\":2000,\"membership\":{\"flap_half_life_ms\":0}"
                 + more + "}";
--- a/src/test/java/magpiehub/discovery/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -25,13 +25,14 @@
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private void registry(StandIn of, String more) throws Exception {
+    private void registry(FakeRegistry of, String more) throws Exception {
         Path deploy = folder.getRoot().toPath().resolve("deploy");
         Files.createDirectories(deploy);
         Files.writeString(
                 deploy.resolve("registry.json"),
                 "{\"kind\":\"etcd\",\"endpoints\":[\""
-                        + of.addresses().get(0) + "\"],\"prefix\":\"" + StandIn.PREFIX + "\",\"announce\":{\"prefix\":"
+                        + of.addresses().get(0) + "\"],\"prefix\":\"" + FakeRegistry.PREFIX
+                        + "\",\"announce\":{\"prefix\":"
                         + "\"routers/\"}" + more + "}");
     }
 
@@ -61,8 +62,8 @@
     public void servesByItAndLeavesItInOrder() throws Exception {
         InetAddress loopback = InetAddress.getByName("127.0.0.1");
         try (ServerSocket engine = new ServerSocket(0, 8, loopback);
-                StandIn first = new StandIn(1);
-                StandIn second = new StandIn(1)) {
+                FakeRegistry first = new FakeRegistry(1);
+                FakeRegistry second = new FakeRegistry(1)) {
             engine.setSoTimeout(30_000);
             first.put("e", "{\"host_port\":\"127.0.0.1:" + engine.getLocalPort() + "\"}");
             second.put("other", Rig.engine(1, "Terminating"));
