--- /dev/null
+++ b/src/main/java/magpiehub/discovery/ConsulKeyValues.java
@@ -0,0 +1,68 @@
+package magpiehub.discovery;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.Base64;
+
+/**
+ * The values under a prefix of Consul's key-value store ({@code /v1/kv}). A value is one endpoint in the form of the
+ * platform's discovery; where it names no id, the rest of the key behind the prefix is the id.
+ */
+final class ConsulKeyValues implements ConsulResource {
+    private final String path;
+    private final int prefixLength;
+    private final Entries entries;
+
+    ConsulKeyValues(String prefix, Entries entries) {
+        this.path = "/v1/kv/" + PercentEncoding.encode(prefix).replace("%2F", "/");
+        this.prefixLength = prefix.length();
+        this.entries = entries;
+    }
+
+    @Override
+    public String listTarget() {
+        return path + "?recurse";
+    }
+
+    /** The keys up to the first separator: a few bytes, under the index of all that is below. */
+    @Override
+    public String indexTarget() {
+        return path + "?keys&separator=%2F";
+    }
+
+    @Override
+    public boolean isEmptyWhenNotFound() {
+        return true;
+    }
+
+    @Override
+    public View.Item readEntry(JsonParser parser) throws IOException {
+        String key = "";
+        String modifyIndex = "0";
+        String value = "";
+        JsonObjects.expectObject(parser);
+        for (String name = JsonObjects.nextMember(parser); name != null; name = JsonObjects.nextMember(parser)) {
+            switch (name) {
+                case "Key" -> key = Entries.scalar(parser);
+                case "ModifyIndex" -> modifyIndex = Entries.scalar(parser);
+                case "Value" -> value = parser.currentToken() == JsonToken.VALUE_NULL ? null : Entries.scalar(parser);
+                default -> parser.skipChildren();
+            }
+        }
+        if (key.endsWith("/") && value == null) {
+            return null; // What Consul's user interface creates for a folder.
+        }
+        return parseEntry(key, ConsulResource.parseIndex(modifyIndex), value == null ? "" : value);
+    }
+
+    private View.Item parseEntry(String key, long modifyIndex, String base64) {
+        try {
+            byte[] json = Base64.getDecoder().decode(base64);
+            String id = key.length() > prefixLength ? key.substring(prefixLength) : null;
+            return View.Item.read(key, modifyIndex, entries.read(json, id));
+        } catch (IOException | RuntimeException e) {
+            return View.Item.unreadable(key, modifyIndex, JsonObjects.describe(e));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/ConsulServiceHealth.java
@@ -0,0 +1,137 @@
+package magpiehub.discovery;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.routing.EndpointState;
+
+/**
+ * The instances of a service by Consul's health interface ({@code /v1/health/service}).
+ *
+ * <p>An endpoint is an instance: its address, its {@code Meta} ({@code locality}, {@code flavor}, {@code cell},
+ * {@code size}, {@code phase}, {@code up_since_ms}) and its checks. An instance with a critical check, and so one in
+ * maintenance, is draining: it gets no new requests, and those that it has may end.
+ */
+final class ConsulServiceHealth implements ConsulResource {
+    private final String path;
+    private final Entries entries;
+
+    ConsulServiceHealth(String service, Entries entries) {
+        this.path = "/v1/health/service/" + PercentEncoding.encode(service);
+        this.entries = entries;
+    }
+
+    @Override
+    public String listTarget() {
+        return path;
+    }
+
+    /** A filter that nothing passes: the response is an empty list under the index of the complete one. */
+    @Override
+    public String indexTarget() {
+        return path + "?filter=" + PercentEncoding.encode("Service.ID == \"\"");
+    }
+
+    @Override
+    public boolean isEmptyWhenNotFound() {
+        return false;
+    }
+
+    @Override
+    public View.Item readEntry(JsonParser parser) throws IOException {
+        Instance instance = new Instance(entries.new Fields());
+        instance.read(parser);
+        return instance.toItem();
+    }
+
+    /** One element of the response while it is read. */
+    private static final class Instance {
+        private final Entries.Fields fields;
+        private String nodeName = "";
+        private String nodeAddress = "";
+        private String id = "";
+        private String address = "";
+        private String port = "";
+        private String modifyIndex = "0";
+        private boolean critical;
+
+        Instance(Entries.Fields fields) {
+            this.fields = fields;
+        }
+
+        void read(JsonParser parser) throws IOException {
+            forEachMemberIfObject(parser, (p, name) -> {
+                switch (name) {
+                    case "Node" -> forEachMemberIfObject(p, this::readNodeMember);
+                    case "Service" -> forEachMemberIfObject(p, this::readServiceMember);
+                    case "Checks" -> readChecks(p);
+                    default -> p.skipChildren();
+                }
+            });
+        }
+
+        private static void forEachMemberIfObject(JsonParser parser, JsonObjects.MemberReader reader)
+                throws IOException {
+            if (parser.currentToken() == JsonToken.START_OBJECT) {
+                JsonObjects.forEachMember(parser, reader);
+            } else {
+                parser.skipChildren();
+            }
+        }
+
+        private void readNodeMember(JsonParser parser, String name) throws IOException {
+            String value = Entries.scalar(parser);
+            switch (name) {
+                case "Node" -> nodeName = value;
+                case "Address" -> nodeAddress = value;
+                default -> {}
+            }
+        }
+
+        private void readServiceMember(JsonParser parser, String name) throws IOException {
+            if (name.equals("Meta")) {
+                forEachMemberIfObject(parser, (p, field) -> fields.set(field, p));
+                return;
+            }
+            String value = Entries.scalar(parser);
+            switch (name) {
+                case "ID" -> id = value;
+                case "Address" -> address = value;
+                case "Port" -> port = value;
+                case "ModifyIndex" -> modifyIndex = value;
+                default -> {}
+            }
+        }
+
+        private void readChecks(JsonParser parser) throws IOException {
+            boolean isArray = parser.currentToken() == JsonToken.START_ARRAY;
+            while (isArray && parser.nextToken() != JsonToken.END_ARRAY) {
+                forEachMemberIfObject(parser, this::readCheckMember);
+            }
+        }
+
+        private void readCheckMember(JsonParser parser, String name) throws IOException {
+            String value = Entries.scalar(parser);
+            if (name.equals("Status")) {
+                critical |= value.equals("critical") || value.equals("maintenance");
+            }
+        }
+
+        View.Item toItem() {
+            String key = nodeName + "/" + id;
+            long index = ConsulResource.parseIndex(modifyIndex);
+            fields.set("host_port", (address.isEmpty() ? nodeAddress : address) + ":" + port);
+            try {
+                EndpointEntry entry = fields.entry(id);
+                if (critical && entry.server().state() == EndpointState.LIVE) {
+                    fields.set("phase", "Terminating");
+                    entry = fields.entry(id);
+                }
+                return View.Item.read(key, index, entry);
+            } catch (RuntimeException e) {
+                return View.Item.unreadable(key, index, JsonObjects.describe(e));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/EtcdRangeResponse.java
@@ -0,0 +1,33 @@
+package magpiehub.discovery;
+
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
+import java.util.List;
+
+/**
+ * The response to {@code /v3/kv/range}: one page of keys.
+ *
+ * @param header where the cluster stands
+ * @param hasMore whether the range goes on behind the last key of this page
+ * @param count the number of keys in the range, on all pages
+ */
+record EtcdRangeResponse(View.Position header, List<EtcdKeyValue> keyValues, boolean hasMore, long count) {
+    /** The response that the parser stands at the start of. */
+    static EtcdRangeResponse read(JsonParser parser) throws IOException {
+        View.Position header = View.Position.NONE;
+        List<EtcdKeyValue> keyValues = List.of();
+        boolean hasMore = false;
+        long count = 0;
+        JsonObjects.expectObject(parser);
+        for (String name = JsonObjects.nextMember(parser); name != null; name = JsonObjects.nextMember(parser)) {
+            switch (name) {
+                case "header" -> header = EtcdResponseHeader.read(parser);
+                case "kvs" -> keyValues = JsonObjects.readObjects(parser, EtcdKeyValue::read);
+                case "more" -> hasMore = parser.getValueAsBoolean();
+                case "count" -> count = JsonObjects.readUnsignedLong(parser);
+                default -> parser.skipChildren();
+            }
+        }
+        return new EtcdRangeResponse(header, keyValues, hasMore, count);
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/EtcdStatusException.java
@@ -0,0 +1,51 @@
+package magpiehub.discovery;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
+
+/** An error that etcd or its JSON gateway reports with a gRPC status code. */
+final class EtcdStatusException extends RegistryErrorException {
+    /** gRPC's code for a revision that was compacted or lies in the future. */
+    static final int OUT_OF_RANGE = 11;
+
+    /** gRPC's code for a missing, invalid or expired token. */
+    static final int UNAUTHENTICATED = 16;
+
+    private static final long serialVersionUID = 1L;
+    private final int code;
+
+    EtcdStatusException(int code, String message) {
+        super(message);
+        this.code = code;
+    }
+
+    /**
+     * The gateway's report of a failed call, {@code {"error":"...","code":11,"message":"..."}}, out of an HTTP error's
+     * message; null if it holds none.
+     */
+    static EtcdStatusException parse(HttpStatusException failure) {
+        String text = failure.getMessage();
+        int brace = text.indexOf('{');
+        if (brace < 0) {
+            return null;
+        }
+        try {
+            byte[] json = text.substring(brace).getBytes(StandardCharsets.UTF_8);
+            ConfigurationObject error = Config.facts(json, "error");
+            int code = (int) error.number("code", 0);
+            return new EtcdStatusException(code, error.text("message", error.text("error", "")));
+        } catch (IOException | RuntimeException e) {
+            return null; // Cut off, or of something between the router and etcd.
+        }
+    }
+
+    boolean isOutOfRange() {
+        return code == OUT_OF_RANGE;
+    }
+
+    boolean isUnauthenticated() {
+        return code == UNAUTHENTICATED;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/EtcdWatchStream.java
@@ -0,0 +1,84 @@
+package magpiehub.discovery;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import magpiehub.config.ConfigurationException;
+
+/**
+ * Reports the responses of one watch revision by revision: fragments are put together first, since a part of a
+ * revision is a list that never existed.
+ */
+final class EtcdWatchStream {
+    /** Guards against fragments without end. */
+    private static final int MAX_PENDING_CHANGES = 1_000_000;
+
+    private final EtcdClient client;
+    private final EtcdEntryReader entryReader;
+    private final RegistryEventListener listener;
+
+    /** Changes of fragments whose last one has not come yet. */
+    private final List<View.Item> pendingChanges = new ArrayList<>();
+
+    private long newestRevision;
+
+    EtcdWatchStream(EtcdClient client, EtcdEntryReader entryReader, RegistryEventListener listener) {
+        this.client = client;
+        this.entryReader = entryReader;
+        this.listener = listener;
+    }
+
+    /**
+     * Takes the next response.
+     *
+     * @throws EtcdStatusException if the response ends the watch
+     */
+    void accept(EtcdWatchResponse response) throws IOException, InterruptedException {
+        checkNotEnded(response);
+        if (response.isCreated()) {
+            listener.onWatchOpened(response.header());
+        }
+        for (EtcdWatchEvent event : response.events()) {
+            newestRevision = Math.max(newestRevision, event.keyValue().modRevision());
+            pendingChanges.add(entryReader.read(event));
+        }
+        if (response.isFragment()) {
+            if (pendingChanges.size() > MAX_PENDING_CHANGES) {
+                throw new ConfigurationException("fragments without end");
+            }
+            return;
+        }
+        if (!pendingChanges.isEmpty()) {
+            reportPendingChanges(response.header());
+        } else if (!response.isCreated()) {
+            // A progress notification: all events up to this revision have been sent.
+            listener.onChanges(response.header(), List.of());
+        }
+    }
+
+    private void reportPendingChanges(View.Position header) throws IOException, InterruptedException {
+        View.Position position = new View.Position(header.history(), header.term(), newestRevision);
+        listener.onChanges(position, List.copyOf(pendingChanges));
+        pendingChanges.clear();
+    }
+
+    private void checkNotEnded(EtcdWatchResponse response) throws IOException, InterruptedException {
+        if (response.error() != null) {
+            if (response.error().isUnauthenticated()) {
+                client.invalidateToken();
+            }
+            throw response.error();
+        }
+        if (response.compactRevision() > 0) {
+            listener.onCompacted("oldest kept is " + response.compactRevision());
+            throw new EtcdStatusException(
+                    EtcdStatusException.OUT_OF_RANGE, "compacted at " + response.compactRevision());
+        }
+        if (response.isCanceled()) {
+            if (response.cancelReason().contains("auth token")) {
+                client.invalidateToken();
+            }
+            throw new EtcdStatusException(0, "cancelled: " + response.cancelReason());
+        }
+    }
+}
--- a/src/main/java/magpiehub/discovery/JsonObjects.java
+++ b/src/main/java/magpiehub/discovery/JsonObjects.java
@@ -7,6 +7,8 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.util.ArrayList;
+import java.util.List;
 import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 
@@ -25,16 +27,16 @@
         void write(JsonGenerator generator) throws IOException;
     }
 
+    /** Reads the object that the parser stands at the start of. */
+    interface ObjectReader<T> {
+        T read(JsonParser parser) throws IOException;
+    }
+
     /** Called for each member of an object, with the parser at the value, which is to be read or skipped. */
     interface MemberReader {
         void read(JsonParser parser, String name) throws IOException;
     }
 
-    /** Called for each object of an array, with the parser at its start. */
-    interface ElementReader {
-        void read(JsonParser parser) throws IOException;
-    }
-
     /** One object as UTF-8 text. */
     static byte[] toBytes(MemberWriter members) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
@@ -47,28 +49,50 @@
     }
 
     /** Reads a stream that holds one object to its end, so that its connection can carry the next request. */
-    static void read(InputStream in, MemberReader reader) throws IOException {
+    static <T> T read(InputStream in, ObjectReader<T> reader) throws IOException {
         try (JsonParser parser = Config.JSON.createParser(in)) {
             parser.nextToken();
-            forEachMember(parser, reader);
+            T value = reader.read(parser);
             if (parser.nextToken() != null) {
                 throw new ConfigurationException("more than one value");
             }
+            return value;
         }
     }
 
     /**
-     * Reads the object that the parser stands at the start of.
+     * Checks that the parser stands at the start of an object, whose members {@link #nextMember} goes through.
      *
-     * @throws ConfigurationException if the parser is at something else
+     * @throws ConfigurationException if it is at something else
      */
-    static void forEachMember(JsonParser parser, MemberReader reader) throws IOException {
+    static void expectObject(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
             throw new ConfigurationException("an object was due");
         }
-        while (parser.nextToken() == JsonToken.FIELD_NAME) {
-            String name = parser.currentName();
-            parser.nextToken();
+    }
+
+    /**
+     * Goes to the value of an object's next member, which is to be read or skipped before the next call.
+     *
+     * @return the member's name; null at the end of the object
+     */
+    static String nextMember(JsonParser parser) throws IOException {
+        if (parser.nextToken() != JsonToken.FIELD_NAME) {
+            return null;
+        }
+        String name = parser.currentName();
+        parser.nextToken();
+        return name;
+    }
+
+    /**
+     * Reads the members of the object that the parser stands at the start of.
+     *
+     * @throws ConfigurationException if the parser is at something else
+     */
+    static void forEachMember(JsonParser parser, MemberReader reader) throws IOException {
+        expectObject(parser);
+        for (String name = nextMember(parser); name != null; name = nextMember(parser)) {
             reader.read(parser, name);
         }
     }
@@ -78,16 +102,18 @@
      *
      * @throws ConfigurationException if the parser is at something else, or the array holds something else
      */
-    static void forEachObject(JsonParser parser, ElementReader reader) throws IOException {
+    static <T> List<T> readObjects(JsonParser parser, ObjectReader<T> reader) throws IOException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
             throw new ConfigurationException("an array was due");
         }
+        List<T> objects = new ArrayList<>();
         while (parser.nextToken() == JsonToken.START_OBJECT) {
-            reader.read(parser);
+            objects.add(reader.read(parser));
         }
         if (parser.currentToken() != JsonToken.END_ARRAY) {
             throw new ConfigurationException("must hold objects only");
         }
+        return objects;
     }
 
     /**
--- a/src/main/java/magpiehub/discovery/RegistrationState.java
+++ b/src/main/java/magpiehub/discovery/RegistrationState.java
@@ -1,98 +1,111 @@
 package magpiehub.discovery;
 
 /**
- * Whether this router's own entry stands in the registry, and what is to be done for it next. It is a plain
- * state machine: what calls came to goes in, the next step and its time come out. It owns the belief about
- * the entry's lease. It must never do I/O or read a clock; times are monotonic, in microseconds.
+ * Whether this router's own entry stands in the registry, and what is to be done for it next: a state machine without
+ * I/O or a clock. The results of calls go in, the next step and its time come out. Times are monotonic, in
+ * microseconds. An instance belongs to one thread.
  */
 public final class RegistrationState {
-    /** What is to be done. */
+    /** What is to be done. The names of the calls among them appear in the log. */
     public enum Step {
+        /** Nothing before {@link RegistrationState#nextStepAtMicros}. */
         NONE,
+        /** Write the entry. */
         REGISTER,
+        /** Renew the entry. */
         KEEP,
+        /** Remove the entry, because the router stops. */
         DEREGISTER,
+        /** Nothing any more. */
         DONE
     }
 
-    private final long ttl;
+    /** Renewals that fit into the time for which an entry stands, so that one or two may fail. */
+    private static final int RENEWALS_PER_TTL = 3;
+
+    /** Guards against a registry that grants next to no time (us). */
+    private static final long MIN_RENEWAL_INTERVAL_MICROS = 100_000;
+
+    private final long ttlMicros;
     private boolean registered;
-    /** A registration may have been made although its answer never came. */
-    private boolean doubtful;
+
+    /** Whether the entry may stand although it is not known to: a registration failed, or renewals did. */
+    private boolean possiblyRegistered;
 
     private boolean stopping;
     private boolean done;
-    private long at;
-    private long keptAt;
+    private long nextStepAtMicros;
+    private long renewedAtMicros;
 
-    /** An entry that outlives its router by {@code ttl}; the first step is to register it. */
-    public RegistrationState(long ttl, long now) {
-        this.ttl = ttl;
-        this.at = now;
+    /** An entry that expires {@code ttlMicros} after its last renewal; the first step is to register it. */
+    public RegistrationState(long ttlMicros, long nowMicros) {
+        this.ttlMicros = ttlMicros;
+        this.nextStepAtMicros = nowMicros;
     }
 
-    /** What is due at a time. */
-    public Step step(long now) {
+    /** The step that is due now. */
+    public Step nextStep(long nowMicros) {
         if (done) {
             return Step.DONE;
         }
         if (stopping) {
             return Step.DEREGISTER;
         }
-        if (now < at) {
+        if (nowMicros < nextStepAtMicros) {
             return Step.NONE;
         }
-        if (registered && now - keptAt >= ttl) {
-            // Nobody has heard of this router for so long that the entry has gone.
+        if (registered && nowMicros - renewedAtMicros >= ttlMicros) {
+            // No renewal has succeeded for so long that the entry has expired.
             registered = false;
-            doubtful = true;
+            possiblyRegistered = true;
         }
         return registered ? Step.KEEP : Step.REGISTER;
     }
 
-    /** When {@link #step} is next of interest (us). */
-    public long next() {
-        return stopping ? Long.MIN_VALUE : at;
-    }
-
-    public boolean registered() {
-        return registered;
+    /** When {@link #nextStep} has something to do (us). */
+    public long nextStepAtMicros() {
+        return stopping ? Long.MIN_VALUE : nextStepAtMicros;
     }
 
-    /** The entry stands, for {@code granted} from when the call was sent, which may differ from what was
-     *  asked for. */
-    public void registered(long sentAt, long granted) {
+    /**
+     * The entry was written.
+     *
+     * @param sentAtMicros when the call was sent
+     * @param grantedMicros how long the entry stands from then; may differ from what was asked for
+     */
+    public void onRegistered(long sentAtMicros, long grantedMicros) {
         registered = true;
-        doubtful = false;
-        kept(sentAt, granted);
+        possiblyRegistered = false;
+        onRenewed(sentAtMicros, grantedMicros);
     }
 
-    /** The entry's lease was renewed; three calls fit into what it was granted. */
-    public void kept(long sentAt, long granted) {
-        keptAt = sentAt;
-        at = sentAt + Math.max(100_000, Math.min(ttl, granted) / 3);
+    /** The entry was renewed by a call that was sent at a time, and stands so long from then. */
+    public void onRenewed(long sentAtMicros, long grantedMicros) {
+        renewedAtMicros = sentAtMicros;
+        long interval = Math.min(ttlMicros, grantedMicros) / RENEWALS_PER_TTL;
+        nextStepAtMicros = sentAtMicros + Math.max(MIN_RENEWAL_INTERVAL_MICROS, interval);
     }
 
-    /** The registry no longer knows the entry: it is made anew at once. */
-    public void lost(long now) {
+    /** The registry does not have the entry: it is to be written again at once. */
+    public void onLost(long nowMicros) {
         registered = false;
-        at = now;
+        nextStepAtMicros = nowMicros;
     }
 
-    /** A call failed; the next one is to wait this long. */
-    public void failed(long now, long wait) {
-        doubtful |= !registered;
-        at = now + wait;
+    /** A call failed; the next one is made after a backoff. */
+    public void onFailed(long nowMicros, long backoffMicros) {
+        possiblyRegistered |= !registered; // The call may have taken effect, and only its response been lost.
+        nextStepAtMicros = nowMicros + backoffMicros;
     }
 
-    /** The router stops: the entry is to go, if it may stand. */
-    public void stop() {
+    /** The router stops: the entry is to be removed if it may stand. */
+    public void onStop() {
         stopping = true;
-        done = !registered && !doubtful;
+        done = !registered && !possiblyRegistered;
     }
 
-    /** The entry is gone, or could not be removed in time: then its lease ends it. */
-    public void deregistered() {
+    /** The entry was removed, or could not be, and is left to expire. */
+    public void onDeregistered() {
         registered = false;
         done = true;
     }
--- a/src/main/java/magpiehub/discovery/RouterRegistration.java
+++ b/src/main/java/magpiehub/discovery/RouterRegistration.java
@@ -7,53 +7,64 @@
 import javax.net.ssl.SSLContext;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.http.Http;
 import magpiehub.telemetry.EventLog;
 
 /**
- * The actor that keeps this router's own entry in the registry: in etcd a key under a lease
- * ({@code /v3/lease/grant}, {@code /v3/kv/put}, {@code /v3/lease/keepalive}, {@code /v3/lease/revoke}), in
- * Consul a service with a TTL check ({@code /v1/agent/service/register}, {@code /v1/agent/check/pass},
- * {@code /v1/agent/service/deregister}). {@link RegistrationState} says what is due. It owns the lease's id. It
- * must never hold up a request or the program's end: {@link #stop} waits a set time at most.
+ * Keeps this router's own entry in the registry: registers it, renews it in time, and removes it when the router
+ * stops. {@link RegistrationState} says what is due; a {@link RegistrationProtocol} makes the calls, on a thread of
+ * this class.
  */
 public final class RouterRegistration {
-    /** A word of the registry that the entry is not there. */
-    private static final class Lost extends IOException {
-        private static final long serialVersionUID = 1L;
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private enum Message {
+        STOP
     }
 
     private final Options options;
     private final String id;
     private final String address;
     private final MonotonicClock clock;
-    private final EventLog journal;
-    private final Mailbox<Object> mailbox;
+    private final EventLog log;
+    private final Mailbox<Message> mailbox;
     private final RegistrationState state;
     private final Endpoints endpoints;
     private final SSLContext tls;
-    private final EtcdProtocol etcd;
+    private final RegistrationProtocol protocol;
     private final CountDownLatch done = new CountDownLatch(1);
-    private volatile RegistryConnection wire;
-    private long lease;
 
-    /** An announcer for settings with {@code announce}; {@code address} is the router's own. */
+    /** The connection in use; closed from another thread by {@link #stop}. */
+    private volatile RegistryConnection connection;
+
+    /**
+     * A registration by settings that have {@code announce}.
+     *
+     * @param routerName the entry's id where the settings name none
+     * @param listenAddress the entry's address where the settings name none
+     */
     public RouterRegistration(
-            Options options, String name, String address, MonotonicClock clock, EventLog journal, long seed)
+            Options options, String routerName, String listenAddress, MonotonicClock clock, EventLog log, long seed)
             throws IOException {
-        Options.Announce a = options.announce();
+        Options.Announce announce = options.announce();
         this.options = options;
-        this.id = a.id().isEmpty() ? name : a.id();
-        this.address = a.address().isEmpty() ? address : a.address();
+        this.id = announce.id().isEmpty() ? routerName : announce.id();
+        this.address = announce.address().isEmpty() ? listenAddress : announce.address();
         this.clock = clock;
-        this.journal = journal;
+        this.log = log;
         this.mailbox = new Mailbox<>(clock, 0);
-        this.state = new RegistrationState(a.ttl(), clock.micros());
+        this.state = new RegistrationState(announce.ttl(), clock.micros());
         this.endpoints = new Endpoints(options.endpoints().size(), options.waits(), seed);
         this.tls = options.tls() ? TlsContexts.trusting(options.authorities()) : null;
-        this.etcd = options.kind().equals("etcd")
-                ? new EtcdProtocol(a.prefix(), 1, options.user(), options.secret(), null)
-                : null;
+        this.protocol = protocol();
+    }
+
+    private RegistrationProtocol protocol() {
+        Options.Announce announce = options.announce();
+        if (options.kind().equals("etcd")) {
+            EtcdClient client = new EtcdClient(EtcdCredentials.of(options.user(), options.secret()));
+            return new EtcdLeaseRegistration(client, announce.prefix(), id, address, announce.ttl());
+        }
+        return new ConsulServiceRegistration(announce.service(), id, address, announce.ttl(), options.secret());
     }
 
     /** Starts its thread. */
@@ -61,210 +72,123 @@
         Mailbox.thread("registry-announce", this::run).start();
     }
 
-    /** Removes the entry, and waits for that at most so long (ms). Any thread. */
-    public void stop(long mostMs) throws InterruptedException {
-        mailbox.post(this);
-        RegistryConnection w = wire;
-        if (w != null && !done.await(mostMs / 2, TimeUnit.MILLISECONDS)) {
-            w.close(); // A call that hangs is not to keep the last one from being made.
+    /**
+     * Removes the entry and waits until that is done, at most one and a half times as long as given. Any thread.
+     *
+     * <p>A call that hangs is cut off after half of the time, so that the last one can be made.
+     */
+    public void stop(long timeoutMillis) throws InterruptedException {
+        mailbox.post(Message.STOP);
+        RegistryConnection inUse = connection;
+        if (inUse != null && !done.await(timeoutMillis / 2, TimeUnit.MILLISECONDS)) {
+            inUse.close();
         }
-        if (!done.await(mostMs, TimeUnit.MILLISECONDS)) {
-            journal.log("registry-deregister-failed", "id", id, "why", "no answer in time");
+        if (!done.await(timeoutMillis, TimeUnit.MILLISECONDS)) {
+            log.log("registry-deregister-failed", "id", id, "why", "no answer in time");
         }
     }
 
     private void run() {
         try {
             while (true) {
-                if (mailbox.take(state.next()) != null) {
-                    state.stop();
+                if (mailbox.take(state.nextStepAtMicros()) == Message.STOP) {
+                    state.onStop();
                 }
                 long now = clock.micros();
-                RegistrationState.Step step = state.step(now);
+                RegistrationState.Step step = state.nextStep(now);
                 if (step == RegistrationState.Step.DONE) {
                     return;
                 }
                 if (step != RegistrationState.Step.NONE) {
-                    carryOut(step, now);
+                    perform(step, now);
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            if (wire != null) {
-                wire.close();
-            }
+            closeConnection();
             done.countDown();
         }
     }
 
-    private void carryOut(RegistrationState.Step step, long now) {
-        int endpoint = endpoints.pick(now);
-        if (endpoint < 0 && step != RegistrationState.Step.DEREGISTER) {
-            state.failed(now, endpoints.readyAt() - now);
+    /** Performs a step on the endpoint that is ready, or puts it off; the removal is not put off. */
+    private void perform(RegistrationState.Step step, long now) {
+        int picked = endpoints.pick(now);
+        if (picked < 0 && step != RegistrationState.Step.DEREGISTER) {
+            state.onFailed(now, endpoints.readyAt() - now);
             return;
         }
-        endpoint = Math.max(0, endpoint);
+        int endpoint = Math.max(0, picked);
         try {
-            RegistryConnection w = connected(options.endpoints().get(endpoint));
-            switch (step) {
-                case REGISTER -> {
-                    state.registered(now, register(w));
-                    journal.count("registry_announced");
-                    journal.log("registry-announced", "id", id, "address", address, "endpoint", w.endpoint());
-                }
-                case KEEP -> state.kept(now, keep(w));
-                default -> {
-                    deregister(w);
-                    state.deregistered();
-                    journal.log("registry-deregistered", "id", id, "endpoint", w.endpoint());
-                }
-            }
+            call(step, connect(options.endpoints().get(endpoint)), now);
             endpoints.up(endpoint);
-        } catch (Lost e) {
+        } catch (RegistrationLostException e) {
             endpoints.up(endpoint);
-            journal.count("registry_announcement_lost");
-            journal.log("registry-announcement-lost", "id", id);
-            state.lost(now);
+            log.count("registry_announcement_lost");
+            log.log("registry-announcement-lost", "id", id);
+            state.onLost(now);
         } catch (IOException | RuntimeException e) {
-            if (wire != null) {
-                wire.close();
-            }
-            journal.count("registry_announce_failures");
-            journal.log(
-                    "registry-announce-failed",
-                    "step",
-                    step.toString(),
-                    "endpoint",
-                    options.endpoints().get(endpoint),
-                    "why",
-                    String.valueOf(e.getMessage()));
-            endpoints.failed(
-                    endpoint,
-                    now,
-                    e instanceof HttpStatusException ? Endpoints.Loss.ANSWER : Endpoints.Loss.LINK,
-                    e instanceof HttpStatusException r ? r.retryAfterMicros() : 0);
-            state.failed(now, Math.max(options.waits().base(), endpoints.readyAt() - now));
-            if (step == RegistrationState.Step.DEREGISTER) {
-                state.deregistered(); // Once: the lease ends what is left.
-            }
+            onFailure(step, endpoint, e, now);
         }
     }
 
-    private RegistryConnection connected(String endpoint) throws IOException {
-        RegistryConnection w = wire;
-        if (w == null || w.isClosed() || !w.endpoint().equals(endpoint)) {
-            if (w != null) {
-                w.close();
+    private void call(RegistrationState.Step step, RegistryConnection connected, long now) throws IOException {
+        switch (step) {
+            case REGISTER -> {
+                state.onRegistered(now, protocol.register(connected));
+                log.count("registry_announced");
+                log.log("registry-announced", "id", id, "address", address, "endpoint", connected.endpoint());
+            }
+            case KEEP -> state.onRenewed(now, protocol.keepAlive(connected));
+            default -> {
+                protocol.deregister(connected);
+                state.onDeregistered();
+                log.log("registry-deregistered", "id", id, "endpoint", connected.endpoint());
             }
-            w = new RegistryConnection(endpoint, tls, clock, new AtomicLong());
-            wire = w;
-            w.connect((int) Math.max(1, options.timeout() / 1000));
-            w.setReadTimeout((int) Math.max(1, options.timeout() / 1000));
-        }
-        return w;
-    }
-
-    // ---- Calls ----------------------------------------------------------------------------------------
-    private long register(RegistryConnection w) throws IOException {
-        long ttl = options.announce().ttl();
-        if (etcd == null) {
-            call(w, "PUT", "/v1/agent/service/register", JsonObjects.toBytes(g -> {
-                g.writeStringField("ID", id);
-                g.writeStringField("Name", options.announce().service());
-                g.writeStringField("Address", address.substring(0, address.lastIndexOf(':')));
-                g.writeNumberField("Port", Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
-                g.writeObjectFieldStart("Check");
-                g.writeStringField("CheckID", "service:" + id);
-                g.writeStringField("TTL", ttl / 1000 + "ms");
-                g.writeStringField("Status", "passing");
-                g.writeStringField("DeregisterCriticalServiceAfter", "1m");
-                g.writeEndObject();
-            }));
-            return ttl;
         }
-        long[] granted = new long[2];
-        JsonObjects.read(
-                w.body(etcd.call(
-                        w,
-                        "/v3/lease/grant",
-                        JsonObjects.toBytes(
-                                g -> g.writeStringField("TTL", Long.toString((ttl + 999_999) / 1_000_000))))),
-                (p, name) -> {
-                    switch (name) {
-                        case "ID" -> granted[0] = Long.parseLong(p.getValueAsString());
-                        case "TTL" -> granted[1] = Long.parseLong(p.getValueAsString());
-                        default -> p.skipChildren();
-                    }
-                });
-        lease = granted[0];
-        w.discardBody((etcd.call(w, "/v3/kv/put", JsonObjects.toBytes(g -> {
-            g.writeBinaryField(
-                    "key", (options.announce().prefix() + id).getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            g.writeBinaryField("value", JsonObjects.toBytes(v -> {
-                v.writeStringField("id", id);
-                v.writeStringField("host_port", address);
-            }));
-            g.writeStringField("lease", Long.toString(lease));
-        }))));
-        return granted[1] * 1_000_000;
     }
 
-    /** @throws Lost if the registry no longer knows the entry */
-    private long keep(RegistryConnection w) throws IOException {
-        if (etcd == null) {
-            call(w, "PUT", "/v1/agent/check/pass/service:" + ConsulProtocol.escaped(id), new byte[0]);
-            return options.announce().ttl();
+    private void onFailure(RegistrationState.Step step, int endpoint, Exception failure, long now) {
+        closeConnection();
+        log.count("registry_announce_failures");
+        log.log(
+                "registry-announce-failed",
+                "step",
+                step.toString(),
+                "endpoint",
+                options.endpoints().get(endpoint),
+                "why",
+                String.valueOf(failure.getMessage()));
+        if (failure instanceof HttpStatusException answered) {
+            endpoints.failed(endpoint, now, Endpoints.Loss.ANSWER, answered.retryAfterMicros());
+        } else {
+            endpoints.failed(endpoint, now, Endpoints.Loss.LINK, 0);
         }
-        long[] ttl = new long[1];
-        Http.Head h = etcd.call(
-                w, "/v3/lease/keepalive", JsonObjects.toBytes(g -> g.writeStringField("ID", Long.toString(lease))));
-        JsonObjects.read(w.body(h), (p, name) -> {
-            if (name.equals("result")) {
-                JsonObjects.forEachMember(p, (q, field) -> {
-                    if (field.equals("TTL")) {
-                        ttl[0] = Long.parseLong(q.getValueAsString());
-                    } else {
-                        q.skipChildren();
-                    }
-                });
-            } else {
-                p.skipChildren();
-            }
-        });
-        if (ttl[0] <= 0) {
-            // A lease that has ended is answered with a TTL of 0, which the gateway leaves out.
-            throw new Lost();
+        state.onFailed(now, Math.max(options.waits().base(), endpoints.readyAt() - now));
+        if (step == RegistrationState.Step.DEREGISTER) {
+            state.onDeregistered(); // It is tried once: what is left expires.
         }
-        return ttl[0] * 1_000_000;
     }
 
-    private void deregister(RegistryConnection w) throws IOException {
-        if (etcd == null) {
-            call(w, "PUT", "/v1/agent/service/deregister/" + ConsulProtocol.escaped(id), new byte[0]);
-            return;
-        }
-        try {
-            w.discardBody((etcd.call(
-                    w, "/v3/lease/revoke", JsonObjects.toBytes(g -> g.writeStringField("ID", Long.toString(lease))))));
-        } catch (HttpStatusException e) {
-            if (e.statusCode() != 404) {
-                throw e;
+    private RegistryConnection connect(String endpoint) throws IOException {
+        RegistryConnection current = connection;
+        if (current == null || current.isClosed() || !current.endpoint().equals(endpoint)) {
+            if (current != null) {
+                current.close();
             }
+            int timeoutMillis = (int) Math.max(1, options.timeout() / MICROS_PER_MILLI);
+            current = new RegistryConnection(endpoint, tls, clock, new AtomicLong());
+            connection = current;
+            current.connect(timeoutMillis);
+            current.setReadTimeout(timeoutMillis);
         }
+        return current;
     }
 
-    /** A call to a Consul agent; one that it does not know the entry for is {@link Lost}. */
-    private void call(RegistryConnection w, String method, String path, byte[] body) throws IOException {
-        try {
-            w.discardBody((w.send(method, path, body, 0, "X-Consul-Token", options.secret())));
-        } catch (HttpStatusException e) {
-            // 404 by today's documentation; agents before 1.12 said 500 and named the missing check.
-            if (e.statusCode() == 404
-                    || (e.statusCode() == 500 && e.getMessage().contains("TTL"))) {
-                throw new Lost();
-            }
-            throw e;
+    private void closeConnection() {
+        RegistryConnection current = connection;
+        if (current != null) {
+            current.close();
         }
     }
 }
