--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -19,11 +19,11 @@
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.RouterConfiguration;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Discovery;
+import magpiehub.discovery.DiscoverySettings;
 import magpiehub.discovery.EndpointSource;
-import magpiehub.discovery.Options;
-import magpiehub.discovery.Registry;
+import magpiehub.discovery.RegistryClient;
 import magpiehub.discovery.RouterRegistration;
+import magpiehub.discovery.platform.PlatformDiscovery;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
@@ -109,13 +109,13 @@
         UpstreamPool engines = new UpstreamPool(r.site(), forEngines, clock, log, crew, streams);
         engines.start();
         // A registry of the operators' own instead of the platform's discovery, where a file says so.
-        Options registry = Options.read(REGISTRY);
+        DiscoverySettings registry = DiscoverySettings.read(REGISTRY);
         if (registry == null && r.discovery() == null) {
             throw new ConfigurationException("ROUTER_DISCOVERY is not set and there is no " + REGISTRY);
         }
         EndpointSource discovery = registry == null
-                ? new Discovery(r.discovery(), site::get, engines, clock, log, r.seed())
-                : new Registry(registry, site::get, engines, clock, log, r.seed());
+                ? new PlatformDiscovery(r.discovery(), site::get, engines, clock, log, r.seed())
+                : new RegistryClient(registry, site::get, engines, clock, log, r.seed());
         SiteHealthTracker.Settings planned = SiteFailoverPlan.read(SITE);
         SiteFailoverPlan plan = planned == null
                 ? null
@@ -130,9 +130,9 @@
                 log,
                 plan == null ? new ConnectFailureZoneHealth() : plan);
         engines.module(module);
-        Supplier<String> counters =
-                () -> log.counters() + streams.figures() + discovery.figures() + (plan == null ? "" : plan.figures());
-        BooleanSupplier ready = discovery::known;
+        Supplier<String> counters = () ->
+                log.counters() + streams.figures() + discovery.counterLines() + (plan == null ? "" : plan.figures());
+        BooleanSupplier ready = discovery::isKnown;
         PlatformProtocol platform = new PlatformProtocol(site::get);
         List<ClientListener> fronts = new CopyOnWriteArrayList<>();
         AdminCommandHandler operators = operators(r, fronts, discovery, ready, plan, clock, log);
@@ -195,7 +195,7 @@
         clients.start();
         String listen = at(r.listen(), clients.port());
         log.log("started", "listen", listen);
-        if (registry != null && registry.announce() != null) {
+        if (registry != null && registry.registration() != null) {
             RouterRegistration a = new RouterRegistration(registry, r.name(), listen, clock, log, r.seed());
             announcer.set(a);
             a.start();
@@ -239,7 +239,7 @@
             public void engines(Set<String> out, Map<String, Long> back, Runnable done) {
                 Map<String, Long> at = new HashMap<>();
                 back.forEach((id, ms) -> at.put(id, offset + ms * 1000));
-                source.maintain(out, at, done);
+                source.applyMaintenance(out, at, done);
             }
 
             @Override
@@ -265,7 +265,7 @@
                 hands,
                 clock,
                 log);
-        source.told().listed(operators::listed);
+        source.maintenanceOverlay().onListed(operators::listed);
         return operators;
     }
 }
--- a/src/main/java/magpiehub/discovery/ConsulKeyValues.java
+++ b/src/main/java/magpiehub/discovery/ConsulKeyValues.java
@@ -12,9 +12,9 @@
 final class ConsulKeyValues implements ConsulResource {
     private final String path;
     private final int prefixLength;
-    private final Entries entries;
+    private final EndpointEntryParser entries;
 
-    ConsulKeyValues(String prefix, Entries entries) {
+    ConsulKeyValues(String prefix, EndpointEntryParser entries) {
         this.path = "/v1/kv/" + PercentEncoding.encode(prefix).replace("%2F", "/");
         this.prefixLength = prefix.length();
         this.entries = entries;
@@ -37,16 +37,17 @@
     }
 
     @Override
-    public View.Item readEntry(JsonParser parser) throws IOException {
+    public ListItem readEntry(JsonParser parser) throws IOException {
         String key = "";
         String modifyIndex = "0";
         String value = "";
         JsonObjects.expectObject(parser);
         for (String name = JsonObjects.nextMember(parser); name != null; name = JsonObjects.nextMember(parser)) {
             switch (name) {
-                case "Key" -> key = Entries.scalar(parser);
-                case "ModifyIndex" -> modifyIndex = Entries.scalar(parser);
-                case "Value" -> value = parser.currentToken() == JsonToken.VALUE_NULL ? null : Entries.scalar(parser);
+                case "Key" -> key = EndpointEntryParser.scalar(parser);
+                case "ModifyIndex" -> modifyIndex = EndpointEntryParser.scalar(parser);
+                case "Value" -> value =
+                        parser.currentToken() == JsonToken.VALUE_NULL ? null : EndpointEntryParser.scalar(parser);
                 default -> parser.skipChildren();
             }
         }
@@ -56,13 +57,13 @@
         return parseEntry(key, ConsulResource.parseIndex(modifyIndex), value == null ? "" : value);
     }
 
-    private View.Item parseEntry(String key, long modifyIndex, String base64) {
+    private ListItem parseEntry(String key, long modifyIndex, String base64) {
         try {
             byte[] json = Base64.getDecoder().decode(base64);
             String id = key.length() > prefixLength ? key.substring(prefixLength) : null;
-            return View.Item.read(key, modifyIndex, entries.read(json, id));
+            return ListItem.fromEntry(key, modifyIndex, entries.read(json, id));
         } catch (IOException | RuntimeException e) {
-            return View.Item.unreadable(key, modifyIndex, JsonObjects.describe(e));
+            return ListItem.unreadable(key, modifyIndex, JsonObjects.describe(e));
         }
     }
 }
--- a/src/main/java/magpiehub/discovery/ConsulProtocol.java
+++ b/src/main/java/magpiehub/discovery/ConsulProtocol.java
@@ -45,12 +45,12 @@
     }
 
     /** The instances of a service; {@code waitMicros} is how long a blocking query may take. */
-    static ConsulProtocol forHealth(String service, long waitMicros, String token, Entries entries) {
+    static ConsulProtocol forHealth(String service, long waitMicros, String token, EndpointEntryParser entries) {
         return new ConsulProtocol(new ConsulServiceHealth(service, entries), waitMicros, token);
     }
 
     /** The values under a prefix; {@code waitMicros} is how long a blocking query may take. */
-    static ConsulProtocol forKeyValues(String prefix, long waitMicros, String token, Entries entries) {
+    static ConsulProtocol forKeyValues(String prefix, long waitMicros, String token, EndpointEntryParser entries) {
         return new ConsulProtocol(new ConsulKeyValues(prefix, entries), waitMicros, token);
     }
 
@@ -72,10 +72,10 @@
 
     /** Makes one blocking query. */
     @Override
-    public void watch(RegistryConnection connection, View.Position after, RegistryEventListener listener)
+    public void watch(RegistryConnection connection, ListPosition after, RegistryEventListener listener)
             throws IOException, InterruptedException {
         // By the documentation an index below 1 counts as none: such a query would never block.
-        String target = after.number() < 1 ? resource.listTarget() : blockingTarget(after.number());
+        String target = after.revision() < 1 ? resource.listTarget() : blockingTarget(after.revision());
         readList(connection, target, listener);
     }
 
@@ -90,15 +90,15 @@
             throws IOException, InterruptedException {
         Http.Head head = get(connection, resource.indexTarget());
         connection.discardBody(head);
-        View.Position position = position(head);
-        listener.onPositionChecked(position, position.number(), UNKNOWN_COUNT);
+        ListPosition position = position(head);
+        listener.onPositionChecked(position, position.revision(), UNKNOWN_COUNT);
     }
 
     private void readList(RegistryConnection connection, String target, RegistryEventListener listener)
             throws IOException, InterruptedException {
         Http.Head head = get(connection, target);
-        View.Position position = position(head);
-        List<View.Item> items = new ArrayList<>();
+        ListPosition position = position(head);
+        List<ListItem> items = new ArrayList<>();
         if (head.status() == STATUS_NOT_FOUND) {
             connection.discardBody(head);
         } else {
@@ -107,13 +107,13 @@
         listener.onCompleteList(position, items);
     }
 
-    private void readEntries(RegistryConnection connection, Http.Head head, List<View.Item> items) throws IOException {
+    private void readEntries(RegistryConnection connection, Http.Head head, List<ListItem> items) throws IOException {
         try (JsonParser parser = Config.JSON.createParser(connection.body(head))) {
             if (parser.nextToken() != JsonToken.START_ARRAY) {
                 throw new ConfigurationException("an array was due");
             }
             while (parser.nextToken() == JsonToken.START_OBJECT) {
-                View.Item item = resource.readEntry(parser);
+                ListItem item = resource.readEntry(parser);
                 if (item != null) {
                     items.add(item);
                 }
@@ -135,11 +135,11 @@
         return head;
     }
 
-    private static View.Position position(Http.Head head) throws IOException {
+    private static ListPosition position(Http.Head head) throws IOException {
         String index = head.get("X-Consul-Index");
         try {
             long number = Long.parseUnsignedLong(index == null ? "" : index);
-            return new View.Position(NO_HISTORY, 0, Math.max(0, number));
+            return new ListPosition(NO_HISTORY, 0, Math.max(0, number));
         } catch (NumberFormatException e) {
             throw new RegistryErrorException("no X-Consul-Index");
         }
--- a/src/main/java/magpiehub/discovery/ConsulResource.java
+++ b/src/main/java/magpiehub/discovery/ConsulResource.java
@@ -18,7 +18,7 @@
      * Reads the entry that the parser stands at the start of. One that can't be understood gives an item that says
      * why; null is an object that is no entry.
      */
-    View.Item readEntry(JsonParser parser) throws IOException;
+    ListItem readEntry(JsonParser parser) throws IOException;
 
     /** An index that Consul writes as a text or number; 0 where it is none. */
     static long parseIndex(String text) {
--- a/src/main/java/magpiehub/discovery/ConsulServiceHealth.java
+++ b/src/main/java/magpiehub/discovery/ConsulServiceHealth.java
@@ -15,9 +15,9 @@
  */
 final class ConsulServiceHealth implements ConsulResource {
     private final String path;
-    private final Entries entries;
+    private final EndpointEntryParser entries;
 
-    ConsulServiceHealth(String service, Entries entries) {
+    ConsulServiceHealth(String service, EndpointEntryParser entries) {
         this.path = "/v1/health/service/" + PercentEncoding.encode(service);
         this.entries = entries;
     }
@@ -39,15 +39,15 @@
     }
 
     @Override
-    public View.Item readEntry(JsonParser parser) throws IOException {
-        Instance instance = new Instance(entries.new Fields());
+    public ListItem readEntry(JsonParser parser) throws IOException {
+        Instance instance = new Instance(entries.newEntry());
         instance.read(parser);
         return instance.toItem();
     }
 
     /** One element of the response while it is read. */
     private static final class Instance {
-        private final Entries.Fields fields;
+        private final EndpointEntryBuilder fields;
         private String nodeName = "";
         private String nodeAddress = "";
         private String id = "";
@@ -56,7 +56,7 @@
         private String modifyIndex = "0";
         private boolean critical;
 
-        Instance(Entries.Fields fields) {
+        Instance(EndpointEntryBuilder fields) {
             this.fields = fields;
         }
 
@@ -81,7 +81,7 @@
         }
 
         private void readNodeMember(JsonParser parser, String name) throws IOException {
-            String value = Entries.scalar(parser);
+            String value = EndpointEntryParser.scalar(parser);
             switch (name) {
                 case "Node" -> nodeName = value;
                 case "Address" -> nodeAddress = value;
@@ -94,7 +94,7 @@
                 forEachMemberIfObject(parser, (p, field) -> fields.set(field, p));
                 return;
             }
-            String value = Entries.scalar(parser);
+            String value = EndpointEntryParser.scalar(parser);
             switch (name) {
                 case "ID" -> id = value;
                 case "Address" -> address = value;
@@ -112,25 +112,25 @@
         }
 
         private void readCheckMember(JsonParser parser, String name) throws IOException {
-            String value = Entries.scalar(parser);
+            String value = EndpointEntryParser.scalar(parser);
             if (name.equals("Status")) {
                 critical |= value.equals("critical") || value.equals("maintenance");
             }
         }
 
-        View.Item toItem() {
+        ListItem toItem() {
             String key = nodeName + "/" + id;
             long index = ConsulResource.parseIndex(modifyIndex);
             fields.set("host_port", (address.isEmpty() ? nodeAddress : address) + ":" + port);
             try {
-                EndpointEntry entry = fields.entry(id);
+                EndpointEntry entry = fields.build(id);
                 if (critical && entry.server().state() == EndpointState.LIVE) {
                     fields.set("phase", "Terminating");
-                    entry = fields.entry(id);
+                    entry = fields.build(id);
                 }
-                return View.Item.read(key, index, entry);
+                return ListItem.fromEntry(key, index, entry);
             } catch (RuntimeException e) {
-                return View.Item.unreadable(key, index, JsonObjects.describe(e));
+                return ListItem.unreadable(key, index, JsonObjects.describe(e));
             }
         }
     }
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/EndpointEntryBuilder.java
@@ -0,0 +1,112 @@
+package magpiehub.discovery;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.SiteSettings;
+import magpiehub.routing.Endpoint;
+
+/**
+ * Collects the fields of one entry as texts and builds the entry of them. Faults are reported by
+ * {@link #build} only, so that a parser in the middle of a list is never left inside an entry.
+ */
+public final class EndpointEntryBuilder {
+    private static final int MAX_ID_LENGTH = 256;
+    private static final double MAX_SIZE = 1e6;
+
+    private final EndpointEntryParser parser;
+    private final Map<String, String> texts = new HashMap<>(16);
+
+    EndpointEntryBuilder(EndpointEntryParser parser) {
+        this.parser = parser;
+    }
+
+    /** Sets the field that the parser stands at the value of; fields with unknown names are skipped. */
+    public void set(String name, JsonParser value) throws IOException {
+        if (parser.field(name) != null && value.currentToken() != JsonToken.VALUE_NULL) {
+            texts.put(name, EndpointEntryParser.scalar(value));
+        } else {
+            value.skipChildren();
+        }
+    }
+
+    /** Sets a field unless the value is null. */
+    public void set(String name, String value) {
+        if (value != null) {
+            texts.put(name, value);
+        }
+    }
+
+    /** Sets all fields of the object that the parser stands at the start of. */
+    public EndpointEntryBuilder readObject(JsonParser object) throws IOException {
+        while (object.nextToken() == JsonToken.FIELD_NAME) {
+            String name = object.currentName();
+            object.nextToken();
+            set(name, object);
+        }
+        return this;
+    }
+
+    /**
+     * Builds the entry.
+     *
+     * @param defaultId the id where the fields name none; may be null
+     * @throws ConfigurationException naming the field that is wrong
+     */
+    public EndpointEntry build(String defaultId) {
+        String id = texts.getOrDefault("id", defaultId);
+        if (id == null || id.isEmpty() || id.length() > MAX_ID_LENGTH) {
+            throw new ConfigurationException("id is missing or too long");
+        }
+        String address = texts.get("host_port");
+        if (address == null) {
+            throw new ConfigurationException("host_port is missing");
+        }
+        Config.address(address);
+        double size = number("size", 1);
+        if (!(size > 0) || size > MAX_SIZE) {
+            throw new ConfigurationException("size must be above 0");
+        }
+        SiteSettings site = parser.site();
+        Endpoint endpoint = new Endpoint(
+                id,
+                indexOf("locality", site.zones()),
+                indexOf("flavor", site.kinds()),
+                (int) number("cell", 0),
+                parser.state(texts.getOrDefault("phase", "Ready")),
+                size,
+                parser.since(number("up_since_ms", 0)));
+        return new EndpointEntry(endpoint, address);
+    }
+
+    private double number(String field, double defaultValue) {
+        String value = texts.get(field);
+        try {
+            return value == null ? defaultValue : Double.parseDouble(value);
+        } catch (NumberFormatException e) {
+            throw new ConfigurationException(field + " must be a number: " + value);
+        }
+    }
+
+    /** The index of a zone or machine type, given by its name or its index; 0 where the entry does not say. */
+    private int indexOf(String field, List<String> names) {
+        String value = texts.get(field);
+        if (value == null || value.isEmpty()) {
+            return 0;
+        }
+        int index = names.indexOf(value);
+        if (index < 0 && value.length() < 10 && value.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            index = Integer.parseInt(value);
+        }
+        if (index < 0 || index >= Math.max(1, names.size())) {
+            throw new ConfigurationException(field + " is none of " + names + ": " + value);
+        }
+        return index;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/EndpointEntryParser.java
@@ -0,0 +1,170 @@
+package magpiehub.discovery;
+
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.List;
+import java.util.function.Supplier;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointFieldNames;
+import magpiehub.config.SiteSettings;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointState;
+
+/**
+ * Parses and writes the entries of endpoint lists. The platform's discovery and the registries use the same
+ * field names.
+ *
+ * <p>A strict parser rejects an entry that routers of other versions might read differently, and leaves the
+ * rest of the list alone. Thread-safe.
+ */
+public final class EndpointEntryParser implements EndpointFieldNames {
+    private static final int MAX_ENTRY_BYTES = 64 * 1024;
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private final Supplier<SiteSettings> site;
+    /** Monotonic time less Unix time (us), taken once: an entry read twice must give the same start time. */
+    private final long monotonicOffsetMicros;
+
+    private final boolean strict;
+
+    private EndpointEntryParser(Supplier<SiteSettings> site, long nowMicros, boolean strict) {
+        this.site = site;
+        this.monotonicOffsetMicros = nowMicros - System.currentTimeMillis() * MICROS_PER_MILLI;
+        this.strict = strict;
+    }
+
+    /** A parser for the platform's entries, which are trusted; {@code nowMicros} is monotonic. */
+    public static EndpointEntryParser platform(Supplier<SiteSettings> site, long nowMicros) {
+        return new EndpointEntryParser(site, nowMicros, false);
+    }
+
+    /** A parser for entries that people and scripts write, which are validated one by one. */
+    public static EndpointEntryParser strict(Supplier<SiteSettings> site, long nowMicros) {
+        return new EndpointEntryParser(site, nowMicros, true);
+    }
+
+    /** Starts an entry whose fields come one by one. */
+    public EndpointEntryBuilder newEntry() {
+        return new EndpointEntryBuilder(this);
+    }
+
+    SiteSettings site() {
+        return site.get();
+    }
+
+    /** A string, number or boolean as a text; for arrays and objects a text that is no valid value. */
+    public static String scalar(JsonParser parser) throws IOException {
+        if (parser.currentToken().isScalarValue()) {
+            return parser.getText();
+        }
+        parser.skipChildren();
+        return "\0";
+    }
+
+    /**
+     * Parses one entry from a JSON text, for example
+     * {@code {"id":"s-1","host_port":"10.1.0.18:8080","locality":"a","phase":"Ready","size":1.0}}.
+     *
+     * @param defaultId the id where the text names none; may be null
+     * @throws ConfigurationException naming the field that is wrong
+     */
+    public EndpointEntry read(byte[] json, String defaultId) throws IOException {
+        if (json.length > MAX_ENTRY_BYTES) {
+            throw new ConfigurationException("larger than 64 KiB");
+        }
+        try (JsonParser parser = Config.JSON.createParser(json)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new ConfigurationException("must be an object");
+            }
+            EndpointEntryBuilder entry = newEntry().readObject(parser);
+            if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
+                throw new ConfigurationException("must be one whole object");
+            }
+            return entry.build(defaultId);
+        }
+    }
+
+    @Override
+    public String field(String name) {
+        return switch (name) {
+            case "id" -> "id";
+            case "host_port" -> "address";
+            case "locality" -> "zone";
+            case "flavor" -> "kind";
+            case "cell" -> "cell";
+            case "phase" -> "state";
+            case "size" -> "weight";
+            case "up_since_ms" -> "since";
+            default -> null;
+        };
+    }
+
+    @Override
+    public int number(String field, JsonParser parser) throws IOException {
+        if (parser.currentToken().isNumeric()) {
+            return parser.getIntValue();
+        }
+        SiteSettings settings = site.get();
+        List<String> names = field.equals("zone") ? settings.zones() : settings.kinds();
+        return names.indexOf(Config.text(parser, field));
+    }
+
+    @Override
+    public EndpointState state(String phase) {
+        return switch (phase) {
+            case "Ready" -> EndpointState.LIVE;
+            case "Terminating" -> EndpointState.DRAINING;
+            case "Gone" -> EndpointState.DEAD;
+            default -> {
+                if (strict) {
+                    throw new ConfigurationException("phase is none of Ready, Terminating, Gone: " + phase);
+                }
+                // Guards against sending requests to an endpoint in a phase that this program does not know.
+                yield EndpointState.DRAINING;
+            }
+        };
+    }
+
+    /** A start time in Unix milliseconds on the monotonic clock (us); 0, for none, stays 0. */
+    @Override
+    public long since(double unixMillis) {
+        return unixMillis <= 0 ? 0 : Math.max(1, Math.round(unixMillis * MICROS_PER_MILLI) + monotonicOffsetMicros);
+    }
+
+    /** Writes an entry as a JSON object that {@link EndpointEntryBuilder#readObject} reads. */
+    void write(EndpointEntry entry, JsonGenerator json) throws IOException {
+        Endpoint endpoint = entry.server();
+        json.writeStartObject();
+        json.writeStringField("id", endpoint.id());
+        json.writeStringField("host_port", entry.address());
+        writeName(json, "locality", site.get().zones(), endpoint.zone());
+        writeName(json, "flavor", site.get().kinds(), endpoint.kind());
+        json.writeNumberField("cell", (double) endpoint.cell());
+        json.writeStringField("phase", endpoint.state() == EndpointState.LIVE ? "Ready" : "Terminating");
+        json.writeNumberField("size", endpoint.weight());
+        json.writeNumberField("up_since_ms", unixMillis(endpoint.onlineSince()));
+        json.writeEndObject();
+    }
+
+    /** The inverse of {@link #since}, cut to whole milliseconds. */
+    private double unixMillis(long onlineSinceMicros) {
+        if (onlineSinceMicros == 0) {
+            return 0;
+        }
+        long wholeMillis = (onlineSinceMicros - monotonicOffsetMicros) / MICROS_PER_MILLI;
+        return (double) wholeMillis;
+    }
+
+    /** Writes the name of a zone or machine type, or its index where the settings have no name for it. */
+    private static void writeName(JsonGenerator json, String field, List<String> names, int index) throws IOException {
+        if (index < names.size()) {
+            json.writeStringField(field, names.get(index));
+        } else {
+            json.writeNumberField(field, (double) index);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/EndpointListPublisher.java
@@ -0,0 +1,72 @@
+package magpiehub.discovery;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import magpiehub.config.EndpointEntry;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
+import magpiehub.upstream.UpstreamPool;
+
+/**
+ * Publishes the endpoint lists of a source, with the operators' maintenance applied, to the upstream pool and
+ * the dispatcher. The pool is first, so that the dispatcher never sends to an endpoint without an address.
+ * Belongs to the source's thread.
+ */
+public final class EndpointListPublisher implements EndpointListListener {
+    private final MaintenanceOverlay overlay = new MaintenanceOverlay();
+    private final UpstreamPool upstreams;
+    private RequestDispatcher dispatcher;
+
+    public EndpointListPublisher(UpstreamPool upstreams) {
+        this.upstreams = upstreams;
+    }
+
+    /** Sets the dispatcher; to be called once, before anything is published. */
+    public void start(RequestDispatcher to) {
+        dispatcher = to;
+    }
+
+    public MaintenanceOverlay overlay() {
+        return overlay;
+    }
+
+    /** Publishes a list or changes as the source reports them. */
+    @Override
+    public void deliver(EndpointListKind kind, List<EndpointEntry> entries) {
+        send(kind, overlay.applyFromSource(kind, entries));
+    }
+
+    /** Reports that the source could not be reached. */
+    public void deliverError() {
+        dispatcher.list(EndpointListKind.ERROR, List.of());
+    }
+
+    /** Publishes what changes by the operators' maintenance, if anything, and then confirms it. */
+    public void applyMaintenance(MaintenanceUpdate update) {
+        List<EndpointEntry> entries = overlay.applyMaintenance(update.outOfService(), update.backSinceMicros());
+        if (!entries.isEmpty()) {
+            send(EndpointListKind.SAVED, entries);
+        }
+        dispatcher.execute(update.onApplied());
+    }
+
+    private void send(EndpointListKind kind, List<EndpointEntry> entries) {
+        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
+            Set<String> ids = new HashSet<>(entries.size() * 2);
+            entries.forEach(entry -> ids.add(entry.server().id()));
+            upstreams.only(ids);
+        }
+        for (EndpointEntry entry : entries) {
+            Endpoint endpoint = entry.server();
+            upstreams.place(
+                    endpoint.id(),
+                    entry.address(),
+                    endpoint.state() == EndpointState.LIVE,
+                    endpoint.state() == EndpointState.DEAD);
+        }
+        dispatcher.list(kind, entries.stream().map(EndpointEntry::server).toList());
+    }
+}
--- a/src/main/java/magpiehub/discovery/EndpointSource.java
+++ b/src/main/java/magpiehub/discovery/EndpointSource.java
@@ -1,68 +1,37 @@
 package magpiehub.discovery;
 
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.config.EndpointEntry;
 import magpiehub.dispatch.EndpointListSource;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.routing.Endpoint;
-import magpiehub.routing.EndpointListKind;
-import magpiehub.routing.EndpointState;
-import magpiehub.upstream.UpstreamPool;
 
-/** Where the list of engines comes from: one actor, whatever the dialect. */
+/** A source of endpoint lists: an actor that follows the platform's discovery or a registry. */
 public interface EndpointSource extends EndpointListSource {
-    /** Names the module's actor and gives it the list as this router last had it, if it did. */
-    void start(RequestDispatcher actor, byte[] saved);
-
-    /** Whether a list is known: told since the start, or where the configuration saved one that is enough. */
-    boolean known();
-
-    /** Figures for {@code /counters}, one a line, name and value; empty where there are none. */
-    default String figures() {
+    /**
+     * Starts the source.
+     *
+     * @param dispatcher receives the lists
+     * @param saved the list as this router last had it; null for none
+     */
+    void start(RequestDispatcher dispatcher, byte[] saved);
+
+    /** Whether a list is known: received since the start, or saved where that is enough. Any thread. */
+    boolean isKnown();
+
+    /** Counters for {@code /counters}, one a line, name and value; empty where there are none. Any thread. */
+    default String counterLines() {
         return "";
     }
 
-    /** The last step of its lists. */
-    Told told();
-
-    /** The operators' word, whole: engines that are out, and when others were called back (us, monotonic).
-     *  {@code done} runs on the module's thread once it goes by that. Any thread. */
-    void maintain(Set<String> out, Map<String, Long> back, Runnable done);
-
-    /** A change in order: addresses first, so that the module never sends to an engine without one. */
-    static void tell(
-            EndpointListKind kind, List<EndpointEntry> entries, UpstreamPool engines, RequestDispatcher module) {
-        if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
-            java.util.Set<String> ids = new java.util.HashSet<>(entries.size() * 2);
-            entries.forEach(e -> ids.add(e.server().id()));
-            engines.only(ids);
-        }
-        for (EndpointEntry e : entries) {
-            engines.place(
-                    e.server().id(),
-                    e.address(),
-                    e.server().state() == EndpointState.LIVE,
-                    e.server().state() == EndpointState.DEAD);
-        }
-        module.list(kind, entries.stream().map(EndpointEntry::server).toList());
-    }
-
-    /** What {@link #maintain} says, on its way to the source's own thread. */
-    record Maintain(Set<String> out, Map<String, Long> back, Runnable done) {
-        /** Tells the module what changes by it, if anything, and then that it holds. */
-        void carry(Told told, UpstreamPool engines, RequestDispatcher module) {
-            List<EndpointEntry> all = told.operators(out, back);
-            if (!all.isEmpty()) {
-                tell(EndpointListKind.SAVED, all, engines, module);
-            }
-            module.execute(done);
-        }
-    }
-
-    /** An engine of which only its id is known any more. */
-    static EndpointEntry gone(String id) {
-        return new EndpointEntry(new Endpoint(id, 0, 0, 0, EndpointState.DEAD, 1, 0), null);
-    }
+    /** The operators' maintenance, which is applied to all lists of this source. */
+    MaintenanceOverlay maintenanceOverlay();
+
+    /**
+     * Replaces the operators' maintenance. Any thread.
+     *
+     * @param outOfService ids of endpoints that are out of service
+     * @param backSinceMicros when others were put back into service, on the monotonic clock
+     * @param onApplied runs on the dispatcher's thread once the dispatcher goes by it
+     */
+    void applyMaintenance(Set<String> outOfService, Map<String, Long> backSinceMicros, Runnable onApplied);
 }
--- a/src/main/java/magpiehub/discovery/EtcdEntryReader.java
+++ b/src/main/java/magpiehub/discovery/EtcdEntryReader.java
@@ -9,29 +9,29 @@
  */
 final class EtcdEntryReader {
     private final int prefixLength;
-    private final Entries entries;
+    private final EndpointEntryParser entries;
 
-    EtcdEntryReader(String prefix, Entries entries) {
+    EtcdEntryReader(String prefix, EndpointEntryParser entries) {
         this.prefixLength = prefix.length();
         this.entries = entries;
     }
 
     /** The endpoint of a key; a value that can't be read gives an item that says why. */
-    View.Item read(EtcdKeyValue keyValue) {
+    ListItem read(EtcdKeyValue keyValue) {
         String key = key(keyValue);
         long revision = keyValue.modRevision();
         try {
             String id = key.length() > prefixLength ? key.substring(prefixLength) : null;
-            return View.Item.read(key, revision, entries.read(keyValue.value(), id));
+            return ListItem.fromEntry(key, revision, entries.read(keyValue.value(), id));
         } catch (IOException | RuntimeException e) {
-            return View.Item.unreadable(key, revision, JsonObjects.describe(e));
+            return ListItem.unreadable(key, revision, JsonObjects.describe(e));
         }
     }
 
     /** The change that an event of a watch reports. */
-    View.Item read(EtcdWatchEvent event) {
+    ListItem read(EtcdWatchEvent event) {
         EtcdKeyValue keyValue = event.keyValue();
-        return event.isDelete() ? View.Item.removed(key(keyValue), keyValue.modRevision()) : read(keyValue);
+        return event.isDelete() ? ListItem.removed(key(keyValue), keyValue.modRevision()) : read(keyValue);
     }
 
     private static String key(EtcdKeyValue keyValue) {
--- a/src/main/java/magpiehub/discovery/EtcdProtocol.java
+++ b/src/main/java/magpiehub/discovery/EtcdProtocol.java
@@ -31,7 +31,7 @@
     private final int pageSize;
 
     /** The keys under a prefix; {@code user} is null where the cluster asks for no authentication. */
-    EtcdProtocol(String prefix, int pageSize, String user, String password, Entries entries) {
+    EtcdProtocol(String prefix, int pageSize, String user, String password, EndpointEntryParser entries) {
         this.client = new EtcdClient(EtcdCredentials.of(user, password));
         this.range = EtcdKeyRange.ofPrefix(prefix);
         this.entryReader = new EtcdEntryReader(prefix, entries);
@@ -67,8 +67,8 @@
     /** Reads all pages at the revision of the first one. */
     private void readPages(RegistryConnection connection, RegistryEventListener listener)
             throws IOException, InterruptedException {
-        List<View.Item> items = new ArrayList<>();
-        View.Position position = null;
+        List<ListItem> items = new ArrayList<>();
+        ListPosition position = null;
         EtcdKeyRange rest = range;
         while (true) {
             EtcdRangeResponse page = readPage(connection, rest, position);
@@ -86,16 +86,16 @@
         }
     }
 
-    private EtcdRangeResponse readPage(RegistryConnection connection, EtcdKeyRange rest, View.Position position)
+    private EtcdRangeResponse readPage(RegistryConnection connection, EtcdKeyRange rest, ListPosition position)
             throws IOException {
         return callRange(connection, generator -> {
             rest.write(generator);
             generator.writeNumberField("limit", pageSize);
-            writeRevision(generator, position == null ? CURRENT_REVISION : position.number());
+            writeRevision(generator, position == null ? CURRENT_REVISION : position.revision());
         });
     }
 
-    private void addItems(List<EtcdKeyValue> keyValues, List<View.Item> items) {
+    private void addItems(List<EtcdKeyValue> keyValues, List<ListItem> items) {
         for (EtcdKeyValue keyValue : keyValues) {
             items.add(entryReader.read(keyValue));
         }
@@ -123,10 +123,10 @@
      * the listener can cancel the call if this is another history.
      */
     @Override
-    public void watch(RegistryConnection connection, View.Position after, RegistryEventListener listener)
+    public void watch(RegistryConnection connection, ListPosition after, RegistryEventListener listener)
             throws IOException, InterruptedException {
-        reportLastChanged(connection, after.number(), listener);
-        Http.Head head = client.call(connection, "/v3/watch", watchRequest(after.number() + 1));
+        reportLastChanged(connection, after.revision(), listener);
+        Http.Head head = client.call(connection, "/v3/watch", watchRequest(after.revision() + 1));
         EtcdWatchStream stream = new EtcdWatchStream(client, entryReader, listener);
         connection.readLines(head, line -> {
             if (line.length > 0) {
@@ -153,7 +153,7 @@
         try {
             EtcdRangeResponse newest =
                     revision > CURRENT_REVISION ? readLastChanged(connection, revision) : readNewestKey(connection);
-            List<View.Item> items = new ArrayList<>();
+            List<ListItem> items = new ArrayList<>();
             addItems(newest.keyValues(), items);
             listener.onWatchResumed(newest.header(), items, newest.count());
         } catch (EtcdStatusException e) {
@@ -188,7 +188,7 @@
             throws IOException {
         Http.Head head = client.call(connection, "/v3/kv/range", JsonObjects.toBytes(request));
         EtcdRangeResponse response = JsonObjects.read(connection.body(head), EtcdRangeResponse::read);
-        if (response.header().number() <= 0) {
+        if (response.header().revision() <= 0) {
             throw new ConfigurationException("an answer without a revision");
         }
         return response;
--- a/src/main/java/magpiehub/discovery/EtcdRangeResponse.java
+++ b/src/main/java/magpiehub/discovery/EtcdRangeResponse.java
@@ -11,10 +11,10 @@
  * @param hasMore whether the range goes on behind the last key of this page
  * @param count the number of keys in the range, on all pages
  */
-record EtcdRangeResponse(View.Position header, List<EtcdKeyValue> keyValues, boolean hasMore, long count) {
+record EtcdRangeResponse(ListPosition header, List<EtcdKeyValue> keyValues, boolean hasMore, long count) {
     /** The response that the parser stands at the start of. */
     static EtcdRangeResponse read(JsonParser parser) throws IOException {
-        View.Position header = View.Position.NONE;
+        ListPosition header = ListPosition.NONE;
         List<EtcdKeyValue> keyValues = List.of();
         boolean hasMore = false;
         long count = 0;
--- a/src/main/java/magpiehub/discovery/EtcdResponseHeader.java
+++ b/src/main/java/magpiehub/discovery/EtcdResponseHeader.java
@@ -8,7 +8,7 @@
     private EtcdResponseHeader() {}
 
     /** The header that the parser stands at the start of; numbers that are absent count as 0. */
-    static View.Position read(JsonParser parser) throws IOException {
+    static ListPosition read(JsonParser parser) throws IOException {
         long clusterId = 0;
         long raftTerm = 0;
         long revision = 0;
@@ -21,6 +21,6 @@
                 default -> parser.skipChildren();
             }
         }
-        return new View.Position(Long.toHexString(clusterId), raftTerm, revision);
+        return new ListPosition(Long.toHexString(clusterId), raftTerm, revision);
     }
 }
--- a/src/main/java/magpiehub/discovery/EtcdWatchResponse.java
+++ b/src/main/java/magpiehub/discovery/EtcdWatchResponse.java
@@ -9,7 +9,7 @@
 
 /** One line of the response to {@code /v3/watch}: {@code {"result":{...}}} or {@code {"error":{...}}}. */
 final class EtcdWatchResponse {
-    private View.Position header = View.Position.NONE;
+    private ListPosition header = ListPosition.NONE;
     private boolean created;
     private boolean canceled;
     private boolean fragment;
@@ -63,7 +63,7 @@
      * Where the cluster stands. In a response with events this is not the position of the last event: the response may
      * leave out later events.
      */
-    View.Position header() {
+    ListPosition header() {
         return header;
     }
 
--- a/src/main/java/magpiehub/discovery/EtcdWatchStream.java
+++ b/src/main/java/magpiehub/discovery/EtcdWatchStream.java
@@ -18,7 +18,7 @@
     private final RegistryEventListener listener;
 
     /** Changes of fragments whose last one has not come yet. */
-    private final List<View.Item> pendingChanges = new ArrayList<>();
+    private final List<ListItem> pendingChanges = new ArrayList<>();
 
     private long newestRevision;
 
@@ -56,8 +56,8 @@
         }
     }
 
-    private void reportPendingChanges(View.Position header) throws IOException, InterruptedException {
-        View.Position position = new View.Position(header.history(), header.term(), newestRevision);
+    private void reportPendingChanges(ListPosition header) throws IOException, InterruptedException {
+        ListPosition position = new ListPosition(header.history(), header.term(), newestRevision);
         listener.onChanges(position, List.copyOf(pendingChanges));
         pendingChanges.clear();
     }
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -0,0 +1,304 @@
+package magpiehub.discovery;
+
+import java.io.IOException;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.Supplier;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.telemetry.EventLog;
+import magpiehub.upstream.UpstreamPool;
+
+/**
+ * Follows the endpoint list in a key-value registry (etcd or Consul).
+ *
+ * <p>An actor: its thread owns the list and the sessions, and never blocks on a registry or the disk. Calls are
+ * made by the threads of {@link RegistryCallChannel}, whose events come back as messages; events of a call that
+ * is no longer current are dropped. The public methods only post messages, unless they say otherwise, and may
+ * be called from any thread.
+ *
+ * <p>After a change of the settings the old registry's events still count until the new one has delivered its
+ * list.
+ */
+public final class RegistryClient implements EndpointSource {
+    private static final int MAILBOX_BYTES = 16 << 20;
+
+    private final EndpointEntryParser parser;
+    private final EndpointListPublisher publisher;
+    private final MonotonicClock clock;
+    private final RegistryEventLog log;
+    private final long seed;
+    private final Mailbox<RegistryMessage> mailbox;
+    private final AtomicLong bytesRead = new AtomicLong();
+    private final RegistryListTracker tracker;
+    private final EndpointListCacheWriter cacheWriter;
+    private RegistryClientObserver observer = RegistryClientObserver.NONE;
+    private RegistryClientContext context;
+    private DiscoverySettings settings;
+    private RegistrySessions sessions;
+    private RegistryEventHandler events;
+    private volatile RegistryStatistics statistics;
+
+    /** A client of the registry that the settings describe. */
+    public RegistryClient(
+            DiscoverySettings settings,
+            Supplier<SiteSettings> site,
+            UpstreamPool upstreams,
+            MonotonicClock clock,
+            EventLog log,
+            long seed) {
+        this(settings, site, new EndpointListPublisher(upstreams), null, clock, log, seed);
+    }
+
+    /** A client whose lists go to a listener instead of the upstream pool and the dispatcher, for tests. */
+    RegistryClient(
+            DiscoverySettings settings,
+            Supplier<SiteSettings> site,
+            EndpointListListener listener,
+            MonotonicClock clock,
+            EventLog log,
+            long seed) {
+        this(settings, site, new EndpointListPublisher(null), listener, clock, log, seed);
+    }
+
+    private RegistryClient(
+            DiscoverySettings settings,
+            Supplier<SiteSettings> site,
+            EndpointListPublisher publisher,
+            EndpointListListener listener,
+            MonotonicClock clock,
+            EventLog log,
+            long seed) {
+        this.settings = settings;
+        this.parser = EndpointEntryParser.strict(site, clock.micros());
+        this.publisher = publisher;
+        this.clock = clock;
+        this.log = new RegistryEventLog(log);
+        this.seed = seed;
+        this.mailbox = new Mailbox<>(clock, MAILBOX_BYTES);
+        this.tracker = new RegistryListTracker(
+                settings.membership(), listener == null ? publisher : listener, this.log, () -> sessions.current()
+                        .requestConfirmation());
+        this.cacheWriter = new EndpointListCacheWriter(parser, clock, this.log);
+    }
+
+    /** Sets the observer; to be called before the start, by tests. */
+    void observe(RegistryClientObserver by) {
+        observer = by;
+    }
+
+    /**
+     * Publishes the cached list, if there is one, on the caller's thread, and starts the actor.
+     *
+     * @param saved not used: the last list of a registry is in a file of its own
+     */
+    @Override
+    public void start(RequestDispatcher dispatcher, byte[] saved) {
+        publisher.start(dispatcher);
+        context = new RegistryClientContext(clock, log, mailbox, bytesRead, observer);
+        long now = clock.micros();
+        if (settings.cacheFile() != null) {
+            restoreCachedList(now);
+            Mailbox.thread("registry-disk", cacheWriter::run).start();
+        }
+        try {
+            sessions = new RegistrySessions(newSession(settings, now));
+        } catch (IOException e) {
+            throw new ConfigurationException("registry.json: " + e.getMessage());
+        }
+        events = new RegistryEventHandler(sessions, tracker, context);
+        context.startThread("registry", this::run);
+    }
+
+    private RegistrySession newSession(DiscoverySettings with, long now) throws IOException {
+        return new RegistrySession(with, parser, context, seed, now);
+    }
+
+    private void restoreCachedList(long now) {
+        EndpointListCache cache = new EndpointListCache(settings.cacheFile(), parser);
+        try {
+            EndpointListCache.CachedList cached = cache.read(System.currentTimeMillis(), settings.maxCacheAgeMicros());
+            if (cached == null) {
+                return;
+            }
+            ListDelta delta = tracker.restore(cached.items(), now);
+            observer.updated(
+                    tracker.list(), new ListUpdateResult(ListUpdateResult.Verdict.APPLIED, delta, "saved"), false);
+            tracker.publishRestored();
+            cacheWriter.markWritten(tracker.list().version());
+            log.cacheRestored(cached, tracker.list().size());
+        } catch (IOException | RuntimeException e) {
+            log.cacheRejected(settings.cacheFile(), e);
+        }
+    }
+
+    @Override
+    public boolean isKnown() {
+        return tracker.isKnown();
+    }
+
+    /** Has the list reported as unchanged: the client keeps watching by itself. */
+    @Override
+    public void watch() {
+        mailbox.post(new RegistryMessage.ListRequested());
+    }
+
+    /** Does nothing: the list is followed as long as the program runs. */
+    @Override
+    public void unwatch() {}
+
+    /** Has the list reported as unchanged: the client keeps watching by itself. */
+    @Override
+    public void fetch() {
+        mailbox.post(new RegistryMessage.ListRequested());
+    }
+
+    /** The overlay; its listener is to be set before the start. */
+    @Override
+    public MaintenanceOverlay maintenanceOverlay() {
+        return publisher.overlay();
+    }
+
+    @Override
+    public void applyMaintenance(Set<String> outOfService, Map<String, Long> backSinceMicros, Runnable onApplied) {
+        MaintenanceUpdate update = new MaintenanceUpdate(outOfService, backSinceMicros, onApplied);
+        mailbox.post(new RegistryMessage.MaintenanceChanged(update));
+    }
+
+    /** Follows the registry that other settings describe. */
+    public void changeSettings(DiscoverySettings to) {
+        mailbox.post(new RegistryMessage.SettingsChanged(to));
+    }
+
+    /** Ends the client's calls and threads. */
+    public void stop() {
+        mailbox.post(new RegistryMessage.StopRequested());
+    }
+
+    /** Bytes read from registries since the start. */
+    long bytesRead() {
+        return bytesRead.get();
+    }
+
+    @Override
+    public String counterLines() {
+        RegistryStatistics latest = statistics;
+        return latest == null ? "" : latest.counterLines(clock.micros(), bytesRead.get());
+    }
+
+    private void run() {
+        try {
+            boolean running = true;
+            while (running) {
+                running = runTurn();
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Waits for a message or a timer, and handles it; returns false after the client was stopped. */
+    private boolean runTurn() throws InterruptedException {
+        RegistryMessage message = mailbox.take(nextTimerMicros());
+        long now = clock.micros();
+        try {
+            if (message instanceof RegistryMessage.StopRequested) {
+                sessions.close();
+                mailbox.close();
+                return false;
+            }
+            if (message != null) {
+                handle(message, now);
+            }
+            onTimer(now);
+            statistics = currentStatistics();
+        } catch (RuntimeException | OutOfMemoryError e) {
+            // Ends this turn only; a call that is left without a channel by it times out.
+            log.exception(e);
+        }
+        return true;
+    }
+
+    private void handle(RegistryMessage message, long now) {
+        if (message instanceof RegistryMessage.CallEventReceived received) {
+            if (received.call().session.isOpen(received.call())) {
+                events.onEvent(received.call(), received.event(), now);
+            }
+        } else if (message instanceof RegistryMessage.CallEnded ended) {
+            if (ended.call().session.isOpen(ended.call())) {
+                events.onEnded(ended.call(), ended.failure(), now);
+            }
+        } else if (message instanceof RegistryMessage.ListRequested) {
+            tracker.publishUnchanged();
+        } else if (message instanceof RegistryMessage.MaintenanceChanged changed) {
+            publisher.applyMaintenance(changed.update());
+        } else if (message instanceof RegistryMessage.SettingsChanged changed) {
+            onSettingsChanged(changed.settings(), now);
+        }
+    }
+
+    private void onSettingsChanged(DiscoverySettings to, long now) {
+        if (to.equals(settings)) {
+            return;
+        }
+        RegistrySession fresh;
+        try {
+            fresh = newSession(to, now);
+        } catch (IOException | ConfigurationException e) {
+            log.settingsRejected(e);
+            return;
+        }
+        log.settingsChanged(to);
+        if (!to.membership().equals(settings.membership())) {
+            tracker.changeSettings(to.membership(), now);
+        }
+        settings = to;
+        sessions.replace(fresh);
+    }
+
+    private long nextTimerMicros() {
+        long next = Math.min(tracker.membership().nextTimerMicros(), sessions.nextTimerMicros());
+        return tracker.isKnown() ? Math.min(next, cacheWriter.nextWriteMicros(settings, tracker.list())) : next;
+    }
+
+    private void onTimer(long now) {
+        tracker.onTimer(now);
+        RegistrySession former = sessions.former();
+        if (former != null) {
+            advance(former, now);
+        }
+        advance(sessions.current(), now);
+        if (tracker.isKnown()) {
+            cacheWriter.writeIfDue(settings, tracker.list(), now);
+        }
+    }
+
+    /** Ends the calls of a session that have timed out, and starts those that are due. */
+    private void advance(RegistrySession session, long now) {
+        for (RegistryCall call : session.openCalls()) {
+            if (session.hasTimedOut(call, now)) {
+                call.cancel();
+                events.onEnded(call, new RegistryCallTimeoutException(), now);
+            }
+        }
+        session.startDueCalls(tracker.list(), events.lastAnswerMicros(), now);
+    }
+
+    private RegistryStatistics currentStatistics() {
+        EndpointListState list = tracker.list();
+        MembershipDamping membership = tracker.membership();
+        return new RegistryStatistics(
+                list.position(),
+                list.version(),
+                list.size(),
+                events.lastAnswerMicros(),
+                list.duplicateChanges(),
+                membership.heldIds().size(),
+                membership.suppressedCount(),
+                membership.statistics());
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/RegistryClientContext.java
@@ -0,0 +1,25 @@
+package magpiehub.discovery;
+
+import java.util.concurrent.atomic.AtomicLong;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
+
+/**
+ * What the parts of one {@link RegistryClient} share.
+ *
+ * @param actor the mailbox of the client's actor
+ * @param bytesRead counts the bytes read from registries
+ */
+record RegistryClientContext(
+        MonotonicClock clock,
+        RegistryEventLog log,
+        Mailbox<RegistryMessage> actor,
+        AtomicLong bytesRead,
+        RegistryClientObserver observer) {
+    /** Starts a thread of the client. */
+    void startThread(String name, Runnable body) {
+        Thread thread = Mailbox.thread(name, body);
+        observer.threadStarting(thread);
+        thread.start();
+    }
+}
--- a/src/main/java/magpiehub/discovery/RegistryEventListener.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventListener.java
@@ -11,21 +11,21 @@
  */
 interface RegistryEventListener {
     /** A watch was opened by a registry that stands at {@code header}. */
-    void onWatchOpened(View.Position header) throws IOException, InterruptedException;
+    void onWatchOpened(ListPosition header) throws IOException, InterruptedException;
 
     /** The complete list as of {@code position}. */
-    void onCompleteList(View.Position position, List<View.Item> items) throws IOException, InterruptedException;
+    void onCompleteList(ListPosition position, List<ListItem> items) throws IOException, InterruptedException;
 
     /** All changes up to {@code position}; none if the registry only reports its progress. */
-    void onChanges(View.Position position, List<View.Item> items) throws IOException, InterruptedException;
+    void onChanges(ListPosition position, List<ListItem> items) throws IOException, InterruptedException;
 
-    /** Reported before a watch goes on: what the registry holds at the position, see {@link View#resumed}. */
-    void onWatchResumed(View.Position header, List<View.Item> lastChanged, long count)
+    /** Reported before a watch goes on: what the registry holds at the position, see {@link EndpointListState#checkResume}. */
+    void onWatchResumed(ListPosition header, List<ListItem> lastChanged, long count)
             throws IOException, InterruptedException;
 
     /** The changes asked for are not available: compacted, or not there yet. */
     void onCompacted(String reason) throws IOException, InterruptedException;
 
-    /** The result of a position check, see {@link View#checked}. */
-    void onPositionChecked(View.Position header, long newest, long count) throws IOException, InterruptedException;
+    /** The result of a position check, see {@link EndpointListState#checkWatch}. */
+    void onPositionChecked(ListPosition header, long newest, long count) throws IOException, InterruptedException;
 }
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/RegistryListTracker.java
@@ -0,0 +1,134 @@
+package magpiehub.discovery;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import magpiehub.config.EndpointEntry;
+import magpiehub.routing.EndpointListKind;
+
+/**
+ * Publishes the endpoint list that a registry's events add up to, after {@link MembershipDamping}. Belongs to
+ * the thread of {@link RegistryClient}'s actor.
+ */
+final class RegistryListTracker {
+    private final EndpointListState list = new EndpointListState();
+    private final EndpointListListener listener;
+    private final RegistryEventLog log;
+    /** Called where a second read of the list is to be made. */
+    private final Runnable confirmationRequester;
+
+    private MembershipDamping membership;
+    /** Keys that were logged as unreadable. */
+    private Set<String> loggedKeys = Set.of();
+    /** Whether a complete list has been published since the start. */
+    private volatile boolean known;
+
+    RegistryListTracker(
+            MembershipDamping.Settings settings,
+            EndpointListListener listener,
+            RegistryEventLog log,
+            Runnable confirmationRequester) {
+        this.membership = new MembershipDamping(settings);
+        this.listener = listener;
+        this.log = log;
+        this.confirmationRequester = confirmationRequester;
+    }
+
+    /** The list as the registry has it. */
+    EndpointListState list() {
+        return list;
+    }
+
+    MembershipDamping membership() {
+        return membership;
+    }
+
+    /** Whether a complete list has been published since the start. Any thread. */
+    boolean isKnown() {
+        return known;
+    }
+
+    /** Publishes a list from before this start. */
+    ListDelta restore(List<ListItem> items, long nowMicros) {
+        ListDelta delta = list.restore(items);
+        membership.apply(delta, nowMicros);
+        return delta;
+    }
+
+    void publishRestored() {
+        listener.deliver(EndpointListKind.SAVED, membership.entries());
+    }
+
+    /** Publishes changes that were applied to the list. */
+    void publish(ListDelta delta, long nowMicros) {
+        List<EndpointEntry> changes = membership.apply(delta, nowMicros);
+        if (membership.takeConfirmationRequest()) {
+            log.listDoubted(membership.heldIds().size(), list.size());
+            confirmationRequester.run();
+        }
+        if (!known) {
+            known = true;
+            listener.deliver(EndpointListKind.COMPLETE, membership.entries());
+        } else {
+            publishChanges(changes);
+        }
+        if (delta.complete()) {
+            log.listApplied(delta, list.position(), list.size());
+        }
+    }
+
+    /** Tells the dispatcher that the list is as it was; nothing while it is not known. */
+    void publishUnchanged() {
+        if (known) {
+            listener.deliver(EndpointListKind.CHANGES, List.of());
+        }
+    }
+
+    /** Removes endpoints that a second read of the list does not name either. */
+    void confirm(List<ListItem> items, long nowMicros) {
+        Set<String> ids = new HashSet<>();
+        for (ListItem item : items) {
+            if (item.entry() != null) {
+                ids.add(item.entry().server().id());
+            }
+        }
+        publishChanges(membership.applyConfirmation(ids, nowMicros));
+    }
+
+    /** Publishes what is due by now. */
+    void onTimer(long nowMicros) {
+        if (membership.nextTimerMicros() > nowMicros) {
+            return;
+        }
+        publishChanges(membership.onTimer(nowMicros));
+        if (membership.takeConfirmationRequest()) {
+            log.countConfirmationOverdue();
+            confirmationRequester.run();
+        }
+    }
+
+    /** Starts damping anew with other settings, from the endpoints published so far. */
+    void changeSettings(MembershipDamping.Settings settings, long nowMicros) {
+        List<EndpointEntry> entries = membership.entries();
+        membership = new MembershipDamping(settings);
+        membership.apply(new ListDelta(list.version(), true, false, entries, List.of()), nowMicros);
+    }
+
+    /** Logs keys whose entries have become unreadable. */
+    void logUnreadableKeys() {
+        Map<String, String> reasons = list.unreadableKeys();
+        reasons.forEach((key, reason) -> {
+            if (!loggedKeys.contains(key)) {
+                log.entryUnreadable(key, reason);
+            }
+        });
+        loggedKeys = reasons.keySet();
+    }
+
+    private void publishChanges(List<EndpointEntry> changes) {
+        if (!changes.isEmpty()) {
+            listener.deliver(EndpointListKind.CHANGES, changes);
+        }
+    }
+}
--- a/src/main/java/magpiehub/discovery/RegistryProtocol.java
+++ b/src/main/java/magpiehub/discovery/RegistryProtocol.java
@@ -17,7 +17,7 @@
             throws IOException, InterruptedException;
 
     /** Waits for changes after a position and reports them as they come. */
-    void watch(RegistryConnection connection, View.Position after, RegistryEventListener listener)
+    void watch(RegistryConnection connection, ListPosition after, RegistryEventListener listener)
             throws IOException, InterruptedException;
 
     /** Asks by a cheap request where the registry stands: one {@link RegistryEventListener#onPositionChecked}. */
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/RegistryProtocols.java
@@ -0,0 +1,17 @@
+package magpiehub.discovery;
+
+/** Creates the protocol that the settings name. */
+final class RegistryProtocols {
+    private RegistryProtocols() {}
+
+    static RegistryProtocol create(DiscoverySettings settings, EndpointEntryParser parser) {
+        return switch (settings.kind()) {
+            case "etcd" -> new EtcdProtocol(
+                    settings.prefix(), settings.pageSize(), settings.user(), settings.secret(), parser);
+            case "consul-health" -> ConsulProtocol.forHealth(
+                    settings.service(), settings.blockingQueryMicros(), settings.secret(), parser);
+            default -> ConsulProtocol.forKeyValues(
+                    settings.prefix(), settings.blockingQueryMicros(), settings.secret(), parser);
+        };
+    }
+}
--- a/src/main/java/magpiehub/discovery/RouterRegistration.java
+++ b/src/main/java/magpiehub/discovery/RouterRegistration.java
@@ -21,14 +21,14 @@
         STOP
     }
 
-    private final Options options;
+    private final DiscoverySettings options;
     private final String id;
     private final String address;
     private final MonotonicClock clock;
     private final EventLog log;
     private final Mailbox<Message> mailbox;
     private final RegistrationState state;
-    private final Endpoints endpoints;
+    private final RegistryEndpoints endpoints;
     private final SSLContext tls;
     private final RegistrationProtocol protocol;
     private final CountDownLatch done = new CountDownLatch(1);
@@ -43,28 +43,33 @@
      * @param listenAddress the entry's address where the settings name none
      */
     public RouterRegistration(
-            Options options, String routerName, String listenAddress, MonotonicClock clock, EventLog log, long seed)
+            DiscoverySettings options,
+            String routerName,
+            String listenAddress,
+            MonotonicClock clock,
+            EventLog log,
+            long seed)
             throws IOException {
-        Options.Announce announce = options.announce();
+        RegistrationSettings announce = options.registration();
         this.options = options;
         this.id = announce.id().isEmpty() ? routerName : announce.id();
         this.address = announce.address().isEmpty() ? listenAddress : announce.address();
         this.clock = clock;
         this.log = log;
         this.mailbox = new Mailbox<>(clock, 0);
-        this.state = new RegistrationState(announce.ttl(), clock.micros());
-        this.endpoints = new Endpoints(options.endpoints().size(), options.waits(), seed);
-        this.tls = options.tls() ? TlsContexts.trusting(options.authorities()) : null;
+        this.state = new RegistrationState(announce.ttlMicros(), clock.micros());
+        this.endpoints = new RegistryEndpoints(options.endpoints().size(), options.backoff(), seed);
+        this.tls = options.tls() ? TlsContexts.trusting(options.trustedAuthorities()) : null;
         this.protocol = protocol();
     }
 
     private RegistrationProtocol protocol() {
-        Options.Announce announce = options.announce();
+        RegistrationSettings announce = options.registration();
         if (options.kind().equals("etcd")) {
             EtcdClient client = new EtcdClient(EtcdCredentials.of(options.user(), options.secret()));
-            return new EtcdLeaseRegistration(client, announce.prefix(), id, address, announce.ttl());
+            return new EtcdLeaseRegistration(client, announce.prefix(), id, address, announce.ttlMicros());
         }
-        return new ConsulServiceRegistration(announce.service(), id, address, announce.ttl(), options.secret());
+        return new ConsulServiceRegistration(announce.service(), id, address, announce.ttlMicros(), options.secret());
     }
 
     /** Starts its thread. */
@@ -113,17 +118,17 @@
 
     /** Performs a step on the endpoint that is ready, or puts it off; the removal is not put off. */
     private void perform(RegistrationState.Step step, long now) {
-        int picked = endpoints.pick(now);
+        int picked = endpoints.select(now);
         if (picked < 0 && step != RegistrationState.Step.DEREGISTER) {
-            state.onFailed(now, endpoints.readyAt() - now);
+            state.onFailed(now, endpoints.nextReadyAtMicros() - now);
             return;
         }
         int endpoint = Math.max(0, picked);
         try {
             call(step, connect(options.endpoints().get(endpoint)), now);
-            endpoints.up(endpoint);
+            endpoints.recordSuccess(endpoint);
         } catch (RegistrationLostException e) {
-            endpoints.up(endpoint);
+            endpoints.recordSuccess(endpoint);
             log.count("registry_announcement_lost");
             log.log("registry-announcement-lost", "id", id);
             state.onLost(now);
@@ -160,11 +165,11 @@
                 "why",
                 String.valueOf(failure.getMessage()));
         if (failure instanceof HttpStatusException answered) {
-            endpoints.failed(endpoint, now, Endpoints.Loss.ANSWER, answered.retryAfterMicros());
+            endpoints.recordFailure(endpoint, now, EndpointFailure.ERROR_RESPONSE, answered.retryAfterMicros());
         } else {
-            endpoints.failed(endpoint, now, Endpoints.Loss.LINK, 0);
+            endpoints.recordFailure(endpoint, now, EndpointFailure.CONNECTION_LOST, 0);
         }
-        state.onFailed(now, Math.max(options.waits().base(), endpoints.readyAt() - now));
+        state.onFailed(now, Math.max(options.backoff().baseMicros(), endpoints.nextReadyAtMicros() - now));
         if (step == RegistrationState.Step.DEREGISTER) {
             state.onDeregistered(); // It is tried once: what is left expires.
         }
@@ -176,7 +181,7 @@
             if (current != null) {
                 current.close();
             }
-            int timeoutMillis = (int) Math.max(1, options.timeout() / MICROS_PER_MILLI);
+            int timeoutMillis = (int) Math.max(1, options.timeoutMicros() / MICROS_PER_MILLI);
             current = new RegistryConnection(endpoint, tls, clock, new AtomicLong());
             connection = current;
             current.connect(timeoutMillis);
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/platform/PlatformCall.java
@@ -0,0 +1,24 @@
+package magpiehub.discovery.platform;
+
+import java.net.Socket;
+import magpiehub.http.Sockets;
+
+/** One call to the platform's discovery: a watch, or a request for the list alone. */
+final class PlatformCall extends WatchScheduler.Call {
+    /** Whether the call watches the list; else it reads it once. */
+    final boolean watch;
+    /** Connected and read by the call's own thread; closed by any. */
+    final Socket socket = new Socket();
+    /** Whether the call has delivered nothing yet. Used by the actor's thread alone. */
+    boolean awaitsFirstData = true;
+
+    PlatformCall(boolean watch, String address) {
+        super(address);
+        this.watch = watch;
+    }
+
+    /** Ends the call. Any thread. */
+    void close() {
+        Sockets.closeQuietly(socket);
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/platform/PlatformCallReader.java
@@ -0,0 +1,126 @@
+package magpiehub.discovery.platform;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import java.io.FilterInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.discovery.EndpointEntryParser;
+import magpiehub.http.Http;
+
+/**
+ * Makes the calls to discovery, each on a thread of its own, and posts what they deliver to the actor. A
+ * response is a sequence of JSON values, however they are laid out and cut into chunks; blank lines between
+ * them are heartbeats.
+ */
+final class PlatformCallReader {
+    /** One list at most: the longest that the platform has is a hundredth of it. */
+    private static final int MAX_LIST_BYTES = 4 << 20;
+
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+    private static final int STATUS_OK = 200;
+
+    private final EndpointEntryParser entryParser;
+    private final MonotonicClock clock;
+    private final Mailbox<PlatformMessage> actor;
+
+    PlatformCallReader(EndpointEntryParser entryParser, MonotonicClock clock, Mailbox<PlatformMessage> actor) {
+        this.entryParser = entryParser;
+        this.clock = clock;
+        this.actor = actor;
+    }
+
+    /** Makes a call and posts what it delivers; returns after {@link PlatformMessage.CallEnded} was posted. */
+    void run(PlatformCall call, String target) {
+        String reason = "ended";
+        boolean malformed = false;
+        try (Socket socket = call.socket) {
+            Http.Input input = send(call, socket, target);
+            if (input.await()) {
+                Http.Head head = input.head(false);
+                if (head.status() == STATUS_OK) {
+                    readUpdates(call, input.content(head, Integer.MAX_VALUE));
+                } else {
+                    reason = "status " + head.status();
+                }
+            }
+        } catch (JsonProcessingException e) {
+            reason = e.getOriginalMessage();
+            malformed = true;
+        } catch (ConfigurationException e) {
+            reason = e.getMessage();
+            malformed = true;
+        } catch (IOException | RuntimeException | OutOfMemoryError e) {
+            reason = e.toString();
+        }
+        actor.post(new PlatformMessage.CallEnded(call, reason, malformed));
+    }
+
+    private Http.Input send(PlatformCall call, Socket socket, String target) throws IOException {
+        socket.setTcpNoDelay(true);
+        socket.connect(Config.socketAddress(call.address), CONNECT_TIMEOUT_MILLIS);
+        String request = "GET " + target + " HTTP/1.1\r\nHost: " + call.address + "\r\n\r\n";
+        socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+        return new Http.Input(socket.getInputStream(), clock::micros);
+    }
+
+    private void readUpdates(PlatformCall call, InputStream body) throws IOException {
+        ValueInputStream values = new ValueInputStream(call, body);
+        try (JsonParser json = Config.JSON.createParser(values)) {
+            while (json.nextToken() != null) {
+                values.insideValue = true;
+                PlatformListUpdate update = PlatformListUpdate.parse(json, entryParser);
+                post(new PlatformMessage.UpdateReceived(call, update), values.valueBytes);
+                values.insideValue = false;
+                values.valueBytes = 0;
+            }
+        }
+    }
+
+    private void post(PlatformMessage message, int bytes) throws IOException {
+        if (!actor.post(message, bytes)) {
+            throw new IOException("mailbox full");
+        }
+    }
+
+    /** The bytes of a response. Bounds the size of each value, and posts blanks between them as heartbeats. */
+    private final class ValueInputStream extends FilterInputStream {
+        private final PlatformCall call;
+        private boolean insideValue;
+        private int valueBytes;
+
+        ValueInputStream(PlatformCall call, InputStream in) {
+            super(in);
+            this.call = call;
+        }
+
+        @Override
+        public int read(byte[] buffer, int offset, int length) throws IOException {
+            int count = super.read(buffer, offset, length);
+            if (!insideValue && isBlank(buffer, offset, count)) {
+                post(new PlatformMessage.HeartbeatReceived(call), count);
+                return count;
+            }
+            valueBytes += Math.max(0, count);
+            if (valueBytes > MAX_LIST_BYTES) {
+                throw new ConfigurationException("a list of over " + MAX_LIST_BYTES + " bytes");
+            }
+            return count;
+        }
+
+        private static boolean isBlank(byte[] buffer, int offset, int count) {
+            for (int i = offset; i < offset + count; i++) {
+                if (buffer[i] > ' ') {
+                    return false;
+                }
+            }
+            return count > 0;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -0,0 +1,390 @@
+package magpiehub.discovery.platform;
+
+import com.fasterxml.jackson.core.JsonParser;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.Executor;
+import java.util.function.Supplier;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.SiteSettings;
+import magpiehub.discovery.EndpointEntryParser;
+import magpiehub.discovery.EndpointListPublisher;
+import magpiehub.discovery.EndpointListState;
+import magpiehub.discovery.EndpointSource;
+import magpiehub.discovery.ListDelta;
+import magpiehub.discovery.ListUpdateResult;
+import magpiehub.discovery.MaintenanceOverlay;
+import magpiehub.discovery.MaintenanceUpdate;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.EndpointState;
+import magpiehub.telemetry.EventLog;
+import magpiehub.upstream.UpstreamPool;
+
+/**
+ * The client of the platform's discovery. It calls discovery when the dispatcher requests it, and passes what
+ * is received through an {@link EndpointListState}, which keeps the order of revisions. {@link WatchScheduler}
+ * decides which calls are open. Lists are believed as they stand.
+ *
+ * <p>An actor: the public methods only post messages, unless they say otherwise, and may be called from any
+ * thread.
+ */
+public final class PlatformDiscovery implements EndpointSource {
+    /** Different causes of malformed lists that are logged, each once. */
+    private static final int MAX_LOGGED_CAUSES = 32;
+
+    private static final int MAILBOX_BYTES = 8 << 20;
+    private static final String LIST_TARGET = "/discovery/hosts";
+
+    private final Supplier<SiteSettings> site;
+    private final EndpointListPublisher publisher;
+    private final MonotonicClock clock;
+    private final EventLog log;
+    private final Mailbox<PlatformMessage> mailbox;
+    private final EndpointEntryParser entryParser;
+    private final PlatformCallReader reader;
+    private final Executor readerThreads;
+    private final EndpointListState list = new EndpointListState();
+    private final WatchScheduler watches;
+    private final Set<String> loggedCauses = new HashSet<>();
+    /** The call for the list alone that is open; null for none. */
+    private PlatformCall listCall;
+
+    private long listCallFailsAtMicros = Long.MAX_VALUE;
+    /** The address whose revisions the list's position is one of. */
+    private String listAddress;
+
+    /** Whether a list is known that is enough to serve with. */
+    private volatile boolean known;
+    /** Whether discovery has delivered a list since the start, or has failed to. */
+    private volatile boolean answered;
+
+    /** A client of the discovery at an address. */
+    public PlatformDiscovery(
+            String address,
+            Supplier<SiteSettings> site,
+            UpstreamPool upstreams,
+            MonotonicClock clock,
+            EventLog log,
+            long seed) {
+        this(address, site, upstreams, clock, log, seed, call -> Mailbox.thread("discovery-reader", call)
+                .start());
+    }
+
+    /** The same with an executor that runs each call on a thread of its own, or throws if there is none. */
+    PlatformDiscovery(
+            String address,
+            Supplier<SiteSettings> site,
+            UpstreamPool upstreams,
+            MonotonicClock clock,
+            EventLog log,
+            long seed,
+            Executor readerThreads) {
+        this.watches = new WatchScheduler(address, new WatchTransport(), seed);
+        this.listAddress = address;
+        this.site = site;
+        this.entryParser = EndpointEntryParser.platform(site, clock.micros());
+        this.publisher = new EndpointListPublisher(upstreams);
+        this.clock = clock;
+        this.log = log;
+        this.mailbox = new Mailbox<>(clock, MAILBOX_BYTES);
+        this.reader = new PlatformCallReader(entryParser, clock, mailbox);
+        this.readerThreads = readerThreads;
+    }
+
+    /** Publishes the saved list, if there is one, on the caller's thread, and starts the actor. */
+    @Override
+    public void start(RequestDispatcher dispatcher, byte[] saved) {
+        publisher.start(dispatcher);
+        if (saved != null) {
+            try (JsonParser json = Config.JSON.createParser(saved)) {
+                json.nextToken();
+                restore(PlatformListUpdate.parse(json, entryParser));
+            } catch (IOException | ConfigurationException e) {
+                log.log("known-list-unreadable", "error", e.getMessage());
+            }
+        }
+        Mailbox.thread("discovery", this::run).start();
+    }
+
+    @Override
+    public boolean isKnown() {
+        // Where lists are pushed, what the agent has counts as received from the first moment.
+        return known && (answered || site.get().settings().subscribe());
+    }
+
+    @Override
+    public void watch() {
+        mailbox.post(new PlatformMessage.WatchRequested());
+    }
+
+    @Override
+    public void unwatch() {
+        mailbox.post(new PlatformMessage.WatchCancelled());
+    }
+
+    @Override
+    public void fetch() {
+        mailbox.post(new PlatformMessage.ListRequested());
+    }
+
+    /** The overlay; its listener is to be set before the start. */
+    @Override
+    public MaintenanceOverlay maintenanceOverlay() {
+        return publisher.overlay();
+    }
+
+    @Override
+    public void applyMaintenance(Set<String> outOfService, Map<String, Long> backSinceMicros, Runnable onApplied) {
+        MaintenanceUpdate update = new MaintenanceUpdate(outOfService, backSinceMicros, onApplied);
+        mailbox.post(new PlatformMessage.MaintenanceChanged(update));
+    }
+
+    /** Changes discovery's address. */
+    public void changeAddress(String to) {
+        mailbox.post(new PlatformMessage.AddressChanged(to));
+    }
+
+    private void run() {
+        try {
+            while (true) {
+                runTurn();
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Waits for a message or a timer, and handles it. */
+    private void runTurn() throws InterruptedException {
+        try {
+            PlatformMessage message = mailbox.take(nextTimerMicros());
+            long now = clock.micros();
+            if (message == null) {
+                onTimer(now);
+            } else {
+                handle(message, now);
+            }
+        } catch (RuntimeException | OutOfMemoryError e) {
+            // Ends this turn only; a call that is left without a reader by it times out.
+            log.count("discovery_exceptions");
+            log.log("discovery-exception", "error", e.toString());
+        }
+    }
+
+    private void handle(PlatformMessage message, long now) {
+        if (message instanceof PlatformMessage.WatchRequested) {
+            watches.requestWatch(now);
+        } else if (message instanceof PlatformMessage.ListRequested) {
+            requestList(now);
+        } else if (message instanceof PlatformMessage.WatchCancelled) {
+            watches.closeAll();
+        } else if (message instanceof PlatformMessage.AddressChanged changed) {
+            onAddressChanged(changed.address(), now);
+        } else if (message instanceof PlatformMessage.MaintenanceChanged changed) {
+            publisher.applyMaintenance(changed.update());
+        } else if (message instanceof PlatformMessage.UpdateReceived received && isOpen(received.call())) {
+            onUpdate(received.call(), received.update(), now);
+        } else if (message instanceof PlatformMessage.HeartbeatReceived received && isOpen(received.call())) {
+            onHeartbeat(received.call(), now);
+        } else if (message instanceof PlatformMessage.CallEnded ended && isOpen(ended.call())) {
+            onCallEnded(ended);
+        }
+    }
+
+    private long nextTimerMicros() {
+        return Math.min(watches.nextTimerMicros(), listCall == null ? Long.MAX_VALUE : listCallFailsAtMicros);
+    }
+
+    private void onTimer(long now) {
+        if (listCall != null && listCallFailsAtMicros <= now) {
+            onListCallFailed("silent");
+        }
+        watches.onTimer(now);
+    }
+
+    private void onAddressChanged(String to, long now) {
+        String from = watches.address();
+        if (watches.changeAddress(to, now)) {
+            log.count("discovery_moves");
+            log.log("discovery-moved", "from", from, "to", to);
+        }
+    }
+
+    /** Whether what a call delivers still counts. */
+    private boolean isOpen(PlatformCall call) {
+        return call.watch ? watches.isOpen(call) : call == listCall;
+    }
+
+    /** Opens and closes the calls of the watches. */
+    private final class WatchTransport implements WatchScheduler.Transport {
+        @Override
+        public PlatformCall open(String address) {
+            PlatformCall call = new PlatformCall(true, address);
+            startCall(call, watchTarget(call));
+            return call;
+        }
+
+        @Override
+        public void close(WatchScheduler.Call call) {
+            ((PlatformCall) call).close();
+        }
+
+        @Override
+        public void onLate(WatchScheduler.Call call, boolean established) {
+            // A discovery that does not answer is no reason to keep clients away from a list that is known.
+            answered = true;
+            log.count(established ? "watches_silent" : "discovery_answers_late");
+            log.log(established ? "watch-silent" : "discovery-late", "discovery", call.address);
+        }
+
+        @Override
+        public void onFailure(WatchScheduler.Call call, String reason) {
+            reportFailure("watch", reason);
+        }
+    }
+
+    private String watchTarget(PlatformCall call) {
+        // Revisions of another address count for nothing there.
+        boolean resumes = list.position().isKnown() && listAddress.equals(call.address);
+        return LIST_TARGET + "?follow=1"
+                + (resumes ? "&since=" + list.position().revision() : "");
+    }
+
+    private void requestList(long now) {
+        // One at a time: a second one would be another call in discovery's queue.
+        closeListCall();
+        listCall = new PlatformCall(false, watches.address());
+        listCallFailsAtMicros = now + WatchScheduler.TIMEOUT_MICROS;
+        startCall(listCall, LIST_TARGET);
+    }
+
+    private void closeListCall() {
+        if (listCall != null) {
+            listCall.close();
+        }
+        listCall = null;
+    }
+
+    private void startCall(PlatformCall call, String target) {
+        log.count("discovery_calls");
+        try {
+            readerThreads.execute(() -> reader.run(call, target));
+        } catch (OutOfMemoryError e) {
+            // No thread is left. A failed call is followed by another in time, one that never ends is not.
+            mailbox.post(new PlatformMessage.CallEnded(call, e.toString(), false));
+        }
+    }
+
+    private void onUpdate(PlatformCall call, PlatformListUpdate update, long now) {
+        if (call.watch) {
+            watches.onData(call, now);
+        }
+        listAddress = call.address;
+        apply(update, call.awaitsFirstData);
+        call.awaitsFirstData = false;
+        if (!call.watch) {
+            closeListCall();
+        } else if (watches.lacksReliableWatch()) {
+            // The update counts, but the newer watch has failed: the dispatcher is to go on requesting one.
+            publisher.deliverError();
+        }
+    }
+
+    private void onHeartbeat(PlatformCall call, long now) {
+        if (call.watch) {
+            watches.onData(call, now);
+        }
+        log.count("discovery_beats");
+        if (call.watch && call.awaitsFirstData) {
+            // A heartbeat alone says that nothing has changed since the revision that the watch started from.
+            call.awaitsFirstData = false;
+            publish(EndpointListKind.CHANGES, List.of());
+        }
+    }
+
+    private void onCallEnded(PlatformMessage.CallEnded ended) {
+        if (ended.malformed()) {
+            log.count("lists_unreadable");
+            if (loggedCauses.size() < MAX_LOGGED_CAUSES && loggedCauses.add(ended.reason())) {
+                log.log("list-unreadable", "error", ended.reason());
+            }
+        }
+        if (ended.call().watch) {
+            watches.onEnded(ended.call(), ended.reason());
+        } else {
+            onListCallFailed(ended.reason());
+        }
+    }
+
+    private void onListCallFailed(String reason) {
+        closeListCall();
+        reportFailure("list", reason);
+    }
+
+    private void reportFailure(String call, String reason) {
+        answered = true;
+        log.count("discovery_failures");
+        log.log("discovery-failed", "call", call, "why", reason);
+        publisher.deliverError();
+    }
+
+    private void restore(PlatformListUpdate saved) {
+        list.restore(saved.items(), saved.position());
+        publish(EndpointListKind.SAVED, list.entries());
+    }
+
+    /** Applies a list or a change, unless a newer one has been. */
+    private void apply(PlatformListUpdate update, boolean firstOfCall) {
+        // A complete list that opens a watch is taken as it is: discovery may have begun its count anew.
+        ListUpdateResult result = update.complete()
+                ? list.applyCompleteList(update.position(), null, update.items(), firstOfCall)
+                : list.applyChanges(update.position(), update.items());
+        if (result.verdict() != ListUpdateResult.Verdict.APPLIED) {
+            log.count("old_revisions");
+            return;
+        }
+        if (update.complete()) {
+            publish(EndpointListKind.COMPLETE, list.entries());
+        } else {
+            publish(EndpointListKind.CHANGES, changes(result.delta()));
+        }
+        log.log(
+                "list",
+                "revision",
+                Long.toString(update.revision()),
+                "complete",
+                Boolean.toString(update.complete()),
+                "entries",
+                Integer.toString(update.entries().size()));
+    }
+
+    private static List<EndpointEntry> changes(ListDelta delta) {
+        List<EndpointEntry> changes = new ArrayList<>(delta.put());
+        delta.removed().forEach(id -> changes.add(removedEntry(id)));
+        return changes;
+    }
+
+    /** The entry of an endpoint that is gone, of which only the id is known. */
+    private static EndpointEntry removedEntry(String id) {
+        return new EndpointEntry(new Endpoint(id, 0, 0, 0, EndpointState.DEAD, 1, 0), null);
+    }
+
+    private void publish(EndpointListKind kind, List<EndpointEntry> entries) {
+        // The saved list is enough to serve with if it names a live endpoint: when all routers start together,
+        // discovery takes seconds to answer them all, and their clients would wait for it.
+        answered |= kind != EndpointListKind.SAVED;
+        known |= kind != EndpointListKind.SAVED
+                || entries.stream().anyMatch(entry -> entry.server().state() == EndpointState.LIVE);
+        publisher.deliver(kind, entries);
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/platform/PlatformListUpdate.java
@@ -0,0 +1,67 @@
+package magpiehub.discovery.platform;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import magpiehub.config.Config;
+import magpiehub.config.ConfigurationException;
+import magpiehub.config.EndpointEntry;
+import magpiehub.discovery.EndpointEntryParser;
+import magpiehub.discovery.ListItem;
+import magpiehub.discovery.ListPosition;
+import magpiehub.routing.EndpointState;
+
+/**
+ * A complete list or a set of changes as discovery writes it.
+ *
+ * @param revision the list's revision; -1 where it names none
+ * @param complete whether it is a complete list
+ */
+record PlatformListUpdate(long revision, boolean complete, List<EndpointEntry> entries) {
+    /**
+     * Parses the JSON object that the parser stands at the start of.
+     *
+     * @throws ConfigurationException if it is no list
+     */
+    static PlatformListUpdate parse(JsonParser json, EndpointEntryParser entryParser) throws IOException {
+        if (json.currentToken() != JsonToken.START_OBJECT) {
+            throw new ConfigurationException("must be an object");
+        }
+        long revision = -1;
+        boolean complete = false;
+        List<EndpointEntry> entries = null;
+        while (json.nextToken() == JsonToken.FIELD_NAME) {
+            String name = json.currentName();
+            json.nextToken();
+            switch (name) {
+                case "revision" -> revision = (long) Config.number(json, name);
+                case "complete" -> complete = json.getValueAsBoolean(false);
+                case "members" -> entries = Config.entries(json, entryParser);
+                default -> json.skipChildren();
+            }
+        }
+        if (entries == null && complete) {
+            // Guards against emptying the list in force by an answer that names no endpoints at all.
+            throw new ConfigurationException("members is missing");
+        }
+        return new PlatformListUpdate(revision, complete, entries == null ? List.of() : entries);
+    }
+
+    /** The position that the list has after this update. */
+    ListPosition position() {
+        return new ListPosition("", 0, revision);
+    }
+
+    /** The entries by the endpoints' ids, which are their keys. */
+    List<ListItem> items() {
+        List<ListItem> items = new ArrayList<>(entries.size());
+        for (EndpointEntry entry : entries) {
+            String id = entry.server().id();
+            items.add(
+                    entry.server().state() == EndpointState.DEAD ? ListItem.removed(id, 0) : ListItem.of(id, 0, entry));
+        }
+        return items;
+    }
+}
--- a/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -7,10 +7,10 @@
 import magpiehub.config.Config;
 import magpiehub.config.RouterConfiguration;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Discovery;
+import magpiehub.discovery.DiscoverySettings;
 import magpiehub.discovery.EndpointSource;
-import magpiehub.discovery.Options;
-import magpiehub.discovery.Registry;
+import magpiehub.discovery.RegistryClient;
+import magpiehub.discovery.platform.PlatformDiscovery;
 import magpiehub.telemetry.SyslogEventLog;
 
 /**
@@ -76,7 +76,7 @@
     private void reload() {
         try {
             RouterConfiguration next = Config.reread(System.getenv(), inForce);
-            Options registry = Options.read(registryFile);
+            DiscoverySettings registry = DiscoverySettings.read(registryFile);
             List<String> changed = inForce.changes(next);
             changed.removeIf(name -> !name.startsWith(SETTINGS_PREFIX));
             List<String> needRestart = started.changes(next);
@@ -102,13 +102,13 @@
     }
 
     /** Whether the source of the list is one that can be followed to where the new file says. */
-    private boolean follow(RouterConfiguration next, Options registry) {
-        if (discovery instanceof Registry client && registry != null) {
-            client.move(registry);
+    private boolean follow(RouterConfiguration next, DiscoverySettings registry) {
+        if (discovery instanceof RegistryClient client && registry != null) {
+            client.changeSettings(registry);
             return true;
         }
-        if (discovery instanceof Discovery client && registry == null && next.discovery() != null) {
-            client.move(next.discovery());
+        if (discovery instanceof PlatformDiscovery client && registry == null && next.discovery() != null) {
+            client.changeAddress(next.discovery());
             return true;
         }
         return false;
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -28,7 +28,7 @@
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.Config;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Discovery;
+import magpiehub.discovery.platform.PlatformDiscovery;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
@@ -126,7 +126,7 @@
             new SyslogEventLog(new PrintStream(logged, true, StandardCharsets.UTF_8), "test", 1);
     private final Map<String, Peer> peers = new LinkedHashMap<>();
     private ClientListener clients;
-    private Discovery discovery;
+    private PlatformDiscovery discovery;
     private Thread module;
     private RequestDispatcher actor;
     private CountDownLatch held;
@@ -185,7 +185,7 @@
                 log);
         UpstreamPool engines = new UpstreamPool(site, 64, clock, log, crew, streams);
         engines.start();
-        discovery = new Discovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock, log, 7);
+        discovery = new PlatformDiscovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock, log, 7);
         actor = new RequestDispatcher(site.settings(), 7, clock, engines, discovery, log);
         engines.module(actor);
         ProtocolAdapter front = messages
@@ -197,7 +197,7 @@
                 actor,
                 clock,
                 log,
-                discovery::known,
+                discovery::isKnown,
                 log::counters,
                 most,
                 crew,
@@ -235,7 +235,8 @@
                 p.server = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
                 peers.put(rest, p);
             }
-            case "move" -> discovery.move("127.0.0.1:" + peers.get(rest).server.getLocalPort());
+            case "move" -> discovery.changeAddress(
+                    "127.0.0.1:" + peers.get(rest).server.getLocalPort());
             case "start" -> start();
             case "clock" -> clock.now.addAndGet(Long.parseLong(rest) * 1000);
             case "counter" -> counter(rest);
--- a/src/test/java/magpiehub/discovery/ToldTest.java
+++ b/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
@@ -14,8 +14,8 @@
 import org.junit.Test;
 
 /** Calls that cross list changes: the operators' word on an engine holds, whatever its source says. */
-public class ToldTest {
-    private final Told told = new Told();
+public class MaintenanceOverlayTest {
+    private final MaintenanceOverlay overlay = new MaintenanceOverlay();
 
     private static EndpointEntry entry(String id, EndpointState state, long since) {
         return new EndpointEntry(new Endpoint(id, 0, 0, 0, state, 1, since), "h:1");
@@ -39,26 +39,30 @@
 
     @Test
     public void aBanHoldsOverChangesARestartAndAnotherList() {
-        told.source(
+        overlay.applyFromSource(
                 EndpointListKind.COMPLETE,
                 List.of(entry("a", EndpointState.LIVE, 0), entry("b", EndpointState.LIVE, 0)));
-        List<EndpointEntry> all = told.operators(Set.of("a"), Map.of());
+        List<EndpointEntry> all = overlay.applyMaintenance(Set.of("a"), Map.of());
         assertEquals(2, all.size());
         assertEquals(EndpointState.DRAINING, state(all, "a"));
         assertEquals(EndpointState.LIVE, state(all, "b"));
         assertTrue(
                 "the same word again tells nothing",
-                told.operators(Set.of("a"), Map.of()).isEmpty());
+                overlay.applyMaintenance(Set.of("a"), Map.of()).isEmpty());
         assertEquals(
                 EndpointState.DRAINING,
-                state(told.source(EndpointListKind.CHANGES, List.of(entry("a", EndpointState.LIVE, 50))), "a"));
+                state(
+                        overlay.applyFromSource(EndpointListKind.CHANGES, List.of(entry("a", EndpointState.LIVE, 50))),
+                        "a"));
         assertEquals(
                 EndpointState.DEAD,
-                state(told.source(EndpointListKind.CHANGES, List.of(entry("a", EndpointState.DEAD, 0))), "a"));
+                state(
+                        overlay.applyFromSource(EndpointListKind.CHANGES, List.of(entry("a", EndpointState.DEAD, 0))),
+                        "a"));
         assertEquals(
                 EndpointState.DRAINING,
                 state(
-                        told.source(
+                        overlay.applyFromSource(
                                 EndpointListKind.COMPLETE,
                                 List.of(entry("a", EndpointState.LIVE, 60), entry("b", EndpointState.LIVE, 0))),
                         "a"));
@@ -66,30 +70,37 @@
 
     @Test
     public void whoIsCalledBackHasStartedNoEarlierThanThat() {
-        told.source(EndpointListKind.COMPLETE, List.of(entry("a", EndpointState.LIVE, 0)));
-        told.operators(Set.of("a"), Map.of());
-        List<EndpointEntry> back = told.operators(Set.of(), Map.of("a", 900L));
+        overlay.applyFromSource(EndpointListKind.COMPLETE, List.of(entry("a", EndpointState.LIVE, 0)));
+        overlay.applyMaintenance(Set.of("a"), Map.of());
+        List<EndpointEntry> back = overlay.applyMaintenance(Set.of(), Map.of("a", 900L));
         assertEquals(EndpointState.LIVE, state(back, "a"));
         assertEquals(900, since(back, "a"));
         // The list may tell the restart late, and a later one counts by itself.
         assertEquals(
-                900, since(told.source(EndpointListKind.CHANGES, List.of(entry("a", EndpointState.LIVE, 700))), "a"));
+                900,
+                since(
+                        overlay.applyFromSource(EndpointListKind.CHANGES, List.of(entry("a", EndpointState.LIVE, 700))),
+                        "a"));
         assertEquals(
-                1500, since(told.source(EndpointListKind.CHANGES, List.of(entry("a", EndpointState.LIVE, 1500))), "a"));
+                1500,
+                since(
+                        overlay.applyFromSource(
+                                EndpointListKind.CHANGES, List.of(entry("a", EndpointState.LIVE, 1500))),
+                        "a"));
     }
 
     @Test
     public void anEngineThatIsNotListedIsNotToldAndEveryIdThatWasIsNamed() {
         List<String> ids = new ArrayList<>();
-        told.listed(ids::addAll);
-        told.source(
+        overlay.onListed(ids::addAll);
+        overlay.applyFromSource(
                 EndpointListKind.SAVED,
                 List.of(entry("a", EndpointState.LIVE, 0), entry("d", EndpointState.DRAINING, 0)));
-        told.source(
+        overlay.applyFromSource(
                 EndpointListKind.CHANGES,
                 List.of(entry("a", EndpointState.DEAD, 0), entry("c", EndpointState.LIVE, 0)));
-        assertTrue(told.operators(Set.of("a"), Map.of()).isEmpty());
-        assertTrue(told.operators(Set.of(), Map.of("a", 5L)).isEmpty());
+        assertTrue(overlay.applyMaintenance(Set.of("a"), Map.of()).isEmpty());
+        assertTrue(overlay.applyMaintenance(Set.of(), Map.of("a", 5L)).isEmpty());
         assertEquals(List.of("a", "d", "c"), ids);
     }
 }
--- a/src/test/java/magpiehub/discovery/MembershipTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipDampingTest.java
@@ -15,25 +15,25 @@
 import org.junit.Test;
 
 /** Membership's doubts, driven directly. */
-public class MembershipTest {
+public class MembershipDampingTest {
     private static final long S = 1_000_000;
-    private static final Membership.Options GUARDED =
-            new Membership.Options(0.3, 2, 1_500_000, 10 * S, 3, 1, 60 * S, 0.5);
+    private static final MembershipDamping.Settings GUARDED =
+            new MembershipDamping.Settings(0.3, 2, 1_500_000, 10 * S, 3, 1, 60 * S, 0.5);
 
     private static EndpointEntry engine(int i, EndpointState state) {
         return new EndpointEntry(new Endpoint("e" + i, 0, 0, 0, state, 1, 0), "10.0.0.1:" + (1 + i));
     }
 
-    private static View.Delta whole(List<EndpointEntry> put, List<String> gone) {
-        return new View.Delta(1, true, false, put, gone);
+    private static ListDelta whole(List<EndpointEntry> put, List<String> gone) {
+        return new ListDelta(1, true, false, put, gone);
     }
 
-    private static View.Delta change(List<EndpointEntry> put, List<String> gone) {
-        return new View.Delta(1, false, false, put, gone);
+    private static ListDelta change(List<EndpointEntry> put, List<String> gone) {
+        return new ListDelta(1, false, false, put, gone);
     }
 
-    private static Membership of(int n) {
-        Membership m = new Membership(GUARDED);
+    private static MembershipDamping of(int n) {
+        MembershipDamping m = new MembershipDamping(GUARDED);
         m.apply(
                 whole(
                         IntStream.range(0, n)
@@ -57,31 +57,32 @@
 
     @Test
     public void aListThatLosesHalfTheFleetNeedsASecondRead() {
-        Membership m = of(10);
+        MembershipDamping m = of(10);
         assertEquals("", states(m.apply(whole(List.of(), ids(0, 5)), S)));
-        assertTrue(m.confirm());
-        assertFalse("asked once", m.confirm());
-        assertEquals(10, m.all().size());
+        assertTrue(m.takeConfirmationRequest());
+        assertFalse("asked once", m.takeConfirmationRequest());
+        assertEquals(10, m.entries().size());
         // Nothing comes within the set time: it is asked again, and nobody is dropped.
-        assertEquals(S + 1_500_000, m.next());
-        assertEquals("", states(m.due(m.next())));
-        assertTrue(m.confirm());
-        assertEquals("e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD", states(m.confirmed(Set.copyOf(ids(4, 10)), 4 * S)));
-        assertEquals("e4 is in the second list, the first was wrong", 6, m.all().size());
+        assertEquals(S + 1_500_000, m.nextTimerMicros());
+        assertEquals("", states(m.onTimer(m.nextTimerMicros())));
+        assertTrue(m.takeConfirmationRequest());
+        assertEquals("e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD", states(m.applyConfirmation(Set.copyOf(ids(4, 10)), 4 * S)));
+        assertEquals(
+                "e4 is in the second list, the first was wrong", 6, m.entries().size());
     }
 
     @Test
     public void aListThatLosesFewIsBelieved() {
-        Membership m = of(10);
+        MembershipDamping m = of(10);
         assertEquals("e0 DEAD, e1 DEAD", states(m.apply(whole(List.of(), ids(0, 2)), S)));
-        assertFalse(m.confirm());
+        assertFalse(m.takeConfirmationRequest());
     }
 
     @Test
     public void whatAChangeSaysIsObeyedAtOnceWhateverItsSize() {
-        Membership m = of(10);
+        MembershipDamping m = of(10);
         assertEquals(10, m.apply(change(List.of(), ids(0, 10)), S).size());
-        Membership d = of(10);
+        MembershipDamping d = of(10);
         List<EndpointEntry> drains = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             drains.add(engine(i, EndpointState.DRAINING));
@@ -95,40 +96,40 @@
 
     @Test
     public void aHeldEngineThatIsNamedAgainStaysWithItsNewEntry() {
-        Membership m = of(10);
+        MembershipDamping m = of(10);
         m.apply(whole(List.of(), ids(0, 5)), S);
         assertEquals("e0 DRAINING", states(m.apply(change(List.of(engine(0, EndpointState.DRAINING)), List.of()), S)));
-        assertFalse(m.held().contains("e0"));
-        assertEquals(4, m.confirmed(Set.of(), 2 * S).size());
+        assertFalse(m.heldIds().contains("e0"));
+        assertEquals(4, m.applyConfirmation(Set.of(), 2 * S).size());
     }
 
     @Test
     public void anEngineThatFlapsReturnsOnceItHasBeenStill() {
-        Membership m = of(10);
+        MembershipDamping m = of(10);
         for (int i = 1; i <= 4; i++) {
             assertEquals("away at once", "e0 DEAD", states(m.apply(change(List.of(), ids(0, 1)), i * S)));
             assertEquals(
                     i < 4 ? "e0 LIVE" : "e0 DRAINING",
                     states(m.apply(change(List.of(engine(0, EndpointState.LIVE)), List.of()), i * S + 1)));
         }
-        assertEquals(1, m.suppressed());
+        assertEquals(1, m.suppressedCount());
         String told = "";
         long now = 0;
         while (told.isEmpty()) {
-            now = m.next();
-            told = states(m.due(now));
+            now = m.nextTimerMicros();
+            told = states(m.onTimer(now));
         }
         assertEquals("e0 LIVE", told);
         assertEquals("log2(3.4) half-lives of 10 s", 22, now / 1e6, 1.0);
-        while (m.next() != Long.MAX_VALUE) {
-            m.due(m.next());
+        while (m.nextTimerMicros() != Long.MAX_VALUE) {
+            m.onTimer(m.nextTimerMicros());
         }
-        assertEquals(0, m.suppressed());
+        assertEquals(0, m.suppressedCount());
     }
 
     @Test
     public void aFleetThatFlapsAsOneIsNotSuppressed() {
-        Membership m = of(10);
+        MembershipDamping m = of(10);
         for (int i = 1; i <= 6; i++) {
             m.apply(change(List.of(), ids(0, 10)), i * S);
             m.apply(
@@ -139,7 +140,7 @@
                             List.of()),
                     i * S + 1);
         }
-        assertTrue(m.suppressed() <= 5);
-        assertTrue(m.figures()[2] > 0);
+        assertTrue(m.suppressedCount() <= 5);
+        assertTrue(m.statistics().spared() > 0);
     }
 }
--- a/src/test/java/magpiehub/discovery/PartsTest.java
+++ b/src/test/java/magpiehub/discovery/PartsTest.java
@@ -28,7 +28,7 @@
     private String fault(String json) throws Exception {
         Path file = folder.getRoot().toPath().resolve("registry.json");
         Files.writeString(file, json);
-        return assertThrows(ConfigurationException.class, () -> Options.read(file))
+        return assertThrows(ConfigurationException.class, () -> DiscoverySettings.read(file))
                 .getMessage();
     }
 
@@ -61,9 +61,10 @@
         Files.setPosixFilePermissions(secret, java.nio.file.attribute.PosixFilePermissions.fromString("rw-r--r--"));
         assertTrue(fault("{" + ok + ",\"user\":\"u\",\"password_file\":\"secret\"}")
                 .contains("chmod 600"));
-        assertNull(Options.read(folder.getRoot().toPath().resolve("none.json")));
+        assertNull(DiscoverySettings.read(folder.getRoot().toPath().resolve("none.json")));
         assertEquals(
-                "etcd", Options.read(Path.of("deploy/registry.example.json")).kind());
+                "etcd",
+                DiscoverySettings.read(Path.of("deploy/registry.example.json")).kind());
     }
 
     // ---- Waits ----------------------------------------------------------------------------------------
@@ -71,12 +72,12 @@
     public void threeHundredRoutersThatLoseARegistryComeBackSpread() {
         TreeSet<Long> first = new TreeSet<>();
         for (int i = 0; i < 300; i++) {
-            Endpoints e = new Endpoints(3, new Endpoints.Options(100_000, 1_500_000, 1_500_000), i);
-            int at = e.pick(0);
-            e.up(at);
-            e.failed(at, S, Endpoints.Loss.LINK, 0);
-            assertEquals("none of them at once", -1, e.pick(S - 1));
-            first.add(e.readyAt());
+            RegistryEndpoints e = new RegistryEndpoints(3, new BackoffSettings(100_000, 1_500_000, 1_500_000), i);
+            int at = e.select(0);
+            e.recordSuccess(at);
+            e.recordFailure(at, S, EndpointFailure.CONNECTION_LOST, 0);
+            assertEquals("none of them at once", -1, e.select(S - 1));
+            first.add(e.nextReadyAtMicros());
         }
         long[] times = first.stream().mapToLong(t -> t).toArray();
         assertTrue(
@@ -86,34 +87,35 @@
 
     @Test
     public void waitsGrowToTheCapAndAnotherEndpointIsAskedMeanwhile() {
-        Endpoints one = new Endpoints(1, new Endpoints.Options(100_000, 1_500_000, 0), 3);
+        RegistryEndpoints one = new RegistryEndpoints(1, new BackoffSettings(100_000, 1_500_000, 0), 3);
         long now = 0;
         long longest = 0;
         for (int i = 0; i < 50; i++) {
-            one.failed(0, now, Endpoints.Loss.LINK, 0);
-            long wait = one.readyAt() - now;
+            one.recordFailure(0, now, EndpointFailure.CONNECTION_LOST, 0);
+            long wait = one.nextReadyAtMicros() - now;
             assertTrue("" + wait, wait >= 100_000 && wait <= 1_500_000);
             assertTrue("at most three times the one before", wait <= Math.max(300_000, 3 * longest));
             longest = Math.max(longest, wait);
             now += wait;
         }
         assertTrue(longest > S);
-        one.failed(0, now, Endpoints.Loss.ANSWER, 5 * S);
-        assertEquals("it said itself when to return", -1, one.pick(now + 5 * S - 1));
-        Endpoints two = new Endpoints(2, new Endpoints.Options(100_000, 1_500_000, S), 3);
-        int first = two.pick(0);
-        two.up(first);
-        two.failed(first, 0, Endpoints.Loss.SILENCE, 0);
-        assertEquals("a silent one is left at once", 1 - first, two.pick(0));
-        two.up(first);
-        two.failed(first, 0, Endpoints.Loss.ANSWER, 0);
-        assertEquals("one that answers with an error is no restart: another is asked at once", 1 - first, two.pick(0));
-        two.up(1 - first);
-        assertEquals("the one in use stays in use", 1 - first, two.pick(10 * S));
-        two.up(first);
-        two.suspect(1 - first, 10 * S, S);
-        two.failed(first, 10 * S - 1, Endpoints.Loss.SILENCE, 0);
-        assertEquals("not even after another failed once", first, two.pick(11 * S));
+        one.recordFailure(0, now, EndpointFailure.ERROR_RESPONSE, 5 * S);
+        assertEquals("it said itself when to return", -1, one.select(now + 5 * S - 1));
+        RegistryEndpoints two = new RegistryEndpoints(2, new BackoffSettings(100_000, 1_500_000, S), 3);
+        int first = two.select(0);
+        two.recordSuccess(first);
+        two.recordFailure(first, 0, EndpointFailure.TIMEOUT, 0);
+        assertEquals("a silent one is left at once", 1 - first, two.select(0));
+        two.recordSuccess(first);
+        two.recordFailure(first, 0, EndpointFailure.ERROR_RESPONSE, 0);
+        assertEquals(
+                "one that answers with an error is no restart: another is asked at once", 1 - first, two.select(0));
+        two.recordSuccess(1 - first);
+        assertEquals("the one in use stays in use", 1 - first, two.select(10 * S));
+        two.recordSuccess(first);
+        two.recordStaleAnswer(1 - first, 10 * S, S);
+        two.recordFailure(first, 10 * S - 1, EndpointFailure.TIMEOUT, 0);
+        assertEquals("not even after another failed once", first, two.select(11 * S));
     }
 
     /** A registry that asks to be left alone for a minute is asked again in time all the same. */
@@ -130,19 +132,19 @@
     @Test
     public void theLastListComesBackWholeOrNotAtAll() throws Exception {
         Path file = folder.getRoot().toPath().resolve("last");
-        Entries entries = Entries.strict(Rig.site(), 0);
-        LastList list = new LastList(file, entries);
+        EndpointEntryParser entries = EndpointEntryParser.strict(Rig.site(), 0);
+        EndpointListCache list = new EndpointListCache(file, entries);
         assertNull(list.read(0, S));
         List<EndpointEntry> fleet = List.of(
                 entries.read(Rig.engine(7, "Ready").getBytes(UTF_8), "e7"),
                 entries.read(Rig.engine(8, "Terminating").getBytes(UTF_8), "e8"));
-        list.write(fleet, new View.Position("c", 3, 9), 5_000);
-        LastList.Kept kept = list.read(6_000, 10 * S);
-        assertEquals(fleet, kept.items().stream().map(View.Item::entry).toList());
-        assertEquals(S, kept.age());
-        assertEquals(new View.Position("c", 3, 9), kept.at());
-        assertThrows(LastList.Unusable.class, () -> list.read(60_000, 10 * S));
-        assertThrows(LastList.Unusable.class, () -> list.read(-100_000, 10 * S));
+        list.write(fleet, new ListPosition("c", 3, 9), 5_000);
+        EndpointListCache.CachedList kept = list.read(6_000, 10 * S);
+        assertEquals(fleet, kept.items().stream().map(ListItem::entry).toList());
+        assertEquals(S, kept.ageMicros());
+        assertEquals(new ListPosition("c", 3, 9), kept.position());
+        assertThrows(EndpointListCache.UnusableCacheException.class, () -> list.read(60_000, 10 * S));
+        assertThrows(EndpointListCache.UnusableCacheException.class, () -> list.read(-100_000, 10 * S));
         byte[] whole = Files.readAllBytes(file);
         for (int i = 0; i < whole.length; i++) {
             byte[] b = whole.clone();
@@ -150,10 +152,12 @@
             Files.write(file, b);
             int at = i;
             if (i < 15 || i > 22) { // The time alone may change and still be one.
-                assertThrows("byte " + at, LastList.Unusable.class, () -> list.read(6_000, 10 * S));
+                assertThrows(
+                        "byte " + at, EndpointListCache.UnusableCacheException.class, () -> list.read(6_000, 10 * S));
             }
             Files.write(file, java.util.Arrays.copyOf(whole, i));
-            assertThrows("cut at " + at, LastList.Unusable.class, () -> list.read(6_000, 10 * S));
+            assertThrows(
+                    "cut at " + at, EndpointListCache.UnusableCacheException.class, () -> list.read(6_000, 10 * S));
         }
     }
 
--- a/src/test/java/magpiehub/discovery/RegistryTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -18,7 +18,7 @@
 
 /** Whole clients against the stand-in, in each dialect: what breaks, compacts and goes back in time. */
 @RunWith(Parameterized.class)
-public class RegistryTest {
+public class RegistryClientTest {
     @Parameterized.Parameters(name = "{0}")
     public static List<String> kinds() {
         return List.of("etcd", "consul-health", "consul-kv");
@@ -259,7 +259,7 @@
             second.put("e5", Rig.engine(2, "Ready"));
             second.endpoints.get(0).fault(Fault.SILENT);
             burst(100, 100);
-            client.registry.move(Rig.options(kind, second.addresses(), ""));
+            client.registry.changeSettings(Rig.options(kind, second.addresses(), ""));
             burst(200, 100);
             // Not told by the second one yet: the first one's word still counts.
             client.follows(registry);
--- a/src/test/java/magpiehub/discovery/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -117,9 +117,9 @@
     private static final AtomicLong SAMPLES = new AtomicLong();
 
     /** One client and the check of all that its view tells. */
-    private static final class Follower implements Registry.Tap, EventLog {
+    private static final class Follower implements RegistryClientObserver, EventLog {
         final Truth truth;
-        final Registry registry;
+        final RegistryClient registry;
         final Map<String, Integer> has = new HashMap<>();
         /** The highest cell that was ever told, and how much of the truth's changes has been seen. */
         final Map<String, Integer> highest = new HashMap<>();
@@ -138,12 +138,12 @@
         /** What the checks themselves cost (ns of CPU): no part of a client's. */
         volatile long checking;
 
-        Follower(Truth truth, Options options, long seed, boolean whole) throws Exception {
+        Follower(Truth truth, DiscoverySettings options, long seed, boolean whole) throws Exception {
             this.truth = truth;
             this.salt = (int) (seed % 40);
             if (!whole) {
-                registry = new Registry(options, Rig.site(), null, (kind, list) -> {}, CLOCK, this, seed);
-                registry.tap = this;
+                registry = new RegistryClient(options, Rig.site(), (kind, list) -> {}, CLOCK, this, seed);
+                registry.observe(this);
                 registry.start(null, null);
                 return;
             }
@@ -159,26 +159,26 @@
                     this,
                     new ActorThreadPool(),
                     new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, CLOCK, this));
-            registry = new Registry(options, () -> site, engines, CLOCK, this, seed);
+            registry = new RegistryClient(options, () -> site, engines, CLOCK, this, seed);
             RequestDispatcher module = new RequestDispatcher(site.settings(), seed, CLOCK, engines, registry, this);
             engines.module(module);
-            registry.tap = this;
+            registry.observe(this);
             registry.start(module, null);
             Mailbox.thread("module", module::run).start();
         }
 
         @Override
-        public void view(View v, View.Result r, boolean watched) {
+        public void updated(EndpointListState v, ListUpdateResult r, boolean watched) {
             long before = THREADS.getCurrentThreadCpuTime();
             check(v, r);
             checking += THREADS.getCurrentThreadCpuTime() - before;
         }
 
-        private synchronized void check(View v, View.Result r) {
+        private synchronized void check(EndpointListState v, ListUpdateResult r) {
             if (r.delta() == null) {
                 return;
             }
-            position = v.position().number();
+            position = v.position().revision();
             long now = CLOCK.micros();
             for (EndpointEntry e : r.delta().put()) {
                 String id = e.server().id();
@@ -195,7 +195,7 @@
                 }
                 caughtUp(id, had == null ? 0 : had, cell, now);
             }
-            for (String id : r.delta().gone()) {
+            for (String id : r.delta().removed()) {
                 Integer had = has.remove(id);
                 if (had == null) {
                     REPEATED.incrementAndGet();
@@ -268,15 +268,15 @@
         }
 
         @Override
-        public void connects(Registry.Kind kind, String endpoint) {
+        public void connecting(RegistryCallKind kind, String endpoint) {
             long now = CLOCK.micros();
-            if (now > firstCallAfter && firstCall == 0 && kind != Registry.Kind.CHECK) {
+            if (now > firstCallAfter && firstCall == 0 && kind != RegistryCallKind.CHECK) {
                 firstCall = now - firstCallAfter;
             }
         }
 
         @Override
-        public void began(Thread thread) {
+        public void threadStarting(Thread thread) {
             threads.add(thread);
         }
 
@@ -318,7 +318,7 @@
 
         @Override
         public void run() {
-            View view = new View();
+            EndpointListState view = new EndpointListState();
             RegistryConnection wire = null;
             for (int i = 0; !over; i++) {
                 long next = System.nanoTime() + 1_000_000_000L;
@@ -331,24 +331,24 @@
                     }
                     driver.readList(wire, new RegistryEventListener() {
                         @Override
-                        public void onWatchOpened(View.Position header) {}
+                        public void onWatchOpened(ListPosition header) {}
 
                         @Override
-                        public void onCompleteList(View.Position to, List<View.Item> items) {
-                            view.whole(to, view.position(), items, true);
+                        public void onCompleteList(ListPosition to, List<ListItem> items) {
+                            view.applyCompleteList(to, view.position(), items, true);
                         }
 
                         @Override
-                        public void onChanges(View.Position to, List<View.Item> items) {}
+                        public void onChanges(ListPosition to, List<ListItem> items) {}
 
                         @Override
-                        public void onWatchResumed(View.Position of, List<View.Item> last, long count) {}
+                        public void onWatchResumed(ListPosition of, List<ListItem> last, long count) {}
 
                         @Override
                         public void onCompacted(String why) {}
 
                         @Override
-                        public void onPositionChecked(View.Position of, long newest, long count) {}
+                        public void onPositionChecked(ListPosition of, long newest, long count) {}
                     });
                 } catch (IOException | InterruptedException | RuntimeException e) {
                     if (wire != null) {
@@ -566,11 +566,12 @@
         final List<String> bad = new ArrayList<>();
     }
 
-    private static Options options(String kind, FakeRegistry registry, boolean whole, Path list) throws IOException {
+    private static DiscoverySettings options(String kind, FakeRegistry registry, boolean whole, Path list)
+            throws IOException {
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", registry.addresses())
                 + "\"],\"prefix\":\"" + FakeRegistry.PREFIX + "\",\"service\":\"engines\""
                 + (whole ? ",\"list_file\":\"" + list + "\"" : "") + "}";
-        return Options.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
+        return DiscoverySettings.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     private static Result dialect(boolean etcd, long seed, int engines, int changes, int views, int whole, long settle)
@@ -592,12 +593,12 @@
                     seed * 1000 + i,
                     i >= views));
         }
-        Options o = options(etcd ? "etcd" : "consul-health", registry, false, null);
-        Entries entries = Entries.strict(Rig.site(), 0);
+        DiscoverySettings o = options(etcd ? "etcd" : "consul-health", registry, false, null);
+        EndpointEntryParser entries = EndpointEntryParser.strict(Rig.site(), 0);
         Poller poller = new Poller(
                 etcd
-                        ? new EtcdProtocol(o.prefix(), o.page(), null, null, entries)
-                        : ConsulProtocol.forHealth(o.service(), o.block(), null, entries),
+                        ? new EtcdProtocol(o.prefix(), o.pageSize(), null, null, entries)
+                        : ConsulProtocol.forHealth(o.service(), o.blockingQueryMicros(), null, entries),
                 registry);
         poller.start();
         long started = CLOCK.micros();
@@ -616,7 +617,7 @@
         long cpu = 0;
         long bytes = 0;
         for (Follower f : followers.subList(0, views)) {
-            bytes += f.registry.bytes();
+            bytes += f.registry.bytesRead();
             cpu -= f.checking;
             for (Thread t : f.threads) {
                 cpu += Math.max(0, THREADS.getThreadCpuTime(t.getId()));
@@ -675,7 +676,7 @@
     }
 
     private static long total(List<Follower> followers) {
-        return followers.stream().mapToLong(f -> f.registry.bytes()).sum();
+        return followers.stream().mapToLong(f -> f.registry.bytesRead()).sum();
     }
 
     /** Waits until no view differs, or the time is over. */
--- a/src/test/java/magpiehub/discovery/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -25,8 +25,8 @@
 final class Rig {
     private Rig() {}
 
-    static final class Client implements EventLog, Registry.Tap, AutoCloseable {
-        final Registry registry;
+    static final class Client implements EventLog, RegistryClientObserver, AutoCloseable {
+        final RegistryClient registry;
         /** What the module would have: engines told and not gone. */
         final Map<String, EndpointEntry> fleet = new ConcurrentHashMap<>();
 
@@ -35,11 +35,10 @@
         private final Map<String, EndpointEntry> shadow = new HashMap<>();
         volatile String fault = "";
 
-        Client(Options options) throws IOException {
-            registry = new Registry(
+        Client(DiscoverySettings options) throws IOException {
+            registry = new RegistryClient(
                     options,
                     site(),
-                    null,
                     (kind, list) -> {
                         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
                             fleet.keySet()
@@ -58,13 +57,13 @@
                     MonotonicClock.SYSTEM,
                     this,
                     7);
-            registry.tap = this;
+            registry.observe(this);
             registry.start(null, null);
         }
 
         /** Deltas alone must add up to the view, and name nothing that has not changed. */
         @Override
-        public void view(View view, View.Result r, boolean watched) {
+        public void updated(EndpointListState view, ListUpdateResult r, boolean watched) {
             if (r.delta() == null) {
                 return;
             }
@@ -73,7 +72,7 @@
                     fault = "repeated " + e;
                 }
             }
-            for (String id : r.delta().gone()) {
+            for (String id : r.delta().removed()) {
                 if (shadow.remove(id) == null) {
                     fault = "gone twice " + id;
                 }
@@ -158,13 +157,13 @@
     }
 
     /** Settings for a dialect with quick waits; {@code more} are further members of the file. */
-    static Options options(String kind, List<String> endpoints, String more) throws IOException {
+    static DiscoverySettings options(String kind, List<String> endpoints, String more) throws IOException {
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", endpoints) + "\"],"
                 + "\"prefix\":\"" + FakeRegistry.PREFIX + "\",\"service\":\"engines\",\"reconnect_spread_ms\":50,"
                 + "\"backoff_base_ms\":20,\"backoff_cap_ms\":200,\"least_interval_ms\":20,"
                 + "\"check_every_ms\":200,\"timeout_ms\":2000,\"membership\":{\"flap_half_life_ms\":0}"
                 + more + "}";
-        return Options.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
+        return DiscoverySettings.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     static void await(BooleanSupplier what, java.util.function.Supplier<String> otherwise) {
--- a/src/test/java/magpiehub/discovery/DiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -1,4 +1,4 @@
-package magpiehub.discovery;
+package magpiehub.discovery.platform;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -22,7 +22,7 @@
 import org.junit.Test;
 
 /** The platform's discovery where the process itself is short of something. */
-public class DiscoveryTest {
+public class PlatformDiscoveryTest {
     /** The module asks for another watch up to 0.95 s after one has failed, and 5 s after one unheard of. */
     private static final int ASKED_AGAIN_MS = 4_000;
 
@@ -43,8 +43,8 @@
                     log,
                     new ActorThreadPool(),
                     new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, clock, log));
-            Discovery discovery =
-                    new Discovery("127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
+            PlatformDiscovery discovery = new PlatformDiscovery(
+                    "127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
                         if (calls.incrementAndGet() == 1) {
                             throw new OutOfMemoryError("unable to create native thread");
                         }
--- a/src/test/java/magpiehub/discovery/WatchesTest.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
@@ -1,4 +1,4 @@
-package magpiehub.discovery;
+package magpiehub.discovery.platform;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
@@ -22,7 +22,7 @@
 
 /** The calls for the list, with the module that asks for them, against a discovery in virtual time: whatever
  *  went wrong before, what it has and could tell is in force 6 s later. */
-public class WatchesTest {
+public class WatchSchedulerTest {
     private static final long MS = 1000;
     private static final long S = 1_000_000;
     private static final long TOLD = 6 * S;
@@ -55,7 +55,7 @@
         }
     }
 
-    private static final class Line extends Watches.Call {
+    private static final class Line extends WatchScheduler.Call {
         final Router router;
         final Discovery at;
         final long begun;
@@ -145,10 +145,10 @@
         }
     }
 
-    private static final class Router extends QuietActions implements Watches.Host {
+    private static final class Router extends QuietActions implements WatchScheduler.Transport {
         final Fleet fleet;
         final RoutingPolicy rules;
-        final Watches watches;
+        final WatchScheduler watches;
         final List<long[]> timers = new ArrayList<>();
         final List<String> sent = new ArrayList<>();
         int mostAtOnce;
@@ -161,12 +161,12 @@
 
         Router(Fleet fleet, RoutingSettings s, long seed) {
             this.fleet = fleet;
-            watches = new Watches("a", this, seed);
+            watches = new WatchScheduler("a", this, seed);
             rules = new RoutingPolicy(s, seed, this, fleet.now);
         }
 
         void step() {
-            watches.tick(fleet.now);
+            watches.onTimer(fleet.now);
             for (long[] t : List.copyOf(timers)) {
                 if (t[0] <= fleet.now) {
                     timers.remove(t);
@@ -177,14 +177,14 @@
                 toldAt = fleet.now;
                 if (fleet.now - beatAt >= fleet.beat) {
                     beatAt = fleet.now;
-                    watches.spoke(live, fleet.now);
+                    watches.onData(live, fleet.now);
                 }
             }
         }
 
         void told(Line l) {
-            if (watches.counts(l)) {
-                watches.spoke(l, fleet.now);
+            if (watches.isOpen(l)) {
+                watches.onData(l, fleet.now);
                 live = l;
                 toldAt = fleet.now;
                 beatAt = fleet.now;
@@ -196,13 +196,13 @@
         }
 
         void ended(Line l) {
-            if (watches.counts(l)) {
-                watches.ended(l, "ended");
+            if (watches.isOpen(l)) {
+                watches.onEnded(l, "ended");
             }
         }
 
         @Override
-        public Watches.Call begin(String address) {
+        public WatchScheduler.Call open(String address) {
             Line l = new Line(this, address, fleet.now);
             l.fate = l.at.out(fleet.now) ? l.at.outage : null;
             l.at.queue.add(l);
@@ -212,7 +212,7 @@
         }
 
         @Override
-        public void close(Watches.Call c) {
+        public void close(WatchScheduler.Call c) {
             Line l = (Line) c;
             open -= l.closed ? 0 : 1;
             l.closed = true;
@@ -220,16 +220,16 @@
         }
 
         @Override
-        public void late(Watches.Call c, boolean spoken) {}
+        public void onLate(WatchScheduler.Call c, boolean established) {}
 
         @Override
-        public void failed(Watches.Call c, String why) {
+        public void onFailure(WatchScheduler.Call c, String why) {
             rules.list(fleet.now, EndpointListKind.ERROR, List.of());
         }
 
         @Override
         public void watch() {
-            watches.ask(fleet.now);
+            watches.requestWatch(fleet.now);
         }
 
         @Override
@@ -280,7 +280,7 @@
                         moves = false;
                         // The new address is out as well, in a way of its own, and back at the same time.
                         f.out(f.discoveries.get(1), Outage.values()[random.nextInt(5)], back);
-                        f.routers.forEach(r -> r.watches.move("b", f.now));
+                        f.routers.forEach(r -> r.watches.changeAddress("b", f.now));
                     }
                     f.step();
                 }
@@ -410,9 +410,9 @@
         for (long end = f.now + 60 * S; f.now < end; ) {
             f.step();
             if (f.now % S == S / 2 && f.now > silent + 4 * S) {
-                r.watches.spoke(old, f.now);
+                r.watches.onData(old, f.now);
                 r.rules.list(f.now, EndpointListKind.CHANGES, List.of());
-                if (r.watches.forsaken()) {
+                if (r.watches.lacksReliableWatch()) {
                     r.rules.list(f.now, EndpointListKind.ERROR, List.of());
                 }
             }
