--- a/src/test/java/magpiehub/discovery/PartsTest.java
+++ b/src/test/java/magpiehub/discovery/PartsTest.java
@@ -238,9 +238,9 @@
                         1);
                 a.start();
                 Rig.await(() -> announced(registry), () -> journal.logged.toString());
-                registry.loseLeases();
+                registry.etcd.loseLeases();
                 synchronized (registry) {
-                    registry.services.clear();
+                    registry.consul.services.clear();
                 }
                 Rig.await(() -> announced(registry), () -> journal.logged.toString());
                 assertEquals(1, journal.counted("registry_announcement_lost"));
@@ -254,7 +254,8 @@
 
     private static boolean announced(FakeRegistry r) {
         synchronized (r) {
-            return r.services.contains("n1") || r.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
+            return r.consul.services.contains("n1")
+                    || r.etcd.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
         }
     }
 }
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -79,8 +79,8 @@
         only(0);
         connect("");
         for (int cut = 0; cut < 700; cut += 13) {
-            registry.endpoints.get(0).cutAfter = cut;
-            registry.together(Map.of(
+            registry.endpoints.get(0).cutAfterBytes = cut;
+            registry.putAll(Map.of(
                     "e1",
                     Rig.engine(2000 + cut, "Ready"),
                     "e2",
@@ -105,16 +105,16 @@
 
     @Test
     public void aFragmentedRevisionIsAppliedWhole() throws Exception {
-        registry.fragment = 7;
+        registry.etcd.eventsPerFragment = 7;
         connect("");
         for (int round = 0; round < 20; round++) {
             Map<String, String> all = new HashMap<>();
             for (int i = 0; i < 40; i++) {
                 all.put("e" + i, Rig.engine(round * 100 + i, "Ready"));
             }
-            registry.together(all);
+            registry.putAll(all);
             if (round % 5 == 4) {
-                registry.endpoints.get(0).cutAfter = 900;
+                registry.endpoints.get(0).cutAfterBytes = 900;
                 registry.cutAll();
             }
         }
@@ -124,7 +124,7 @@
     @Test
     public void olderDataAfterARestartIsReadWhole() throws Exception {
         connect("");
-        long old = registry.rev;
+        long old = registry.revision;
         burst(100, 200);
         client.follows(registry);
         registry.restore(old, registry.cluster, old);
@@ -138,7 +138,7 @@
     @Test
     public void aRegistryThatWentBackAndHasComePastTheClientIsNotMixedIn() throws Exception {
         connect("");
-        long old = registry.rev;
+        long old = registry.revision;
         burst(100, 20);
         client.follows(registry);
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
@@ -156,7 +156,7 @@
         connect("");
         burst(100, 200);
         client.follows(registry);
-        registry.restore(20, "99", registry.rev + 1000);
+        registry.restore(20, "99", registry.revision + 1000);
         client.follows(registry);
         assertEquals(kind.equals("etcd") ? 1 : 0, client.counted("registry_histories"));
         burst(400, 50);
@@ -168,7 +168,7 @@
         connect("");
         burst(100, 300);
         client.follows(registry);
-        registry.endpoints.get(1).lag = 200;
+        registry.endpoints.get(1).revisionsBehind = 200;
         for (int i = 0; i < 6; i++) {
             registry.cutAll();
             burst(400 + i, 1);
@@ -207,7 +207,7 @@
         registry.endpoints.get(0).fault(Fault.DRIPS);
         registry.endpoints.get(1).fault(Fault.DOWN);
         client = new Rig.Client(Rig.options(kind, registry.addresses(), ""));
-        Rig.await(() -> !registry.asked.isEmpty(), () -> client.logged.toString());
+        Rig.await(() -> !registry.requestCounts.isEmpty(), () -> client.logged.toString());
         registry.endpoints.get(1).fault(Fault.NONE);
         long back = System.nanoTime();
         client.follows(registry);
@@ -274,11 +274,11 @@
     @Test
     public void aListThatLostTheFleetIsReadTwice() throws Exception {
         connect("");
-        int lists = registry.asked("/v3/kv/range");
+        int lists = registry.requestCount("/v3/kv/range");
         registry.restore(5, registry.cluster, 5);
         client.follows(registry);
         assertEquals(1, client.counted("membership_doubts"));
-        assertTrue(registry.asked("/v3/kv/range") > lists || !kind.equals("etcd"));
+        assertTrue(registry.requestCount("/v3/kv/range") > lists || !kind.equals("etcd"));
     }
 
     @Test
@@ -319,8 +319,8 @@
     @Test
     public void aCompactionBetweenThePagesOfAList() throws Exception {
         assumeTrue(kind.equals("etcd"));
-        registry.betweenPages = () -> {
-            registry.betweenPages = () -> {};
+        registry.etcd.betweenPages = () -> {
+            registry.etcd.betweenPages = () -> {};
             registry.put("e7", Rig.engine(4711, "Ready"));
             registry.compact();
         };
@@ -337,12 +337,12 @@
         java.nio.file.Files.writeString(file, "secret\n");
         connect(",\"user\":\"router\",\"password_file\":\"" + file + "\"");
         synchronized (registry) {
-            registry.tokens.clear();
+            registry.etcd.tokens.clear();
         }
         registry.cutAll();
         burst(100, 20);
         client.follows(registry);
-        assertTrue(registry.logins >= 2);
+        assertTrue(registry.etcd.logins >= 2);
     }
 
     @Test
--- a/src/test/java/magpiehub/discovery/RegistryProof.java
+++ b/src/test/java/magpiehub/discovery/RegistryProof.java
@@ -87,7 +87,7 @@
 
         /** After a restore everything is as the registry says now. */
         void restored() {
-            Map<String, Integer> is = state(registry.at(Long.MAX_VALUE, FakeRegistry.PREFIX));
+            Map<String, Integer> is = state(registry.snapshot(Long.MAX_VALUE, FakeRegistry.PREFIX));
             for (String id : List.copyOf(now.keySet())) {
                 became(id, is.getOrDefault(id, 0));
             }
@@ -212,10 +212,10 @@
         private void sample(long at) {
             Map<String, Integer> then;
             synchronized (truth.registry) {
-                if (CLOCK.micros() - truth.reachableAt <= 3 * S || truth.registry.rev < at) {
+                if (CLOCK.micros() - truth.reachableAt <= 3 * S || truth.registry.revision < at) {
                     return;
                 }
-                then = state(truth.registry.at(at, FakeRegistry.PREFIX));
+                then = state(truth.registry.snapshot(at, FakeRegistry.PREFIX));
             }
             SAMPLES.incrementAndGet();
             int n = differences(then);
@@ -415,7 +415,7 @@
             }
         }
 
-        private FakeRegistry.Endpoint any() {
+        private FakeRegistryEndpoint any() {
             return registry.endpoints.get(random.nextInt(registry.endpoints.size()));
         }
 
@@ -448,7 +448,7 @@
             }
             // Out of a calm: what is measured then is how routers that lost it together come back.
             java.util.Collections.swap(order, 0, order.indexOf(kinds - 1));
-            long old = registry.rev;
+            long old = registry.revision;
             int each = Math.max(1, changes / kinds);
             for (int kind : order) {
                 burst(each / 2);
@@ -460,15 +460,15 @@
             }
             burst(Math.max(0, changes - made));
             registry.endpoints.forEach(e -> e.fault(FakeRegistry.Fault.NONE));
-            registry.endpoints.forEach(e -> e.lag = 0);
+            registry.endpoints.forEach(e -> e.revisionsBehind = 0);
         }
 
         private void fault(int kind, long old, int during) {
-            FakeRegistry.Endpoint e = any();
+            FakeRegistryEndpoint e = any();
             switch (kind) {
                 case 0 -> registry.cutAll();
                 case 1 -> { // In the middle of whatever is written next: a line, a chunk, a letter.
-                    registry.endpoints.forEach(x -> x.cutAfter = 1 + random.nextInt(4000));
+                    registry.endpoints.forEach(x -> x.cutAfterBytes = 1 + random.nextInt(4000));
                     burst(during);
                 }
                 case 2 -> { // Compacted while nobody could watch.
@@ -478,11 +478,12 @@
                     pause(200);
                     up();
                 }
-                case 3 -> restore(old + random.nextInt(Math.max(1, (int) (registry.rev - old))), registry.cluster, 0);
+                case 3 -> restore(
+                        old + random.nextInt(Math.max(1, (int) (registry.revision - old))), registry.cluster, 0);
                 case 4 -> restore(
-                        registry.rev - Math.min(registry.rev - 1, 50),
+                        registry.revision - Math.min(registry.revision - 1, 50),
                         Long.toString(random.nextLong(1, 1L << 60)),
-                        registry.rev + 500);
+                        registry.revision + 500);
                 case 5 -> {
                     e.fault(FakeRegistry.Fault.SILENT);
                     burst(during);
@@ -496,7 +497,7 @@
                     e.fault(FakeRegistry.Fault.NONE);
                 }
                 case 7 -> {
-                    registry.lead();
+                    registry.electLeader();
                     burst(during);
                 }
                 case 8 -> {
@@ -512,26 +513,26 @@
                     e.fault(FakeRegistry.Fault.NONE);
                 }
                 case 10 -> { // One that lags, and breaks that lead to it.
-                    e.lag = 40;
+                    e.revisionsBehind = 40;
                     burst(during);
                     registry.cutAll();
                     pause(500);
-                    e.lag = 0;
+                    e.revisionsBehind = 0;
                     burst(1);
                 }
                 case 11 -> { // A list's pages across a compaction.
-                    registry.betweenPages = () -> {
-                        registry.betweenPages = () -> {};
+                    registry.etcd.betweenPages = () -> {
+                        registry.etcd.betweenPages = () -> {};
                         registry.put("broken", "?");
                         registry.compact();
                     };
                     registry.cutAll();
                 }
                 case 12 -> {
-                    e.delayMs = 200;
+                    e.delayMillis = 200;
                     burst(during);
                     pause(300);
-                    e.delayMs = 0;
+                    e.delayMillis = 0;
                 }
                 default -> { // All lose it together.
                     long at = CLOCK.micros();
@@ -579,7 +580,7 @@
         Result r = new Result();
         Path folder = Files.createTempDirectory("proof-registry");
         FakeRegistry registry = new FakeRegistry(3);
-        registry.fragment = 10;
+        registry.etcd.eventsPerFragment = 10;
         Truth truth = new Truth(registry);
         for (int i = 0; i < engines; i++) {
             truth.put("e" + i, "Ready", 1 + i % 60_000);
@@ -625,7 +626,7 @@
         }
         List<Long> lags = new ArrayList<>();
         int different = 0;
-        Map<String, Integer> is = state(registry.at(Long.MAX_VALUE, FakeRegistry.PREFIX));
+        Map<String, Integer> is = state(registry.snapshot(Long.MAX_VALUE, FakeRegistry.PREFIX));
         for (Follower f : followers) {
             synchronized (f) {
                 lags.addAll(f.lags);
@@ -682,7 +683,7 @@
     /** Waits until no view differs, or the time is over. */
     private static void settle(Truth truth, List<Follower> followers, long most) {
         long end = CLOCK.micros() + most;
-        Map<String, Integer> is = state(truth.registry.at(Long.MAX_VALUE, FakeRegistry.PREFIX));
+        Map<String, Integer> is = state(truth.registry.snapshot(Long.MAX_VALUE, FakeRegistry.PREFIX));
         while (CLOCK.micros() < end && followers.stream().anyMatch(f -> f.differences(is) > 0)) {
             Script.pause(50);
         }
--- a/src/test/java/magpiehub/discovery/Rig.java
+++ b/src/test/java/magpiehub/discovery/Rig.java
@@ -130,7 +130,7 @@
     /** The readable engines that the registry has. */
     static Map<String, String> truth(FakeRegistry of) {
         Map<String, String> m = new TreeMap<>();
-        of.at(Long.MAX_VALUE, FakeRegistry.PREFIX).forEach((k, v) -> {
+        of.snapshot(Long.MAX_VALUE, FakeRegistry.PREFIX).forEach((k, v) -> {
             try {
                 ConfigurationObject f = Config.facts(v.value(), "value");
                 m.put(
--- a/src/test/java/magpiehub/discovery/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -112,7 +112,7 @@
                 assertTrue(until(log, " stopped ").contains("held=\"0\""));
                 assertTrue(p.waitFor(30, TimeUnit.SECONDS));
                 synchronized (first) {
-                    assertFalse(first.leases.values().stream().anyMatch(k -> k.contains("routers/n1")));
+                    assertFalse(first.etcd.leases.values().stream().anyMatch(k -> k.contains("routers/n1")));
                 }
             } finally {
                 p.destroyForcibly();
