--- a/src/main/java/magpiehub/discovery/RouterRegistration.java
+++ b/src/main/java/magpiehub/discovery/RouterRegistration.java
@@ -21,7 +21,7 @@
         STOP
     }
 
-    private final DiscoverySettings options;
+    private final DiscoverySettings settings;
     private final String id;
     private final String address;
     private final MonotonicClock clock;
@@ -43,33 +43,34 @@
      * @param listenAddress the entry's address where the settings name none
      */
     public RouterRegistration(
-            DiscoverySettings options,
+            DiscoverySettings settings,
             String routerName,
             String listenAddress,
             MonotonicClock clock,
             EventLog log,
             long seed)
             throws IOException {
-        RegistrationSettings announce = options.registration();
-        this.options = options;
-        this.id = announce.id().isEmpty() ? routerName : announce.id();
-        this.address = announce.address().isEmpty() ? listenAddress : announce.address();
+        RegistrationSettings registration = settings.registration();
+        this.settings = settings;
+        this.id = registration.id().isEmpty() ? routerName : registration.id();
+        this.address = registration.address().isEmpty() ? listenAddress : registration.address();
         this.clock = clock;
         this.log = log;
         this.mailbox = new Mailbox<>(clock, 0);
-        this.state = new RegistrationState(announce.ttlMicros(), clock.micros());
-        this.endpoints = new RegistryEndpoints(options.endpoints().size(), options.backoff(), seed);
-        this.tls = options.tls() ? TlsContexts.trusting(options.trustedAuthorities()) : null;
+        this.state = new RegistrationState(registration.ttlMicros(), clock.micros());
+        this.endpoints = new RegistryEndpoints(settings.endpoints().size(), settings.backoff(), seed);
+        this.tls = settings.tls() ? TlsContexts.trusting(settings.trustedAuthorities()) : null;
         this.protocol = protocol();
     }
 
     private RegistrationProtocol protocol() {
-        RegistrationSettings announce = options.registration();
-        if (options.kind().equals("etcd")) {
-            EtcdClient client = new EtcdClient(EtcdCredentials.of(options.user(), options.secret()));
-            return new EtcdLeaseRegistration(client, announce.prefix(), id, address, announce.ttlMicros());
+        RegistrationSettings registration = settings.registration();
+        if (settings.kind().equals("etcd")) {
+            EtcdClient client = new EtcdClient(EtcdCredentials.of(settings.user(), settings.secret()));
+            return new EtcdLeaseRegistration(client, registration.prefix(), id, address, registration.ttlMicros());
         }
-        return new ConsulServiceRegistration(announce.service(), id, address, announce.ttlMicros(), options.secret());
+        return new ConsulServiceRegistration(
+                registration.service(), id, address, registration.ttlMicros(), settings.secret());
     }
 
     /** Starts its thread. */
@@ -125,7 +126,7 @@
         }
         int endpoint = Math.max(0, picked);
         try {
-            call(step, connect(options.endpoints().get(endpoint)), now);
+            call(step, connect(settings.endpoints().get(endpoint)), now);
             endpoints.recordSuccess(endpoint);
         } catch (RegistrationLostException e) {
             endpoints.recordSuccess(endpoint);
@@ -161,7 +162,7 @@
                 "step",
                 step.toString(),
                 "endpoint",
-                options.endpoints().get(endpoint),
+                settings.endpoints().get(endpoint),
                 "why",
                 String.valueOf(failure.getMessage()));
         if (failure instanceof HttpStatusException answered) {
@@ -169,7 +170,7 @@
         } else {
             endpoints.recordFailure(endpoint, now, EndpointFailure.CONNECTION_LOST, 0);
         }
-        state.onFailed(now, Math.max(options.backoff().baseMicros(), endpoints.nextReadyAtMicros() - now));
+        state.onFailed(now, Math.max(settings.backoff().baseMicros(), endpoints.nextReadyAtMicros() - now));
         if (step == RegistrationState.Step.DEREGISTER) {
             state.onDeregistered(); // It is tried once: what is left expires.
         }
@@ -181,7 +182,7 @@
             if (current != null) {
                 current.close();
             }
-            int timeoutMillis = (int) Math.max(1, options.timeoutMicros() / MICROS_PER_MILLI);
+            int timeoutMillis = (int) Math.max(1, settings.timeoutMicros() / MICROS_PER_MILLI);
             current = new RegistryConnection(endpoint, tls, clock, new AtomicLong());
             connection = current;
             current.connect(timeoutMillis);
