--- /dev/null
+++ b/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
@@ -0,0 +1,118 @@
+package magpiehub.discovery;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.Assert.assertArrayEquals;
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertNull;
+import static org.junit.Assert.assertThrows;
+import static org.junit.Assert.assertTrue;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import magpiehub.config.Config;
+import magpiehub.config.EndpointEntry;
+import magpiehub.config.SiteSettings;
+import org.junit.Rule;
+import org.junit.Test;
+import org.junit.rules.TemporaryFolder;
+
+/** The endpoint list in a file. */
+public class EndpointListCacheTest {
+    private static final long S = 1_000_000;
+
+    @Rule
+    public final TemporaryFolder folder = new TemporaryFolder();
+
+    @Test
+    public void theLastListComesBackWholeOrNotAtAll() throws Exception {
+        Path file = folder.getRoot().toPath().resolve("last");
+        EndpointEntryParser parser = EndpointEntryParser.strict(Rig.site(), 0);
+        EndpointListCache cache = new EndpointListCache(file, parser);
+        assertNull(cache.read(0, S));
+        List<EndpointEntry> fleet = List.of(
+                parser.read(Rig.engine(7, "Ready").getBytes(UTF_8), "e7"),
+                parser.read(Rig.engine(8, "Terminating").getBytes(UTF_8), "e8"));
+        cache.write(fleet, new ListPosition("c", 3, 9), 5_000);
+        EndpointListCache.CachedList cached = cache.read(6_000, 10 * S);
+        assertEquals(fleet, cached.items().stream().map(ListItem::entry).toList());
+        assertEquals(S, cached.ageMicros());
+        assertEquals(new ListPosition("c", 3, 9), cached.position());
+        assertThrows(EndpointListCache.UnusableCacheException.class, () -> cache.read(60_000, 10 * S));
+        assertThrows(EndpointListCache.UnusableCacheException.class, () -> cache.read(-100_000, 10 * S));
+        byte[] whole = Files.readAllBytes(file);
+        for (int i = 0; i < whole.length; i++) {
+            byte[] damaged = whole.clone();
+            damaged[i] ^= 1;
+            Files.write(file, damaged);
+            int at = i;
+            if (i < 15 || i > 22) { // The time alone may change and still be one.
+                assertThrows(
+                        "byte " + at, EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S));
+            }
+            Files.write(file, Arrays.copyOf(whole, i));
+            assertThrows(
+                    "cut at " + at, EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S));
+        }
+    }
+
+    /** A file that an earlier version of the program wrote is read, and written again byte for byte. */
+    @Test
+    public void theFormOfTheFileIsUnchanged() throws Exception {
+        byte[] recorded = Files.readAllBytes(Path.of("src/test/resources/endpoint-list-1"));
+        SiteSettings site = Config.site(
+                Config.facts("{\"zones\":[\"a\",\"b\"],\"machineTypes\":[\"m\",\"台\"]}".getBytes(UTF_8), "settings"));
+        // A monotonic clock that is ahead of Unix time: no start time lies before its zero.
+        EndpointEntryParser parser = EndpointEntryParser.strict(() -> site, 4_000_000_000_000_000L);
+        List<EndpointEntry> entries = new ArrayList<>();
+        for (String json : List.of(
+                "{\"host_port\":\"10.1.0.18:8080\",\"locality\":\"b\",\"flavor\":\"台\",\"cell\":3,\"phase\":\"Ready\","
+                        + "\"size\":0.75,\"up_since_ms\":1764630000123}",
+                "{\"host_port\":\"10.1.0.19:8080\",\"locality\":\"a\",\"flavor\":\"m\",\"phase\":\"Terminating\"}",
+                "{\"id\":\"s-\\\"3\\\"\",\"host_port\":\"[::1]:9\",\"size\":2}")) {
+            entries.add(parser.read(json.getBytes(UTF_8), "s-" + (entries.size() + 1)));
+        }
+        ListPosition position = new ListPosition("cafe01", 7, 4711);
+        Path file = folder.getRoot().toPath().resolve("last");
+        EndpointListCache cache = new EndpointListCache(file, parser);
+
+        cache.write(entries, position, 1_764_633_600_000L);
+        assertArrayEquals(recorded, Files.readAllBytes(file));
+
+        Files.write(file, recorded);
+        EndpointListCache.CachedList cached = cache.read(1_764_633_601_000L, 10 * S);
+        assertEquals(entries, cached.items().stream().map(ListItem::entry).toList());
+        assertEquals(S, cached.ageMicros());
+        assertEquals(position, cached.position());
+    }
+
+    @Test
+    public void aStartWithoutARegistryServesTheLastList() throws Exception {
+        Path file = folder.getRoot().toPath().resolve("last");
+        String more = ",\"list_file\":\"" + file + "\",\"list_every_ms\":100";
+        try (FakeRegistry registry = new FakeRegistry(1)) {
+            registry.put("e1", Rig.engine(1, "Ready"));
+            registry.put("e2", Rig.engine(2, "Ready"));
+            try (Rig.Client client = new Rig.Client(Rig.options("etcd", registry.addresses(), more))) {
+                client.follows(registry);
+                Rig.await(() -> client.counted("registry_list_writes") > 0, () -> client.logged.toString());
+            }
+            registry.endpoints.get(0).fault(FakeRegistry.Fault.DOWN);
+            try (Rig.Client client = new Rig.Client(Rig.options("etcd", registry.addresses(), more))) {
+                client.follows(registry);
+                assertTrue(client.logged.indexOf("registry-list-restored engines 2") >= 0);
+                registry.delete("e1");
+                registry.endpoints.get(0).fault(FakeRegistry.Fault.NONE);
+                client.follows(registry);
+                Rig.await(() -> client.counted("registry_list_writes") > 0, () -> client.logged.toString());
+            }
+            Files.writeString(file, "magpiehub-list 1 0 2 0\n{}");
+            try (Rig.Client client = new Rig.Client(Rig.options("etcd", registry.addresses(), more))) {
+                assertTrue(client.logged.toString(), client.logged.indexOf("registry-list-refused") >= 0);
+                client.follows(registry);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/magpiehub/discovery/RegistryConnectionTest.java
@@ -0,0 +1,20 @@
+package magpiehub.discovery;
+
+import static org.junit.Assert.assertEquals;
+
+import org.junit.Test;
+
+/** How long a registry may ask to be left alone. */
+public class RegistryConnectionTest {
+    private static final long S = 1_000_000;
+
+    /** A registry that asks to be left alone for a minute is asked again in time all the same. */
+    @Test
+    public void noWordOfTheRegistryPutsTheListOff() {
+        assertEquals(0, RegistryConnection.parseRetryAfterMicros(null));
+        assertEquals(S / 5, RegistryConnection.parseRetryAfterMicros("0.2"));
+        assertEquals(2 * S, RegistryConnection.parseRetryAfterMicros("60"));
+        assertEquals(0, RegistryConnection.parseRetryAfterMicros("-1"));
+        assertEquals(0, RegistryConnection.parseRetryAfterMicros("Wed, 21 Oct 2026 07:28:00 GMT"));
+    }
+}
