--- a/src/main/java/magpiehub/discovery/EndpointListPublisher.java
+++ b/src/main/java/magpiehub/discovery/EndpointListPublisher.java
@@ -20,6 +20,7 @@
     private final UpstreamPool upstreams;
     private RequestDispatcher dispatcher;
 
+    /** A publisher to a pool. */
     public EndpointListPublisher(UpstreamPool upstreams) {
         this.upstreams = upstreams;
     }
@@ -29,6 +30,7 @@
         dispatcher = to;
     }
 
+    /** The operators' maintenance, which is applied to all that is published. */
     public MaintenanceOverlay overlay() {
         return overlay;
     }
--- a/src/main/java/magpiehub/discovery/EndpointListState.java
+++ b/src/main/java/magpiehub/discovery/EndpointListState.java
@@ -41,6 +41,7 @@
         return position;
     }
 
+    /** The version of the list, which grows by one with each set of changes. */
     public long version() {
         return version;
     }
--- a/src/main/java/magpiehub/discovery/MembershipDamping.java
+++ b/src/main/java/magpiehub/discovery/MembershipDamping.java
@@ -65,6 +65,7 @@
     private boolean confirmationRequested;
     private long doubtedLists;
 
+    /** Damping with these thresholds, over no endpoints yet. */
     public MembershipDamping(Settings settings) {
         this.settings = settings;
         this.flaps = new FlapDamper(settings);
@@ -80,6 +81,7 @@
         return flaps.suppressedCount();
     }
 
+    /** The counts so far. */
     public Statistics statistics() {
         return new Statistics(doubtedLists, flaps.dampedTotal(), flaps.sparedTotal());
     }
--- a/src/main/java/magpiehub/discovery/RegistryCallChannel.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallChannel.java
@@ -118,6 +118,7 @@
             case LIST -> session.protocol().readList(connection, listener);
             case WATCH -> session.protocol().watch(connection, call.requestedAt, listener);
             case CHECK -> session.protocol().checkPosition(connection, listener);
+            default -> throw new IllegalStateException("no such call: " + call.kind);
         }
     }
 
--- a/src/main/java/magpiehub/discovery/RegistryEventListener.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventListener.java
@@ -19,7 +19,10 @@
     /** All changes up to {@code position}; none if the registry only reports its progress. */
     void onChanges(ListPosition position, List<ListItem> items) throws IOException, InterruptedException;
 
-    /** Reported before a watch goes on: what the registry holds at the position, see {@link EndpointListState#checkResume}. */
+    /**
+     * Reported before a watch resumes: what the registry has at the position, see {@link
+     * EndpointListState#checkResume}.
+     */
     void onWatchResumed(ListPosition header, List<ListItem> lastChanged, long count)
             throws IOException, InterruptedException;
 
--- a/src/test/java/magpiehub/discovery/FaultScript.java
+++ b/src/test/java/magpiehub/discovery/FaultScript.java
@@ -188,6 +188,7 @@
                 endpoint.delayMillis = 0;
             }
             case RESTART -> restart(changes);
+            default -> throw new AssertionError(kind);
         }
     }
 
