--- a/src/test/java/magpiehub/discovery/MembershipDampingTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipDampingTest.java
@@ -14,7 +14,7 @@
 import magpiehub.routing.EndpointState;
 import org.junit.Test;
 
-/** Membership's doubts, driven directly. */
+/** Doubted removals and flap damping, driven directly. */
 public class MembershipDampingTest {
     private static final long S = 1_000_000;
     private static final MembershipDamping.Settings GUARDED =
@@ -32,24 +32,24 @@
         return new ListDelta(1, false, false, put, gone);
     }
 
-    private static MembershipDamping of(int n) {
-        MembershipDamping m = new MembershipDamping(GUARDED);
-        m.apply(
+    private static MembershipDamping fleetOf(int size) {
+        MembershipDamping damping = new MembershipDamping(GUARDED);
+        damping.apply(
                 whole(
-                        IntStream.range(0, n)
+                        IntStream.range(0, size)
                                 .mapToObj(i -> engine(i, EndpointState.LIVE))
                                 .toList(),
                         List.of()),
                 0);
-        return m;
+        return damping;
     }
 
     private static List<String> ids(int from, int to) {
         return IntStream.range(from, to).mapToObj(i -> "e" + i).toList();
     }
 
-    private static String states(List<EndpointEntry> told) {
-        return told.stream()
+    private static String states(List<EndpointEntry> reported) {
+        return reported.stream()
                 .map(e -> e.server().id() + " " + e.server().state())
                 .sorted()
                 .collect(Collectors.joining(", "));
@@ -57,82 +57,86 @@
 
     @Test
     public void aListThatLosesHalfTheFleetNeedsASecondRead() {
-        MembershipDamping m = of(10);
-        assertEquals("", states(m.apply(whole(List.of(), ids(0, 5)), S)));
-        assertTrue(m.takeConfirmationRequest());
-        assertFalse("asked once", m.takeConfirmationRequest());
-        assertEquals(10, m.entries().size());
+        MembershipDamping damping = fleetOf(10);
+        assertEquals("", states(damping.apply(whole(List.of(), ids(0, 5)), S)));
+        assertTrue(damping.takeConfirmationRequest());
+        assertFalse("asked once", damping.takeConfirmationRequest());
+        assertEquals(10, damping.entries().size());
         // Nothing comes within the set time: it is asked again, and nobody is dropped.
-        assertEquals(S + 1_500_000, m.nextTimerMicros());
-        assertEquals("", states(m.onTimer(m.nextTimerMicros())));
-        assertTrue(m.takeConfirmationRequest());
-        assertEquals("e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD", states(m.applyConfirmation(Set.copyOf(ids(4, 10)), 4 * S)));
+        assertEquals(S + 1_500_000, damping.nextTimerMicros());
+        assertEquals("", states(damping.onTimer(damping.nextTimerMicros())));
+        assertTrue(damping.takeConfirmationRequest());
         assertEquals(
-                "e4 is in the second list, the first was wrong", 6, m.entries().size());
+                "e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD", states(damping.applyConfirmation(Set.copyOf(ids(4, 10)), 4 * S)));
+        assertEquals(
+                "e4 is in the second list, the first was wrong",
+                6,
+                damping.entries().size());
     }
 
     @Test
     public void aListThatLosesFewIsBelieved() {
-        MembershipDamping m = of(10);
-        assertEquals("e0 DEAD, e1 DEAD", states(m.apply(whole(List.of(), ids(0, 2)), S)));
-        assertFalse(m.takeConfirmationRequest());
+        MembershipDamping damping = fleetOf(10);
+        assertEquals("e0 DEAD, e1 DEAD", states(damping.apply(whole(List.of(), ids(0, 2)), S)));
+        assertFalse(damping.takeConfirmationRequest());
     }
 
     @Test
     public void whatAChangeSaysIsObeyedAtOnceWhateverItsSize() {
-        MembershipDamping m = of(10);
-        assertEquals(10, m.apply(change(List.of(), ids(0, 10)), S).size());
-        MembershipDamping d = of(10);
+        MembershipDamping damping = fleetOf(10);
+        assertEquals(10, damping.apply(change(List.of(), ids(0, 10)), S).size());
+        MembershipDamping draining = fleetOf(10);
         List<EndpointEntry> drains = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             drains.add(engine(i, EndpointState.DRAINING));
         }
         assertEquals(
                 10,
-                d.apply(whole(drains, List.of()), S).stream()
+                draining.apply(whole(drains, List.of()), S).stream()
                         .filter(e -> e.server().state() == EndpointState.DRAINING)
                         .count());
     }
 
     @Test
     public void aHeldEngineThatIsNamedAgainStaysWithItsNewEntry() {
-        MembershipDamping m = of(10);
-        m.apply(whole(List.of(), ids(0, 5)), S);
-        assertEquals("e0 DRAINING", states(m.apply(change(List.of(engine(0, EndpointState.DRAINING)), List.of()), S)));
-        assertFalse(m.heldIds().contains("e0"));
-        assertEquals(4, m.applyConfirmation(Set.of(), 2 * S).size());
+        MembershipDamping damping = fleetOf(10);
+        damping.apply(whole(List.of(), ids(0, 5)), S);
+        assertEquals(
+                "e0 DRAINING", states(damping.apply(change(List.of(engine(0, EndpointState.DRAINING)), List.of()), S)));
+        assertFalse(damping.heldIds().contains("e0"));
+        assertEquals(4, damping.applyConfirmation(Set.of(), 2 * S).size());
     }
 
     @Test
     public void anEngineThatFlapsReturnsOnceItHasBeenStill() {
-        MembershipDamping m = of(10);
+        MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 4; i++) {
-            assertEquals("away at once", "e0 DEAD", states(m.apply(change(List.of(), ids(0, 1)), i * S)));
+            assertEquals("away at once", "e0 DEAD", states(damping.apply(change(List.of(), ids(0, 1)), i * S)));
             assertEquals(
                     i < 4 ? "e0 LIVE" : "e0 DRAINING",
-                    states(m.apply(change(List.of(engine(0, EndpointState.LIVE)), List.of()), i * S + 1)));
+                    states(damping.apply(change(List.of(engine(0, EndpointState.LIVE)), List.of()), i * S + 1)));
         }
-        assertEquals(1, m.suppressedCount());
-        String told = "";
+        assertEquals(1, damping.suppressedCount());
+        String reported = "";
         long now = 0;
-        while (told.isEmpty()) {
-            now = m.nextTimerMicros();
-            told = states(m.onTimer(now));
+        while (reported.isEmpty()) {
+            now = damping.nextTimerMicros();
+            reported = states(damping.onTimer(now));
         }
-        assertEquals("e0 LIVE", told);
+        assertEquals("e0 LIVE", reported);
         assertEquals("log2(3.4) half-lives of 10 s", 22, now / 1e6, 1.0);
-        while (m.nextTimerMicros() != Long.MAX_VALUE) {
-            m.onTimer(m.nextTimerMicros());
+        while (damping.nextTimerMicros() != Long.MAX_VALUE) {
+            damping.onTimer(damping.nextTimerMicros());
         }
-        assertEquals(0, m.suppressedCount());
+        assertEquals(0, damping.suppressedCount());
     }
 
     @Test
     public void aFleetThatFlapsAsOneIsNotSuppressed() {
-        MembershipDamping m = of(10);
+        MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 6; i++) {
-            m.apply(change(List.of(), ids(0, 10)), i * S);
-            m.apply(
+            damping.apply(change(List.of(), ids(0, 10)), i * S);
+            damping.apply(
                     change(
                             IntStream.range(0, 10)
                                     .mapToObj(k -> engine(k, EndpointState.LIVE))
@@ -140,7 +144,7 @@
                             List.of()),
                     i * S + 1);
         }
-        assertTrue(m.suppressedCount() <= 5);
-        assertTrue(m.statistics().spared() > 0);
+        assertTrue(damping.suppressedCount() <= 5);
+        assertTrue(damping.statistics().spared() > 0);
     }
 }
