--- a/src/main/java/magpiehub/discovery/RegistryListTracker.java
+++ b/src/main/java/magpiehub/discovery/RegistryListTracker.java
@@ -40,6 +40,7 @@
         return list;
     }
 
+    /** What of the list is published. */
     MembershipDamping membership() {
         return membership;
     }
@@ -49,13 +50,14 @@
         return known;
     }
 
-    /** Publishes a list from before this start. */
+    /** Applies a list from before this start; {@link #publishRestored} publishes it. */
     ListDelta restore(List<ListItem> items, long nowMicros) {
         ListDelta delta = list.restore(items);
         membership.apply(delta, nowMicros);
         return delta;
     }
 
+    /** Publishes the list that {@link #restore} applied. */
     void publishRestored() {
         listener.deliver(EndpointListKind.SAVED, membership.entries());
     }
