--- a/src/main/java/magpiehub/discovery/ConsulProtocol.java
+++ b/src/main/java/magpiehub/discovery/ConsulProtocol.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
+import magpiehub.config.Json;
 import magpiehub.http.Http;
 
 /**
@@ -108,7 +108,7 @@
     }
 
     private void readEntries(RegistryConnection connection, Http.Head head, List<ListItem> items) throws IOException {
-        try (JsonParser parser = Config.JSON.createParser(connection.body(head))) {
+        try (JsonParser parser = Json.FACTORY.createParser(connection.body(head))) {
             if (parser.nextToken() != JsonToken.START_ARRAY) {
                 throw new ConfigurationException("an array was due");
             }
--- a/src/main/java/magpiehub/discovery/ConsulServiceHealth.java
+++ b/src/main/java/magpiehub/discovery/ConsulServiceHealth.java
@@ -124,7 +124,7 @@
             fields.set("host_port", (address.isEmpty() ? nodeAddress : address) + ":" + port);
             try {
                 EndpointEntry entry = fields.build(id);
-                if (critical && entry.server().state() == EndpointState.LIVE) {
+                if (critical && entry.endpoint().state() == EndpointState.LIVE) {
                     fields.set("phase", "Terminating");
                     entry = fields.build(id);
                 }
--- a/src/main/java/magpiehub/discovery/DiscoverySettings.java
+++ b/src/main/java/magpiehub/discovery/DiscoverySettings.java
@@ -5,9 +5,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Set;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.HostPort;
 
 /**
  * The settings in {@code deploy/registry.json}: which registry the endpoint list comes from, and how it is
@@ -64,7 +64,7 @@
         String name = file.getFileName().toString();
         try {
             return of(
-                    Config.facts(Files.readAllBytes(file), name),
+                    ConfigurationObject.parse(Files.readAllBytes(file), name),
                     file.toAbsolutePath().getParent());
         } catch (ConfigurationException e) {
             throw e.getMessage().startsWith(name) ? e : new ConfigurationException(name + ": " + e.getMessage());
@@ -170,7 +170,7 @@
         }
         String address = reader.text("address", "");
         if (!address.isEmpty()) {
-            Config.address(address);
+            HostPort.requireValid(address);
         }
         RegistrationSettings settings = new RegistrationSettings(
                 service, prefix, reader.text("id", ""), address, reader.micros("ttl_ms", 10_000, 1000, 3_600_000));
--- a/src/main/java/magpiehub/discovery/EndpointEntryBuilder.java
+++ b/src/main/java/magpiehub/discovery/EndpointEntryBuilder.java
@@ -6,9 +6,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
 import magpiehub.routing.Endpoint;
 
@@ -29,7 +29,7 @@
 
     /** Sets the field that the parser stands at the value of; fields with unknown names are skipped. */
     public void set(String name, JsonParser value) throws IOException {
-        if (parser.field(name) != null && value.currentToken() != JsonToken.VALUE_NULL) {
+        if (parser.fieldNamed(name) != null && value.currentToken() != JsonToken.VALUE_NULL) {
             texts.put(name, EndpointEntryParser.scalar(value));
         } else {
             value.skipChildren();
@@ -68,7 +68,7 @@
         if (address == null) {
             throw new ConfigurationException("host_port is missing");
         }
-        Config.address(address);
+        HostPort.requireValid(address);
         double size = number("size", 1);
         if (!(size > 0) || size > MAX_SIZE) {
             throw new ConfigurationException("size must be above 0");
@@ -77,11 +77,11 @@
         Endpoint endpoint = new Endpoint(
                 id,
                 indexOf("locality", site.zones()),
-                indexOf("flavor", site.kinds()),
+                indexOf("flavor", site.machineTypes()),
                 (int) number("cell", 0),
-                parser.state(texts.getOrDefault("phase", "Ready")),
+                parser.parseState(texts.getOrDefault("phase", "Ready")),
                 size,
-                parser.since(number("up_since_ms", 0)));
+                parser.startedAtMicros(number("up_since_ms", 0)));
         return new EndpointEntry(endpoint, address);
     }
 
--- a/src/main/java/magpiehub/discovery/EndpointEntryParser.java
+++ b/src/main/java/magpiehub/discovery/EndpointEntryParser.java
@@ -6,10 +6,11 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.function.Supplier;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointField;
 import magpiehub.config.EndpointFieldNames;
+import magpiehub.config.Json;
 import magpiehub.config.SiteSettings;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
@@ -76,7 +77,7 @@
         if (json.length > MAX_ENTRY_BYTES) {
             throw new ConfigurationException("larger than 64 KiB");
         }
-        try (JsonParser parser = Config.JSON.createParser(json)) {
+        try (JsonParser parser = Json.FACTORY.createParser(json)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new ConfigurationException("must be an object");
             }
@@ -89,32 +90,32 @@
     }
 
     @Override
-    public String field(String name) {
+    public EndpointField fieldNamed(String name) {
         return switch (name) {
-            case "id" -> "id";
-            case "host_port" -> "address";
-            case "locality" -> "zone";
-            case "flavor" -> "kind";
-            case "cell" -> "cell";
-            case "phase" -> "state";
-            case "size" -> "weight";
-            case "up_since_ms" -> "since";
+            case "id" -> EndpointField.ID;
+            case "host_port" -> EndpointField.ADDRESS;
+            case "locality" -> EndpointField.ZONE;
+            case "flavor" -> EndpointField.MACHINE_TYPE;
+            case "cell" -> EndpointField.CELL;
+            case "phase" -> EndpointField.STATE;
+            case "size" -> EndpointField.WEIGHT;
+            case "up_since_ms" -> EndpointField.STARTED_AT;
             default -> null;
         };
     }
 
     @Override
-    public int number(String field, JsonParser parser) throws IOException {
+    public int readIndex(EndpointField field, JsonParser parser) throws IOException {
         if (parser.currentToken().isNumeric()) {
             return parser.getIntValue();
         }
         SiteSettings settings = site.get();
-        List<String> names = field.equals("zone") ? settings.zones() : settings.kinds();
-        return names.indexOf(Config.text(parser, field));
+        List<String> names = field == EndpointField.ZONE ? settings.zones() : settings.machineTypes();
+        return names.indexOf(Json.requireText(parser, field.label()));
     }
 
     @Override
-    public EndpointState state(String phase) {
+    public EndpointState parseState(String phase) {
         return switch (phase) {
             case "Ready" -> EndpointState.LIVE;
             case "Terminating" -> EndpointState.DRAINING;
@@ -131,18 +132,18 @@
 
     /** A start time in Unix milliseconds on the monotonic clock (us); 0, for none, stays 0. */
     @Override
-    public long since(double unixMillis) {
+    public long startedAtMicros(double unixMillis) {
         return unixMillis <= 0 ? 0 : Math.max(1, Math.round(unixMillis * MICROS_PER_MILLI) + monotonicOffsetMicros);
     }
 
     /** Writes an entry as a JSON object that {@link EndpointEntryBuilder#readObject} reads. */
     void write(EndpointEntry entry, JsonGenerator json) throws IOException {
-        Endpoint endpoint = entry.server();
+        Endpoint endpoint = entry.endpoint();
         json.writeStartObject();
         json.writeStringField("id", endpoint.id());
         json.writeStringField("host_port", entry.address());
         writeName(json, "locality", site.get().zones(), endpoint.zone());
-        writeName(json, "flavor", site.get().kinds(), endpoint.kind());
+        writeName(json, "flavor", site.get().machineTypes(), endpoint.kind());
         json.writeNumberField("cell", (double) endpoint.cell());
         json.writeStringField("phase", endpoint.state() == EndpointState.LIVE ? "Ready" : "Terminating");
         json.writeNumberField("size", endpoint.weight());
@@ -150,7 +151,7 @@
         json.writeEndObject();
     }
 
-    /** The inverse of {@link #since}, cut to whole milliseconds. */
+    /** The inverse of {@link #startedAtMicros}, cut to whole milliseconds. */
     private double unixMillis(long onlineSinceMicros) {
         if (onlineSinceMicros == 0) {
             return 0;
--- a/src/main/java/magpiehub/discovery/EndpointIndex.java
+++ b/src/main/java/magpiehub/discovery/EndpointIndex.java
@@ -94,7 +94,7 @@
         ListItem item = withKnownAddress(change, entriesByKey);
         StoredEntry old = entriesByKey.get(item.key());
         if (old != null && !namesSameEndpoint(item, old.entry)) {
-            release(item.key(), old.entry.server().id(), before);
+            release(item.key(), old.entry.endpoint().id(), before);
         }
         if (item.unreadable() != null) {
             skippedKeys.put(item.key(), item);
@@ -106,7 +106,7 @@
             entriesByKey.remove(item.key());
             return;
         }
-        recordBefore(item.entry().server().id(), before);
+        recordBefore(item.entry().endpoint().id(), before);
         entriesByKey.put(item.key(), new StoredEntry(item.entry(), item.modRevision()));
         remember(item);
         claim(item);
@@ -150,18 +150,18 @@
         if (old == null || old.entry.address() == null) {
             return item;
         }
-        EndpointEntry entry = new EndpointEntry(item.entry().server(), old.entry.address());
+        EndpointEntry entry = new EndpointEntry(item.entry().endpoint(), old.entry.address());
         return ListItem.of(item.key(), item.modRevision(), entry);
     }
 
     private static boolean namesSameEndpoint(ListItem item, EndpointEntry entry) {
         return item.entry() != null
-                && item.entry().server().id().equals(entry.server().id());
+                && item.entry().endpoint().id().equals(entry.endpoint().id());
     }
 
     /** Makes the key of an entry the one that counts for its endpoint, unless another was changed later. */
     private void claim(ListItem item) {
-        String id = item.entry().server().id();
+        String id = item.entry().endpoint().id();
         String key = item.key();
         String owner = ownerById.get(id);
         if (owner == null || owner.equals(key)) {
--- a/src/main/java/magpiehub/discovery/EndpointListCache.java
+++ b/src/main/java/magpiehub/discovery/EndpointListCache.java
@@ -16,9 +16,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32C;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.Json;
 
 /**
  * The last endpoint list in a file, for a start while no registry can be reached. The file is a header line
@@ -131,7 +131,7 @@
     private byte[] body(List<EndpointEntry> entries, ListPosition position) throws IOException {
         ByteArrayOutputStream body =
                 new ByteArrayOutputStream(entries.size() * TYPICAL_ENTRY_BYTES + TYPICAL_FRAME_BYTES);
-        try (JsonGenerator json = Config.JSON.createGenerator(body)) {
+        try (JsonGenerator json = Json.FACTORY.createGenerator(body)) {
             json.writeStartObject();
             json.writeStringField("history", position.history());
             json.writeStringField("term", Long.toString(position.term()));
@@ -182,7 +182,7 @@
     }
 
     private CachedList parse(byte[] body, long ageMicros) throws IOException {
-        try (JsonParser json = Config.JSON.createParser(body)) {
+        try (JsonParser json = Json.FACTORY.createParser(body)) {
             List<ListItem> items = new ArrayList<>();
             String history = "";
             String term = "0";
@@ -212,7 +212,7 @@
     private void readItems(JsonParser json, List<ListItem> items) throws IOException {
         while (json.nextToken() == JsonToken.START_OBJECT) {
             EndpointEntry entry = parser.newEntry().readObject(json).build(null);
-            items.add(ListItem.of(entry.server().id(), 0, entry));
+            items.add(ListItem.of(entry.endpoint().id(), 0, entry));
         }
     }
 
--- a/src/main/java/magpiehub/discovery/EndpointListPublisher.java
+++ b/src/main/java/magpiehub/discovery/EndpointListPublisher.java
@@ -43,7 +43,7 @@
 
     /** Reports that the source could not be reached. */
     public void deliverError() {
-        dispatcher.list(EndpointListKind.ERROR, List.of());
+        dispatcher.updateEndpoints(EndpointListKind.ERROR, List.of());
     }
 
     /** Publishes what changes by the operators' maintenance, if anything, and then confirms it. */
@@ -58,17 +58,18 @@
     private void send(EndpointListKind kind, List<EndpointEntry> entries) {
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
             Set<String> ids = new HashSet<>(entries.size() * 2);
-            entries.forEach(entry -> ids.add(entry.server().id()));
+            entries.forEach(entry -> ids.add(entry.endpoint().id()));
             upstreams.only(ids);
         }
         for (EndpointEntry entry : entries) {
-            Endpoint endpoint = entry.server();
+            Endpoint endpoint = entry.endpoint();
             upstreams.place(
                     endpoint.id(),
                     entry.address(),
                     endpoint.state() == EndpointState.LIVE,
                     endpoint.state() == EndpointState.DEAD);
         }
-        dispatcher.list(kind, entries.stream().map(EndpointEntry::server).toList());
+        dispatcher.updateEndpoints(
+                kind, entries.stream().map(EndpointEntry::endpoint).toList());
     }
 }
--- a/src/main/java/magpiehub/discovery/EtcdStatusException.java
+++ b/src/main/java/magpiehub/discovery/EtcdStatusException.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
 
 /** An error that etcd or its JSON gateway reports with a gRPC status code. */
@@ -33,7 +32,7 @@
         }
         try {
             byte[] json = text.substring(brace).getBytes(StandardCharsets.UTF_8);
-            ConfigurationObject error = Config.facts(json, "error");
+            ConfigurationObject error = ConfigurationObject.parse(json, "error");
             int code = (int) error.number("code", 0);
             return new EtcdStatusException(code, error.text("message", error.text("error", "")));
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/magpiehub/discovery/EtcdWatchResponse.java
+++ b/src/main/java/magpiehub/discovery/EtcdWatchResponse.java
@@ -4,8 +4,8 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.Json;
 
 /** One line of the response to {@code /v3/watch}: {@code {"result":{...}}} or {@code {"error":{...}}}. */
 final class EtcdWatchResponse {
@@ -23,7 +23,7 @@
     /** Parses a line. */
     static EtcdWatchResponse parse(byte[] line) throws IOException {
         EtcdWatchResponse response = new EtcdWatchResponse();
-        try (JsonParser parser = Config.JSON.createParser(line)) {
+        try (JsonParser parser = Json.FACTORY.createParser(line)) {
             parser.nextToken();
             JsonObjects.expectObject(parser);
             for (String name = JsonObjects.nextMember(parser); name != null; name = JsonObjects.nextMember(parser)) {
@@ -38,7 +38,7 @@
     }
 
     private static EtcdStatusException readError(JsonParser parser) throws IOException {
-        ConfigurationObject error = new ConfigurationObject(Config.object(parser), "error");
+        ConfigurationObject error = new ConfigurationObject(Json.readObject(parser), "error");
         int code = (int) error.number("grpc_code", error.number("code", 0));
         return new EtcdStatusException(code, error.text("message", ""));
     }
--- a/src/main/java/magpiehub/discovery/JsonObjects.java
+++ b/src/main/java/magpiehub/discovery/JsonObjects.java
@@ -9,8 +9,8 @@
 import java.io.InputStream;
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
+import magpiehub.config.Json;
 
 /**
  * Writes and reads JSON objects member by member, without a tree in between: a list of 10,000 endpoints takes
@@ -40,7 +40,7 @@
     /** One object as UTF-8 text. */
     static byte[] toBytes(MemberWriter members) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
-        try (JsonGenerator generator = Config.JSON.createGenerator(out)) {
+        try (JsonGenerator generator = Json.FACTORY.createGenerator(out)) {
             generator.writeStartObject();
             members.write(generator);
             generator.writeEndObject();
@@ -50,7 +50,7 @@
 
     /** Reads a stream that holds one object to its end, so that its connection can carry the next request. */
     static <T> T read(InputStream in, ObjectReader<T> reader) throws IOException {
-        try (JsonParser parser = Config.JSON.createParser(in)) {
+        try (JsonParser parser = Json.FACTORY.createParser(in)) {
             parser.nextToken();
             T value = reader.read(parser);
             if (parser.nextToken() != null) {
--- a/src/main/java/magpiehub/discovery/ListItem.java
+++ b/src/main/java/magpiehub/discovery/ListItem.java
@@ -34,7 +34,7 @@
      * the source, but is not part of the list.
      */
     public static ListItem fromEntry(String key, long modRevision, EndpointEntry entry) {
-        return entry.server().state() == EndpointState.DEAD
+        return entry.endpoint().state() == EndpointState.DEAD
                 ? new ListItem(key, modRevision, null, "")
                 : of(key, modRevision, entry);
     }
--- a/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
+++ b/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
@@ -45,8 +45,8 @@
         List<EndpointEntry> result = new ArrayList<>(entries.size());
         List<String> ids = new ArrayList<>(entries.size());
         for (EndpointEntry entry : entries) {
-            String id = entry.server().id();
-            if (entry.server().state() == EndpointState.DEAD) {
+            String id = entry.endpoint().id();
+            if (entry.endpoint().state() == EndpointState.DEAD) {
                 listed.remove(id);
             } else {
                 listed.put(id, entry);
@@ -93,7 +93,7 @@
     }
 
     private EndpointEntry withMaintenance(EndpointEntry entry) {
-        Endpoint endpoint = entry.server();
+        Endpoint endpoint = entry.endpoint();
         Long backSince = backSinceMicros.get(endpoint.id());
         boolean drains = endpoint.state() == EndpointState.LIVE && outOfService.contains(endpoint.id());
         if (!drains && backSince == null) {
--- a/src/main/java/magpiehub/discovery/MembershipDamping.java
+++ b/src/main/java/magpiehub/discovery/MembershipDamping.java
@@ -113,7 +113,7 @@
     public List<EndpointEntry> apply(ListDelta delta, long nowMicros) {
         Map<String, EndpointEntry> changes = new LinkedHashMap<>();
         for (EndpointEntry entry : delta.put()) {
-            heldIds.remove(entry.server().id());
+            heldIds.remove(entry.endpoint().id());
             put(entry, nowMicros, changes);
         }
         boolean doubted = isDoubtful(delta);
@@ -183,8 +183,8 @@
     }
 
     private void put(EndpointEntry entry, long nowMicros, Map<String, EndpointEntry> changes) {
-        String id = entry.server().id();
-        if (entry.server().state() == EndpointState.DEAD) {
+        String id = entry.endpoint().id();
+        if (entry.endpoint().state() == EndpointState.DEAD) {
             remove(id, nowMicros, changes);
             return;
         }
@@ -211,17 +211,17 @@
     }
 
     private EndpointEntry reported(EndpointEntry entry) {
-        return isLive(entry) && flaps.isSuppressed(entry.server().id())
+        return isLive(entry) && flaps.isSuppressed(entry.endpoint().id())
                 ? withState(entry, EndpointState.DRAINING)
                 : entry;
     }
 
     private static boolean isLive(EndpointEntry entry) {
-        return entry.server().state() == EndpointState.LIVE;
+        return entry.endpoint().state() == EndpointState.LIVE;
     }
 
     private static EndpointEntry withState(EndpointEntry entry, EndpointState state) {
-        Endpoint old = entry.server();
+        Endpoint old = entry.endpoint();
         Endpoint changed =
                 new Endpoint(old.id(), old.zone(), old.kind(), old.cell(), state, old.weight(), old.onlineSince());
         return new EndpointEntry(changed, entry.address());
--- a/src/main/java/magpiehub/discovery/RegistryCallEventPoster.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallEventPoster.java
@@ -60,7 +60,7 @@
 
     private void post(RegistryCallEvent event, int bytes) throws IOException, InterruptedException {
         call.markFirstEvent();
-        if (!actor.postWhenRoom(new RegistryMessage.CallEventReceived(call, event), bytes)) {
+        if (!actor.postBlocking(new RegistryMessage.CallEventReceived(call, event), bytes)) {
             throw new IOException("stopped");
         }
     }
--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -5,6 +5,7 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Supplier;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.ConfigurationException;
@@ -103,7 +104,7 @@
         long now = clock.micros();
         if (settings.cacheFile() != null) {
             restoreCachedList(now);
-            Mailbox.thread("registry-disk", cacheWriter::run).start();
+            DaemonThreads.newThread("registry-disk", cacheWriter::run).start();
         }
         try {
             sessions = new RegistrySessions(newSession(settings, now));
--- a/src/main/java/magpiehub/discovery/RegistryClientContext.java
+++ b/src/main/java/magpiehub/discovery/RegistryClientContext.java
@@ -1,6 +1,7 @@
 package magpiehub.discovery;
 
 import java.util.concurrent.atomic.AtomicLong;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 
@@ -18,7 +19,7 @@
         RegistryClientObserver observer) {
     /** Starts a thread of the client. */
     void startThread(String name, Runnable body) {
-        Thread thread = Mailbox.thread(name, body);
+        Thread thread = DaemonThreads.newThread(name, body);
         observer.threadStarting(thread);
         thread.start();
     }
--- a/src/main/java/magpiehub/discovery/RegistryConnection.java
+++ b/src/main/java/magpiehub/discovery/RegistryConnection.java
@@ -11,7 +11,7 @@
 import javax.net.ssl.SSLParameters;
 import javax.net.ssl.SSLSocket;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.HostPort;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 
@@ -74,7 +74,7 @@
     /** Connects, and does the TLS handshake where TLS is used; the timeout bounds the TCP connect alone. */
     void connect(int timeoutMillis) throws IOException {
         plainSocket.setTcpNoDelay(true);
-        plainSocket.connect(Config.socketAddress(endpoint), timeoutMillis);
+        plainSocket.connect(HostPort.toSocketAddress(endpoint), timeoutMillis);
         if (tls != null) {
             startTls();
         }
--- a/src/main/java/magpiehub/discovery/RegistryListTracker.java
+++ b/src/main/java/magpiehub/discovery/RegistryListTracker.java
@@ -92,7 +92,7 @@
         Set<String> ids = new HashSet<>();
         for (ListItem item : items) {
             if (item.entry() != null) {
-                ids.add(item.entry().server().id());
+                ids.add(item.entry().endpoint().id());
             }
         }
         publishChanges(membership.applyConfirmation(ids, nowMicros));
--- a/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
+++ b/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.HostPort;
 
 /**
  * Reads one object of the settings file with bounds and defaults. A field that is of the wrong type, out of
@@ -69,7 +69,7 @@
         List<String> addresses = new ArrayList<>();
         for (String address : fields.texts(field)) {
             try {
-                addresses.add(Config.address(address));
+                addresses.add(HostPort.requireValid(address));
             } catch (ConfigurationException e) {
                 throw invalid(field, e.getMessage());
             }
--- a/src/main/java/magpiehub/discovery/platform/PlatformCallReader.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformCallReader.java
@@ -9,8 +9,9 @@
 import java.nio.charset.StandardCharsets;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
+import magpiehub.config.HostPort;
+import magpiehub.config.Json;
 import magpiehub.discovery.EndpointEntryParser;
 import magpiehub.http.Http;
 
@@ -64,7 +65,7 @@
 
     private Http.Input send(PlatformCall call, Socket socket, String target) throws IOException {
         socket.setTcpNoDelay(true);
-        socket.connect(Config.socketAddress(call.address), CONNECT_TIMEOUT_MILLIS);
+        socket.connect(HostPort.toSocketAddress(call.address), CONNECT_TIMEOUT_MILLIS);
         String request = "GET " + target + " HTTP/1.1\r\nHost: " + call.address + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         return new Http.Input(socket.getInputStream(), clock::micros);
@@ -72,7 +73,7 @@
 
     private void readUpdates(PlatformCall call, InputStream body) throws IOException {
         ValueInputStream values = new ValueInputStream(call, body);
-        try (JsonParser json = Config.JSON.createParser(values)) {
+        try (JsonParser json = Json.FACTORY.createParser(values)) {
             while (json.nextToken() != null) {
                 values.insideValue = true;
                 PlatformListUpdate update = PlatformListUpdate.parse(json, entryParser);
--- a/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -9,11 +9,12 @@
 import java.util.Set;
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.Json;
 import magpiehub.config.SiteSettings;
 import magpiehub.discovery.EndpointEntryParser;
 import magpiehub.discovery.EndpointListPublisher;
@@ -76,7 +77,7 @@
             MonotonicClock clock,
             EventLog log,
             long seed) {
-        this(address, site, upstreams, clock, log, seed, call -> Mailbox.thread("discovery-reader", call)
+        this(address, site, upstreams, clock, log, seed, call -> DaemonThreads.newThread("discovery-reader", call)
                 .start());
     }
 
@@ -106,20 +107,20 @@
     public void start(RequestDispatcher dispatcher, byte[] saved) {
         publisher.start(dispatcher);
         if (saved != null) {
-            try (JsonParser json = Config.JSON.createParser(saved)) {
+            try (JsonParser json = Json.FACTORY.createParser(saved)) {
                 json.nextToken();
                 restore(PlatformListUpdate.parse(json, entryParser));
             } catch (IOException | ConfigurationException e) {
                 log.log("known-list-unreadable", "error", e.getMessage());
             }
         }
-        Mailbox.thread("discovery", this::run).start();
+        DaemonThreads.newThread("discovery", this::run).start();
     }
 
     @Override
     public boolean isKnown() {
         // Where lists are pushed, what the agent has counts as received from the first moment.
-        return known && (answered || site.get().settings().subscribe());
+        return known && (answered || site.get().routing().subscribesToEndpoints());
     }
 
     @Override
@@ -384,7 +385,7 @@
         // discovery takes seconds to answer them all, and their clients would wait for it.
         answered |= kind != EndpointListKind.SAVED;
         known |= kind != EndpointListKind.SAVED
-                || entries.stream().anyMatch(entry -> entry.server().state() == EndpointState.LIVE);
+                || entries.stream().anyMatch(entry -> entry.endpoint().state() == EndpointState.LIVE);
         publisher.deliver(kind, entries);
     }
 }
--- a/src/main/java/magpiehub/discovery/platform/PlatformListUpdate.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformListUpdate.java
@@ -5,9 +5,10 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.EndpointEntry;
+import magpiehub.config.EndpointListParser;
+import magpiehub.config.Json;
 import magpiehub.discovery.EndpointEntryParser;
 import magpiehub.discovery.ListItem;
 import magpiehub.discovery.ListPosition;
@@ -36,9 +37,9 @@
             String name = json.currentName();
             json.nextToken();
             switch (name) {
-                case "revision" -> revision = (long) Config.number(json, name);
+                case "revision" -> revision = (long) Json.requireNumber(json, name);
                 case "complete" -> complete = json.getValueAsBoolean(false);
-                case "members" -> entries = Config.entries(json, entryParser);
+                case "members" -> entries = EndpointListParser.parse(json, entryParser);
                 default -> json.skipChildren();
             }
         }
@@ -58,9 +59,11 @@
     List<ListItem> items() {
         List<ListItem> items = new ArrayList<>(entries.size());
         for (EndpointEntry entry : entries) {
-            String id = entry.server().id();
+            String id = entry.endpoint().id();
             items.add(
-                    entry.server().state() == EndpointState.DEAD ? ListItem.removed(id, 0) : ListItem.of(id, 0, entry));
+                    entry.endpoint().state() == EndpointState.DEAD
+                            ? ListItem.removed(id, 0)
+                            : ListItem.of(id, 0, entry));
         }
         return items;
     }
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -18,6 +18,7 @@
 import java.util.function.Supplier;
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.CachedThreadPool;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.dispatch.ClientCallback;
@@ -135,9 +136,9 @@
     }
 
     public void start() {
-        Mailbox.thread("accept", this::accept).start();
-        Mailbox.thread("client-times", this::times).start();
-        Mailbox.thread("greeter", this::greet).start();
+        DaemonThreads.newThread("accept", this::accept).start();
+        DaemonThreads.newThread("client-times", this::times).start();
+        DaemonThreads.newThread("greeter", this::greet).start();
     }
 
     /** Guards against a thread for each client that says nothing: when there are many, a connection gets its
@@ -173,7 +174,7 @@
                     c.cutIfStuck(now, Long.MAX_VALUE, Ending.READER_STUCK);
                 }
                 letGoIdle(now);
-                crew.check();
+                crew.checkForStall();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -392,22 +393,22 @@
         }
 
         @Override
-        public void refuse(long retryAfter) {
-            connection.post(new Refused(this, retryAfter), 0);
+        public void reject(long retryAfterMicros) {
+            connection.post(new Refused(this, retryAfterMicros), 0);
         }
 
         @Override
-        public void fail(String why) {
-            connection.post(new Failed(this, why), 0);
+        public void fail(String reason) {
+            connection.post(new Failed(this, reason), 0);
         }
 
         @Override
-        public void move() {
+        public void migrate() {
             connection.post(new Broken(this, null, Ending.MOVED), 0);
         }
 
         @Override
-        public boolean gone() {
+        public boolean isClientGone() {
             return connection.left;
         }
     }
@@ -625,11 +626,11 @@
                 for (; m != null && !ended; m = out.length() < 16 * 1024 && ends == null ? mailbox.poll() : null) {
                     handle(m);
                 }
-                ActorThreadPool.mayBlock(true);
+                ActorThreadPool.enterBlockingCall();
                 try {
                     out.flush(to, () -> streams.passed(flow, 0));
                 } finally {
-                    ActorThreadPool.mayBlock(false);
+                    ActorThreadPool.exitBlockingCall();
                 }
                 written();
                 if (lingering && !socket.isOutputShutdown()) {
@@ -677,7 +678,7 @@
                 streams.end(current.flow, why);
             }
             if (current != null) {
-                module.gone(current.call.request.id());
+                module.clientGone(current.call.request.id());
             }
             open.remove(this);
             synchronized (open) {
@@ -887,7 +888,8 @@
                 over(true);
                 return;
             }
-            Streams.Flow f = streams.open(call.request.cls(), call.request.tenant(), call.request.id(), this);
+            Streams.Flow f =
+                    streams.open(call.request.classIndex(), call.request.tenantIndex(), call.request.id(), this);
             if (f == null) {
                 journal.count("answered_refused");
                 journal.count("requests_shed");
@@ -900,7 +902,7 @@
                 flow = f;
             }
             call.sink(current);
-            if (!module.take(call.request, current, call, a.body.length)) {
+            if (!module.submit(call.request, current, call, a.body.length)) {
                 streams.end(f, Ending.FAULT);
                 flow = ends == null ? null : flow;
                 journal.count("answered_refused");
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -13,13 +13,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.CachedThreadPool;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.Attempt;
 import magpiehub.dispatch.AttemptHandle;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.dispatch.RequestDispatcher.Attempt;
 import magpiehub.dispatch.UpstreamFleet;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
@@ -96,10 +97,10 @@
 
     /** What the settings say of engines, from now on. Any thread. */
     public final void settings(SiteSettings site) {
-        connectTimeoutMs = (int) Math.max(1, site.settings().limits().connectTimeout() / 1000);
-        retireAfter = Math.max(1, (long) (site.idleClose() * RETIRE_AT));
-        resume = site.settings().resume();
-        reports = new LoadReportParser(site.telemetry());
+        connectTimeoutMs = (int) Math.max(1, site.routing().limits().connectTimeout() / 1000);
+        retireAfter = Math.max(1, (long) (site.idleCloseMicros() * RETIRE_AT));
+        resume = site.routing().resumesStreams();
+        reports = new LoadReportParser(site.loadReports());
     }
 
     /** Names the module's actor; before anything else is called. */
@@ -109,7 +110,7 @@
 
     /** Tells connections whose time has come, however many there are. */
     public void start() {
-        Mailbox.thread("engine-times", () -> {
+        DaemonThreads.newThread("engine-times", () -> {
                     Mailbox<Object> nothing = new Mailbox<>(clock, 0);
                     long now = clock.micros();
                     try {
@@ -149,17 +150,17 @@
 
     // ---- The pools: the module's thread ---------------------------------------------------------------
     @Override
-    public AttemptHandle start(Attempt attempt) {
-        ArrayDeque<Connection> free = idle.get(attempt.server);
+    public AttemptHandle startAttempt(Attempt attempt) {
+        ArrayDeque<Connection> free = idle.get(attempt.endpointId());
         Connection c = free == null ? null : rested(free);
         Lease lease = new Lease(attempt);
         if (c == null) {
             if (connections >= most && !evict()) {
                 journal.count("engine_connections_short");
-                module.ended(attempt, AttemptOutcome.FULL, -1, null);
+                module.attemptEnded(attempt, AttemptOutcome.FULL, -1, null);
                 return lease;
             }
-            c = new Connection(attempt.server);
+            c = new Connection(attempt.endpointId());
             c.mailbox.attach(crew, c::turn);
             open.add(c);
             connections++;
@@ -223,18 +224,18 @@
     }
 
     @Override
-    public void list(EndpointListKind kind, List<Endpoint> servers) {
+    public void updateEndpoints(EndpointListKind kind, List<Endpoint> endpoints) {
         for (String id : List.copyOf(idle.keySet())) {
             Place p = places.get(id);
             if (p == null || !p.takes) {
-                closeIdle(id);
+                closeIdleConnections(id);
                 idle.remove(id);
             }
         }
     }
 
     @Override
-    public void closeIdle(String server) {
+    public void closeIdleConnections(String server) {
         ArrayDeque<Connection> pool = idle.get(server);
         while (pool != null && !pool.isEmpty()) {
             discharge(pool.poll());
@@ -244,7 +245,7 @@
     @Override
     public void probe(String server) {
         long sentAt = clock.micros();
-        Mailbox.thread("probe", () -> {
+        DaemonThreads.newThread("probe", () -> {
                     AttemptOutcome o = AttemptOutcome.RESET;
                     boolean sent = false;
                     LoadReport load = null;
@@ -271,7 +272,7 @@
                     } catch (IOException | RuntimeException e) {
                         o = sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
                     }
-                    module.probed(server, o, sentAt, load);
+                    module.probeCompleted(server, o, sentAt, load);
                 })
                 .start();
     }
@@ -288,7 +289,7 @@
             throw new IOException("no address");
         }
         s.setTcpNoDelay(true);
-        s.connect(Config.socketAddress(p.hostPort), connectTimeoutMs);
+        s.connect(HostPort.toSocketAddress(p.hostPort), connectTimeoutMs);
     }
 
     // ---- One attempt ----------------------------------------------------------------------------------
@@ -491,7 +492,7 @@
             kept = -1;
             report = null;
             lastEvent = null;
-            Object work = l.attempt.work();
+            Object work = l.attempt.payload();
             if (!(work instanceof ProtocolAdapter.Call call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
@@ -544,7 +545,7 @@
             if (!takes()) {
                 return;
             }
-            if (!(lease.attempt.work() instanceof ProtocolAdapter.Call call)) {
+            if (!(lease.attempt.payload() instanceof ProtocolAdapter.Call call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
             }
@@ -576,7 +577,7 @@
 
         private byte[] request(ProtocolAdapter.Call call, Attempt a) {
             // Connecting may have taken a while since this turn began: the engine is told what is left now.
-            long left = Math.max(1, (a.until - clock.micros()) / 1000);
+            long left = Math.max(1, (a.deadlineMicros() - clock.micros()) / 1000);
             return new Http.Output()
                     .text("POST " + call.target + " HTTP/1.1\r\nHost: " + connectedTo
                             + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body.length
@@ -657,7 +658,7 @@
         private void start() {
             if (!begun) {
                 begun = true;
-                module.begun(lease.attempt);
+                module.streamStarted(lease.attempt);
             }
         }
 
@@ -742,7 +743,7 @@
             lease.bind(null);
             forget();
             free(socket != null && reusable);
-            module.ended(a, o, kept, report == null ? null : load(reports, report));
+            module.attemptEnded(a, o, kept, report == null ? null : load(reports, report));
         }
 
         private void free(boolean alive) {
@@ -773,7 +774,7 @@
             boolean spoilt = false;
             try {
                 s.setTcpNoDelay(true);
-                s.connect(Config.socketAddress(to), connectTimeoutMs);
+                s.connect(HostPort.toSocketAddress(to), connectTimeoutMs);
                 mailbox.post(new Connected(s));
                 Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
                 for (int answers = 1; in.await(); answers++) {
@@ -798,7 +799,7 @@
                             // by it.
                             Streams.Flow f = flow;
                             streams.came(f, e.length);
-                            if (!mailbox.postWhenRoom(new Event(s, e, f), e.length)) {
+                            if (!mailbox.postBlocking(new Event(s, e, f), e.length)) {
                                 streams.dropped(f, e.length);
                                 throw new IOException("ended");
                             }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -24,10 +24,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.regex.Pattern;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.discovery.platform.PlatformDiscovery;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
@@ -170,15 +171,15 @@
         String settings = Files.readString(Path.of("src/test/resources/" + siteFile));
         settings = resume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
         settings = pushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
-        SiteSettings site = Config.site(Config.facts(settings.getBytes(UTF_8), "settings"));
+        SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(settings.getBytes(UTF_8), "settings"));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
         Peer d = peers.computeIfAbsent("d", k -> new Peer());
         d.server = new ServerSocket(0, 8, any.getAddress());
         ActorThreadPool crew = new ActorThreadPool();
         streams = new Streams(
                 StreamLimits.of(
-                        Config.facts(allowances.getBytes(UTF_8), "streams.json"),
-                        site.settings().classes(),
+                        ConfigurationObject.parse(allowances.getBytes(UTF_8), "streams.json"),
+                        site.routing().classes(),
                         64 << 20),
                 site,
                 clock,
@@ -186,7 +187,7 @@
         UpstreamPool engines = new UpstreamPool(site, 64, clock, log, crew, streams);
         engines.start();
         discovery = new PlatformDiscovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock, log, 7);
-        actor = new RequestDispatcher(site.settings(), 7, clock, engines, discovery, log);
+        actor = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
         engines.module(actor);
         ProtocolAdapter front = messages
                 ? new MessagesProtocol(() -> site, new MessagesProtocol.Options("", "chat", "", Map.of()), null)
@@ -205,7 +206,7 @@
         clients.start();
         log.start();
         discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes(UTF_8));
-        module = Mailbox.thread("module", actor::run);
+        module = DaemonThreads.newThread("module", actor::run);
         module.start();
     }
 
@@ -309,7 +310,8 @@
             }
             case ">&" -> { // Events of so many bytes, and the last chunk, by a thread: it may have to wait.
                 Socket to = p.socket;
-                Mailbox.thread("sends", () -> many(to, Integer.parseInt(rest))).start();
+                DaemonThreads.newThread("sends", () -> many(to, Integer.parseInt(rest)))
+                        .start();
             }
             case ">~" -> {
                 byte[] event = unescape(rest).getBytes(StandardCharsets.UTF_8);
@@ -401,7 +403,7 @@
                         .getBytes(StandardCharsets.UTF_8));
         p.begun = new CompletableFuture<>();
         p.outcome = new CompletableFuture<>();
-        Mailbox.thread("answer", () -> {
+        DaemonThreads.newThread("answer", () -> {
                     try {
                         p.outcome.complete(answer(p) + " at " + at());
                     } catch (IOException | RuntimeException | AssertionError e) {
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -5,22 +5,23 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.util.List;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 import org.junit.Assume;
 import org.junit.Test;
 
-/** A mailbox's owner waits without looking again and again, wherever those who post stand still. */
+/** A wait on a mailbox uses no CPU time, at whatever step the thread that posts is suspended. */
 public class WaitTest {
     private static final int TAKES = 4_000;
 
-    /** Two threads on one core; whoever goes first does so at any moment of the other. */
+    /** Two threads on one core: the taker has priority, and interrupts the poster at any step. */
     public static final class Hammer {
         private Hammer() {}
 
         public static void main(String[] args) throws IOException {
             Mailbox<Object> box = new Mailbox<>(MonotonicClock.SYSTEM, 1);
-            Mailbox.thread("taker", () -> {
+            DaemonThreads.newThread("taker", () -> {
                         try {
                             for (int i = 0; i < TAKES; i++) {
                                 box.take(MonotonicClock.SYSTEM.micros() + 30 + i % 90);
@@ -42,7 +43,9 @@
         }
     }
 
-    /** Seen with the library's Condition in the mailbox: the taker ran on and on after 124 waits. */
+    /**
+     * With a {@link java.util.concurrent.locks.Condition} in the mailbox, the taker was seen to spin after 124 waits.
+     */
     @Test
     public void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
         Assume.assumeTrue("the first-in-first-out class", StepProof.allowed());
--- a/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
@@ -12,9 +12,10 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.EndpointEntry;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
@@ -62,8 +63,8 @@
     @Test
     public void theFormOfTheFileIsUnchanged() throws Exception {
         byte[] recorded = Files.readAllBytes(Path.of("src/test/resources/endpoint-list-1"));
-        SiteSettings site = Config.site(
-                Config.facts("{\"zones\":[\"a\",\"b\"],\"machineTypes\":[\"m\",\"台\"]}".getBytes(UTF_8), "settings"));
+        SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(
+                "{\"zones\":[\"a\",\"b\"],\"machineTypes\":[\"m\",\"台\"]}".getBytes(UTF_8), "settings"));
         // A monotonic clock that is ahead of Unix time: no start time lies before its zero.
         EndpointEntryParser parser = EndpointEntryParser.strict(() -> site, 4_000_000_000_000_000L);
         List<EndpointEntry> entries = new ArrayList<>();
--- a/src/test/java/magpiehub/discovery/EndpointListStateTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListStateTest.java
@@ -220,7 +220,8 @@
             if (result != null) {
                 for (EndpointEntry entry : result.delta().put()) {
                     assertFalse(
-                            "repeated", entry.equals(rebuilt.put(entry.server().id(), entry)));
+                            "repeated",
+                            entry.equals(rebuilt.put(entry.endpoint().id(), entry)));
                 }
                 result.delta().removed().forEach(id -> assertTrue(rebuilt.remove(id) != null));
                 if (step % 1000 == 0) {
--- a/src/test/java/magpiehub/discovery/FakeConsulServer.java
+++ b/src/test/java/magpiehub/discovery/FakeConsulServer.java
@@ -10,7 +10,6 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.http.Http;
 
@@ -80,7 +79,7 @@
         boolean known;
         synchronized (registry) {
             if (path.endsWith("/register")) {
-                services.add(Config.facts(body, "service").text("ID", ""));
+                services.add(ConfigurationObject.parse(body, "service").text("ID", ""));
                 known = true;
             } else if (path.contains("/deregister/")) {
                 known = services.remove(id);
@@ -199,9 +198,9 @@
     /** The value, or one with an unreadable address where it is no JSON object. */
     private static ConfigurationObject parseValue(byte[] value) throws IOException {
         try {
-            return Config.facts(value, "value");
+            return ConfigurationObject.parse(value, "value");
         } catch (IOException | RuntimeException e) {
-            return Config.facts("{\"host_port\":\"nowhere:x\"}".getBytes(UTF_8), "value");
+            return ConfigurationObject.parse("{\"host_port\":\"nowhere:x\"}".getBytes(UTF_8), "value");
         }
     }
 
--- a/src/test/java/magpiehub/discovery/FakeEtcdServer.java
+++ b/src/test/java/magpiehub/discovery/FakeEtcdServer.java
@@ -13,7 +13,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.http.Http;
 
@@ -56,7 +55,7 @@
 
     void answer(FakeRegistryEndpoint endpoint, Http.Head head, String path, byte[] body, OutputStream out)
             throws IOException, InterruptedException {
-        ConfigurationObject request = Config.facts(body, "call");
+        ConfigurationObject request = ConfigurationObject.parse(body, "call");
         if (path.equals("/v3/auth/authenticate")) {
             authenticate(endpoint, request, out);
             return;
--- a/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.locks.LockSupport;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
 
@@ -44,7 +44,7 @@
         this.registry = registry;
         this.server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
         this.port = server.getLocalPort();
-        Mailbox.thread("fake-registry", this::acceptConnections).start();
+        DaemonThreads.newThread("fake-registry", this::acceptConnections).start();
     }
 
     String address() {
@@ -95,7 +95,8 @@
                     openSockets.remove(socket);
                     continue;
                 }
-                Mailbox.thread("fake-registry-peer", () -> serve(socket)).start();
+                DaemonThreads.newThread("fake-registry-peer", () -> serve(socket))
+                        .start();
             } catch (IOException e) {
                 return;
             }
--- a/src/test/java/magpiehub/discovery/MembershipDampingTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipDampingTest.java
@@ -50,7 +50,7 @@
 
     private static String states(List<EndpointEntry> reported) {
         return reported.stream()
-                .map(e -> e.server().id() + " " + e.server().state())
+                .map(e -> e.endpoint().id() + " " + e.endpoint().state())
                 .sorted()
                 .collect(Collectors.joining(", "));
     }
@@ -93,7 +93,7 @@
         assertEquals(
                 10,
                 draining.apply(whole(drains, List.of()), S).stream()
-                        .filter(e -> e.server().state() == EndpointState.DRAINING)
+                        .filter(e -> e.endpoint().state() == EndpointState.DRAINING)
                         .count());
     }
 
--- a/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
@@ -39,13 +39,13 @@
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
             fleet.keySet()
                     .retainAll(
-                            entries.stream().map(entry -> entry.server().id()).toList());
+                            entries.stream().map(entry -> entry.endpoint().id()).toList());
         }
         for (EndpointEntry entry : entries) {
-            if (entry.server().state() == EndpointState.DEAD) {
-                fleet.remove(entry.server().id());
+            if (entry.endpoint().state() == EndpointState.DEAD) {
+                fleet.remove(entry.endpoint().id());
             } else {
-                fleet.put(entry.server().id(), entry);
+                fleet.put(entry.endpoint().id(), entry);
             }
         }
     }
@@ -57,7 +57,7 @@
             return;
         }
         for (EndpointEntry entry : result.delta().put()) {
-            if (entry.equals(shadow.put(entry.server().id(), entry))) {
+            if (entry.equals(shadow.put(entry.endpoint().id(), entry))) {
                 fault = "repeated " + entry;
             }
         }
@@ -88,8 +88,8 @@
         Map<String, String> published = new TreeMap<>();
         fleet.forEach((id, entry) -> published.put(
                 id,
-                entry.address() + " " + entry.server().state() + " "
-                        + entry.server().cell()));
+                entry.address() + " " + entry.endpoint().state() + " "
+                        + entry.endpoint().cell()));
         return published.equals(RegistryFixtures.describe(registry));
     }
 
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -324,7 +324,7 @@
             registry.compact();
         };
         connect(",\"page\":10");
-        assertEquals(4711, client.fleet.get("e7").server().cell());
+        assertEquals(4711, client.fleet.get("e7").endpoint().cell());
         assertEquals(40, client.fleet.size());
     }
 
@@ -352,7 +352,7 @@
             registry.put("e" + i, RegistryFixtures.entryJson(i, "Terminating"));
         }
         RegistryFixtures.await(
-                () -> client.fleet.values().stream().allMatch(e -> e.server().state() == EndpointState.DRAINING),
+                () -> client.fleet.values().stream().allMatch(e -> e.endpoint().state() == EndpointState.DRAINING),
                 () -> client.log.toString());
         assertEquals(0, client.counted("membership_doubts"));
     }
--- a/src/test/java/magpiehub/discovery/RegistryFaultInjection.java
+++ b/src/test/java/magpiehub/discovery/RegistryFaultInjection.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 
 /**
  * A randomized fault test of the registry client: clients follow a fake registry that changes, compacts, breaks
@@ -157,7 +157,7 @@
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", registry.addresses())
                 + "\"],\"prefix\":\"" + FakeRegistry.PREFIX + "\",\"service\":\"engines\""
                 + (cacheFile == null ? "" : ",\"list_file\":\"" + cacheFile + "\"") + "}";
-        return DiscoverySettings.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
+        return DiscoverySettings.of(ConfigurationObject.parse(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     /** Waits until no client's list differs from the registry's, or the time is over. */
--- a/src/test/java/magpiehub/discovery/RegistryFixtures.java
+++ b/src/test/java/magpiehub/discovery/RegistryFixtures.java
@@ -10,9 +10,10 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import magpiehub.config.Config;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 
 /** Settings, entries and waiting for tests of the registry client. */
 final class RegistryFixtures {
@@ -26,11 +27,11 @@
         Map<String, String> endpoints = new TreeMap<>();
         registry.snapshot(Long.MAX_VALUE, FakeRegistry.PREFIX).forEach((key, version) -> {
             try {
-                ConfigurationObject fields = Config.facts(version.value(), "value");
+                ConfigurationObject fields = ConfigurationObject.parse(version.value(), "value");
                 String id = fields.text("id", key.substring(FakeRegistry.PREFIX.length()));
                 endpoints.put(
                         id,
-                        Config.address(fields.text("host_port", ""))
+                        HostPort.requireValid(fields.text("host_port", ""))
                                 + " " + (fields.text("phase", "Ready").equals("Ready") ? "LIVE" : "DRAINING") + " "
                                 + (int) fields.number("cell", 0));
             } catch (IOException | RuntimeException e) {
@@ -42,8 +43,8 @@
 
     /** A site with one zone and one machine type. */
     static Supplier<SiteSettings> site() throws IOException {
-        SiteSettings site =
-                Config.site(Config.facts("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(UTF_8), "settings"));
+        SiteSettings site = SiteSettingsParser.parse(
+                ConfigurationObject.parse("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(UTF_8), "settings"));
         return () -> site;
     }
 
@@ -60,7 +61,7 @@
                 + "\"backoff_base_ms\":20,\"backoff_cap_ms\":200,\"least_interval_ms\":20,"
                 + "\"check_every_ms\":200,\"timeout_ms\":2000,\"membership\":{\"flap_half_life_ms\":0}"
                 + more + "}";
-        return DiscoverySettings.of(Config.facts(json.getBytes(UTF_8), "registry.json"), Path.of("."));
+        return DiscoverySettings.of(ConfigurationObject.parse(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
     /** Waits for a condition; fails with the message after 30 s. */
--- a/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicLong;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
 import org.junit.After;
 import org.junit.Before;
@@ -260,7 +260,7 @@
         final List<String> requests = new CopyOnWriteArrayList<>();
 
         RecordingServer() throws IOException {
-            Mailbox.thread("recording-server", this::run).start();
+            DaemonThreads.newThread("recording-server", this::run).start();
         }
 
         String address() {
--- a/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
@@ -11,11 +11,12 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.EndpointEntry;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
@@ -89,7 +90,7 @@
             client.start(null, null);
             return;
         }
-        SiteSettings site = Config.site(Config.facts(
+        SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 ("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]," + "\"classes\":[{\"name\":\"c\"}]}").getBytes(UTF_8),
                 "settings"));
         UpstreamPool upstreams = new UpstreamPool(
@@ -98,13 +99,13 @@
                 clock,
                 timedLog,
                 new ActorThreadPool(),
-                new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, clock, timedLog));
+                new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, clock, timedLog));
         client = new RegistryClient(settings, () -> site, upstreams, clock, timedLog, seed);
-        RequestDispatcher dispatcher = new RequestDispatcher(site.settings(), seed, clock, upstreams, client, timedLog);
+        RequestDispatcher dispatcher = new RequestDispatcher(site.routing(), seed, clock, upstreams, client, timedLog);
         upstreams.module(dispatcher);
         client.observe(this);
         client.start(dispatcher, null);
-        Mailbox.thread("module", dispatcher::run).start();
+        DaemonThreads.newThread("module", dispatcher::run).start();
     }
 
     /** The log with the time before each event (ms). */
@@ -168,7 +169,7 @@
     private synchronized void check(long revision, ListDelta delta) {
         long now = clock.micros();
         for (EndpointEntry entry : delta.put()) {
-            checkPut(entry.server().id(), entry.server().cell(), now);
+            checkPut(entry.endpoint().id(), entry.endpoint().cell(), now);
         }
         for (String id : delta.removed()) {
             Integer old = cells.remove(id);
--- a/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -10,10 +10,11 @@
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicInteger;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.streaming.StreamLimits;
 import magpiehub.streaming.Streams;
@@ -29,8 +30,8 @@
     /** A call that finds no thread to be read on has failed like any other: the next one begins in time. */
     @Test
     public void aCallThatFindsNoThreadIsFollowedByAnother() throws Exception {
-        SiteSettings site =
-                Config.site(Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
+        SiteSettings site = SiteSettingsParser.parse(
+                ConfigurationObject.parse(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
         SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
         MonotonicClock clock = MonotonicClock.SYSTEM;
         AtomicInteger calls = new AtomicInteger();
@@ -42,18 +43,18 @@
                     clock,
                     log,
                     new ActorThreadPool(),
-                    new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, clock, log));
+                    new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, clock, log));
             PlatformDiscovery discovery = new PlatformDiscovery(
                     "127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
                         if (calls.incrementAndGet() == 1) {
                             throw new OutOfMemoryError("unable to create native thread");
                         }
-                        Mailbox.thread("reader", read).start();
+                        DaemonThreads.newThread("reader", read).start();
                     });
-            RequestDispatcher module = new RequestDispatcher(site.settings(), 7, clock, engines, discovery, log);
+            RequestDispatcher module = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
             engines.module(module);
             discovery.start(module, null);
-            Thread thread = Mailbox.thread("module", module::run);
+            Thread thread = DaemonThreads.newThread("module", module::run);
             thread.start();
             try (Socket second = server.accept()) {
                 assertEquals(2, calls.get());
--- a/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
@@ -147,7 +147,7 @@
         simulation.beginOutage(simulation.discoveries.get(0), Outage.NEVER_ANSWERS, Long.MAX_VALUE);
         for (int i = 0; i < 60; i++) {
             simulation.runUntil(simulation.now + SECONDS);
-            router.policy.request(
+            router.policy.onRequest(
                     simulation.now,
                     new RoutingRequest(
                             "r" + i, 0, 0, i, 0, simulation.now + 4 * SECONDS, 0, 10, 0, 10, false, false, false));
@@ -173,9 +173,9 @@
             simulation.step();
             if (simulation.now % SECONDS == SECONDS / 2 && simulation.now > silent + 4 * SECONDS) {
                 router.watches.onData(old, simulation.now);
-                router.policy.list(simulation.now, EndpointListKind.CHANGES, List.of());
+                router.policy.onEndpoints(simulation.now, EndpointListKind.CHANGES, List.of());
                 if (router.watches.lacksReliableWatch()) {
-                    router.policy.list(simulation.now, EndpointListKind.ERROR, List.of());
+                    router.policy.onEndpoints(simulation.now, EndpointListKind.ERROR, List.of());
                 }
             }
             if (discovery.calls > calls) {
--- a/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
@@ -7,7 +7,8 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
@@ -99,9 +100,9 @@
     static WatchSimulation start(int routers, long serviceTime, long seed) throws Exception {
         WatchSimulation simulation = new WatchSimulation();
         simulation.discoveries.forEach(discovery -> discovery.serviceTime = serviceTime);
-        RoutingSettings settings = Config.site(
-                        Config.facts(Files.readAllBytes(Path.of("src/test/resources/site.json")), "site"))
-                .settings();
+        RoutingSettings settings = SiteSettingsParser.parse(
+                        ConfigurationObject.parse(Files.readAllBytes(Path.of("src/test/resources/site.json")), "site"))
+                .routing();
         for (int i = 0; i < routers; i++) {
             simulation.routers.add(new Router(simulation, settings, seed * 1000 + i));
         }
@@ -201,7 +202,7 @@
             for (Timer timer : List.copyOf(timers)) {
                 if (timer.at <= now) {
                     timers.remove(timer);
-                    policy.timer(now, timer.token);
+                    policy.onTimer(now, timer.token);
                 }
             }
             if (watch != null && watch.served && !watch.closed) {
@@ -220,7 +221,7 @@
                 watch = call;
                 currentAt = now;
                 heartbeatAt = now;
-                policy.list(
+                policy.onEndpoints(
                         now, EndpointListKind.COMPLETE, List.of(new Endpoint("e1", 0, 0, 0, EndpointState.LIVE, 1, 0)));
             }
         }
@@ -255,7 +256,7 @@
 
         @Override
         public void onFailure(WatchScheduler.Call call, String reason) {
-            policy.list(simulation.now, EndpointListKind.ERROR, List.of());
+            policy.onEndpoints(simulation.now, EndpointListKind.ERROR, List.of());
         }
 
         @Override
@@ -264,12 +265,12 @@
         }
 
         @Override
-        public void timer(long at, long token) {
+        public void setTimer(long at, long token) {
             timers.add(new Timer(at, token));
         }
 
         @Override
-        public void send(String id, String endpoint, long timeout) {
+        public void sendAttempt(String id, String endpoint, long timeout) {
             sentTo.add(endpoint);
         }
     }
--- a/src/test/java/magpiehub/GracefulShutdownTest.java
+++ b/src/test/java/magpiehub/lifecycle/GracefulShutdownTest.java
@@ -1,10 +1,9 @@
-package magpiehub;
+package magpiehub.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import magpiehub.lifecycle.GracefulShutdown.Phases;
 import magpiehub.routing.DeduplicationScope;
 import magpiehub.routing.Idempotency;
 import magpiehub.routing.RequestClass;
@@ -15,19 +14,20 @@
 /** The phases of a shutdown follow from the deadlines of the classes. */
 class GracefulShutdownTest {
     private static RequestClass withDeadline(long ms) {
-        return new RequestClass("c", Idempotency.PURE, DeduplicationScope.ALL, 0, true, 0, 0, 0, ms * 1000, 0, 1, 0);
+        return new RequestClass(
+                "c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, true, 0, 0, 0, ms * 1000, 0, 1, 0);
     }
 
     @ParameterizedTest
     @CsvSource({"300, 600, 700", "1000, 700, 1400", "3000, 1700, 3400", "20000, 1700, 3400"})
     void theLongestDeadlineCountsUpToThreeSeconds(long deadline, long keep, long finish) {
-        Phases phases = Phases.of(List.of(withDeadline(100), withDeadline(deadline)));
-        assertEquals(new Phases(600, keep, finish), phases);
-        assertTrue(phases.finish() < Math.min(3000, deadline) + 700, "before the process is killed");
+        ShutdownPhases phases = ShutdownPhases.forClasses(List.of(withDeadline(100), withDeadline(deadline)));
+        assertEquals(new ShutdownPhases(600, keep, finish), phases);
+        assertTrue(phases.finishMillis() < Math.min(3000, deadline) + 700, "before the process is killed");
     }
 
     @Test
     void aSiteWithoutClassesHasTheLongestPhases() {
-        assertEquals(new Phases(600, 1700, 3400), Phases.of(List.of()));
+        assertEquals(new ShutdownPhases(600, 1700, 3400), ShutdownPhases.forClasses(List.of()));
     }
 }
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -12,13 +12,13 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import magpiehub.sites.SiteFailoverPlan;
-import magpiehub.sites.SiteHealthTracker;
+import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.telemetry.EventLog;
 
 /**
- * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the decision module
+ * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the routing policy
  * with events and folds every action into one SHA-256 digest. Settings, traffic, faults, drains, restarts and
- * reloads are all drawn, so that each mechanism of the module takes part. Times are in microseconds.
+ * reloads are all drawn, so that each mechanism of the policy takes part. Times are in microseconds.
  */
 final class DecisionScenario extends QuietActions {
     private static final long SECOND = 1_000_000;
@@ -40,32 +40,13 @@
         RELOAD
     }
 
-    private static final class Engine {
-        final String id;
-        final int zone;
-        final int cell;
-        final double weight;
-        final double pace;
-        EndpointState state = EndpointState.LIVE;
-        long onlineSince;
-        int inFlight;
-
-        Engine(String id, int zone, int cell, double weight, double pace) {
-            this.id = id;
-            this.zone = zone;
-            this.cell = cell;
-            this.weight = weight;
-            this.pace = pace;
-        }
-    }
-
     private static final class Attempt {
-        final Engine engine;
+        final SimulatedReplica replica;
         final long sentAt;
         boolean ended;
 
-        Attempt(Engine engine, long sentAt) {
-            this.engine = engine;
+        Attempt(SimulatedReplica replica, long sentAt) {
+            this.replica = replica;
             this.sentAt = sentAt;
         }
     }
@@ -84,14 +65,15 @@
     private record Planned(long at, long order, Runnable event) {}
 
     private final Random random;
-    private final RoutingPolicy module;
+    private final RandomSettings settingsSource;
+    private final RoutingPolicy policy;
     private final MessageDigest digest = sha256();
     private final PriorityQueue<Planned> agenda =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<String, Call> calls = new HashMap<>();
     private final List<String> openIds = new ArrayList<>();
-    private final Map<String, Engine> engines = new HashMap<>();
-    private final List<Engine> listed = new ArrayList<>();
+    private final Map<String, SimulatedReplica> replicas = new HashMap<>();
+    private final List<SimulatedReplica> listed = new ArrayList<>();
     private RoutingSettings settings;
     private final double meanGap;
     private final boolean reportsLoad;
@@ -100,19 +82,21 @@
     private long now = SECOND;
     private long order;
     private int requests;
-    private int engineCount;
+    private int replicaCount;
     private int events;
 
     DecisionScenario(long seed) {
         random = new Random(seed);
-        settings = drawSettings();
+        settingsSource = new RandomSettings(random);
+        settings = settingsSource.draw();
         meanGap = 2_000 + random.nextInt(60_000);
         reportsLoad = random.nextBoolean();
-        ZoneHealth zones = seed % 3 == 0 && settings.zones() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
-        module = new RoutingPolicy(settings, seed, this, now, zones);
+        ZoneHealth zones =
+                seed % 3 == 0 && settings.zoneCount() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
+        policy = new RoutingPolicy(settings, seed, this, now, zones);
         int fleet = 4 + random.nextInt(28);
         for (int i = 0; i < fleet; i++) {
-            addEngine(random.nextInt(6) == 0 ? now : 0);
+            addReplica(random.nextInt(6) == 0 ? now : 0);
         }
         listAll(EndpointListKind.SAVED);
         nextArrival();
@@ -130,7 +114,7 @@
         for (int i = 0; i < STEPS_AFTERWARDS; i++) {
             step();
         }
-        record("known", module.known());
+        record("known", policy.knownReplicaCount());
         return HexFormat.of().formatHex(digest.digest(), 0, 16);
     }
 
@@ -141,7 +125,7 @@
         next.event.run();
         if (events % 16 == 0 && !openIds.isEmpty()) {
             String id = openIds.get(random.nextInt(openIds.size()));
-            record("may refuse", id, module.mayRefuse(id));
+            record("may refuse", id, policy.mayReject(id));
         }
     }
 
@@ -164,10 +148,10 @@
     // ---- Settings and the fleet -------------------------------------------------------------------------
     private ZoneHealth plannedZones(long seed) {
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < settings.zones(); i++) {
+        for (int i = 0; i < settings.zoneCount(); i++) {
             names.add("zone" + i);
         }
-        return new SiteFailoverPlan(SiteHealthTracker.Settings.USUAL, names, settings.myZone(), seed, new EventLog() {
+        return new SiteFailoverPlan(SiteFailoverSettings.DEFAULTS, names, settings.ownZone(), seed, new EventLog() {
             @Override
             public void count(String name) {
                 record("count", name);
@@ -180,101 +164,38 @@
         });
     }
 
-    private RoutingSettings drawSettings() {
-        int zones = 1 + random.nextInt(4);
-        List<RequestClass> classes = new ArrayList<>();
-        for (int i = 1 + random.nextInt(4); i > 0; i--) {
-            classes.add(drawClass("class" + i));
-        }
-        List<Tenant> tenants = random.nextBoolean()
-                ? List.of()
-                : List.of(new Tenant("first", 0.5, 1 + random.nextInt(20)), new Tenant("second", 0.5, 0));
-        int instances = 1 + random.nextInt(random.nextBoolean() ? 4 : 60);
-        boolean priced = random.nextInt(4) == 0;
-        return new RoutingSettings(
-                random.nextInt(instances),
-                instances,
-                random.nextInt(zones),
-                zones,
-                random.nextBoolean(),
-                false,
-                WeightMeaning.values()[random.nextInt(WeightMeaning.values().length)],
-                random.nextDouble(),
-                classes,
-                tenants,
-                drawLimits(),
-                new Guarantees(
-                        20_000,
-                        (2 + random.nextInt(10)) * SECOND,
-                        (5 + random.nextInt(20)) * SECOND,
-                        (1 + random.nextInt(3)) * SECOND,
-                        1 + 3 * random.nextDouble(),
-                        0.1 + 0.5 * random.nextDouble(),
-                        SECOND / 2),
-                new RoutingCosts(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, priced ? 0.01 : 0, 0));
-    }
-
-    private RequestClass drawClass(String name) {
-        return new RequestClass(
-                name,
-                Idempotency.values()[random.nextInt(3)],
-                DeduplicationScope.values()[random.nextInt(3)],
-                random.nextInt(3_000_000),
-                true,
-                100_000 + random.nextInt(900_000),
-                random.nextInt(60_000),
-                0,
-                4 * SECOND,
-                60_000,
-                1 + random.nextInt(5),
-                random.nextDouble());
-    }
-
-    private RoutingLimits drawLimits() {
-        return new RoutingLimits(
-                random.nextInt(4) > 0,
-                random.nextInt(4) > 0,
-                false,
-                random.nextBoolean(),
-                true,
-                1 + random.nextInt(6),
-                1000,
-                2 * SECOND,
-                SECOND / 4);
-    }
-
-    private void addEngine(long onlineSince) {
-        int number = engineCount++;
-        Engine engine = new Engine(
+    private void addReplica(long onlineSince) {
+        int number = replicaCount++;
+        SimulatedReplica replica = new SimulatedReplica(
                 "10.0." + number / 200 + "." + number % 200 + ":9000",
-                random.nextInt(settings.zones()),
+                random.nextInt(settings.zoneCount()),
                 random.nextInt(4),
                 0.5 + random.nextInt(4),
                 0.7 + 0.6 * random.nextDouble());
-        engine.onlineSince = onlineSince;
-        engines.put(engine.id, engine);
-        listed.add(engine);
+        replica.onlineSince = onlineSince;
+        replicas.put(replica.id, replica);
+        listed.add(replica);
     }
 
-    private Endpoint entry(Engine engine) {
-        double load = settings.weights() == WeightMeaning.LIVE ? random.nextDouble() : 1;
+    private Endpoint entry(SimulatedReplica replica) {
+        double load = settings.weightMeaning() == WeightMeaning.LIVE ? random.nextDouble() : 1;
         return new Endpoint(
-                engine.id, engine.zone, 0, engine.cell, engine.state, engine.weight * load, engine.onlineSince);
+                replica.id, replica.zone, 0, replica.cell, replica.state, replica.weight * load, replica.onlineSince);
     }
 
     private void listAll(EndpointListKind kind) {
-        module.list(now, kind, listed.stream().map(this::entry).toList());
+        policy.onEndpoints(now, kind, listed.stream().map(this::entry).toList());
     }
 
-    private void listOne(Engine engine) {
+    private void listOne(SimulatedReplica replica) {
         if (random.nextInt(8) == 0) {
             listAll(EndpointListKind.COMPLETE);
         } else {
-            module.list(now, EndpointListKind.CHANGES, List.of(entry(engine)));
+            policy.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(replica)));
         }
     }
 
-    private Engine anyListed() {
+    private SimulatedReplica anyListed() {
         return listed.get(random.nextInt(listed.size()));
     }
 
@@ -294,7 +215,7 @@
     }
 
     private void replaceOne() {
-        Engine gone = anyListed();
+        SimulatedReplica gone = anyListed();
         if (random.nextBoolean()) {
             gone.onlineSince = now;
             gone.state = EndpointState.LIVE;
@@ -303,56 +224,37 @@
         }
         gone.state = EndpointState.DRAINING;
         listOne(gone);
-        addEngine(now);
+        addReplica(now);
         listOne(listed.get(listed.size() - 1));
         plan(SECOND, () -> remove(gone));
     }
 
     private void drainOne() {
-        Engine engine = anyListed();
-        engine.state = EndpointState.DRAINING;
-        listOne(engine);
+        SimulatedReplica replica = anyListed();
+        replica.state = EndpointState.DRAINING;
+        listOne(replica);
         plan(2 * SECOND, () -> {
-            engine.state = EndpointState.LIVE;
-            engine.onlineSince = random.nextBoolean() ? now : 0;
-            listOne(engine);
+            replica.state = EndpointState.LIVE;
+            replica.onlineSince = random.nextBoolean() ? now : 0;
+            listOne(replica);
         });
     }
 
-    private void remove(Engine engine) {
-        if (listed.size() < 4 || !listed.remove(engine)) {
+    private void remove(SimulatedReplica replica) {
+        if (listed.size() < 4 || !listed.remove(replica)) {
             return;
         }
-        engine.state = EndpointState.DEAD;
+        replica.state = EndpointState.DEAD;
         if (random.nextBoolean()) {
-            module.list(now, EndpointListKind.CHANGES, List.of(entry(engine)));
+            policy.onEndpoints(now, EndpointListKind.CHANGES, List.of(entry(replica)));
         } else {
             listAll(EndpointListKind.COMPLETE);
         }
     }
 
-    /** Classes and tenants keep their places, limits and costs change, a class may come behind. */
     private void reload() {
-        RoutingSettings other = drawSettings();
-        List<RequestClass> classes = new ArrayList<>(settings.classes());
-        if (classes.size() < 6) {
-            classes.add(drawClass("class" + classes.size()));
-        }
-        settings = new RoutingSettings(
-                settings.me(),
-                other.instances(),
-                settings.myZone(),
-                settings.zones(),
-                settings.subscribe(),
-                settings.resume(),
-                settings.weights(),
-                other.overShareWorth(),
-                classes,
-                settings.tenants().isEmpty() ? other.tenants() : settings.tenants(),
-                other.limits(),
-                other.guarantees(),
-                other.costs());
-        module.settings(now, settings);
+        settings = settingsSource.drawReload(settings);
+        policy.onSettings(now, settings);
     }
 
     // ---- Traffic ----------------------------------------------------------------------------------------
@@ -391,9 +293,9 @@
         if (random.nextInt(40) == 0) {
             plan(random.nextInt(1_000_000), () -> leave(call));
         }
-        module.request(now, call.request);
+        policy.onRequest(now, call.request);
         if (random.nextInt(200) == 0) {
-            module.request(now - 10, call.request);
+            policy.onRequest(now - 10, call.request);
         }
     }
 
@@ -409,19 +311,19 @@
             return;
         }
         call.settled = true;
-        module.abandoned(now, call.request.id());
+        policy.onClientGone(now, call.request.id());
     }
 
     @Override
-    public void send(String id, String server, long timeout) {
+    public void sendAttempt(String id, String server, long timeout) {
         record("send", id, server, timeout);
         Call call = calls.get(id);
-        Engine engine = engines.get(server);
+        SimulatedReplica replica = replicas.get(server);
         int number = call.attempts.size();
-        call.attempts.add(new Attempt(engine, now));
-        engine.inFlight++;
-        AttemptOutcome outcome = drawOutcome(engine);
-        long first = (long) (engine.pace * (30_000 + random.nextInt(40_000)) * slowness(engine));
+        call.attempts.add(new Attempt(replica, now));
+        replica.inFlight++;
+        AttemptOutcome outcome = drawOutcome(replica);
+        long first = (long) (replica.pace * (30_000 + random.nextInt(40_000)) * slowness(replica));
         switch (outcome) {
             case OK, RESET, SPOILT -> {
                 if (outcome == AttemptOutcome.OK || random.nextInt(3) == 0) {
@@ -434,33 +336,35 @@
         }
     }
 
-    private boolean isTarget(Engine engine) {
-        return (engine.id.hashCode() & 7) == (target & 7);
+    private boolean isTarget(SimulatedReplica replica) {
+        return (replica.id.hashCode() & 7) == (target & 7);
     }
 
-    private double slowness(Engine engine) {
-        double cold = now - engine.onlineSince < 5 * SECOND ? 2.5 : 1;
-        double busy = 1 + engine.inFlight / 8.0;
+    private double slowness(SimulatedReplica replica) {
+        double cold = now - replica.onlineSince < 5 * SECOND ? 2.5 : 1;
+        double busy = 1 + replica.inFlight / 8.0;
         return cold
                 * busy
-                * (phase == Phase.OVERLOAD ? 6 + random.nextInt(12) : phase == Phase.SLOW && isTarget(engine) ? 12 : 1);
+                * (phase == Phase.OVERLOAD
+                        ? 6 + random.nextInt(12)
+                        : phase == Phase.SLOW && isTarget(replica) ? 12 : 1);
     }
 
-    private AttemptOutcome drawOutcome(Engine engine) {
+    private AttemptOutcome drawOutcome(SimulatedReplica replica) {
         int percent = random.nextInt(100);
-        if (phase == Phase.ZONE_CUT && engine.zone == target % settings.zones()) {
+        if (phase == Phase.ZONE_CUT && replica.zone == target % settings.zoneCount()) {
             return AttemptOutcome.CONNECT_FAILED;
         }
-        if (phase == Phase.HANG && isTarget(engine)) {
+        if (phase == Phase.HANG && isTarget(replica)) {
             return AttemptOutcome.TIMEOUT;
         }
-        if (phase == Phase.ERRORS && percent < (isTarget(engine) ? 80 : 50)) {
+        if (phase == Phase.ERRORS && percent < (isTarget(replica) ? 80 : 50)) {
             return AttemptOutcome.ERROR;
         }
         if (phase == Phase.RESETS && percent < 30) {
             return percent < 20 ? AttemptOutcome.RESET : AttemptOutcome.SPOILT;
         }
-        if (engine.inFlight > 12 || (phase == Phase.OVERLOAD && percent < 30)) {
+        if (replica.inFlight > 12 || (phase == Phase.OVERLOAD && percent < 30)) {
             return AttemptOutcome.FULL;
         }
         if (percent < 4) {
@@ -472,7 +376,7 @@
     private void begin(Call call, int number) {
         Attempt attempt = call.attempts.get(number);
         if (!attempt.ended && !call.settled) {
-            module.begun(now, call.request.id(), number, now - attempt.sentAt);
+            policy.onStreamStarted(now, call.request.id(), number, now - attempt.sentAt);
         }
     }
 
@@ -482,13 +386,13 @@
             return;
         }
         attempt.ended = true;
-        attempt.engine.inFlight--;
+        attempt.replica.inFlight--;
         AttemptOutcome seen = call.settled && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
         call.settled |= served;
         long kept = random.nextInt(5) == 0
                 ? -1
                 : phase == Phase.RELEASE ? 0 : (long) (call.request.promptTokens() * random.nextDouble());
-        module.outcome(
+        policy.onAttemptEnded(
                 now,
                 call.request.id(),
                 number,
@@ -496,33 +400,33 @@
                 now - attempt.sentAt,
                 call.settled,
                 kept,
-                drawLoad(attempt.engine));
+                drawLoad(attempt.replica));
     }
 
-    private LoadReport drawLoad(Engine engine) {
+    private LoadReport drawLoad(SimulatedReplica replica) {
         if (!reportsLoad || random.nextInt(3) == 0) {
             return null;
         }
         return new LoadReport(
-                engine.inFlight,
-                Math.max(0, engine.inFlight - 10),
+                replica.inFlight,
+                Math.max(0, replica.inFlight - 10),
                 Double.NaN,
-                50 * engine.pace * slowness(engine),
+                50 * replica.pace * slowness(replica),
                 Double.NaN,
                 0,
                 Double.NaN,
                 Double.NaN);
     }
 
-    // ---- The module's other actions ---------------------------------------------------------------------
+    // ---- The policy's other actions ---------------------------------------------------------------------
     @Override
-    public void cancel(String id, int attempt) {
+    public void cancelAttempt(String id, int attempt) {
         record("cancel", id, attempt);
         plan(1_000, () -> end(calls.get(id), attempt, AttemptOutcome.CANCELLED, false));
     }
 
     @Override
-    public void refuse(String id, long retryAfter) {
+    public void reject(String id, long retryAfter) {
         record("refuse", id, retryAfter);
         calls.get(id).settled = true;
     }
@@ -538,34 +442,34 @@
         record("watch");
         plan(random.nextInt(1_500_000), () -> {
             if (random.nextInt(3) == 0) {
-                module.list(now, EndpointListKind.ERROR, List.of());
+                policy.onEndpoints(now, EndpointListKind.ERROR, List.of());
             } else {
                 listOne(anyListed());
             }
         });
-        plan(4 * SECOND, () -> module.list(now, EndpointListKind.ERROR, List.of()));
+        plan(4 * SECOND, () -> policy.onEndpoints(now, EndpointListKind.ERROR, List.of()));
     }
 
     @Override
-    public void timer(long at, long token) {
+    public void setTimer(long at, long token) {
         record("timer", at, token);
-        plan(at - now, () -> module.timer(now, token));
+        plan(at - now, () -> policy.onTimer(now, token));
     }
 
     @Override
     public void probe(String server) {
         record("probe", server);
-        Engine engine = engines.get(server);
-        AttemptOutcome outcome = drawOutcome(engine);
+        SimulatedReplica replica = replicas.get(server);
+        AttemptOutcome outcome = drawOutcome(replica);
         AttemptOutcome seen = outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT
                 ? outcome
                 : AttemptOutcome.OK;
         long took = 2_000 + random.nextInt(20_000);
-        plan(took, () -> module.probed(now, server, seen, took, drawLoad(engine)));
+        plan(took, () -> policy.onProbeResult(now, server, seen, took, drawLoad(replica)));
     }
 
     @Override
-    public void move(String id) {
+    public void migrateStream(String id) {
         record("move", id);
     }
 
@@ -580,12 +484,12 @@
     }
 
     @Override
-    public void close(String server) {
+    public void closeIdleConnections(String server) {
         record("close", server);
     }
 
     @Override
-    public void tell(int peer, byte[] payload) {
+    public void sendToPeer(int peer, byte[] payload) {
         record("tell", peer, payload.length);
     }
 
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -50,7 +50,7 @@
         final List<Asked> all = new ArrayList<>();
         final RequestClass[] classes;
         final int replicas;
-        final RoutingPolicy rules;
+        final RoutingPolicy policy;
         long now = 100 * SECOND;
 
         Day(long seed) {
@@ -59,7 +59,7 @@
             for (int i = 0; i < classes.length; i++) {
                 classes[i] = new RequestClass(
                         "c" + i,
-                        Idempotency.PURE,
+                        Idempotency.IDEMPOTENT,
                         DeduplicationScope.ALL,
                         0,
                         true,
@@ -72,12 +72,12 @@
                         random.nextBoolean() ? 0 : random.nextDouble());
             }
             replicas = 4 + random.nextInt(9);
-            rules = new RoutingPolicy(Bench.settings(1, classes), seed, this, now);
+            policy = new RoutingPolicy(RoutingPolicyFixture.settings(1, classes), seed, this, now);
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < replicas; i++) {
-                list.add(Bench.server("10.0.0." + i + ":" + random.nextInt(9000)));
+                list.add(RoutingPolicyFixture.server("10.0.0." + i + ":" + random.nextInt(9000)));
             }
-            rules.list(now, EndpointListKind.COMPLETE, list);
+            policy.onEndpoints(now, EndpointListKind.COMPLETE, list);
         }
 
         /** Plays the day with traffic that takes a part of what the replicas can read. */
@@ -113,11 +113,11 @@
                     false));
             all.add(asked);
             open.put(id, asked);
-            rules.request(now, asked.request);
+            policy.onRequest(now, asked.request);
         }
 
         @Override
-        public void send(String id, String server, long timeout) {
+        public void sendAttempt(String id, String server, long timeout) {
             long sentAt = now;
             RoutingRequest r = open.get(id).request;
             long begins = Math.max(now, freeAt.getOrDefault(server, 0L));
@@ -134,24 +134,24 @@
 
         private void served(String id, long sentAt) {
             open.get(id).answered = true;
-            rules.begun(now, id, 0, now - sentAt);
+            policy.onStreamStarted(now, id, 0, now - sentAt);
             outcome(id, AttemptOutcome.OK, sentAt);
         }
 
         private void outcome(String id, AttemptOutcome outcome, long sentAt) {
             open.remove(id);
-            rules.outcome(now, id, 0, outcome, now - sentAt, true, -1, null);
+            policy.onAttemptEnded(now, id, 0, outcome, now - sentAt, true, -1, null);
         }
 
         @Override
-        public void timer(long at, long token) {
-            events.add(new Due(at, () -> rules.timer(now, token)));
+        public void setTimer(long at, long token) {
+            events.add(new Due(at, () -> policy.onTimer(now, token)));
         }
 
         /** The answered part of the longest prompts of a class over that of the whole class. */
         double longestAgainstAll(int cls) {
             List<Asked> ofClass = new ArrayList<>(all);
-            ofClass.removeIf(a -> a.request.cls() != cls);
+            ofClass.removeIf(a -> a.request.classIndex() != cls);
             ofClass.sort(Comparator.comparingDouble(a -> -a.request.promptTokens()));
             int longest = ofClass.size() / (ofClass.size() < MANY_REQUESTS ? 4 : 10);
             return answered(ofClass.subList(0, longest)) / answered(ofClass);
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -17,10 +17,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.config.Config;
+import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.ClientCallback;
 import magpiehub.dispatch.EndpointListSource;
 import magpiehub.dispatch.RequestDispatcher;
@@ -163,22 +164,22 @@
 
     private final ClientCallback client = new ClientCallback() {
         @Override
-        public void refuse(long retryAfter) {
+        public void reject(long retryAfterMicros) {
             answer.complete("refused");
         }
 
         @Override
-        public void fail(String why) {
+        public void fail(String reason) {
             answer.complete("failed");
         }
 
         @Override
-        public void move() {
+        public void migrate() {
             answer.complete("moved");
         }
 
         @Override
-        public boolean gone() {
+        public boolean isClientGone() {
             return gone;
         }
     };
@@ -195,18 +196,18 @@
 
     /** One engine, of which the list says at last that it takes work, or not. */
     private void start(ServerSocket engine, boolean takes) throws IOException {
-        site = Config.site(Config.facts(
+        site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 Files.readString(Path.of("src/test/resources/site.json"))
                         .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
                         .getBytes(UTF_8),
                 "settings"));
-        streams = new Streams(StreamLimits.none(site.settings().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
+        streams = new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
         UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
-        module = new RequestDispatcher(site.settings(), 7, MonotonicClock.SYSTEM, engines, roster, log);
+        module = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, engines, roster, log);
         engines.module(module);
-        thread = Mailbox.thread("module", module::run);
+        thread = DaemonThreads.newThread("module", module::run);
         thread.start();
-        module.list(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
+        module.updateEndpoints(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
         engines.place("e", "127.0.0.1:" + engine.getLocalPort(), takes, false);
     }
 
@@ -220,7 +221,7 @@
             Http.Head head = in.head(true);
             ProtocolAdapter.Call call = new PlatformProtocol(() -> site).read(head, in.body(head), in.firstAt());
             call.sink(sink);
-            return module.take(call.request, client, call, 2);
+            return module.submit(call.request, client, call, 2);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
