--- a/src/main/java/magpiehub/discovery/ConsulProtocol.java
+++ b/src/main/java/magpiehub/discovery/ConsulProtocol.java
@@ -1,12 +1,8 @@
 package magpiehub.discovery;
 
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
-import magpiehub.config.Config;
-import magpiehub.config.ConfigurationException;
+import java.util.Objects;
 import magpiehub.http.Http;
 
 /**
@@ -98,30 +94,18 @@
             throws IOException, InterruptedException {
         Http.Head head = get(connection, target);
         ListPosition position = position(head);
-        List<ListItem> items = new ArrayList<>();
-        if (head.status() == STATUS_NOT_FOUND) {
-            connection.discardBody(head);
-        } else {
-            readEntries(connection, head, items);
-        }
-        listener.onCompleteList(position, items);
+        listener.onCompleteList(position, readEntries(connection, head));
     }
 
-    private void readEntries(RegistryConnection connection, Http.Head head, List<ListItem> items) throws IOException {
-        try (JsonParser parser = Config.JSON.createParser(connection.body(head))) {
-            if (parser.nextToken() != JsonToken.START_ARRAY) {
-                throw new ConfigurationException("an array was due");
-            }
-            while (parser.nextToken() == JsonToken.START_OBJECT) {
-                ListItem item = resource.readEntry(parser);
-                if (item != null) {
-                    items.add(item);
-                }
-            }
-            if (parser.currentToken() != JsonToken.END_ARRAY || parser.nextToken() != null) {
-                throw new ConfigurationException("must be one array of objects");
-            }
+    private List<ListItem> readEntries(RegistryConnection connection, Http.Head head) throws IOException {
+        if (head.status() == STATUS_NOT_FOUND) {
+            connection.discardBody(head);
+            return List.of();
         }
+        List<ListItem> items =
+                JsonObjects.read(connection.body(head), parser -> JsonObjects.readObjects(parser, resource::readEntry));
+        items.removeIf(Objects::isNull); // Objects that are no entries.
+        return items;
     }
 
     private Http.Head get(RegistryConnection connection, String target) throws IOException {
--- a/src/main/java/magpiehub/discovery/JsonObjects.java
+++ b/src/main/java/magpiehub/discovery/JsonObjects.java
@@ -67,7 +67,7 @@
      */
     static void expectObject(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
-            throw new ConfigurationException("an object was due");
+            throw new ConfigurationException("expected an object");
         }
     }
 
@@ -104,7 +104,7 @@
      */
     static <T> List<T> readObjects(JsonParser parser, ObjectReader<T> reader) throws IOException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
-            throw new ConfigurationException("an array was due");
+            throw new ConfigurationException("expected an array");
         }
         List<T> objects = new ArrayList<>();
         while (parser.nextToken() == JsonToken.START_OBJECT) {
