--- /dev/null
+++ b/src/main/java/magpiehub/discovery/EndpointListListener.java
@@ -0,0 +1,12 @@
+package magpiehub.discovery;
+
+import java.util.List;
+import magpiehub.config.EndpointEntry;
+import magpiehub.routing.EndpointListKind;
+
+/** Receives endpoint lists and changes, in order, on the source's actor thread. */
+@FunctionalInterface
+public interface EndpointListListener {
+    /** Receives a list or changes. */
+    void deliver(EndpointListKind kind, List<EndpointEntry> entries);
+}
--- /dev/null
+++ b/src/main/java/magpiehub/discovery/RouterRegistration.java
@@ -0,0 +1,201 @@
+package magpiehub.discovery;
+
+import java.io.IOException;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import javax.net.ssl.SSLContext;
+import magpiehub.concurrent.DaemonThreads;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.telemetry.EventLog;
+
+/**
+ * Keeps this router's own entry in the registry: registers it, renews it in time, and removes it when the router
+ * stops. {@link RegistrationState} says what is due; a {@link RegistrationProtocol} makes the calls, on a thread of
+ * this class.
+ */
+public final class RouterRegistration {
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private enum Message {
+        STOP
+    }
+
+    private final DiscoverySettings settings;
+    private final String id;
+    private final String address;
+    private final MonotonicClock clock;
+    private final EventLog log;
+    private final Mailbox<Message> mailbox;
+    private final RegistrationState state;
+    private final RegistryEndpoints endpoints;
+    private final SSLContext tls;
+    private final RegistrationProtocol protocol;
+    private final CountDownLatch done = new CountDownLatch(1);
+
+    /** The connection in use; closed from another thread by {@link #stop}. */
+    private volatile RegistryConnection connection;
+
+    /**
+     * A registration by settings that have {@code announce}.
+     *
+     * @param routerName the entry's id where the settings name none
+     * @param listenAddress the entry's address where the settings name none
+     */
+    public RouterRegistration(
+            DiscoverySettings settings,
+            String routerName,
+            String listenAddress,
+            MonotonicClock clock,
+            EventLog log,
+            long seed)
+            throws IOException {
+        RegistrationSettings registration = settings.registration();
+        this.settings = settings;
+        this.id = registration.id().isEmpty() ? routerName : registration.id();
+        this.address = registration.address().isEmpty() ? listenAddress : registration.address();
+        this.clock = clock;
+        this.log = log;
+        this.mailbox = new Mailbox<>(clock, 0);
+        this.state = new RegistrationState(registration.ttlMicros(), clock.micros());
+        this.endpoints = new RegistryEndpoints(settings.endpoints().size(), settings.backoff(), seed);
+        this.tls = settings.tls() ? TlsContexts.trusting(settings.trustedAuthorities()) : null;
+        this.protocol = protocol();
+    }
+
+    private RegistrationProtocol protocol() {
+        RegistrationSettings registration = settings.registration();
+        if (settings.kind().equals("etcd")) {
+            EtcdClient client = new EtcdClient(EtcdCredentials.of(settings.user(), settings.secret()));
+            return new EtcdLeaseRegistration(client, registration.prefix(), id, address, registration.ttlMicros());
+        }
+        return new ConsulServiceRegistration(
+                registration.service(), id, address, registration.ttlMicros(), settings.secret());
+    }
+
+    /** Starts its thread. */
+    public void start() {
+        DaemonThreads.newThread("registry-announce", this::run).start();
+    }
+
+    /**
+     * Removes the entry and waits until that is done, at most one and a half times as long as given. Any thread.
+     *
+     * <p>A call that hangs is cut off after half of the time, so that the last one can be made.
+     */
+    public void stop(long timeoutMillis) throws InterruptedException {
+        mailbox.post(Message.STOP);
+        RegistryConnection inUse = connection;
+        if (inUse != null && !done.await(timeoutMillis / 2, TimeUnit.MILLISECONDS)) {
+            inUse.close();
+        }
+        if (!done.await(timeoutMillis, TimeUnit.MILLISECONDS)) {
+            log.log("registry-deregister-failed", "id", id, "why", "no answer in time");
+        }
+    }
+
+    private void run() {
+        try {
+            while (true) {
+                if (mailbox.take(state.nextStepAtMicros()) == Message.STOP) {
+                    state.onStop();
+                }
+                long now = clock.micros();
+                RegistrationState.Step step = state.nextStep(now);
+                if (step == RegistrationState.Step.DONE) {
+                    return;
+                }
+                if (step != RegistrationState.Step.NONE) {
+                    perform(step, now);
+                }
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } finally {
+            closeConnection();
+            done.countDown();
+        }
+    }
+
+    /** Performs a step on the endpoint that is ready, or puts it off; the removal is not put off. */
+    private void perform(RegistrationState.Step step, long now) {
+        int picked = endpoints.select(now);
+        if (picked < 0 && step != RegistrationState.Step.DEREGISTER) {
+            state.onFailed(now, endpoints.nextReadyAtMicros() - now);
+            return;
+        }
+        int endpoint = Math.max(0, picked);
+        try {
+            call(step, connect(settings.endpoints().get(endpoint)), now);
+            endpoints.recordSuccess(endpoint);
+        } catch (RegistrationLostException e) {
+            endpoints.recordSuccess(endpoint);
+            log.count("registry_announcement_lost");
+            log.log("registry-announcement-lost", "id", id);
+            state.onLost(now);
+        } catch (IOException | RuntimeException e) {
+            onFailure(step, endpoint, e, now);
+        }
+    }
+
+    private void call(RegistrationState.Step step, RegistryConnection connected, long now) throws IOException {
+        switch (step) {
+            case REGISTER -> {
+                state.onRegistered(now, protocol.register(connected));
+                log.count("registry_announced");
+                log.log("registry-announced", "id", id, "address", address, "endpoint", connected.endpoint());
+            }
+            case KEEP -> state.onRenewed(now, protocol.keepAlive(connected));
+            default -> {
+                protocol.deregister(connected);
+                state.onDeregistered();
+                log.log("registry-deregistered", "id", id, "endpoint", connected.endpoint());
+            }
+        }
+    }
+
+    private void onFailure(RegistrationState.Step step, int endpoint, Exception failure, long now) {
+        closeConnection();
+        log.count("registry_announce_failures");
+        log.log(
+                "registry-announce-failed",
+                "step",
+                step.toString(),
+                "endpoint",
+                settings.endpoints().get(endpoint),
+                "why",
+                String.valueOf(failure.getMessage()));
+        if (failure instanceof HttpStatusException answered) {
+            endpoints.recordFailure(endpoint, now, EndpointFailure.ERROR_RESPONSE, answered.retryAfterMicros());
+        } else {
+            endpoints.recordFailure(endpoint, now, EndpointFailure.CONNECTION_LOST, 0);
+        }
+        state.onFailed(now, Math.max(settings.backoff().baseMicros(), endpoints.nextReadyAtMicros() - now));
+        if (step == RegistrationState.Step.DEREGISTER) {
+            state.onDeregistered(); // It is tried once: what is left expires.
+        }
+    }
+
+    private RegistryConnection connect(String endpoint) throws IOException {
+        RegistryConnection current = connection;
+        if (current == null || current.isClosed() || !current.endpoint().equals(endpoint)) {
+            if (current != null) {
+                current.close();
+            }
+            int timeoutMillis = (int) Math.max(1, settings.timeoutMicros() / MICROS_PER_MILLI);
+            current = new RegistryConnection(endpoint, tls, clock, new AtomicLong());
+            connection = current;
+            current.connect(timeoutMillis);
+            current.setReadTimeout(timeoutMillis);
+        }
+        return current;
+    }
+
+    private void closeConnection() {
+        RegistryConnection current = connection;
+        if (current != null) {
+            current.close();
+        }
+    }
+}
--- a/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -6,10 +6,10 @@
 import magpiehub.config.RouterConfiguration;
 import magpiehub.config.RouterConfigurationReader;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Discovery;
+import magpiehub.discovery.DiscoverySettings;
 import magpiehub.discovery.EndpointSource;
-import magpiehub.discovery.Options;
-import magpiehub.discovery.Registry;
+import magpiehub.discovery.RegistryClient;
+import magpiehub.discovery.platform.PlatformDiscovery;
 import magpiehub.telemetry.SyslogEventLog;
 
 /**
@@ -78,7 +78,7 @@
     private void reload() {
         try {
             RouterConfiguration next = RouterConfigurationReader.reread(System.getenv(), inForce);
-            Options registry = Options.read(registryFile);
+            DiscoverySettings registry = DiscoverySettings.read(registryFile);
             List<String> applied = inForce.changedKeys(next);
             applied.removeIf(key -> !key.startsWith(SETTINGS_PREFIX));
             List<String> needRestart = started.changedKeys(next);
@@ -110,13 +110,13 @@
     }
 
     /** Points the source of the endpoint list to its new address; false if the file names a source of another kind. */
-    private boolean redirectDiscovery(RouterConfiguration next, Options registry) {
-        if (discovery instanceof Registry client && registry != null) {
-            client.move(registry);
+    private boolean redirectDiscovery(RouterConfiguration next, DiscoverySettings registry) {
+        if (discovery instanceof RegistryClient client && registry != null) {
+            client.changeSettings(registry);
             return true;
         }
-        if (discovery instanceof Discovery client && registry == null && next.discovery() != null) {
-            client.move(next.discovery());
+        if (discovery instanceof PlatformDiscovery client && registry == null && next.discovery() != null) {
+            client.changeAddress(next.discovery());
             return true;
         }
         return false;
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -14,10 +14,10 @@
 import magpiehub.config.HostPort;
 import magpiehub.config.RouterConfiguration;
 import magpiehub.config.SiteSettings;
-import magpiehub.discovery.Discovery;
+import magpiehub.discovery.DiscoverySettings;
 import magpiehub.discovery.EndpointSource;
-import magpiehub.discovery.Options;
-import magpiehub.discovery.Registry;
+import magpiehub.discovery.RegistryClient;
+import magpiehub.discovery.platform.PlatformDiscovery;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
@@ -63,7 +63,7 @@
     private final Streams streams;
     private final UpstreamPool upstreams;
     /** Null where the platform's discovery is used. */
-    private final Options registry;
+    private final DiscoverySettings registry;
 
     private final EndpointSource discovery;
     /** Null where the installation has none. */
@@ -145,8 +145,8 @@
         return created;
     }
 
-    private Options readRegistrySettings() throws IOException {
-        Options settings = Options.read(REGISTRY_FILE);
+    private DiscoverySettings readRegistrySettings() throws IOException {
+        DiscoverySettings settings = DiscoverySettings.read(REGISTRY_FILE);
         if (settings == null && configuration.discovery() == null) {
             throw new ConfigurationException("ROUTER_DISCOVERY is not set and there is no " + REGISTRY_FILE);
         }
@@ -156,9 +156,9 @@
     private EndpointSource createDiscovery() throws IOException {
         long seed = configuration.seed();
         if (registry == null) {
-            return new Discovery(configuration.discovery(), site::get, upstreams, clock, log, seed);
+            return new PlatformDiscovery(configuration.discovery(), site::get, upstreams, clock, log, seed);
         }
-        return new Registry(registry, site::get, upstreams, clock, log, seed);
+        return new RegistryClient(registry, site::get, upstreams, clock, log, seed);
     }
 
     private SiteFailoverPlan createFailoverPlan() throws IOException {
@@ -184,10 +184,10 @@
             return null;
         }
         RouterMaintenanceActions actions =
-                new RouterMaintenanceActions(discovery::known, discovery, failoverPlan, listeners, clock);
+                new RouterMaintenanceActions(discovery::isKnown, discovery, failoverPlan, listeners, clock);
         AdminCommandHandler created =
                 new AdminCommandHandler(temporaryFolder(), configuration.name(), actions, clock, log);
-        discovery.told().listed(created::onListed);
+        discovery.maintenanceOverlay().onListed(created::onListed);
         return created;
     }
 
@@ -241,7 +241,7 @@
                 dispatcher,
                 clock,
                 log,
-                discovery::known,
+                discovery::isKnown,
                 this::counters,
                 maxConnections,
                 threads,
@@ -252,7 +252,7 @@
 
     /** All counters, one a line. */
     private String counters() {
-        String counters = log.counters() + streams.figures() + discovery.figures();
+        String counters = log.counters() + streams.figures() + discovery.counterLines();
         return failoverPlan == null ? counters : counters + failoverPlan.metrics();
     }
 
--- a/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
+++ b/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
@@ -52,7 +52,7 @@
         Map<String, Long> returnedAtMicros = new HashMap<>();
         returnedAtUnixMillis.forEach(
                 (id, millis) -> returnedAtMicros.put(id, monotonicOffsetMicros + millis * MICROS_PER_MILLI));
-        discovery.maintain(outOfService, returnedAtMicros, whenApplied);
+        discovery.applyMaintenance(outOfService, returnedAtMicros, whenApplied);
     }
 
     @Override
--- a/src/main/java/magpiehub/lifecycle/ServiceAnnouncement.java
+++ b/src/main/java/magpiehub/lifecycle/ServiceAnnouncement.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.RouterConfiguration;
-import magpiehub.discovery.Announcer;
-import magpiehub.discovery.Options;
+import magpiehub.discovery.DiscoverySettings;
+import magpiehub.discovery.RouterRegistration;
 import magpiehub.store.KeyValueStore;
 import magpiehub.telemetry.EventLog;
 
@@ -19,11 +19,11 @@
     private static final String STORE_KEY_PREFIX = "router/";
 
     private final RouterConfiguration configuration;
-    private final Options registry;
+    private final DiscoverySettings registry;
     private final KeyValueStore store;
     private final MonotonicClock clock;
     private final EventLog log;
-    private volatile Announcer announcer;
+    private volatile RouterRegistration announcer;
 
     /**
      * An announcement that has not been published.
@@ -33,7 +33,7 @@
      */
     ServiceAnnouncement(
             RouterConfiguration configuration,
-            Options registry,
+            DiscoverySettings registry,
             KeyValueStore store,
             MonotonicClock clock,
             EventLog log) {
@@ -50,9 +50,9 @@
      * @param address where clients connect, as {@code host:port}
      */
     void publish(String address) throws IOException {
-        if (registry != null && registry.announce() != null) {
-            Announcer started =
-                    new Announcer(registry, configuration.name(), address, clock, log, configuration.seed());
+        if (registry != null && registry.registration() != null) {
+            RouterRegistration started =
+                    new RouterRegistration(registry, configuration.name(), address, clock, log, configuration.seed());
             announcer = started;
             started.start();
         }
@@ -62,7 +62,7 @@
     /** Announces that the router is stopping, and waits a bounded time until the registry has removed it. */
     void withdraw() throws InterruptedException {
         putInStore("stopping");
-        Announcer published = announcer;
+        RouterRegistration published = announcer;
         if (published != null) {
             published.stop(DEREGISTER_TIMEOUT_MS);
         }
--- /dev/null
+++ b/src/test/java/magpiehub/discovery/FakeRegistry.java
@@ -0,0 +1,189 @@
+package magpiehub.discovery;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentHashMap;
+
+/**
+ * A registry for tests: one history of keys, several endpoints that fail as told, and two protocols, etcd's JSON
+ * gateway ({@link FakeEtcdServer}) and Consul's HTTP interface ({@link FakeConsulServer}).
+ *
+ * <p>Its monitor guards the data; it is notified of each change. A test may hold it to make several changes in one
+ * moment.
+ */
+final class FakeRegistry implements AutoCloseable {
+    static final String PREFIX = "fleet/engines/";
+    private static final int CACHED_SNAPSHOTS = 4;
+
+    /** How an endpoint fails. */
+    enum Fault {
+        NONE,
+        /** It resets whoever connects. */
+        DOWN,
+        /** It accepts requests and answers none. */
+        SILENT,
+        /** It answers all but watches. */
+        MUTE,
+        /** Its responses come byte by byte. */
+        DRIPS,
+        /** It rejects each token. */
+        UNAUTHORISED,
+        /** It answers each request with 429. */
+        REFUSING,
+        /** It has no leader (Consul). */
+        NO_LEADER
+    }
+
+    /** A key's value from a revision on; null if it was deleted. */
+    record Version(long revision, byte[] value) {}
+
+    /** A change of one key. */
+    record Change(long revision, String key, byte[] value) {}
+
+    final FakeEtcdServer etcd = new FakeEtcdServer(this);
+    final FakeConsulServer consul = new FakeConsulServer(this);
+    final List<FakeRegistryEndpoint> endpoints = new ArrayList<>();
+
+    /** The number of requests by path. */
+    final Map<String, Integer> requestCounts = new ConcurrentHashMap<>();
+
+    /** The password in etcd and the token in Consul; null if none is asked for. */
+    String password;
+
+    String cluster = "14841639068965178418";
+    long term = 2;
+    long revision = 1;
+
+    /** The newest revision whose changes are no longer available. */
+    long compacted;
+
+    private final Map<String, List<Version>> versionsByKey = new TreeMap<>();
+    private final List<Change> changes = new ArrayList<>();
+
+    /** The last few snapshots: hundreds of clients read the same one. */
+    private final Map<String, Map<String, Version>> snapshots = new LinkedHashMap<>() {
+        private static final long serialVersionUID = 1L;
+
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Map<String, Version>> e) {
+            return size() > CACHED_SNAPSHOTS;
+        }
+    };
+
+    FakeRegistry(int endpointCount) throws IOException {
+        for (int i = 0; i < endpointCount; i++) {
+            endpoints.add(new FakeRegistryEndpoint(this));
+        }
+    }
+
+    List<String> addresses() {
+        return endpoints.stream().map(FakeRegistryEndpoint::address).toList();
+    }
+
+    int requestCount(String path) {
+        return requestCounts.getOrDefault(path, 0);
+    }
+
+    synchronized long put(String id, String json) {
+        revision++;
+        write(PREFIX + id, json.getBytes(UTF_8));
+        notifyAll();
+        return revision;
+    }
+
+    synchronized void delete(String id) {
+        revision++;
+        write(PREFIX + id, null);
+        notifyAll();
+    }
+
+    /** Changes several keys in one revision; a null value deletes. */
+    synchronized void putAll(Map<String, String> jsonById) {
+        revision++;
+        jsonById.forEach((id, json) -> write(PREFIX + id, json == null ? null : json.getBytes(UTF_8)));
+        notifyAll();
+    }
+
+    private void write(String key, byte[] value) {
+        snapshots.remove(revision + " " + PREFIX); // Of several changes in one revision.
+        versionsByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(new Version(revision, value));
+        changes.add(new Change(revision, key, value));
+    }
+
+    synchronized void compact() {
+        compacted = revision;
+    }
+
+    /** Elects a new leader, which cuts all connections. */
+    synchronized void electLeader() {
+        term++;
+        cutAll();
+    }
+
+    /** Brings back what the registry held at the revision {@code to}; later writes go on from {@code newRevision}. */
+    synchronized void restore(long to, String newCluster, long newRevision) {
+        snapshots.clear();
+        versionsByKey.values().forEach(versions -> versions.removeIf(v -> v.revision > to));
+        versionsByKey.values().removeIf(List::isEmpty);
+        changes.removeIf(change -> change.revision > to);
+        revision = newRevision;
+        compacted = newRevision > to ? newRevision : Math.min(compacted, to);
+        cluster = newCluster;
+        notifyAll();
+        cutAll();
+    }
+
+    void cutAll() {
+        endpoints.forEach(FakeRegistryEndpoint::cut);
+    }
+
+    /** The values as of a revision, by key. */
+    synchronized Map<String, Version> snapshot(long at, String prefix) {
+        long upTo = Math.min(at, revision);
+        return snapshots.computeIfAbsent(upTo + " " + prefix, k -> readSnapshot(upTo, prefix));
+    }
+
+    private Map<String, Version> readSnapshot(long at, String prefix) {
+        Map<String, Version> snapshot = new TreeMap<>();
+        versionsByKey.forEach((key, versions) -> {
+            if (key.startsWith(prefix)) {
+                Version version = latest(versions, at);
+                if (version != null && version.value != null) {
+                    snapshot.put(key, version);
+                }
+            }
+        });
+        return snapshot;
+    }
+
+    private static Version latest(List<Version> versions, long at) {
+        for (int i = versions.size() - 1; i >= 0; i--) {
+            if (versions.get(i).revision <= at) {
+                return versions.get(i);
+            }
+        }
+        return null;
+    }
+
+    /** The changes of a range of revisions, both included; under the monitor. */
+    List<Change> changes(long fromRevision, long toRevision, String prefix) {
+        int first = changes.size();
+        while (first > 0 && changes.get(first - 1).revision >= fromRevision) {
+            first--;
+        }
+        return changes.subList(first, changes.size()).stream()
+                .filter(change -> change.revision <= toRevision && change.key.startsWith(prefix))
+                .toList();
+    }
+
+    @Override
+    public void close() {
+        endpoints.forEach(FakeRegistryEndpoint::close);
+    }
+}
--- /dev/null
+++ b/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
@@ -0,0 +1,50 @@
+package magpiehub.discovery;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import java.util.List;
+import magpiehub.concurrent.MonotonicClock;
+import org.junit.Test;
+
+/** The registration of a router at the fake registry. */
+public class RouterRegistrationTest {
+    @Test
+    public void aRouterAnnouncesItselfAgainAfterALossAndLeavesInOrder() throws Exception {
+        for (String kind : List.of("etcd", "consul-kv")) {
+            try (FakeRegistry registry = new FakeRegistry(1);
+                    RecordingRegistryClient journal =
+                            new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), ""))) {
+                RouterRegistration a = new RouterRegistration(
+                        RegistryFixtures.settings(
+                                kind,
+                                registry.addresses(),
+                                ",\"announce\":{\"prefix\":" + "\"routers/\",\"service\":\"routers\",\"ttl_ms\":1000}"),
+                        "n1",
+                        "127.0.0.1:9",
+                        MonotonicClock.SYSTEM,
+                        journal.log,
+                        1);
+                a.start();
+                RegistryFixtures.await(() -> announced(registry), () -> journal.log.toString());
+                registry.etcd.loseLeases();
+                synchronized (registry) {
+                    registry.consul.services.clear();
+                }
+                RegistryFixtures.await(() -> announced(registry), () -> journal.log.toString());
+                assertEquals(1, journal.counted("registry_announcement_lost"));
+                a.stop(20_000);
+                assertTrue(
+                        journal.log.toString(),
+                        !announced(registry) && journal.log.contains("registry-deregistered id n1"));
+            }
+        }
+    }
+
+    private static boolean announced(FakeRegistry r) {
+        synchronized (r) {
+            return r.consul.services.contains("n1")
+                    || r.etcd.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
+        }
+    }
+}
