--- a/src/main/java/magpiehub/routing/LatencyEstimator.java
+++ b/src/main/java/magpiehub/routing/LatencyEstimator.java
@@ -29,15 +29,15 @@
 
     /** Records the time to a first token; returns its ratio to the mean before it. */
     double recordFirstToken(int classIndex, long took) {
-        double mean = firstToken[classIndex] == 0 ? took : firstToken[classIndex];
-        firstToken[classIndex] = updated(mean, took);
+        double mean = firstToken[classIndex] == 0 ? (double) took : firstToken[classIndex];
+        firstToken[classIndex] = updated(mean, (double) took);
         return took / Math.max(SHORTEST_FIRST_TOKEN_MICROS, mean);
     }
 
     /** Records the time of a complete answer; returns the mean before it. */
     double recordCompleteAnswer(int classIndex, long took) {
-        double mean = completeAnswer[classIndex] == 0 ? took : completeAnswer[classIndex];
-        completeAnswer[classIndex] = updated(mean, took);
+        double mean = completeAnswer[classIndex] == 0 ? (double) took : completeAnswer[classIndex];
+        completeAnswer[classIndex] = updated(mean, (double) took);
         return mean;
     }
 
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -18,7 +18,7 @@
  * called from any thread; a withdrawal takes effect at the next tick.
  */
 public final class SiteFailoverPlan implements ZoneHealth {
-    /** Stands for "not suspended" in {@link #shutSince}. */
+    /** Stands for "not suspended" in {@link #closedSince}. */
     private static final long NOT_SUSPENDED = Long.MAX_VALUE;
 
     private final SiteFailoverSettings settings;
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -464,7 +464,7 @@
         AttemptOutcome seen = outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT
                 ? outcome
                 : AttemptOutcome.OK;
-        long took = 2_000 + random.nextInt(20_000);
+        long took = 2_000L + random.nextInt(20_000);
         plan(took, () -> policy.onProbeResult(now, server, seen, took, drawLoad(replica)));
     }
 
--- a/src/test/java/magpiehub/routing/OutlierDetectorTest.java
+++ b/src/test/java/magpiehub/routing/OutlierDetectorTest.java
@@ -51,10 +51,8 @@
         for (long k = 1; k <= 90; k++) {
             all.serve(0, k);
         }
-        Set<String> used = new HashSet<>();
         for (long k = 1; k <= 200; k++) {
             String id = all.submit(0, k);
-            used.add(all.replicaOf(id));
             all.startStream(id, 2 * SECOND);
             all.endAttempt(id, AttemptOutcome.OK);
         }
