--- a/src/main/java/magpiehub/discovery/RegistryEndpoints.java
+++ b/src/main/java/magpiehub/discovery/RegistryEndpoints.java
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Records that an endpoint told what can't be current: the others are preferred, and this one is left alone
+     * Records that an endpoint delivered what can't be current: the others are preferred, and this one is left alone
      * for a while.
      */
     public void recordStaleAnswer(int endpoint, long nowMicros, long pauseMicros) {
--- a/src/main/java/magpiehub/discovery/RegistryEventListener.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventListener.java
@@ -26,7 +26,7 @@
     void onWatchResumed(ListPosition header, List<ListItem> lastChanged, long count)
             throws IOException, InterruptedException;
 
-    /** The changes asked for are not available: compacted, or not there yet. */
+    /** The requested changes are not available: compacted, or not there yet. */
     void onCompacted(String reason) throws IOException, InterruptedException;
 
     /** The result of a position check, see {@link EndpointListState#checkWatch}. */
--- a/src/test/java/magpiehub/discovery/DiscoverySettingsTest.java
+++ b/src/test/java/magpiehub/discovery/DiscoverySettingsTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void eachFaultNamesFileAndField() throws Exception {
+    public void errorsNameFileAndField() throws Exception {
         String ok = "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:2379\"],\"prefix\":\"/e/\"";
         for (String[] example : new String[][] {
             {"{}", "registry.json.kind must be etcd, consul-health or consul-kv"},
--- a/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
@@ -28,7 +28,7 @@
     public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
-    public void theLastListComesBackWholeOrNotAtAll() throws Exception {
+    public void listIsReadCompletelyOrNotAtAll() throws Exception {
         Path file = folder.getRoot().toPath().resolve("last");
         EndpointEntryParser parser = EndpointEntryParser.strict(RegistryFixtures.site(), 0);
         EndpointListCache cache = new EndpointListCache(file, parser);
@@ -61,7 +61,7 @@
 
     /** A file that an earlier version of the program wrote is read, and written again byte for byte. */
     @Test
-    public void theFormOfTheFileIsUnchanged() throws Exception {
+    public void fileFormatIsUnchanged() throws Exception {
         byte[] recorded = Files.readAllBytes(Path.of("src/test/resources/endpoint-list-1"));
         SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 "{\"zones\":[\"a\",\"b\"],\"machineTypes\":[\"m\",\"台\"]}".getBytes(UTF_8), "settings"));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void aStartWithoutARegistryServesTheLastList() throws Exception {
+    public void startWithoutARegistryUsesTheCachedList() throws Exception {
         Path file = folder.getRoot().toPath().resolve("last");
         String more = ",\"list_file\":\"" + file + "\",\"list_every_ms\":100";
         try (FakeRegistry registry = new FakeRegistry(1)) {
--- a/src/test/java/magpiehub/discovery/EndpointListStateTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListStateTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void aChangeToldTwiceIsAppliedOnce() {
+    public void repeatedChangeIsAppliedOnce() {
         EndpointListState list = listAt(5, item("a", 3), item("b", 5));
         ListUpdateResult result = list.applyChanges(at(7), List.of(item("b", 5), item("a", 7)));
         assertEquals(1, result.delta().put().size());
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void aWholeListThatCrossesAChangeDoesNotUndoIt() {
+    public void supersededListDoesNotUndoAChange() {
         EndpointListState list = listAt(5, item("a", 3));
         ListPosition asked = list.position();
         list.applyChanges(at(8), List.of(item("b", 8)));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void olderDataIsTakenWholeOnceTwoReadsAgree() {
+    public void olderDataIsAppliedOnceTwoReadsAgree() {
         EndpointListState list = listAt(50, item("a", 40), item("b", 50));
         assertEquals(Verdict.RELIST_REQUIRED, verdict(list.checkPosition(at(20))));
         assertEquals(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void twoEndpointsAtDifferentPositionsDoNotTakeItBack() {
+    public void laggingListsAreNotAppliedBetweenCurrentOnes() {
         EndpointListState list = listAt(50, item("a", 40));
         for (int i = 0; i < 5; i++) {
             assertEquals(Verdict.LAGGING, verdict(list.applyCompleteList(at(30), list.position(), List.of(), false)));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void aHigherRevisionOfAnotherHistoryIsNotMixedIn() {
+    public void changesOfAnotherHistoryAreNotApplied() {
         EndpointListState list = listAt(50, item("a", 40));
         ListPosition other = new ListPosition("c2", 2, 90);
         assertEquals(Verdict.RELIST_REQUIRED, verdict(list.applyChanges(other, List.of(item("x", 90)))));
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void anotherPastWithTheSameLastKeyIsKnownByTheOthers() {
+    public void anotherHistoryIsRecognizedByItsLastChanges() {
         EndpointListState list = listAt(9, item("a", 3), item("b", 8), ListItem.unreadable("odd", 9, "no address"));
         ListItem odd = ListItem.unreadable("odd", 9, "no address");
         assertEquals(Verdict.STALE, verdict(list.checkResume(at(12), at(9), List.of(odd, item("b", 8)), 3)));
@@ -127,7 +127,7 @@
     }
 
     @Test
-    public void anEngineThatComesBackElsewhereInsideOneBurstIsThere() {
+    public void endpointThatMovesWithinOneBurstIsListed() {
         EndpointListState list = listAt(5, item("k1", 5));
         ListUpdateResult result = list.applyChanges(
                 at(9),
@@ -137,7 +137,7 @@
                         ListItem.removed("k3", 8)));
         assertEquals("10.9.9.9:1", list.get("k1").address());
         assertTrue(result.delta().removed().isEmpty());
-        // The old key's removal comes after the new key's word: the engine stays.
+        // The old key is removed after the new key was added: the endpoint stays.
         list.applyChanges(
                 at(11), List.of(ListItem.of("k4", 10, entry("k1", "10.9.9.9:2", 1)), ListItem.removed("k2", 11)));
         assertEquals("10.9.9.9:2", list.get("k1").address());
@@ -147,7 +147,7 @@
     }
 
     @Test
-    public void oneUnreadableEntryAmongTenThousandIsLeftOutAlone() {
+    public void onlyTheUnreadableEntryIsSkipped() {
         List<ListItem> items = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
             items.add(i == 5000 ? ListItem.unreadable("k5000", i, "no address") : item("k" + i, i));
@@ -161,7 +161,7 @@
     }
 
     @Test
-    public void aMuteWatchIsFoundByTwoChecks() {
+    public void silentWatchIsFoundByTwoChecks() {
         EndpointListState list = listAt(5, item("a", 3), item("b", 5));
         assertEquals(Verdict.STALE, verdict(list.checkWatch(at(9), list.position(), 9, 2)));
         list.applyChanges(at(9), List.of(item("a", 9)));
@@ -177,7 +177,7 @@
     }
 
     @Test
-    public void afterACompactionOnlyAWholeListCounts() {
+    public void compactionRequiresACompleteList() {
         EndpointListState list = listAt(5, item("a", 3));
         list.markCompacted();
         assertTrue(list.requiresRelist());
--- a/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
+++ b/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
@@ -13,7 +13,7 @@
 import magpiehub.routing.EndpointState;
 import org.junit.Test;
 
-/** Calls that cross list changes: the operators' word on an engine holds, whatever its source says. */
+/** Maintenance and list changes in any order: the maintenance holds, whatever the source reports. */
 public class MaintenanceOverlayTest {
     private final MaintenanceOverlay overlay = new MaintenanceOverlay();
 
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void aBanHoldsOverChangesARestartAndAnotherList() {
+    public void endpointOutOfServiceStaysDrainingWhateverTheSourceReports() {
         overlay.applyFromSource(
                 EndpointListKind.COMPLETE,
                 List.of(entry("a", EndpointState.LIVE, 0), entry("b", EndpointState.LIVE, 0)));
@@ -69,13 +69,13 @@
     }
 
     @Test
-    public void whoIsCalledBackHasStartedNoEarlierThanThat() {
+    public void endpointBackInServiceHasStartedNoEarlier() {
         overlay.applyFromSource(EndpointListKind.COMPLETE, List.of(entry("a", EndpointState.LIVE, 0)));
         overlay.applyMaintenance(Set.of("a"), Map.of());
         List<EndpointEntry> back = overlay.applyMaintenance(Set.of(), Map.of("a", 900L));
         assertEquals(EndpointState.LIVE, state(back, "a"));
         assertEquals(900, since(back, "a"));
-        // The list may tell the restart late, and a later one counts by itself.
+        // The list may report the restart late, and a later one counts by itself.
         assertEquals(
                 900,
                 since(
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void anEngineThatIsNotListedIsNotToldAndEveryIdThatWasIsNamed() {
+    public void unlistedEndpointsAreNotReportedAndListedIdsAre() {
         List<String> ids = new ArrayList<>();
         overlay.onListed(ids::addAll);
         overlay.applyFromSource(
--- a/src/test/java/magpiehub/discovery/MembershipDampingTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipDampingTest.java
@@ -56,13 +56,13 @@
     }
 
     @Test
-    public void aListThatLosesHalfTheFleetNeedsASecondRead() {
+    public void removalOfHalfTheFleetNeedsASecondRead() {
         MembershipDamping damping = fleetOf(10);
         assertEquals("", states(damping.apply(whole(List.of(), ids(0, 5)), S)));
         assertTrue(damping.takeConfirmationRequest());
         assertFalse("asked once", damping.takeConfirmationRequest());
         assertEquals(10, damping.entries().size());
-        // Nothing comes within the set time: it is asked again, and nobody is dropped.
+        // Nothing is read within the set time: a read is requested again, and no endpoint is removed.
         assertEquals(S + 1_500_000, damping.nextTimerMicros());
         assertEquals("", states(damping.onTimer(damping.nextTimerMicros())));
         assertTrue(damping.takeConfirmationRequest());
@@ -75,14 +75,14 @@
     }
 
     @Test
-    public void aListThatLosesFewIsBelieved() {
+    public void removalOfFewIsAppliedAtOnce() {
         MembershipDamping damping = fleetOf(10);
         assertEquals("e0 DEAD, e1 DEAD", states(damping.apply(whole(List.of(), ids(0, 2)), S)));
         assertFalse(damping.takeConfirmationRequest());
     }
 
     @Test
-    public void whatAChangeSaysIsObeyedAtOnceWhateverItsSize() {
+    public void changesAreAppliedAtOnceWhateverTheirSize() {
         MembershipDamping damping = fleetOf(10);
         assertEquals(10, damping.apply(change(List.of(), ids(0, 10)), S).size());
         MembershipDamping draining = fleetOf(10);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void aHeldEngineThatIsNamedAgainStaysWithItsNewEntry() {
+    public void heldEndpointThatIsListedAgainHasItsNewEntry() {
         MembershipDamping damping = fleetOf(10);
         damping.apply(whole(List.of(), ids(0, 5)), S);
         assertEquals(
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void anEngineThatFlapsReturnsOnceItHasBeenStill() {
+    public void flappingEndpointIsSuppressedUntilItIsStable() {
         MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 4; i++) {
             assertEquals("away at once", "e0 DEAD", states(damping.apply(change(List.of(), ids(0, 1)), i * S)));
@@ -132,7 +132,7 @@
     }
 
     @Test
-    public void aFleetThatFlapsAsOneIsNotSuppressed() {
+    public void flappingFleetIsNotSuppressed() {
         MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 6; i++) {
             damping.apply(change(List.of(), ids(0, 10)), i * S);
--- a/src/test/java/magpiehub/discovery/RegistrationStateTest.java
+++ b/src/test/java/magpiehub/discovery/RegistrationStateTest.java
@@ -9,7 +9,7 @@
     private static final long S = 1_000_000;
 
     @Test
-    public void anAnnouncementIsKeptMadeAnewAndTakenBack() {
+    public void registrationIsRenewedRepeatedAndRemoved() {
         RegistrationState a = new RegistrationState(9 * S, 0);
         assertEquals(RegistrationState.Step.REGISTER, a.nextStep(0));
         a.onFailed(0, 100);
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -16,7 +16,7 @@
 import org.junit.runner.RunWith;
 import org.junit.runners.Parameterized;
 
-/** Whole clients against the stand-in, in each dialect: what breaks, compacts and goes back in time. */
+/** Clients of a fake registry, with each protocol, through connection losses, compactions and restores. */
 @RunWith(Parameterized.class)
 public class RegistryClientTest {
     @Parameterized.Parameters(name = "{0}")
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void followsChangesAndNamesEachOnce() throws Exception {
+    public void changesAreReportedOnce() throws Exception {
         connect("");
         burst(100, 500);
         client.awaitEqualTo(registry);
@@ -75,7 +75,7 @@
 
     /** Chunks, lines and the letters beyond ASCII in them are cut at many places, in the middle of bursts. */
     @Test
-    public void aBreakInTheMiddleOfAnythingAppliesNoHalf() throws Exception {
+    public void partialDataIsNeverApplied() throws Exception {
         only(0);
         connect("");
         for (int cut = 0; cut < 700; cut += 13) {
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void aBreakInABurstMissesAndRepeatsNothing() throws Exception {
+    public void connectionLossDuringChangesLosesAndRepeatsNone() throws Exception {
         connect("");
         for (int i = 0; i < 10; i++) {
             burst(i * 100, 50);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void aFragmentedRevisionIsAppliedWhole() throws Exception {
+    public void fragmentedRevisionIsAppliedAtOnce() throws Exception {
         registry.etcd.eventsPerFragment = 7;
         connect("");
         for (int round = 0; round < 20; round++) {
@@ -122,7 +122,7 @@
     }
 
     @Test
-    public void olderDataAfterARestartIsReadWhole() throws Exception {
+    public void restoredOlderDataIsRelisted() throws Exception {
         connect("");
         long old = registry.revision;
         burst(100, 200);
@@ -134,9 +134,9 @@
         client.awaitEqualTo(registry);
     }
 
-    /** The numbers alone go on as if nothing had been: only what stood at the client's position tells. */
+    /** The revisions go on as if nothing had been: only what the registry has at the client's position differs. */
     @Test
-    public void aRegistryThatWentBackAndHasComePastTheClientIsNotMixedIn() throws Exception {
+    public void restoredRegistryBeyondTheClientsPositionIsRelisted() throws Exception {
         connect("");
         long old = registry.revision;
         burst(100, 20);
@@ -150,7 +150,7 @@
     }
 
     @Test
-    public void aHigherRevisionOfAnotherHistoryIsReadWhole() throws Exception {
+    public void anotherHistoryWithHigherRevisionsIsRelisted() throws Exception {
         connect("");
         burst(100, 200);
         client.awaitEqualTo(registry);
@@ -162,7 +162,7 @@
     }
 
     @Test
-    public void endpointsAtDifferentPositionsDoNotTakeTheListBack() throws Exception {
+    public void laggingEndpointDoesNotRevertTheList() throws Exception {
         connect("");
         burst(100, 300);
         client.awaitEqualTo(registry);
@@ -176,7 +176,7 @@
     }
 
     @Test
-    public void aWatchThatSaysNothingIsLeft() throws Exception {
+    public void silentWatchIsReplaced() throws Exception {
         connect("");
         int watched = client.counted("registry_watch_calls");
         registry.endpoints.forEach(e -> e.fault = Fault.MUTE);
@@ -187,7 +187,7 @@
     }
 
     @Test
-    public void anEndpointThatAcceptsAndNeverAnswersIsLeft() throws Exception {
+    public void silentEndpointIsReplaced() throws Exception {
         registry.endpoints.get(0).fault = Fault.SILENT;
         connect("");
         registry.endpoints.get(0).fault(Fault.NONE);
@@ -197,10 +197,9 @@
         RegistryFixtures.await(() -> client.log.contains("why silent"), () -> client.log.toString());
     }
 
-    /** One whose answers come by the byte is never silent; another has told the list within the 6 s all the
-     *  same. */
+    /** An endpoint whose responses come byte by byte is never silent; another delivers the list within 6 s. */
     @Test
-    public void anEndpointWhoseListDripsIsLeft() throws Exception {
+    public void slowListIsReplacedInTime() throws Exception {
         burst(100, 20);
         registry.endpoints.get(0).fault(Fault.DRIPS);
         registry.endpoints.get(1).fault(Fault.DOWN);
@@ -214,7 +213,7 @@
     }
 
     @Test
-    public void oneUnreadableEntryIsNamedAndLeftOut() throws Exception {
+    public void unreadableEntryIsLoggedAndSkipped() throws Exception {
         registry.put("bad", "{\"host_port\":");
         connect("");
         RegistryFixtures.await(
@@ -229,7 +228,7 @@
     }
 
     @Test
-    public void tenThousandEnginesFitIntoOneList() throws Exception {
+    public void tenThousandEntriesFitIntoOneList() throws Exception {
         for (int i = 0; i < 10_000; i++) {
             registry.put("x" + i, i == 5000 ? "?" : RegistryFixtures.entryJson(i, "Ready"));
         }
@@ -240,7 +239,7 @@
     }
 
     @Test
-    public void anEngineBackAtAnotherAddressInsideOneBurstIsThere() throws Exception {
+    public void endpointThatMovesWithinOneBurstIsListed() throws Exception {
         connect("");
         registry.delete("e1");
         registry.put("new-key", "{\"id\":\"e1\",\"host_port\":\"127.0.0.1:5\"}");
@@ -251,7 +250,7 @@
     }
 
     @Test
-    public void anotherRegistryIsFollowedInTheMiddleOfABurst() throws Exception {
+    public void registryIsReplacedDuringChanges() throws Exception {
         connect("");
         try (FakeRegistry second = new FakeRegistry(1)) {
             second.put("only", RegistryFixtures.entryJson(1, "Ready"));
@@ -260,7 +259,7 @@
             burst(100, 100);
             client.client.changeSettings(RegistryFixtures.settings(kind, second.addresses(), ""));
             burst(200, 100);
-            // Not told by the second one yet: the first one's word still counts.
+            // The second one has delivered nothing yet: the first one's changes still count.
             client.awaitEqualTo(registry);
             second.endpoints.get(0).fault(Fault.NONE);
             client.awaitEqualTo(second);
@@ -271,7 +270,7 @@
     }
 
     @Test
-    public void aListThatLostTheFleetIsReadTwice() throws Exception {
+    public void listWithoutMostEndpointsIsReadTwice() throws Exception {
         connect("");
         int lists = registry.requestCount("/v3/kv/range");
         registry.restore(5, registry.cluster, 5);
@@ -281,7 +280,7 @@
     }
 
     @Test
-    public void theWholeRegistryDownAndBackKeepsTheList() throws Exception {
+    public void listSurvivesARegistryOutage() throws Exception {
         connect("");
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
         burst(100, 50);
@@ -293,7 +292,7 @@
     }
 
     @Test
-    public void refusalsAndLostLeadersAreWaitedOut() throws Exception {
+    public void rejectedRequestsAndLostLeadersAreRetried() throws Exception {
         connect("");
         registry.endpoints.get(0).fault(Fault.REFUSING);
         registry.endpoints.get(1).fault(kind.equals("etcd") ? Fault.UNAUTHORISED : Fault.NO_LEADER);
@@ -304,7 +303,7 @@
     }
 
     @Test
-    public void aCompactionBetweenTheListAndTheWatch() throws Exception {
+    public void compactionBetweenListAndWatchCausesARelist() throws Exception {
         assumeTrue(kind.equals("etcd"));
         connect("");
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
@@ -316,7 +315,7 @@
     }
 
     @Test
-    public void aCompactionBetweenThePagesOfAList() throws Exception {
+    public void compactionBetweenPagesRestartsTheList() throws Exception {
         assumeTrue(kind.equals("etcd"));
         registry.etcd.betweenPages = () -> {
             registry.etcd.betweenPages = () -> {};
@@ -329,7 +328,7 @@
     }
 
     @Test
-    public void aTokenThatExpiredIsFetchedAnew() throws Exception {
+    public void expiredTokenIsRenewed() throws Exception {
         assumeTrue(kind.equals("etcd"));
         registry.password = "secret";
         java.nio.file.Path file = java.nio.file.Files.createTempFile("password", "");
@@ -346,7 +345,7 @@
     }
 
     @Test
-    public void aDrainIsToldAtOnceThoughTheFleetIsDoubted() throws Exception {
+    public void drainingIsReportedAtOnce() throws Exception {
         connect("");
         for (int i = 0; i < 40; i++) {
             registry.put("e" + i, RegistryFixtures.entryJson(i, "Terminating"));
--- a/src/test/java/magpiehub/discovery/RegistryConnectionTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryConnectionTest.java
@@ -8,9 +8,9 @@
 public class RegistryConnectionTest {
     private static final long S = 1_000_000;
 
-    /** A registry that asks to be left alone for a minute is asked again in time all the same. */
+    /** A registry that wants no calls for a minute is called again in time all the same. */
     @Test
-    public void noWordOfTheRegistryPutsTheListOff() {
+    public void retryAfterIsBounded() {
         assertEquals(0, RegistryConnection.parseRetryAfterMicros(null));
         assertEquals(S / 5, RegistryConnection.parseRetryAfterMicros("0.2"));
         assertEquals(2 * S, RegistryConnection.parseRetryAfterMicros("60"));
--- a/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
@@ -11,7 +11,7 @@
     private static final long S = 1_000_000;
 
     @Test
-    public void threeHundredRoutersThatLoseARegistryComeBackSpread() {
+    public void routersThatLoseARegistryReconnectSpread() {
         TreeSet<Long> first = new TreeSet<>();
         for (int i = 0; i < 300; i++) {
             RegistryEndpoints endpoints =
@@ -29,7 +29,7 @@
     }
 
     @Test
-    public void waitsGrowToTheCapAndAnotherEndpointIsAskedMeanwhile() {
+    public void backoffGrowsToTheCapAndOtherEndpointsAreUsedMeanwhile() {
         RegistryEndpoints one = new RegistryEndpoints(1, new BackoffSettings(100_000, 1_500_000, 0), 3);
         long now = 0;
         long longest = 0;
--- a/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
+++ b/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
@@ -10,10 +10,10 @@
 /** The registration of a router at the fake registry. */
 public class RouterRegistrationTest {
     @Test
-    public void aRouterAnnouncesItselfAgainAfterALossAndLeavesInOrder() throws Exception {
+    public void lostRegistrationIsRepeatedAndRemovedAtStop() throws Exception {
         for (String kind : List.of("etcd", "consul-kv")) {
             try (FakeRegistry registry = new FakeRegistry(1);
-                    RecordingRegistryClient journal =
+                    RecordingRegistryClient bystander =
                             new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), ""))) {
                 RouterRegistration a = new RouterRegistration(
                         RegistryFixtures.settings(
@@ -23,20 +23,20 @@
                         "n1",
                         "127.0.0.1:9",
                         MonotonicClock.SYSTEM,
-                        journal.log,
+                        bystander.log,
                         1);
                 a.start();
-                RegistryFixtures.await(() -> announced(registry), () -> journal.log.toString());
+                RegistryFixtures.await(() -> announced(registry), () -> bystander.log.toString());
                 registry.etcd.loseLeases();
                 synchronized (registry) {
                     registry.consul.services.clear();
                 }
-                RegistryFixtures.await(() -> announced(registry), () -> journal.log.toString());
-                assertEquals(1, journal.counted("registry_announcement_lost"));
+                RegistryFixtures.await(() -> announced(registry), () -> bystander.log.toString());
+                assertEquals(1, bystander.counted("registry_announcement_lost"));
                 a.stop(20_000);
                 assertTrue(
-                        journal.log.toString(),
-                        !announced(registry) && journal.log.contains("registry-deregistered id n1"));
+                        bystander.log.toString(),
+                        !announced(registry) && bystander.log.contains("registry-deregistered id n1"));
             }
         }
     }
--- a/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -24,12 +24,12 @@
 
 /** The platform's discovery where the process itself is short of something. */
 public class PlatformDiscoveryTest {
-    /** The module asks for another watch up to 0.95 s after one has failed, and 5 s after one unheard of. */
+    /** A watch is requested again up to 0.95 s after one has failed, and 5 s after one that was never ended. */
     private static final int ASKED_AGAIN_MS = 4_000;
 
-    /** A call that finds no thread to be read on has failed like any other: the next one begins in time. */
+    /** A call without a thread to read it has failed like any other: the next one begins in time. */
     @Test
-    public void aCallThatFindsNoThreadIsFollowedByAnother() throws Exception {
+    public void callWithoutAThreadIsFollowedByAnother() throws Exception {
         SiteSettings site = SiteSettingsParser.parse(
                 ConfigurationObject.parse(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
         SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
--- a/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
@@ -26,12 +26,12 @@
     /** An outage of each kind and of drawn length, with a second one soon after, a watch that is lost right
      *  after it opened, or a move; a change at a drawn moment from discovery's return on. */
     @Test
-    public void whatDiscoveryCouldTellIsInForceInTime() throws Exception {
+    public void listIsCurrentInTimeAfterAnOutage() throws Exception {
         for (int seed = 1; seed <= 20; seed++) {
             for (Outage outage : Outage.values()) {
                 SplittableRandom random = new SplittableRandom(seed * 31L + outage.number);
                 int routers = new int[] {3, 30, 100}[seed % 3];
-                // All of the fleet can be told within a third of the time: more, no waiting could mend.
+                // Discovery can serve the fleet within a third of the time; a longer queue would delay the list anyway.
                 WatchSimulation simulation = WatchSimulation.start(routers, 2 * SECONDS / routers, seed);
                 long back = runOutage(simulation, outage, random);
                 long change = back + random.nextLong(5 * SECONDS);
@@ -74,9 +74,9 @@
         return backAgain;
     }
 
-    /** The sum of the whole way, from the moment in which discovery can be reached. */
+    /** The longest time to a list, from the moment in which discovery can be reached. */
     @Test
-    public void theLongestWayFitsIntoTheClock() throws Exception {
+    public void queuedCallIsAnsweredInTimeAfterAnOutage() throws Exception {
         for (Outage outage : Outage.values()) {
             for (int seed = 1; seed <= 20; seed++) {
                 WatchSimulation simulation = WatchSimulation.start(30, 10 * MILLIS, seed);
@@ -95,11 +95,11 @@
     /** All open watches fall silent in one moment, while discovery serves calls as before: whenever the last
      *  heartbeat was, what they miss is in force 6 s after that moment. */
     @Test
-    public void whatASilentWatchMissedIsInForceInTime() throws Exception {
+    public void listIsCurrentInTimeAfterWatchesFallSilent() throws Exception {
         for (int seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             int routers = new int[] {3, 6, 12, 30, 100}[seed % 5];
-            // What the platform's discovery needs to tell all of its routers.
+            // What the platform's discovery needs to serve all of its routers.
             WatchSimulation simulation = WatchSimulation.start(routers, 2 * SECONDS / routers, seed);
             simulation.heartbeatInterval = 2 * SECONDS;
             simulation.runUntil(simulation.now + random.nextLong(5 * SECONDS));
@@ -117,9 +117,9 @@
         }
     }
 
-    /** What a fleet asks of a discovery that is down, and of one that has just come back. */
+    /** The calls of a fleet to a discovery that is down, and to one that has just come back. */
     @Test
-    public void aFleetDoesNotComeBackAsAHerd() throws Exception {
+    public void fleetDoesNotReconnectAtOnce() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(100, 20 * MILLIS, 3);
         Discovery discovery = simulation.discoveries.get(0);
         simulation.beginOutage(discovery, Outage.REFUSES, simulation.now + 10 * SECONDS);
@@ -141,7 +141,7 @@
 
     /** Nobody can vouch for the list then; sending nothing would make its outage one of service. */
     @Test
-    public void theLastListServesUntilAFreshOneIsThere() throws Exception {
+    public void lastListIsUsedDuringAnOutage() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, 5);
         Router router = simulation.routers.get(0);
         simulation.beginOutage(simulation.discoveries.get(0), Outage.NEVER_ANSWERS, Long.MAX_VALUE);
@@ -157,7 +157,7 @@
 
     /** A watch that had fallen silent is no reason to stop calling when it delivers again, nor to call later. */
     @Test
-    public void aWordOfASilentWatchPutsNothingOff() throws Exception {
+    public void dataOfASilentWatchDelaysNoCall() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, 5);
         Discovery discovery = simulation.discoveries.get(0);
         Router router = simulation.routers.get(0);
