--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -259,7 +259,7 @@
 
     /** Sends clients away, or takes them again: {@code /up} says no, and connections are let go in order. The
      *  door stays open: who comes all the same gets an answer. */
-    public void standby(boolean on) {
+    public void setStandby(boolean on) {
         long now = clock.micros();
         if (on == (standbySince != 0)) {
             return;
@@ -269,13 +269,13 @@
     }
 
     /** Whether another process takes what comes to the door once this one accepts no more. */
-    public boolean shared() {
+    public boolean hasSharedSocket() {
         return door.shared();
     }
 
     /** Lets idle connections go until a time, the longest idle first; each answer is its connection's last.
      */
-    public void empty(long by) {
+    public void drainIdleConnections(long by) {
         closing = true;
         emptyBy = by;
     }
@@ -312,7 +312,7 @@
     }
 
     /** Closes what is idle, and the rest with its answer; requests in hand go on. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         closing = true;
         for (Connection c : open) {
             c.mailbox.post(new CloseIfIdle());
@@ -320,13 +320,13 @@
     }
 
     /** Ends streams whose clients have taken nothing for so long (us): the process is about to end. */
-    public void letGoStuck(long least) {
+    public void cutStalledConnections(long least) {
         long now = clock.micros();
         open.forEach(c -> c.cutIfStuck(now, least, Ending.STOPPED));
     }
 
     /** Connections that are open still. */
-    public int open() {
+    public int openConnections() {
         return open.size();
     }
 
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -82,14 +82,14 @@
 
     /** Whether a newer process of this router serves on the same listening socket. */
     private boolean hasSuccessor() {
-        return admin != null && admin.hasSuccessor() && listeners.stream().anyMatch(ClientListener::shared);
+        return admin != null && admin.hasSuccessor() && listeners.stream().anyMatch(ClientListener::hasSharedSocket);
     }
 
     /** Leaves new connections to the successor at once, and lets the open ones move to it little by little. */
     private void handOver(ShutdownPhases phases) throws IOException {
         for (ClientListener listener : listeners) {
             listener.stopAccepting();
-            listener.empty(MonotonicClock.SYSTEM.micros() + phases.keepIdleMillis() * MICROS_PER_MILLI);
+            listener.drainIdleConnections(MonotonicClock.SYSTEM.micros() + phases.keepIdleMillis() * MICROS_PER_MILLI);
         }
     }
 
@@ -108,20 +108,20 @@
             }
             if (keepingIdle && elapsedMillis >= phases.keepIdleMillis()) {
                 keepingIdle = false;
-                listeners.forEach(ClientListener::closeIdle);
+                listeners.forEach(ClientListener::closeIdleConnections);
             }
             if (awaitingRequests && elapsedMillis >= phases.finishMillis()) {
                 awaitingRequests = false;
                 dispatcher.shutDown(site.get().routing().resumesStreams());
             }
             if (!awaitingRequests) {
-                listeners.forEach(listener -> listener.letGoStuck(STUCK_CLIENT_MICROS));
+                listeners.forEach(listener -> listener.cutStalledConnections(STUCK_CLIENT_MICROS));
             }
         }
     }
 
     private boolean hasOpenConnections() {
-        return listeners.stream().anyMatch(listener -> listener.open() > 0);
+        return listeners.stream().anyMatch(listener -> listener.openConnections() > 0);
     }
 
     private void stopAccepting() throws IOException {
--- a/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
+++ b/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
@@ -69,6 +69,6 @@
 
     @Override
     public void setStandby(boolean standby) {
-        listeners.forEach(listener -> listener.standby(standby));
+        listeners.forEach(listener -> listener.setStandby(standby));
     }
 }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -264,7 +264,7 @@
             }
             case "release" -> held.countDown();
             case "stop" -> clients.stopAccepting();
-            case "closing" -> clients.closeIdle();
+            case "closing" -> clients.closeIdleConnections();
             case "logged" -> await(
                     () -> glob(".*" + quote(rest) + ".*", logged.toString(StandardCharsets.UTF_8)),
                     "no log line has " + rest);
