--- /dev/null
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -0,0 +1,143 @@
+package magpiehub.downstream;
+
+import magpiehub.dispatch.ClientCallback;
+import magpiehub.http.Http;
+import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.streaming.StreamOutcomes.Ending;
+import magpiehub.streaming.Streams;
+
+/**
+ * One request of a connection and its response, as the dispatcher ({@link ClientCallback}) and the upstream side
+ * ({@link ProtocolAdapter.Sink}) see it.
+ *
+ * <p><b>Threads.</b> The methods of these two interfaces may be called from any thread; they post a message to the
+ * connection's actor and return at once. All others are for the actor's turns.
+ */
+final class ClientExchange implements ClientCallback, ProtocolAdapter.Sink {
+    private final ClientConnection connection;
+    private final ProtocolAdapter.Call call;
+    private final Streams.Flow flow;
+    private ExchangeState state = ExchangeState.PENDING;
+
+    ClientExchange(ClientConnection connection, ProtocolAdapter.Call call, Streams.Flow flow) {
+        this.connection = connection;
+        this.call = call;
+        this.flow = flow;
+    }
+
+    // ---- Any thread -----------------------------------------------------------------------------------
+
+    @Override
+    public Streams.Flow flow() {
+        return flow;
+    }
+
+    @Override
+    public void event(byte[] event) {
+        connection.post(new ClientMessage.StreamEvent(this, event), event.length);
+    }
+
+    @Override
+    public void end() {
+        connection.post(new ClientMessage.StreamCompleted(this), 0);
+    }
+
+    @Override
+    public void broken(byte[] error, Ending why) {
+        connection.post(new ClientMessage.StreamBroken(this, error, why), 0);
+    }
+
+    @Override
+    public void reject(long retryAfterMicros) {
+        connection.post(new ClientMessage.RequestRejected(this, retryAfterMicros), 0);
+    }
+
+    @Override
+    public void fail(String reason) {
+        connection.post(new ClientMessage.RequestFailed(this, reason), 0);
+    }
+
+    @Override
+    public void migrate() {
+        connection.post(new ClientMessage.StreamBroken(this, null, Ending.MOVED), 0);
+    }
+
+    @Override
+    public boolean isClientGone() {
+        return connection.isClientGone();
+    }
+
+    // ---- The actor's turns ----------------------------------------------------------------------------
+
+    String requestId() {
+        return call.request.id();
+    }
+
+    /** Whether no byte of the response has been written, so that an error response is still possible. */
+    boolean isPending() {
+        return state == ExchangeState.PENDING;
+    }
+
+    private boolean isResponding() {
+        return state == ExchangeState.RESPONDING;
+    }
+
+    /**
+     * Writes the head of a response stream. The state changes first: if writing fails half-way, no error response may
+     * follow.
+     */
+    void writeHead(Http.Output out, boolean lastAnswer) {
+        state = state.started();
+        call.begin(out, lastAnswer);
+    }
+
+    /** Writes an event of the stream. */
+    void writeEvent(Http.Output out, byte[] event) {
+        call.event(out, event);
+    }
+
+    /** Writes the end of a complete stream. */
+    void writeEnd(Http.Output out, boolean lastAnswer) {
+        call.end(out, lastAnswer);
+    }
+
+    /**
+     * Ends a broken stream in order, if all that matters of it has been written and the dialect can say so.
+     *
+     * @return false, with nothing written, if that is not so
+     */
+    boolean writeIncompleteEnd(Http.Output out, boolean lastAnswer) {
+        return isResponding() && call.saved(out, lastAnswer);
+    }
+
+    /** Writes what says that the stream broke, never its end; the connection has to be closed afterwards. */
+    void writeBroken(Http.Output out, byte[] error) {
+        if (isResponding()) {
+            call.broken(out, error);
+        } else {
+            call.failed(out, "stream broke", true);
+        }
+    }
+
+    /** Writes the answer to a rejected request. */
+    void writeRejection(Http.Output out, long retryAfterMicros, boolean lastAnswer) {
+        call.refused(out, retryAfterMicros, lastAnswer);
+    }
+
+    /** Writes the answer to a failed request. */
+    void writeFailure(Http.Output out, String reason, boolean lastAnswer) {
+        call.failed(out, reason, lastAnswer);
+    }
+
+    /** Writes a sign of life, where the dialect has one and the response has begun. */
+    void writeKeepAlive(Http.Output out) {
+        if (isResponding()) {
+            call.alive(out);
+        }
+    }
+
+    /** Marks the exchange as ended. */
+    void markEnded() {
+        state = state.ended();
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/downstream/ClientMessage.java
@@ -0,0 +1,145 @@
+package magpiehub.downstream;
+
+import magpiehub.http.Http;
+import magpiehub.streaming.StreamOutcomes.Ending;
+
+/** A message in the mailbox of a {@link ClientConnection}; one record and one handler method for each kind. */
+sealed interface ClientMessage {
+    /** Calls the handler's method for this kind of message. */
+    void deliverTo(Handler handler);
+
+    /** Handles each kind of message, in the connection actor's turn. */
+    interface Handler {
+        void onRequestReceived(RequestReceived message);
+
+        void onMalformedRequest(MalformedRequest message);
+
+        void onDisconnected(Disconnected message);
+
+        void onInputHalfClosed(InputHalfClosed message);
+
+        void onTimerExpired(TimerExpired message);
+
+        void onEvictIfIdle(EvictIfIdle message);
+
+        void onCloseIfIdle(CloseIfIdle message);
+
+        void onStreamEvent(StreamEvent message);
+
+        void onStreamCompleted(StreamCompleted message);
+
+        void onStreamBroken(StreamBroken message);
+
+        void onRequestRejected(RequestRejected message);
+
+        void onRequestFailed(RequestFailed message);
+    }
+
+    // ---- From the reader ------------------------------------------------------------------------------
+
+    /**
+     * A request was read completely.
+     *
+     * @param firstByteMicros when its first byte arrived
+     * @param reservedBytes what it has reserved of the {@link RequestBodyBudget}; whoever drops the message releases it
+     */
+    record RequestReceived(Http.Head head, byte[] body, long firstByteMicros, int reservedBytes)
+            implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onRequestReceived(this);
+        }
+    }
+
+    /** What the client has sent is no request, or none that can be accepted; {@code status} answers it. */
+    record MalformedRequest(int status, String reason) implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onMalformedRequest(this);
+        }
+    }
+
+    /** The client has gone, or the connection was cut: nothing more can be written to it. */
+    record Disconnected() implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onDisconnected(this);
+        }
+    }
+
+    /** The client has closed its sending side, and may still be reading. */
+    record InputHalfClosed() implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onInputHalfClosed(this);
+        }
+    }
+
+    // ---- From the listener ----------------------------------------------------------------------------
+
+    /** The time that the connection had set its timer to has come. */
+    record TimerExpired() implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onTimerExpired(this);
+        }
+    }
+
+    /** Capacity is needed for other clients: the connection is to be closed if it is idle. */
+    record EvictIfIdle() implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onEvictIfIdle(this);
+        }
+    }
+
+    /** Clients are being sent away: the connection is to be closed if it is idle. */
+    record CloseIfIdle() implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onCloseIfIdle(this);
+        }
+    }
+
+    // ---- From the dispatcher and the upstream side ----------------------------------------------------
+
+    /** An event of the exchange's response stream. */
+    record StreamEvent(ClientExchange exchange, byte[] bytes) implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onStreamEvent(this);
+        }
+    }
+
+    /** The exchange's response stream is complete. */
+    record StreamCompleted(ClientExchange exchange) implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onStreamCompleted(this);
+        }
+    }
+
+    /** The exchange's response stream has ended early; {@code error} is the upstream's error event, or null. */
+    record StreamBroken(ClientExchange exchange, byte[] error, Ending ending) implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onStreamBroken(this);
+        }
+    }
+
+    /** The exchange's request was rejected without effect; see {@link ClientExchange#reject}. */
+    record RequestRejected(ClientExchange exchange, long retryAfterMicros) implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onRequestRejected(this);
+        }
+    }
+
+    /** The exchange's request has failed; see {@link ClientExchange#fail}. */
+    record RequestFailed(ClientExchange exchange, String reason) implements ClientMessage {
+        @Override
+        public void deliverTo(Handler handler) {
+            handler.onRequestFailed(this);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/downstream/ClientRequestReader.java
@@ -0,0 +1,128 @@
+package magpiehub.downstream;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import magpiehub.http.Http;
+
+/**
+ * The reading side of one connection: parses requests and posts them to the connection's actor. {@link #run} occupies a
+ * thread of its own from the connection's first byte, or its start, until the client's input ends.
+ */
+final class ClientRequestReader {
+    /** How long a request may take from its first byte. */
+    private static final long REQUEST_TIMEOUT_MICROS = 6_000_000;
+    /** How long a request may pause between two reads. */
+    private static final int READ_TIMEOUT_MILLIS = 3_000;
+
+    private static final int NO_TIMEOUT = 0;
+    private static final int UNAVAILABLE = 503;
+    private static final int REQUEST_TIMED_OUT = 408;
+
+    private static final int DISCARD_BUFFER_BYTES = 16 * 1024;
+    /** Input of so many bytes that is only discarded is read slowly from then on. */
+    private static final int FAST_DISCARD_BYTES = 1 << 20;
+
+    private static final long SLOW_DISCARD_PAUSE_MILLIS = 1;
+
+    private final ClientConnection connection;
+    private final Socket socket;
+    private final ListenerServices services;
+
+    ClientRequestReader(ClientConnection connection, Socket socket, ListenerServices services) {
+        this.connection = connection;
+        this.socket = socket;
+        this.services = services;
+    }
+
+    /** Reads until the client's input ends or the connection is closed, and reports which it was. */
+    void run() {
+        boolean halfClosed = false;
+        try {
+            halfClosed = readRequests() && mayKeepReading();
+        } catch (Http.Bad e) {
+            connection.post(new ClientMessage.MalformedRequest(e.status, e.getMessage()), 0);
+            discardInput();
+        } catch (SocketTimeoutException e) {
+            connection.post(new ClientMessage.MalformedRequest(REQUEST_TIMED_OUT, "request incomplete"), 0);
+            discardInput();
+        } catch (IOException e) {
+            // The client has gone; nothing more to say to it.
+        } catch (RuntimeException | OutOfMemoryError e) {
+            services.eventLog().count("reader_exceptions");
+            services.eventLog().log("reader-exception", "error", e.toString());
+        } finally {
+            if (halfClosed) {
+                connection.postAlways(new ClientMessage.InputHalfClosed());
+            } else {
+                connection.inputEnded();
+            }
+        }
+    }
+
+    /** Whether a client that has closed its sending side is taken to be still reading. */
+    private boolean mayKeepReading() {
+        return services.streams().allowances().halfClose()
+                && services.protocol().tellsLife();
+    }
+
+    /** Returns true at the end of the input, and false if the connection was cut since its mailbox was full. */
+    private boolean readRequests() throws IOException {
+        Http.Input in = new Http.Input(socket.getInputStream(), services.clock()::micros);
+        in.patience(REQUEST_TIMEOUT_MICROS);
+        while (in.await()) {
+            connection.setReceiving(true);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+            if (!readRequest(in)) {
+                connection.cutAfterOverflow();
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** Reads a request and posts it; false if the mailbox did not take it. */
+    private boolean readRequest(Http.Input in) throws IOException {
+        Http.Head head = in.head(true);
+        int bodyBytes = Http.Input.announced(head);
+        if (!services.bodyBudget().tryReserve(bodyBytes)) {
+            services.eventLog().count("requests_shed");
+            throw new Http.Bad(UNAVAILABLE, "no room");
+        }
+        boolean posted = false;
+        try {
+            byte[] body = in.body(head);
+            socket.setSoTimeout(NO_TIMEOUT);
+            posted = connection.postRequest(new ClientMessage.RequestReceived(head, body, in.firstAt(), bodyBytes));
+            connection.setReceiving(false);
+        } finally {
+            if (!posted) {
+                services.bodyBudget().release(bodyBytes);
+            }
+        }
+        return posted;
+    }
+
+    /**
+     * Reads what a malformed request still brings, until the client's end or the actor's: a close over unread bytes
+     * would reset the connection, and the answer would not arrive. Guards against a client that never stops: beyond a
+     * limit it is read slowly.
+     */
+    private void discardInput() {
+        try {
+            socket.setSoTimeout(NO_TIMEOUT);
+            byte[] buffer = new byte[DISCARD_BUFFER_BYTES];
+            int discarded = 0;
+            int count = 0;
+            while (count >= 0) {
+                discarded = Math.min(FAST_DISCARD_BYTES, discarded + count);
+                if (discarded == FAST_DISCARD_BYTES) {
+                    Thread.sleep(SLOW_DISCARD_PAUSE_MILLIS);
+                }
+                count = socket.getInputStream().read(buffer);
+            }
+        } catch (IOException | InterruptedException e) {
+            // It is being closed anyway.
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/downstream/ConnectionMonitor.java
@@ -0,0 +1,49 @@
+package magpiehub.downstream;
+
+import magpiehub.concurrent.Mailbox;
+import magpiehub.streaming.StreamOutcomes.Ending;
+
+/**
+ * Looks at all connections periodically: expires their timers, cuts those whose clients do not read, and closes idle
+ * ones while clients are sent away. {@link #run} occupies a thread of its own.
+ */
+final class ConnectionMonitor {
+    private static final long PERIOD_MICROS = 50_000;
+    /** No limit on a client's pause beside that of its request's class. */
+    private static final long NO_LIMIT = Long.MAX_VALUE;
+
+    private final ListenerSocket listenerSocket;
+    private final ListenerServices services;
+    private final IdleEviction eviction;
+
+    ConnectionMonitor(ListenerSocket listenerSocket, ListenerServices services, IdleEviction eviction) {
+        this.listenerSocket = listenerSocket;
+        this.services = services;
+        this.eviction = eviction;
+    }
+
+    /** Runs until the listening socket and the last connection are closed. */
+    void run() {
+        // Stays empty: taking from it waits by the clock, which need not be the system's.
+        Mailbox<ClientMessage> empty = new Mailbox<>(services.clock(), 0);
+        try {
+            long nowMicros = services.clock().micros();
+            while (!listenerSocket.isClosed() || services.connections().size() > 0) {
+                empty.take(nowMicros + PERIOD_MICROS);
+                nowMicros = services.clock().micros();
+                checkConnections(nowMicros);
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    private void checkConnections(long nowMicros) {
+        for (ClientConnection connection : services.connections().all()) {
+            connection.checkTimer(nowMicros);
+            connection.cutIfStalled(nowMicros, NO_LIMIT, Ending.READER_STUCK);
+        }
+        eviction.closeDrained(services.drain(), nowMicros, PERIOD_MICROS);
+        services.actorThreads().checkForStall();
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/downstream/FirstByteWatcher.java
@@ -0,0 +1,38 @@
+package magpiehub.downstream;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.LinkedBlockingQueue;
+
+/**
+ * Starts connections' readers once their first byte has arrived; used when there are many connections, so that clients
+ * that send nothing do not occupy a thread each.
+ */
+final class FirstByteWatcher {
+    private static final int POLL_PERIOD_MILLIS = 5;
+
+    /** Connections without a reader that {@link #run} does not know yet; they are among the open ones too. */
+    private final LinkedBlockingQueue<ClientConnection> added = new LinkedBlockingQueue<>();
+
+    /** Watches a connection until its first byte or its end. Any thread. */
+    void watch(ClientConnection connection) {
+        added.add(connection);
+    }
+
+    /** Watches until the thread is interrupted. For one thread. */
+    void run() {
+        List<ClientConnection> silent = new ArrayList<>();
+        try {
+            while (true) {
+                if (silent.isEmpty()) {
+                    silent.add(added.take());
+                }
+                added.drainTo(silent);
+                silent.removeIf(ClientConnection::startReaderIfReadable);
+                Thread.sleep(POLL_PERIOD_MILLIS);
+            }
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
--- a/src/main/java/magpiehub/downstream/ListenerSocket.java
+++ b/src/main/java/magpiehub/downstream/ListenerSocket.java
@@ -29,7 +29,7 @@
     abstract int port();
 
     /** Whether the connections that this process leaves are taken by the next one. */
-    abstract boolean shared();
+    abstract boolean isShared();
 
     /** A socket of this process's own. */
     public static ListenerSocket bind(InetSocketAddress listen) throws IOException {
@@ -84,7 +84,7 @@
         }
 
         @Override
-        boolean shared() {
+        boolean isShared() {
             return false;
         }
     }
@@ -133,7 +133,7 @@
         }
 
         @Override
-        boolean shared() {
+        boolean isShared() {
             return true;
         }
     }
