--- a/src/main/java/magpiehub/downstream/ConnectionCloseState.java
+++ b/src/main/java/magpiehub/downstream/ConnectionCloseState.java
@@ -2,7 +2,7 @@
 
 /**
  * How far a connection is from its end. There are three ways to close one, from the gentlest to the hardest; each is
- * chosen in the {@link ClientConnectionActor}:
+ * chosen in the {@link ClientMessageHandler}:
  *
  * <ol>
  *   <li>{@link #closeAfterAnswer}: the request in progress is answered, with a head that announces the close, and then
--- a/src/main/java/magpiehub/downstream/ResponseWriter.java
+++ b/src/main/java/magpiehub/downstream/ResponseWriter.java
@@ -96,10 +96,13 @@
         }
     }
 
-    /** Replaces what is buffered by the given answer and writes it; for use after a failure. */
-    void writeInstead(OutputStream socket, Runnable answer) throws IOException {
+    /** Empties the buffer; for use after a failure. */
+    void discard() {
         out.take();
-        answer.run();
+    }
+
+    /** Writes the buffer without the accounting of any stream; for use after {@link #discard}. */
+    void flushUnreported(OutputStream socket) throws IOException {
         out.flush(socket);
     }
 }
