--- a/src/main/java/magpiehub/downstream/ExchangeState.java
+++ b/src/main/java/magpiehub/downstream/ExchangeState.java
@@ -11,8 +11,8 @@
 
     /** The state once the stream's head is written. */
     ExchangeState started() {
-        if (this == ENDED) {
-            throw new IllegalStateException("the exchange has ended");
+        if (this != PENDING) {
+            throw new IllegalStateException("a response was started before");
         }
         return RESPONDING;
     }
--- /dev/null
+++ b/src/test/java/magpiehub/downstream/IdleEvictionTest.java
@@ -0,0 +1,156 @@
+package magpiehub.downstream;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Which idle connections are closed, and in which order. */
+class IdleEvictionTest {
+    private static final long SECOND = 1_000_000;
+    private static final int MAX_CONNECTIONS = 30;
+    private static final int CROWDED = MAX_CONNECTIONS / 3;
+
+    private final List<Candidate> open = new ArrayList<>();
+    private final List<String> evicted = new ArrayList<>();
+    private final List<String> drained = new ArrayList<>();
+    private long nowMicros = 100 * SECOND;
+    private final IdleEviction eviction =
+            new IdleEviction(open, new ConnectionCapacity(MAX_CONNECTIONS), () -> nowMicros);
+
+    private final class Candidate implements EvictionCandidate {
+        private final String name;
+        private final long idleSinceMicros;
+        private final boolean receivedRequest;
+        private boolean receiving;
+        private boolean toldToClose;
+
+        Candidate(String name, long idleSinceMicros, boolean receivedRequest) {
+            this.name = name;
+            this.idleSinceMicros = idleSinceMicros;
+            this.receivedRequest = receivedRequest;
+        }
+
+        @Override
+        public long idleSinceMicros() {
+            return idleSinceMicros;
+        }
+
+        @Override
+        public boolean hasReceivedRequest() {
+            return receivedRequest;
+        }
+
+        @Override
+        public boolean isReceiving() {
+            return receiving;
+        }
+
+        @Override
+        public boolean isToldToClose() {
+            return toldToClose;
+        }
+
+        @Override
+        public void evictIfIdle() {
+            toldToClose = true;
+            evicted.add(name);
+        }
+
+        @Override
+        public void closeIfIdle() {
+            toldToClose = true;
+            drained.add(name);
+        }
+    }
+
+    private Candidate idleFor(String name, long micros) {
+        return add(new Candidate(name, nowMicros - micros, true));
+    }
+
+    private Candidate silentFor(String name, long micros) {
+        return add(new Candidate(name, nowMicros - micros, false));
+    }
+
+    private Candidate add(Candidate candidate) {
+        open.add(candidate);
+        return candidate;
+    }
+
+    private void addBusy(int count) {
+        for (int i = 0; i < count; i++) {
+            add(new Candidate("busy", EvictionCandidate.BUSY, true));
+        }
+    }
+
+    @Test
+    void evictsNothingBelowTheLimit() {
+        idleFor("idle", 60 * SECOND);
+        addBusy(CROWDED - 1);
+        eviction.makeRoom();
+        assertEquals(List.of(), evicted);
+    }
+
+    @Test
+    void evictsTheLongestIdleFirstAndNoMoreThanNeeded() {
+        idleFor("b", 4 * SECOND);
+        idleFor("c", 3 * SECOND);
+        idleFor("a", 5 * SECOND);
+        addBusy(CROWDED - 1);
+        eviction.makeRoom();
+        assertEquals(List.of("a", "b"), evicted);
+    }
+
+    @Test
+    void neverEvictsWhatIsBusyOrHardlyIdleOrToldAlready() {
+        idleFor("hardly idle", 2 * SECOND - 1);
+        idleFor("told", 9 * SECOND).toldToClose = true;
+        idleFor("idle", 2 * SECOND);
+        addBusy(CROWDED);
+        eviction.makeRoom();
+        assertEquals(List.of("idle"), evicted);
+    }
+
+    @Test
+    void evictsSilentClientsAfterIdleOnes() {
+        silentFor("silent", 9 * SECOND);
+        silentFor("just connected", SECOND - 1);
+        silentFor("sending", 9 * SECOND).receiving = true;
+        idleFor("idle", 2 * SECOND);
+        addBusy(CROWDED);
+        eviction.makeRoom();
+        assertEquals(List.of("idle", "silent"), evicted);
+    }
+
+    @Test
+    void nearlyFullEvictsSlowFirstRequestsToo() {
+        for (int i = 0; i < 5; i++) {
+            silentFor("sending " + i, SECOND - i).receiving = true;
+        }
+        silentFor("just connected", 299_999);
+        addBusy(20);
+        eviction.makeRoom();
+        assertEquals(List.of(), evicted, "with 26 of 30 connections");
+        addBusy(1);
+        eviction.makeRoom();
+        assertEquals(List.of("sending 0", "sending 1", "sending 2", "sending 3"), evicted, "a tenth and one at once");
+    }
+
+    @Test
+    void drainClosesIdleConnectionsLongestIdleFirst() {
+        idleFor("b", SECOND);
+        idleFor("a", 2 * SECOND);
+        silentFor("silent", 9 * SECOND);
+        addBusy(1);
+        DrainState drain = new DrainState(() -> nowMicros);
+        eviction.closeDrained(drain, nowMicros, 50_000);
+        assertEquals(List.of(), drained);
+        drain.closeIdleBy(nowMicros + SECOND);
+        eviction.closeDrained(drain, nowMicros, 50_000);
+        assertEquals(List.of("a"), drained);
+        nowMicros += SECOND;
+        eviction.closeDrained(drain, nowMicros, 50_000);
+        assertEquals(List.of("a", "b"), drained);
+    }
+}
