--- a/src/main/java/magpiehub/downstream/ClientConnectionActor.java
+++ b/src/main/java/magpiehub/downstream/ClientConnectionActor.java
@@ -12,8 +12,8 @@
  * The actor of one connection: it takes the messages from the mailbox, has the {@link ClientMessageHandler} handle them
  * one at a time, and alone writes to the socket and closes it in order.
  *
- * <p><b>Threads.</b> {@link #runTurn} is called on the actors' threads, never on two at once; a turn may block while the
- * client does not read. {@link #responseFlow} may be called from any thread.
+ * <p><b>Threads.</b> {@link #runTurn} is called on the actors' threads, never on two at once; a turn may block while
+ * the client does not read. {@link #responseFlow} may be called from any thread.
  */
 final class ClientConnectionActor {
     private final ClientConnection connection;
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -23,8 +23,8 @@
     /** What a client that is rejected for capacity is told to wait before it retries. */
     private static final long REJECTION_RETRY_AFTER_MICROS = 500_000;
     /**
-     * When a client that has closed its sending side is first sent a sign of life, which the system answers with a reset
-     * if the client has gone: soon, since only the write after that meets the reset.
+     * When a client that has closed its sending side is first sent a sign of life, which the system answers with a
+     * reset if the client has gone: soon, since only the write after that meets the reset.
      */
     private static final long FIRST_KEEP_ALIVE_MICROS = 20_000;
 
--- a/src/main/java/magpiehub/downstream/ListenerSocket.java
+++ b/src/main/java/magpiehub/downstream/ListenerSocket.java
@@ -8,9 +8,9 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * A listening socket for clients: one of this process's own, or one that the service manager holds and that an older and
- * a newer process share. A shared socket itself is never closed here: connections that this process has not accepted
- * stay there for the next one.
+ * A listening socket for clients: one of this process's own, or one that the service manager holds and that an older
+ * and a newer process share. A shared socket itself is never closed here: connections that this process has not
+ * accepted stay there for the next one.
  *
  * <p><b>Threads.</b> {@link #accept} is for one thread, all else for any.
  */
