--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -15,8 +15,8 @@
  * <p><b>Threads.</b> All methods may be called from any thread, except the setters, whose comments name their callers.
  * No lock is held anywhere; what one thread writes and others read is volatile.
  *
- * <p>The connection is closed orderly by its actor alone. {@link #cut} closes the socket under the actor, which ends in
- * its next turn; this is for clients that do not read, on whom the actor may be blocked in a write.
+ * <p>The connection is closed orderly by its actor alone. {@link #cut} closes the socket under the actor, which ends
+ * in its next turn; this is for clients that do not read, on whom the actor may be blocked in a write.
  */
 final class ClientConnection implements Streams.Reader, EvictionCandidate {
     /**
@@ -139,7 +139,7 @@
         cutOnce();
     }
 
-    /** Cuts the connection if its client has taken nothing for longer than allowed; see {@link Streams#stuck}. */
+    /** Cuts the connection if its client has read nothing of a stream for longer than its request's class allows. */
     void cutIfStalled(long nowMicros, long leastMicros, Ending ending) {
         Streams.Flow flow = actor.responseFlow();
         if (flow != null && services.streams().stuck(flow, nowMicros, leastMicros, ending)) {
