--- /dev/null
+++ b/src/main/java/magpiehub/downstream/ClientConnectionActor.java
@@ -0,0 +1,125 @@
+package magpiehub.downstream;
+
+import java.io.IOException;
+import java.io.OutputStream;
+import java.net.Socket;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.http.Sockets;
+import magpiehub.streaming.StreamOutcomes.Ending;
+import magpiehub.streaming.Streams;
+
+/**
+ * The actor of one connection: it takes the messages from the mailbox, has the {@link ClientMessageHandler} handle them
+ * one at a time, and alone writes to the socket and closes it in order.
+ *
+ * <p><b>Threads.</b> {@link #runTurn} is called on the actors' threads, never on two at once; a turn may block while
+ * the client does not read. {@link #responseFlow} may be called from any thread.
+ */
+final class ClientConnectionActor {
+    private final ClientConnection connection;
+    private final Socket socket;
+    private final Mailbox<ClientMessage> mailbox;
+    private final ListenerServices services;
+    private final ResponseWriter writer;
+    private final ConnectionCloseState close;
+    private final ClientMessageHandler handler;
+    /** A handler has failed. */
+    private boolean failed;
+    /** The connection is closed; further messages are dropped. */
+    private boolean closed;
+
+    ClientConnectionActor(
+            ClientConnection connection,
+            Socket socket,
+            boolean overCapacity,
+            Mailbox<ClientMessage> mailbox,
+            ListenerServices services) {
+        this.connection = connection;
+        this.socket = socket;
+        this.mailbox = mailbox;
+        this.services = services;
+        this.writer = new ResponseWriter(services.streams());
+        this.close = new ConnectionCloseState(overCapacity, services.drain());
+        this.handler = new ClientMessageHandler(connection, socket, services, writer, close);
+    }
+
+    /** The stream whose bytes are being written, or null. */
+    Streams.Flow responseFlow() {
+        return writer.flow();
+    }
+
+    /** Handles the messages in the mailbox and writes the answers. */
+    void runTurn() {
+        if (!closed) {
+            try {
+                handleMessages(socket.getOutputStream());
+            } catch (IOException e) {
+                close.endNow(); // The client has gone while it was written to.
+            } catch (RuntimeException | StackOverflowError | OutOfMemoryError e) {
+                onFailure(e);
+            }
+        }
+        if (close.isEnded()) {
+            closeConnection();
+        }
+    }
+
+    private void handleMessages(OutputStream out) throws IOException {
+        ClientMessage message = mailbox.poll();
+        while (message != null && !close.isEnded()) {
+            handleUntilFlush(message);
+            writer.flush(out);
+            writer.reportWritten(handler.currentFlow());
+            handler.onBufferWritten();
+            message = mailbox.poll();
+        }
+    }
+
+    /** Handles messages, from the given one on, until the mailbox is empty or what is buffered has to be written. */
+    private void handleUntilFlush(ClientMessage first) {
+        ClientMessage message = first;
+        while (message != null && !close.isEnded()) {
+            message.deliverTo(handler);
+            message = writer.acceptsMore() ? mailbox.poll() : null;
+        }
+    }
+
+    /** Ends the connection after a handler has thrown; a request that was not begun to be answered gets an error. */
+    private void onFailure(Throwable failure) {
+        services.eventLog().count("client_exceptions");
+        services.eventLog().log("client-exception", "error", failure.toString());
+        failed = true;
+        try {
+            if (handler.answerAfterFailure()) {
+                writer.flushUnreported(socket.getOutputStream());
+            }
+        } catch (IOException e) {
+            // Nobody is left to answer.
+        }
+        close.endNow();
+    }
+
+    /** Closes the socket, and releases what the connection holds, once; later messages are dropped. */
+    private void closeConnection() {
+        connection.markClientGone();
+        Sockets.closeQuietly(socket);
+        mailbox.close();
+        dropMessages();
+        if (closed) {
+            return;
+        }
+        closed = true;
+        handler.release(failed ? Ending.FAULT : Ending.READER_LEFT);
+        services.connections().remove(connection);
+    }
+
+    private void dropMessages() {
+        ClientMessage message = mailbox.poll();
+        while (message != null) {
+            if (message instanceof ClientMessage.RequestReceived request) {
+                services.bodyBudget().release(request.reservedBytes());
+            }
+            message = mailbox.poll();
+        }
+    }
+}
