--- a/lab/src/main/java/magpiehub/lab/Clients.java
+++ b/lab/src/main/java/magpiehub/lab/Clients.java
@@ -16,7 +16,8 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -85,7 +86,7 @@
 
     private static final class Connection {
         final Socket socket;
-        final Http.Input in;
+        final HttpReader in;
         boolean used;
 
         Connection(InetSocketAddress to) throws IOException {
@@ -93,7 +94,7 @@
             socket.setTcpNoDelay(true);
             socket.connect(to, CONNECT_MS);
             InputStream raw = socket.getInputStream();
-            in = new Http.Input(raw, EngineSite::micros);
+            in = new HttpReader(raw, EngineSite::micros);
         }
     }
 
@@ -143,8 +144,8 @@
                     s.getOutputStream()
                             .write("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                                     .getBytes(StandardCharsets.US_ASCII));
-                    Http.Input in = new Http.Input(s.getInputStream(), EngineSite::micros);
-                    well = in.await() && in.head(false).status() == 200;
+                    HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+                    well = in.awaitMessage() && in.readResponseHead().status() == 200;
                 } catch (IOException e) {
                     well = false;
                 }
@@ -417,7 +418,7 @@
                 c.socket.getOutputStream().write(request);
                 // Beyond the deadline by what a router may take for its last word, and by this machine's own.
                 c.socket.setSoTimeout((int) Math.max(1_000, (deadline - EngineSite.micros()) / 1000 + 2_000));
-                begun = c.in.await();
+                begun = c.in.awaitMessage();
             } catch (SocketTimeoutException e) {
                 c.socket.close();
                 return End.SILENT;
@@ -439,17 +440,17 @@
     private End answer(Front f, int router, Connection c, String id, int max, Scenario.Kind k, long due, long[] times)
             throws IOException {
         try {
-            Http.Head h = c.in.head(false);
+            HttpHead h = c.in.readResponseHead();
             if (h.status() != 200) {
-                c.in.body(h);
-                String after = h.get("Retry-After");
+                c.in.readBody(h);
+                String after = h.headers().get("Retry-After");
                 times[1] = after == null ? 0 : (long) (Double.parseDouble(after) * 1e6);
                 finish(f, router, c, h);
                 return h.status() == 503 || h.status() == 429 ? End.REFUSED : End.FAILED;
             }
             int[] next = {0};
             boolean[] done = {false, false};
-            c.in.events(h, e -> {
+            c.in.readEvents(h, e -> {
                 if (times[0] < 0) {
                     times[0] = EngineSite.micros() - due;
                 }
@@ -478,13 +479,13 @@
     }
 
     /** A second answer would stand behind the first. */
-    private void finish(Front f, int router, Connection c, Http.Head h) throws IOException {
-        if (!c.in.empty() || c.socket.getInputStream().available() > 0) {
+    private void finish(Front f, int router, Connection c, HttpHead h) throws IOException {
+        if (!c.in.isBufferEmpty() || c.socket.getInputStream().available() > 0) {
             synchronized (results) {
                 twice++;
             }
         }
-        if (h.closes()) {
+        if (h.closesConnection()) {
             c.socket.close();
         } else {
             f.keep(router, c);
--- a/lab/src/main/java/magpiehub/lab/Discovery.java
+++ b/lab/src/main/java/magpiehub/lab/Discovery.java
@@ -15,7 +15,8 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 
 /**
  * The discovery stand-in: the list of engines with its watch, one listener a router since each site
@@ -158,13 +159,13 @@
     private void call(int router, int site, Socket s) {
         try (s) {
             s.setTcpNoDelay(true);
-            Http.Input in = new Http.Input(s.getInputStream(), EngineSite::micros);
-            while (in.await()) {
-                Http.Head h = in.head(true);
-                if (!h.start[1].startsWith("/discovery/hosts")) {
+            HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+            while (in.awaitMessage()) {
+                HttpHead h = in.readRequestHead();
+                if (!h.target().startsWith("/discovery/hosts")) {
                     s.getOutputStream().write("HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n".getBytes(UTF_8));
-                } else if (h.start[1].contains("follow=1")) {
-                    follow(router, site, s.getOutputStream(), since(h.start[1]));
+                } else if (h.target().contains("follow=1")) {
+                    follow(router, site, s.getOutputStream(), since(h.target()));
                     return;
                 } else {
                     byte[] b;
--- a/lab/src/main/java/magpiehub/lab/EngineSite.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSite.java
@@ -17,7 +17,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpWriter;
 
 /**
  * The engines of one site as a process: each listens at an address of its own and answers as the platform's
@@ -96,21 +98,21 @@
         private void serve(Socket s) {
             Engine.Sequence[] now = new Engine.Sequence[1];
             try (s) {
-                Http.Input in = new Http.Input(s.getInputStream(), EngineSite::micros);
-                while (in.await()) {
-                    Http.Head h = in.head(true);
-                    byte[] body = in.body(h);
-                    if (h.start[0].equals("POST")) {
+                HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+                while (in.awaitMessage()) {
+                    HttpHead h = in.readRequestHead();
+                    byte[] body = in.readBody(h);
+                    if (h.method().equals("POST")) {
                         now[0] = post(h, body, s);
                     } else {
                         synchronized (this) {
                             if (!silent) {
-                                answer(s, h.start[1].equals("/alive") ? 200 : 404, "");
+                                answer(s, h.target().equals("/alive") ? 200 : 404, "");
                             }
                         }
                     }
-                    if (h.closes()) {
-                        in.await(); // Its sequence ends by itself, or with the connection.
+                    if (h.closesConnection()) {
+                        in.awaitMessage(); // Its sequence ends by itself, or with the connection.
                         return;
                     }
                 }
@@ -126,8 +128,8 @@
             }
         }
 
-        private Engine.Sequence post(Http.Head h, byte[] body, Socket s) throws IOException {
-            String call = h.get("X-Call-Id");
+        private Engine.Sequence post(HttpHead h, byte[] body, Socket s) throws IOException {
+            String call = h.headers().get("X-Call-Id");
             JsonNode asked = JSON.readTree(body);
             StringBuilder prompt = new StringBuilder();
             asked.path("messages").forEach(m -> prompt.append(m.path("content").asText()));
@@ -180,7 +182,7 @@
         private final Socket to;
         private final String call;
         private final int prompt;
-        private final Http.Output out = new Http.Output();
+        private final HttpWriter out = new HttpWriter();
         private boolean begun;
 
         Stream(Socket to, String call, int prompt) {
@@ -193,7 +195,7 @@
         public void tokens(int from, int until, boolean last, int cached) {
             if (!begun) {
                 begun = true;
-                out.text("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+                out.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                         + "Transfer-Encoding: chunked\r\n\r\n");
             }
             event("{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + call + " " + from + " " + until
@@ -202,17 +204,17 @@
                 event("{\"choices\":[],\"usage\":{\"prompt_tokens\":" + prompt + ",\"completion_tokens\":" + until
                         + ",\"prompt_tokens_details\":{\"cached_tokens\":" + cached + "}}}");
                 event("[DONE]");
-                out.lastChunk();
+                out.appendLastChunk();
             }
             try {
-                out.flush(to.getOutputStream());
+                out.flushTo(to.getOutputStream());
             } catch (IOException e) {
                 out.take(); // The reader of this connection sees its end.
             }
         }
 
         private void event(String json) {
-            out.chunk(("data: " + json + "\n\n").getBytes(StandardCharsets.UTF_8));
+            out.appendChunk(("data: " + json + "\n\n").getBytes(StandardCharsets.UTF_8));
         }
     }
 
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -20,7 +20,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpReader;
 
 /**
  * One play of a scenario: routers as real processes by the command of {@code run}, one process of engines a
@@ -647,8 +647,8 @@
             s.getOutputStream()
                     .write("GET /counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            Http.Input in = new Http.Input(s.getInputStream(), EngineSite::micros);
-            return in.await() ? new String(in.body(in.head(false)), StandardCharsets.UTF_8) : "";
+            HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+            return in.awaitMessage() ? new String(in.readBody(in.readResponseHead()), StandardCharsets.UTF_8) : "";
         } catch (IOException e) {
             return "";
         }
--- a/lab/src/test/java/magpiehub/lab/ClientsTest.java
+++ b/lab/src/test/java/magpiehub/lab/ClientsTest.java
@@ -15,7 +15,8 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.Timeout;
@@ -52,14 +53,15 @@
     /** An answer of null ends the connection; one that ends in "|" ends it behind what was said. */
     private static void serve(Socket s, Answer answer) {
         try (s) {
-            Http.Input in = new Http.Input(s.getInputStream(), EngineSite::micros);
-            while (in.await()) {
-                Http.Head h = in.head(true);
-                String body = new String(in.body(h), StandardCharsets.UTF_8);
+            HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+            while (in.awaitMessage()) {
+                HttpHead h = in.readRequestHead();
+                String body = new String(in.readBody(h), StandardCharsets.UTF_8);
                 String say = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-                if (h.start[0].equals("POST")) {
+                if (h.method().equals("POST")) {
                     say = answer.to(
-                            h.get("X-Call-Id"), Integer.parseInt(body.replaceAll(".*\"max_tokens\":(\\d+).*", "$1")));
+                            h.headers().get("X-Call-Id"),
+                            Integer.parseInt(body.replaceAll(".*\"max_tokens\":(\\d+).*", "$1")));
                 }
                 if (say == null) {
                     return;
--- a/src/main/java/magpiehub/discovery/ConsulProtocol.java
+++ b/src/main/java/magpiehub/discovery/ConsulProtocol.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import java.util.Objects;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
 
 /**
  * Endpoint lists in Consul, read through its HTTP interface (version 1) as its documentation of blocking queries, of
@@ -84,7 +84,7 @@
     @Override
     public void checkPosition(RegistryConnection connection, RegistryEventListener listener)
             throws IOException, InterruptedException {
-        Http.Head head = get(connection, resource.indexTarget());
+        HttpHead head = get(connection, resource.indexTarget());
         connection.discardBody(head);
         ListPosition position = position(head);
         listener.onPositionChecked(position, position.revision(), UNKNOWN_COUNT);
@@ -92,12 +92,12 @@
 
     private void readList(RegistryConnection connection, String target, RegistryEventListener listener)
             throws IOException, InterruptedException {
-        Http.Head head = get(connection, target);
+        HttpHead head = get(connection, target);
         ListPosition position = position(head);
         listener.onCompleteList(position, readEntries(connection, head));
     }
 
-    private List<ListItem> readEntries(RegistryConnection connection, Http.Head head) throws IOException {
+    private List<ListItem> readEntries(RegistryConnection connection, HttpHead head) throws IOException {
         if (head.status() == STATUS_NOT_FOUND) {
             connection.discardBody(head);
             return List.of();
@@ -108,10 +108,10 @@
         return items;
     }
 
-    private Http.Head get(RegistryConnection connection, String target) throws IOException {
+    private HttpHead get(RegistryConnection connection, String target) throws IOException {
         int alsoAccepted = resource.isEmptyWhenNotFound() ? STATUS_NOT_FOUND : 0;
-        Http.Head head = connection.send("GET", target, null, alsoAccepted, TOKEN_HEADER, token);
-        if ("false".equalsIgnoreCase(head.get("X-Consul-KnownLeader"))) {
+        HttpHead head = connection.send("GET", target, null, alsoAccepted, TOKEN_HEADER, token);
+        if ("false".equalsIgnoreCase(head.headers().get("X-Consul-KnownLeader"))) {
             // The server may have been cut off from the others, and its data be old.
             connection.discardBody(head);
             throw new RegistryErrorException("no known leader");
@@ -119,8 +119,8 @@
         return head;
     }
 
-    private static ListPosition position(Http.Head head) throws IOException {
-        String index = head.get("X-Consul-Index");
+    private static ListPosition position(HttpHead head) throws IOException {
+        String index = head.headers().get("X-Consul-Index");
         try {
             long number = Long.parseUnsignedLong(index == null ? "" : index);
             return new ListPosition(NO_HISTORY, 0, Math.max(0, number));
--- a/src/main/java/magpiehub/discovery/EtcdClient.java
+++ b/src/main/java/magpiehub/discovery/EtcdClient.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
 
 /**
  * Calls to etcd's JSON gateway, authenticated where the cluster asks for it: {@code /v3/auth/authenticate} exchanges
@@ -29,7 +29,7 @@
      * @throws EtcdStatusException if etcd reports that a revision is out of range
      * @throws HttpStatusException for any other error that is reported
      */
-    Http.Head call(RegistryConnection connection, String path, byte[] body) throws IOException {
+    HttpHead call(RegistryConnection connection, String path, byte[] body) throws IOException {
         for (int attempt = 0; ; attempt++) {
             String current = token;
             if (credentials != null && current == null) {
@@ -62,7 +62,7 @@
             generator.writeStringField("name", credentials.user());
             generator.writeStringField("password", credentials.password());
         });
-        Http.Head head = connection.send("POST", "/v3/auth/authenticate", request, 0);
+        HttpHead head = connection.send("POST", "/v3/auth/authenticate", request, 0);
         String fetched = JsonObjects.read(connection.body(head), EtcdClient::readToken);
         if (fetched == null || fetched.isEmpty() || !isHeaderSafe(fetched)) {
             throw new EtcdStatusException(EtcdStatusException.UNAUTHENTICATED, "the login gave no token");
--- a/src/main/java/magpiehub/discovery/EtcdLeaseRegistration.java
+++ b/src/main/java/magpiehub/discovery/EtcdLeaseRegistration.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
 
 /**
  * A router's entry in etcd: a key under a lease ({@code /v3/lease/grant}, {@code /v3/kv/put},
@@ -40,7 +40,7 @@
     private Lease grantLease(RegistryConnection connection) throws IOException {
         long ttlSeconds = (ttlMicros + MICROS_PER_SECOND - 1) / MICROS_PER_SECOND;
         byte[] request = JsonObjects.toBytes(generator -> generator.writeStringField("TTL", Long.toString(ttlSeconds)));
-        Http.Head head = client.call(connection, "/v3/lease/grant", request);
+        HttpHead head = client.call(connection, "/v3/lease/grant", request);
         return JsonObjects.read(connection.body(head), Lease::read);
     }
 
@@ -58,7 +58,7 @@
 
     @Override
     public long keepAlive(RegistryConnection connection) throws IOException {
-        Http.Head head = client.call(connection, "/v3/lease/keepalive", leaseRequest());
+        HttpHead head = client.call(connection, "/v3/lease/keepalive", leaseRequest());
         Lease lease = JsonObjects.read(connection.body(head), EtcdLeaseRegistration::readKeepAliveResponse);
         if (lease.ttlSeconds <= 0) {
             // A lease that has expired is answered with a TTL of 0, which the gateway leaves out.
--- a/src/main/java/magpiehub/discovery/EtcdProtocol.java
+++ b/src/main/java/magpiehub/discovery/EtcdProtocol.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import magpiehub.config.ConfigurationException;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
 
 /**
  * Endpoint lists in etcd, read through its v3 JSON gateway as etcd's documentation and its {@code rpc.proto} describe
@@ -126,7 +126,7 @@
     public void watch(RegistryConnection connection, ListPosition after, RegistryEventListener listener)
             throws IOException, InterruptedException {
         reportLastChanged(connection, after.revision(), listener);
-        Http.Head head = client.call(connection, "/v3/watch", watchRequest(after.revision() + 1));
+        HttpHead head = client.call(connection, "/v3/watch", watchRequest(after.revision() + 1));
         EtcdWatchStream stream = new EtcdWatchStream(client, entryReader, listener);
         connection.readLines(head, line -> {
             if (line.length > 0) {
@@ -186,7 +186,7 @@
 
     private EtcdRangeResponse callRange(RegistryConnection connection, JsonObjects.MemberWriter request)
             throws IOException {
-        Http.Head head = client.call(connection, "/v3/kv/range", JsonObjects.toBytes(request));
+        HttpHead head = client.call(connection, "/v3/kv/range", JsonObjects.toBytes(request));
         EtcdRangeResponse response = JsonObjects.read(connection.body(head), EtcdRangeResponse::read);
         if (response.header().revision() <= 0) {
             throw new ConfigurationException("an answer without a revision");
--- a/src/main/java/magpiehub/discovery/RegistryConnection.java
+++ b/src/main/java/magpiehub/discovery/RegistryConnection.java
@@ -12,7 +12,10 @@
 import javax.net.ssl.SSLSocket;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.config.HostPort;
-import magpiehub.http.Http;
+import magpiehub.http.EventHandler;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpWriter;
 import magpiehub.http.Sockets;
 
 /**
@@ -49,7 +52,7 @@
     private volatile Socket socket = plainSocket;
     private volatile long lastReadMicros;
     private volatile boolean closed;
-    private Http.Input input;
+    private HttpReader input;
 
     /**
      * A connection that {@link #connect} opens.
@@ -79,8 +82,8 @@
             startTls();
         }
         lastReadMicros = clock.micros();
-        input = new Http.Input(new CountingInputStream(socket.getInputStream()), clock::micros);
-        input.mostChunk(MAX_RESPONSE_BYTES);
+        input = new HttpReader(new CountingInputStream(socket.getInputStream()), clock::micros);
+        input.setMaxChunkBytes(MAX_RESPONSE_BYTES);
     }
 
     private void startTls() throws IOException {
@@ -113,54 +116,56 @@
      * @param headers names and values in turn, without line ends; a header whose value is null is left out
      * @throws HttpStatusException if the status is neither 200 nor {@code alsoAccepted}
      */
-    Http.Head send(String method, String target, byte[] body, int alsoAccepted, String... headers) throws IOException {
+    HttpHead send(String method, String target, byte[] body, int alsoAccepted, String... headers) throws IOException {
         writeRequest(method, target, body, headers);
-        if (!input.await()) {
+        if (!input.awaitMessage()) {
             throw new EOFException("ended before an answer");
         }
-        Http.Head head = input.head(false);
+        HttpHead head = input.readResponseHead();
         if (head.status() != 200 && head.status() != alsoAccepted) {
             throw new HttpStatusException(
-                    head.status(), readErrorText(head), parseRetryAfterMicros(head.get("Retry-After")));
+                    head.status(),
+                    readErrorText(head),
+                    parseRetryAfterMicros(head.headers().get("Retry-After")));
         }
         return head;
     }
 
     private void writeRequest(String method, String target, byte[] body, String... headers) throws IOException {
-        Http.Output out = new Http.Output();
-        out.text(method + " " + target + " HTTP/1.1\r\nHost: " + endpoint + "\r\n");
+        HttpWriter out = new HttpWriter();
+        out.append(method + " " + target + " HTTP/1.1\r\nHost: " + endpoint + "\r\n");
         for (int i = 0; i + 1 < headers.length; i += 2) {
             if (headers[i + 1] != null) {
-                out.text(headers[i] + ": " + headers[i + 1] + "\r\n");
+                out.append(headers[i] + ": " + headers[i + 1] + "\r\n");
             }
         }
         if (body != null) {
-            out.text("Content-Type: application/json\r\nContent-Length: " + body.length + "\r\n");
+            out.append("Content-Type: application/json\r\nContent-Length: " + body.length + "\r\n");
         }
-        out.text("\r\n");
+        out.append("\r\n");
         if (body != null) {
-            out.bytes(body);
+            out.append(body);
         }
-        out.flush(socket.getOutputStream());
+        out.flushTo(socket.getOutputStream());
     }
 
     /** The body of a response. It must be read to its end before the next request, or the connection closed. */
-    InputStream body(Http.Head head) throws IOException {
-        return input.content(head, MAX_RESPONSE_BYTES);
+    InputStream body(HttpHead head) throws IOException {
+        return input.openBody(head, MAX_RESPONSE_BYTES);
     }
 
     /** Reads and discards the body of a response, so that the next request can be sent. */
-    void discardBody(Http.Head head) throws IOException {
+    void discardBody(HttpHead head) throws IOException {
         discard(body(head));
     }
 
     /** Hands the body's lines to a consumer, each as soon as it is complete. */
-    void readLines(Http.Head head, Http.Events consumer) throws IOException, InterruptedException {
-        input.lines(head, consumer, MAX_LINE_BYTES);
+    void readLines(HttpHead head, EventHandler consumer) throws IOException, InterruptedException {
+        input.readLines(head, consumer, MAX_LINE_BYTES);
     }
 
     /** The beginning of an error's body in one line, for people; closes the connection if it can't be read. */
-    private String readErrorText(Http.Head head) {
+    private String readErrorText(HttpHead head) {
         try {
             InputStream body = body(head);
             byte[] start = body.readNBytes(MAX_ERROR_TEXT_BYTES);
--- a/src/main/java/magpiehub/discovery/platform/PlatformCallReader.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformCallReader.java
@@ -13,7 +13,8 @@
 import magpiehub.config.HostPort;
 import magpiehub.config.Json;
 import magpiehub.discovery.EndpointEntryParser;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 
 /**
  * Makes the calls to discovery, each on a thread of its own, and posts what they deliver to the actor. A
@@ -42,11 +43,11 @@
         String reason = "ended";
         boolean malformed = false;
         try (Socket socket = call.socket) {
-            Http.Input input = send(call, socket, target);
-            if (input.await()) {
-                Http.Head head = input.head(false);
+            HttpReader input = send(call, socket, target);
+            if (input.awaitMessage()) {
+                HttpHead head = input.readResponseHead();
                 if (head.status() == STATUS_OK) {
-                    readUpdates(call, input.content(head, Integer.MAX_VALUE));
+                    readUpdates(call, input.openBody(head, Integer.MAX_VALUE));
                 } else {
                     reason = "status " + head.status();
                 }
@@ -63,12 +64,12 @@
         actor.post(new PlatformMessage.CallEnded(call, reason, malformed));
     }
 
-    private Http.Input send(PlatformCall call, Socket socket, String target) throws IOException {
+    private HttpReader send(PlatformCall call, Socket socket, String target) throws IOException {
         socket.setTcpNoDelay(true);
         socket.connect(HostPort.toSocketAddress(call.address), CONNECT_TIMEOUT_MILLIS);
         String request = "GET " + target + " HTTP/1.1\r\nHost: " + call.address + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-        return new Http.Input(socket.getInputStream(), clock::micros);
+        return new HttpReader(socket.getInputStream(), clock::micros);
     }
 
     private void readUpdates(PlatformCall call, InputStream body) throws IOException {
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -23,7 +23,12 @@
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.dispatch.ClientCallback;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.http.Http;
+import magpiehub.http.BodyFraming;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpWriter;
 import magpiehub.http.Sockets;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.streaming.StreamOutcomes.Ending;
@@ -330,7 +335,7 @@
         return open.size();
     }
 
-    private record Arrived(Http.Head head, byte[] body, long at, int room) {}
+    private record Arrived(HttpHead head, byte[] body, long at, int room) {}
 
     private record Malformed(int status, String why) {}
 
@@ -418,7 +423,7 @@
         private final Socket socket;
         private final boolean shed;
         private final Mailbox<Object> mailbox = new Mailbox<>(clock, mailboxBytes);
-        private final Http.Output out = new Http.Output();
+        private final HttpWriter out = new HttpWriter();
         private final ArrayDeque<Arrived> ahead = new ArrayDeque<>(2);
         private Exchange current;
         /** The stream that {@link #out} holds bytes of or ends, how many, and its ending; until written. */
@@ -533,23 +538,23 @@
         private void read() {
             boolean half = false;
             try {
-                Http.Input in = new Http.Input(socket.getInputStream(), clock::micros);
-                in.patience(REQUEST);
-                while (in.await()) {
+                HttpReader in = new HttpReader(socket.getInputStream(), clock::micros);
+                in.setMessageTimeoutMicros(REQUEST);
+                while (in.awaitMessage()) {
                     reading = true;
                     socket.setSoTimeout(READ_MS);
-                    Http.Head head = in.head(true);
-                    int room = Http.Input.announced(head);
+                    HttpHead head = in.readRequestHead();
+                    int room = BodyFraming.maxBodyBytes(head);
                     if (inHand.addAndGet(room) > MOST_IN_HAND) {
                         inHand.addAndGet(-room);
                         journal.count("requests_shed");
-                        throw new Http.Bad(503, "no room");
+                        throw new HttpException(503, "no room");
                     }
                     boolean posted = false;
                     try {
-                        byte[] body = in.body(head);
+                        byte[] body = in.readBody(head);
                         socket.setSoTimeout(0);
-                        posted = mailbox.post(new Arrived(head, body, in.firstAt(), room), body.length);
+                        posted = mailbox.post(new Arrived(head, body, in.messageStartMicros(), room), body.length);
                         reading = false;
                     } finally {
                         if (!posted) {
@@ -562,8 +567,8 @@
                     }
                 }
                 half = streams.allowances().halfClose() && front.tellsLife();
-            } catch (Http.Bad e) {
-                post(new Malformed(e.status, e.getMessage()), 0);
+            } catch (HttpException e) {
+                post(new Malformed(e.status(), e.getMessage()), 0);
                 discard();
             } catch (java.net.SocketTimeoutException e) {
                 post(new Malformed(408, "request incomplete"), 0);
@@ -628,7 +633,7 @@
                 }
                 ActorThreadPool.enterBlockingCall();
                 try {
-                    out.flush(to, () -> streams.passed(flow, 0));
+                    out.flushTo(to, () -> streams.passed(flow, 0));
                 } finally {
                     ActorThreadPool.exitBlockingCall();
                 }
@@ -692,7 +697,7 @@
                 if (current != null && !current.begun) {
                     out.take();
                     front.error(out, 500, "internal error", 0, true);
-                    out.flush(socket.getOutputStream());
+                    out.flushTo(socket.getOutputStream());
                 }
             } catch (IOException e) {
                 // Nobody is left to answer.
@@ -857,19 +862,19 @@
         private void begin(Arrived a) {
             room = a.room;
             quietSince = BUSY;
-            lastAnswer |= a.head.closes() || many();
+            lastAnswer |= a.head.closesConnection() || many();
             boolean close = last();
-            String path = a.head.start[1];
+            String path = a.head.target();
             if (path.equals("/up") || path.equals("/counters")) {
-                boolean get = a.head.start[0].equals("GET") || a.head.start[0].equals("HEAD");
+                boolean get = a.head.method().equals("GET") || a.head.method().equals("HEAD");
                 int status =
                         !get ? 405 : path.equals("/up") && (standbySince != 0 || !ready.getAsBoolean()) ? 503 : 200;
                 String text = path.equals("/counters") ? counters.get() : status == 200 ? "up\n" : "not ready\n";
-                Http.answer(
+                HttpResponses.append(
                         out,
                         status,
                         "text/plain; charset=utf-8",
-                        a.head.start[0].equals("HEAD") ? new byte[0] : text.getBytes(StandardCharsets.UTF_8),
+                        a.head.method().equals("HEAD") ? new byte[0] : text.getBytes(StandardCharsets.UTF_8),
                         close);
                 over(close);
                 return;
@@ -882,9 +887,9 @@
             ProtocolAdapter.Call call;
             try {
                 call = front.read(a.head, a.body, a.at);
-            } catch (Http.Bad e) {
+            } catch (HttpException e) {
                 journal.count("malformed_requests");
-                front.error(out, e.status, e.getMessage(), 0, true);
+                front.error(out, e.status(), e.getMessage(), 0, true);
                 over(true);
                 return;
             }
--- /dev/null
+++ b/src/main/java/magpiehub/http/EventHandler.java
@@ -0,0 +1,14 @@
+package magpiehub.http;
+
+import java.io.IOException;
+
+/** Receives the events or lines of a streamed body, each as soon as its last byte has been read. */
+@FunctionalInterface
+public interface EventHandler {
+    /**
+     * Handles one event or line. An exception ends the reading of the body.
+     *
+     * @param event its bytes, which the handler may keep
+     */
+    void onEvent(byte[] event) throws IOException, InterruptedException;
+}
--- /dev/null
+++ b/src/main/java/magpiehub/http/ReadBuffer.java
@@ -0,0 +1,182 @@
+package magpiehub.http;
+
+import java.io.EOFException;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import magpiehub.concurrent.MonotonicClock;
+
+/**
+ * The bytes of a connection that have been received and not yet consumed. There is one buffer a connection; it grows as
+ * needed and is compacted in place. Used by the connection's reading thread alone.
+ */
+final class ReadBuffer {
+    private static final int INITIAL_BYTES = 2048;
+
+    /** A larger buffer is released between messages, so that idle connections don't keep their largest body's size. */
+    private static final int MAX_IDLE_BYTES = 8192;
+
+    /** The most bytes that one read asks for, also where a large body leaves more space. */
+    private static final int MAX_READ_BYTES = 16 * 1024;
+
+    private final InputStream in;
+    private final MonotonicClock clock;
+    private byte[] bytes = new byte[INITIAL_BYTES];
+    private int position;
+    private int limit;
+    private long messageStartMicros;
+    private long messageTimeoutMicros = Long.MAX_VALUE;
+
+    ReadBuffer(InputStream in, MonotonicClock clock) {
+        this.in = in;
+        this.clock = clock;
+    }
+
+    /** Sets how long a message may take from its first byte on, so that one sent byte by byte ends, too. */
+    void setMessageTimeoutMicros(long timeoutMicros) {
+        messageTimeoutMicros = timeoutMicros;
+    }
+
+    /** When the first byte of the current message was received. */
+    long messageStartMicros() {
+        return messageStartMicros;
+    }
+
+    /** Waits for the first byte of the next message; false if the peer has closed the connection. */
+    boolean awaitMessage() throws IOException {
+        if (position < limit) {
+            return true;
+        }
+        if (bytes.length > MAX_IDLE_BYTES) {
+            bytes = new byte[INITIAL_BYTES];
+        }
+        position = 0;
+        limit = 0;
+        if (!fill()) {
+            return false;
+        }
+        messageStartMicros = clock.micros();
+        return true;
+    }
+
+    boolean isEmpty() {
+        return position == limit;
+    }
+
+    /** How many received bytes are not consumed yet. */
+    int available() {
+        return limit - position;
+    }
+
+    /** The array that holds the unconsumed bytes, from {@link #position()} on. Valid until more bytes are received. */
+    byte[] array() {
+        return bytes;
+    }
+
+    int position() {
+        return position;
+    }
+
+    void skip(int count) {
+        position += count;
+    }
+
+    /** Receives bytes until there are as many as required. */
+    void require(int count, String context) throws IOException {
+        while (available() < count) {
+            receive(context);
+        }
+    }
+
+    /** Consumes and returns bytes, which must be available. */
+    byte[] take(int count) {
+        byte[] taken = Arrays.copyOfRange(bytes, position, position + count);
+        position += count;
+        return taken;
+    }
+
+    /**
+     * Receives at least one byte.
+     *
+     * @param context what is being read, for the message of the exception
+     * @throws SocketTimeoutException if the message has taken longer than its timeout
+     * @throws EOFException if the peer has closed the connection
+     */
+    void receive(String context) throws IOException {
+        if (messageTimeoutMicros != Long.MAX_VALUE && clock.micros() - messageStartMicros > messageTimeoutMicros) {
+            throw new SocketTimeoutException("too slow in " + context);
+        }
+        if (!fill()) {
+            throw new EOFException("connection ended in " + context);
+        }
+    }
+
+    /** Receives at least one byte; false at the end of the stream. */
+    private boolean fill() throws IOException {
+        if (limit == bytes.length) {
+            makeSpace();
+        }
+        int count = in.read(bytes, limit, Math.min(bytes.length - limit, MAX_READ_BYTES));
+        if (count <= 0) {
+            return false;
+        }
+        limit += count;
+        return true;
+    }
+
+    private void makeSpace() {
+        if (position > 0) {
+            System.arraycopy(bytes, position, bytes, 0, limit - position);
+            limit -= position;
+            position = 0;
+        } else {
+            bytes = Arrays.copyOf(bytes, bytes.length * 2);
+        }
+    }
+
+    /**
+     * Consumes a line and returns it without its end, which is LF or CR LF. A line with a control character is answered
+     * with status 400.
+     *
+     * @param maxBytes the longest line that is read
+     * @param status the status that a longer one is answered with
+     * @param context what the line is, for the message of the exception
+     */
+    String readLine(int maxBytes, int status, String context) throws IOException {
+        String line = readLineWithControls(maxBytes, status, context);
+        for (int i = 0; i < line.length(); i++) {
+            if (HttpSyntax.isControl(line.charAt(i))) {
+                throw new HttpException(400, "control character in " + context);
+            }
+        }
+        return line;
+    }
+
+    /** The same for a line that may contain control characters. */
+    String readLineWithControls(int maxBytes, int status, String context) throws IOException {
+        int scanned = 0;
+        while (true) {
+            for (; position + scanned < limit; scanned++) {
+                if (bytes[position + scanned] == '\n') {
+                    return takeLine(scanned);
+                }
+                if (scanned >= maxBytes) {
+                    throw new HttpException(status, context + " too long");
+                }
+            }
+            receive(context);
+        }
+    }
+
+    private String takeLine(int lengthBeforeLineFeed) {
+        int length = lengthBeforeLineFeed;
+        if (length > 0 && bytes[position + length - 1] == '\r') {
+            length--;
+        }
+        String line = new String(bytes, position, length, StandardCharsets.ISO_8859_1);
+        position += lengthBeforeLineFeed + 1;
+        return line;
+    }
+}
--- a/src/main/java/magpiehub/protocol/MessagesProtocol.java
+++ b/src/main/java/magpiehub/protocol/MessagesProtocol.java
@@ -14,7 +14,11 @@
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.HostPort;
 import magpiehub.config.SiteSettings;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpLimits;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.store.KeyValueStore;
 
@@ -69,25 +73,25 @@
 
     // ---- Requests -------------------------------------------------------------------------------------
     @Override
-    public Call read(Http.Head head, byte[] body, long at) throws Http.Bad {
+    public Call read(HttpHead head, byte[] body, long at) throws HttpException {
         PlatformProtocol.posted(head, PATH);
         try {
             return translated(head, ConfigurationObject.parse(body, "request"), at);
         } catch (ConfigurationException e) {
-            throw new Http.Bad(400, e.getMessage());
-        } catch (Http.Bad e) {
+            throw new HttpException(400, e.getMessage());
+        } catch (HttpException e) {
             throw e;
         } catch (IOException e) {
-            throw new Http.Bad(400, "body is unreadable");
+            throw new HttpException(400, "body is unreadable");
         }
     }
 
-    private Call translated(Http.Head head, ConfigurationObject f, long at) throws Http.Bad {
+    private Call translated(HttpHead head, ConfigurationObject f, long at) throws HttpException {
         String model = f.text("model", null);
         double most = f.number("max_tokens", 0);
         List<ConfigurationObject> messages = f.objects("messages");
         if (model == null || most < 1 || messages.isEmpty()) {
-            throw new Http.Bad(400, "model, max_tokens and messages are required");
+            throw new HttpException(400, "model, max_tokens and messages are required");
         }
         String system = text(f, "system");
         StringBuilder b = new StringBuilder(256 + system.length());
@@ -114,7 +118,7 @@
         for (ConfigurationObject m : messages) {
             String role = m.text("role", "");
             if (!role.equals("user") && !role.equals("assistant")) {
-                throw new Http.Bad(400, "messages.role must be user or assistant");
+                throw new HttpException(400, "messages.role must be user or assistant");
             }
             String content = text(m, "content");
             opening = opening == null ? content : opening;
@@ -127,16 +131,16 @@
         }
         b.setCharAt(b.length() - 1, ']');
         byte[] body = b.append('}').toString().getBytes(StandardCharsets.UTF_8);
-        if (body.length > Http.MOST_BODY) {
-            throw new Http.Bad(413, "body too large");
+        if (body.length > HttpLimits.MAX_BODY_BYTES) {
+            throw new HttpException(413, "body too large");
         }
-        String cls = PlatformProtocol.name(head.get("X-Call-Class"));
+        String cls = PlatformProtocol.name(head.headers().get("X-Call-Class"));
         SiteSettings now = site.get();
         int c = PlatformProtocol.cls(now, cls != null ? cls : classOf(model));
-        String tenant = PlatformProtocol.name(head.get("X-Caller"));
-        String id = head.get("X-Call-Id");
-        String route = head.get("X-Route-Hash");
-        String budget = head.get("X-Budget-Ms");
+        String tenant = PlatformProtocol.name(head.headers().get("X-Caller"));
+        String id = head.headers().get("X-Call-Id");
+        String route = head.headers().get("X-Route-Hash");
+        String budget = head.headers().get("X-Budget-Ms");
         long wait = budget != null
                 ? PlatformProtocol.budget(budget)
                 : now.routing().classes().get(c).deadline();
@@ -158,7 +162,8 @@
                 false,
                 false,
                 false);
-        return new Translated(r, head.endToEnd(IDEMPOTENCY_KEY::equals), body, model, f.flag("stream", false));
+        return new Translated(
+                r, head.headers().endToEndLines(IDEMPOTENCY_KEY::equals), body, model, f.flag("stream", false));
     }
 
     /** The class of a model's requests: what the store says, else the file, else the file's own default. */
@@ -168,7 +173,7 @@
     }
 
     /** A text, or the texts of a list of blocks; other blocks are not what these engines take. */
-    private static String text(ConfigurationObject f, String key) throws Http.Bad {
+    private static String text(ConfigurationObject f, String key) throws HttpException {
         Object v = f.map().get(key);
         if (v == null || v instanceof String) {
             return v == null ? "" : (String) v;
@@ -176,7 +181,7 @@
         StringBuilder b = new StringBuilder();
         for (ConfigurationObject block : f.objects(key)) {
             if (!block.text("type", "").equals("text")) {
-                throw new Http.Bad(400, key + " may hold text blocks only");
+                throw new HttpException(400, key + " may hold text blocks only");
             }
             b.append(block.text("text", ""));
         }
@@ -206,10 +211,10 @@
     }
 
     @Override
-    public void error(Http.Output out, int status, String why, long retryAfter, boolean close) {
+    public void error(HttpWriter out, int status, String why, long retryAfter, boolean close) {
         // The dialect has a status of its own for 'overloaded'.
         int said = status == 503 ? 529 : status;
-        Http.error(out, said, error(said, why) + "\n", retryAfter, close);
+        HttpResponses.appendError(out, said, error(said, why) + "\n", retryAfter, close);
     }
 
     private static String error(int status, String why) {
@@ -243,8 +248,8 @@
             this.stream = stream;
         }
 
-        private static void say(Http.Output out, String name, String more) {
-            out.chunk(("event: " + name + "\ndata: {\"type\":\"" + name + '"' + more + "}\n\n")
+        private static void say(HttpWriter out, String name, String more) {
+            out.appendChunk(("event: " + name + "\ndata: {\"type\":\"" + name + '"' + more + "}\n\n")
                     .getBytes(StandardCharsets.UTF_8));
         }
 
@@ -261,17 +266,17 @@
         }
 
         @Override
-        public void begin(Http.Output out, boolean close) {
+        public void begin(HttpWriter out, boolean close) {
             if (stream) {
                 read = (long) request.promptTokens();
-                Http.streamHead(out, close);
+                HttpResponses.appendEventStreamHead(out, close);
                 say(out, "message_start", ",\"message\":" + message("", "null"));
                 say(out, "content_block_start", ",\"index\":0,\"content_block\":{\"type\":\"text\",\"text\":\"\"}");
             }
         }
 
         @Override
-        public void event(Http.Output out, byte[] event) {
+        public void event(HttpWriter out, byte[] event) {
             if (event.length > 0 && event[0] == ':') {
                 if (stream) {
                     say(out, "ping", ""); // The engine's sign of life, in this dialect's word for it.
@@ -310,9 +315,9 @@
         }
 
         @Override
-        public void end(Http.Output out, boolean close) {
+        public void end(HttpWriter out, boolean close) {
             if (!stream) {
-                Http.answer(
+                HttpResponses.append(
                         out,
                         200,
                         "application/json",
@@ -327,11 +332,11 @@
                     "message_delta",
                     ",\"delta\":{\"stop_reason\":" + quoted(stop) + ",\"stop_sequence\":null},\"usage\":" + usage());
             say(out, "message_stop", "");
-            out.lastChunk();
+            out.appendLastChunk();
         }
 
         @Override
-        public boolean saved(Http.Output out, boolean close) {
+        public boolean saved(HttpWriter out, boolean close) {
             if (finished) {
                 end(out, close);
             }
@@ -339,7 +344,7 @@
         }
 
         @Override
-        public boolean alive(Http.Output out) {
+        public boolean alive(HttpWriter out) {
             if (stream) {
                 say(out, "ping", "");
             }
@@ -347,10 +352,10 @@
         }
 
         @Override
-        public void broken(Http.Output out, byte[] error) {
+        public void broken(HttpWriter out, byte[] error) {
             String why = error == null ? "the stream broke" : "the engine failed: " + reason(error);
             if (stream) {
-                out.chunk(("event: error\ndata: " + error(500, why) + "\n\n").getBytes(StandardCharsets.UTF_8));
+                out.appendChunk(("event: error\ndata: " + error(500, why) + "\n\n").getBytes(StandardCharsets.UTF_8));
             } else {
                 MessagesProtocol.this.error(out, 500, why, 0, true);
             }
@@ -367,12 +372,12 @@
         }
 
         @Override
-        public void refused(Http.Output out, long retryAfter, boolean close) {
+        public void refused(HttpWriter out, long retryAfter, boolean close) {
             error(out, 503, "refused", retryAfter, close);
         }
 
         @Override
-        public void failed(Http.Output out, String why, boolean close) {
+        public void failed(HttpWriter out, String why, boolean close) {
             error(out, 504, why, 0, close);
         }
     }
--- a/src/main/java/magpiehub/protocol/PlatformProtocol.java
+++ b/src/main/java/magpiehub/protocol/PlatformProtocol.java
@@ -12,7 +12,12 @@
 import java.util.function.Supplier;
 import magpiehub.config.Json;
 import magpiehub.config.SiteSettings;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpSyntax;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 
 /**
@@ -44,21 +49,24 @@
     }
 
     @Override
-    public Call read(Http.Head head, byte[] body, long at) throws Http.Bad {
+    public Call read(HttpHead head, byte[] body, long at) throws HttpException {
         String target = posted(head, PATH);
         checkJson(body);
         return new Passed(
-                request(site.get(), head, at), target, head.endToEnd(name -> !OWN_HEADERS.contains(name)), body);
+                request(site.get(), head, at),
+                target,
+                head.headers().endToEndLines(name -> !OWN_HEADERS.contains(name)),
+                body);
     }
 
     /** The target of a request that a front takes: a POST to its path, with a query or without. */
-    static String posted(Http.Head head, String path) throws Http.Bad {
-        String target = head.start[1];
+    static String posted(HttpHead head, String path) throws HttpException {
+        String target = head.target();
         if (!target.equals(path) && !target.startsWith(path + "?")) {
-            throw new Http.Bad(404, "no such path");
+            throw new HttpException(404, "no such path");
         }
-        if (!head.start[0].equals("POST")) {
-            throw new Http.Bad(405, "POST only");
+        if (!head.method().equals("POST")) {
+            throw new HttpException(405, "POST only");
         }
         return target;
     }
@@ -76,22 +84,22 @@
         byte[] answer = ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                         + (Integer.toHexString(event.length()) + "\r\n" + event + "\r\n").repeat(20) + "0\r\n\r\n")
                 .getBytes(StandardCharsets.UTF_8);
-        Http.Output out = new Http.Output();
+        HttpWriter out = new HttpWriter();
         for (int i = 0; i < WARM_ROUNDS; i++) {
-            Http.Input in = new Http.Input(new ByteArrayInputStream(request), () -> 0);
-            in.await();
+            HttpReader in = new HttpReader(new ByteArrayInputStream(request), () -> 0);
+            in.awaitMessage();
             Call c;
             try {
-                Http.Head head = in.head(true);
-                c = read(head, in.body(head), 0);
-            } catch (Http.Bad e) {
+                HttpHead head = in.readRequestHead();
+                c = read(head, in.readBody(head), 0);
+            } catch (HttpException e) {
                 return; // A class that no header can name, which no client can ask for either.
             }
-            Http.Input from = new Http.Input(new ByteArrayInputStream(answer), () -> 0);
-            from.await();
+            HttpReader from = new HttpReader(new ByteArrayInputStream(answer), () -> 0);
+            from.awaitMessage();
             c.begin(out, false);
             try {
-                from.events(from.head(false), e -> c.event(out, e));
+                from.readEvents(from.readResponseHead(), e -> c.event(out, e));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -101,14 +109,14 @@
     }
 
     /** The request that the platform's headers describe. */
-    static RoutingRequest request(SiteSettings site, Http.Head head, long at) throws Http.Bad {
+    static RoutingRequest request(SiteSettings site, HttpHead head, long at) throws HttpException {
         String id = id(need(head, "X-Call-Id"));
         long budget = budget(need(head, "X-Budget-Ms"));
-        String tenant = name(head.only("X-Caller"));
-        String route = head.only("X-Route-Hash");
+        String tenant = name(head.headers().getSingle("X-Caller"));
+        String route = head.headers().getSingle("X-Route-Hash");
         long prefix = 0;
         double[] lengths = new double[3];
-        String info = head.only("X-Call-Info");
+        String info = head.headers().getSingle("X-Call-Info");
         for (String part : info == null || info.isBlank() ? new String[0] : info.split(",")) {
             int eq = part.indexOf('=');
             String name = eq < 0 ? "" : part.substring(0, eq).strip();
@@ -120,12 +128,12 @@
                 case "max_out" -> lengths[2] = whole(value, 10, "X-Call-Info");
                 default -> {
                     if (eq <= 0) {
-                        throw new Http.Bad(400, "malformed X-Call-Info");
+                        throw new HttpException(400, "malformed X-Call-Info");
                     }
                 }
             }
         }
-        String again = head.get("X-Again");
+        String again = head.headers().get("X-Again");
         return new RoutingRequest(
                 id,
                 cls(site, name(need(head, "X-Call-Class"))),
@@ -133,7 +141,7 @@
                 route == null ? 0 : whole(route, 16, "X-Route-Hash"),
                 prefix,
                 at + budget,
-                cost(head.get("X-Call-Cost")),
+                cost(head.headers().get("X-Call-Cost")),
                 lengths[0],
                 lengths[1],
                 lengths[2],
@@ -145,14 +153,14 @@
     /** The client's estimate of the work, in milliseconds; 0 where there is none that can be read. */
     private static double cost(String micros) {
         String s = micros == null ? "" : micros.strip();
-        return s.length() <= 15 && Http.digits(s) ? Long.parseLong(s) / 1000.0 : 0;
+        return s.length() <= 15 && HttpSyntax.isDigits(s) ? Long.parseLong(s) / 1000.0 : 0;
     }
 
     /** A class that there is: the module is never asked to judge another. */
-    static int cls(SiteSettings site, String name) throws Http.Bad {
+    static int cls(SiteSettings site, String name) throws HttpException {
         int c = site.classIndex(name);
         if (c < 0) {
-            throw new Http.Bad(400, "no such class");
+            throw new HttpException(400, "no such class");
         }
         return c;
     }
@@ -173,32 +181,32 @@
         }
     }
 
-    static String id(String id) throws Http.Bad {
+    static String id(String id) throws HttpException {
         if (id.isEmpty() || id.length() > 64 || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
-            throw new Http.Bad(400, "malformed X-Call-Id");
+            throw new HttpException(400, "malformed X-Call-Id");
         }
         return id;
     }
 
     /** How long the client waits (us). */
-    static long budget(String ms) throws Http.Bad {
+    static long budget(String ms) throws HttpException {
         long budget = whole(ms, 10, "X-Budget-Ms");
         if (budget > 86_400_000) {
-            throw new Http.Bad(400, "malformed X-Budget-Ms");
+            throw new HttpException(400, "malformed X-Budget-Ms");
         }
         return budget * 1000;
     }
 
-    private static String need(Http.Head head, String name) throws Http.Bad {
-        String v = head.only(name);
+    private static String need(HttpHead head, String name) throws HttpException {
+        String v = head.headers().getSingle(name);
         if (v == null) {
-            throw new Http.Bad(400, name + " is missing");
+            throw new HttpException(400, name + " is missing");
         }
         return v;
     }
 
     /** A number without a sign: ids in hexadecimal may use all 64 bits. */
-    static long whole(String s, int radix, String what) throws Http.Bad {
+    static long whole(String s, int radix, String what) throws HttpException {
         try {
             if (!s.isEmpty() && Character.digit(s.charAt(0), radix) >= 0) {
                 long v = Long.parseUnsignedLong(s, radix);
@@ -209,32 +217,32 @@
         } catch (NumberFormatException e) {
             // Falls through to the one complaint.
         }
-        throw new Http.Bad(400, "malformed " + what);
+        throw new HttpException(400, "malformed " + what);
     }
 
     /** Guards against sending engines what they can't read, which would look like an engine's fault. */
-    static void checkJson(byte[] body) throws Http.Bad {
+    static void checkJson(byte[] body) throws HttpException {
         try (JsonParser p = Json.FACTORY.createParser(body)) {
             if (p.nextToken() != JsonToken.START_OBJECT) {
-                throw new Http.Bad(400, "body is no JSON object");
+                throw new HttpException(400, "body is no JSON object");
             }
             p.skipChildren();
             if (p.currentToken() != JsonToken.END_OBJECT || p.nextToken() != null) {
-                throw new Http.Bad(400, "body is no single JSON object");
+                throw new HttpException(400, "body is no single JSON object");
             }
-        } catch (Http.Bad e) {
+        } catch (HttpException e) {
             throw e;
         } catch (JsonProcessingException e) {
-            throw new Http.Bad(400, "body is no JSON");
+            throw new HttpException(400, "body is no JSON");
         } catch (IOException e) {
-            throw new Http.Bad(400, "body is unreadable");
+            throw new HttpException(400, "body is unreadable");
         }
     }
 
     @Override
-    public void error(Http.Output out, int status, String why, long retryAfter, boolean close) {
+    public void error(HttpWriter out, int status, String why, long retryAfter, boolean close) {
         String body = "{\"error\":{\"message\":\"" + why + "\",\"code\":" + status + "}}\n";
-        Http.error(out, status, body, retryAfter, close);
+        HttpResponses.appendError(out, status, body, retryAfter, close);
     }
 
     private final class Passed extends Call {
@@ -243,34 +251,34 @@
         }
 
         @Override
-        public void begin(Http.Output out, boolean close) {
-            Http.streamHead(out, close);
+        public void begin(HttpWriter out, boolean close) {
+            HttpResponses.appendEventStreamHead(out, close);
         }
 
         @Override
-        public void event(Http.Output out, byte[] event) {
-            out.chunk(event);
+        public void event(HttpWriter out, byte[] event) {
+            out.appendChunk(event);
         }
 
         @Override
-        public void end(Http.Output out, boolean close) {
-            out.lastChunk();
+        public void end(HttpWriter out, boolean close) {
+            out.appendLastChunk();
         }
 
         @Override
-        public void broken(Http.Output out, byte[] error) {
+        public void broken(HttpWriter out, byte[] error) {
             if (error != null) {
-                out.chunk(error);
+                out.appendChunk(error);
             }
         }
 
         @Override
-        public void refused(Http.Output out, long retryAfter, boolean close) {
+        public void refused(HttpWriter out, long retryAfter, boolean close) {
             error(out, 503, "refused", retryAfter, close);
         }
 
         @Override
-        public void failed(Http.Output out, String why, boolean close) {
+        public void failed(HttpWriter out, String why, boolean close) {
             error(out, 504, why, 0, close);
         }
     }
--- a/src/main/java/magpiehub/protocol/ProtocolAdapter.java
+++ b/src/main/java/magpiehub/protocol/ProtocolAdapter.java
@@ -1,7 +1,9 @@
 package magpiehub.protocol;
 
 import java.nio.charset.StandardCharsets;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.streaming.StreamOutcomes;
 import magpiehub.streaming.Streams;
@@ -13,7 +15,7 @@
  */
 public interface ProtocolAdapter {
     /** Reads a request whose last byte has come; {@code at} is when its first byte came. */
-    Call read(Http.Head head, byte[] body, long at) throws Http.Bad;
+    Call read(HttpHead head, byte[] body, long at) throws HttpException;
 
     /** Whether {@link Call#alive} has words in this dialect. */
     default boolean tellsLife() {
@@ -21,7 +23,7 @@
     }
 
     /** A whole answer to what is no request of this dialect, or can't be taken now. */
-    void error(Http.Output out, int status, String why, long retryAfter, boolean close);
+    void error(HttpWriter out, int status, String why, long retryAfter, boolean close);
 
     /** One request of a client and its answer in the client's dialect; used from one actor's thread. */
     abstract class Call {
@@ -51,35 +53,35 @@
         }
 
         /** The head of a served answer, and what the dialect says before the first event. */
-        public abstract void begin(Http.Output out, boolean close);
+        public abstract void begin(HttpWriter out, boolean close);
 
         /** One event of the engine's stream. */
-        public abstract void event(Http.Output out, byte[] event);
+        public abstract void event(HttpWriter out, byte[] event);
 
         /** The end of a stream that is whole. */
-        public abstract void end(Http.Output out, boolean close);
+        public abstract void end(HttpWriter out, boolean close);
 
         /** The last words of a stream that broke: never its end. {@code error} is the engine's own, or
          * null. */
-        public abstract void broken(Http.Output out, byte[] error);
+        public abstract void broken(HttpWriter out, byte[] error);
 
         /** Ends in order a stream that is not whole, if what matters of it has come and this dialect has the
          *  words for it; false, with nothing written, if not. */
-        public boolean saved(Http.Output out, boolean close) {
+        public boolean saved(HttpWriter out, boolean close) {
             return false;
         }
 
         /** A sign of life between two events, by which a reader that has gone is found; false, with nothing
          *  written, where the dialect has none. */
-        public boolean alive(Http.Output out) {
+        public boolean alive(HttpWriter out) {
             return false;
         }
 
         /** Turned away; a retry is harmless. */
-        public abstract void refused(Http.Output out, long retryAfter, boolean close);
+        public abstract void refused(HttpWriter out, long retryAfter, boolean close);
 
         /** Failed. */
-        public abstract void failed(Http.Output out, String why, boolean close);
+        public abstract void failed(HttpWriter out, String why, boolean close);
     }
 
     /** Where the events of a granted stream go: the client's actor. */
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -22,7 +22,10 @@
 import magpiehub.dispatch.AttemptHandle;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.dispatch.UpstreamFleet;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpWriter;
 import magpiehub.http.Sockets;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.routing.AttemptOutcome;
@@ -259,13 +262,13 @@
                                                 + "\r\nConnection: close\r\n\r\n")
                                         .getBytes(StandardCharsets.US_ASCII));
                         sent = true;
-                        Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
-                        Http.Head h = in.await() ? in.head(false) : null;
+                        HttpReader in = new HttpReader(s.getInputStream(), clock::micros);
+                        HttpHead h = in.awaitMessage() ? in.readResponseHead() : null;
                         o = h == null
                                 ? AttemptOutcome.RESET
                                 : h.status() == 200 ? AttemptOutcome.OK : AttemptOutcome.FULL;
                         if (o == AttemptOutcome.OK && told.inProbes()) {
-                            load = load(told, new String(in.body(h), StandardCharsets.UTF_8));
+                            load = load(told, new String(in.readBody(h), StandardCharsets.UTF_8));
                         }
                     } catch (SocketTimeoutException e) {
                         o = sent ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED;
@@ -578,13 +581,13 @@
         private byte[] request(ProtocolAdapter.Call call, Attempt a) {
             // Connecting may have taken a while since this turn began: the engine is told what is left now.
             long left = Math.max(1, (a.deadlineMicros() - clock.micros()) / 1000);
-            return new Http.Output()
-                    .text("POST " + call.target + " HTTP/1.1\r\nHost: " + connectedTo
+            return new HttpWriter()
+                    .append("POST " + call.target + " HTTP/1.1\r\nHost: " + connectedTo
                             + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body.length
                             + "\r\nX-Call-Id: " + call.request.id() + "\r\nX-Budget-Ms: " + left + "\r\n")
-                    .bytes(call.headers)
-                    .text("\r\n")
-                    .bytes(call.body)
+                    .append(call.headers)
+                    .append("\r\n")
+                    .append(call.body)
                     .take();
         }
 
@@ -776,25 +779,25 @@
                 s.setTcpNoDelay(true);
                 s.connect(HostPort.toSocketAddress(to), connectTimeoutMs);
                 mailbox.post(new Connected(s));
-                Http.Input in = new Http.Input(s.getInputStream(), clock::micros);
-                for (int answers = 1; in.await(); answers++) {
+                HttpReader in = new HttpReader(s.getInputStream(), clock::micros);
+                for (int answers = 1; in.awaitMessage(); answers++) {
                     if (answers > written) {
-                        throw new Http.Bad(502, "bytes behind the answer");
+                        throw new HttpException(502, "bytes behind the answer");
                     }
                     // Guards against a head without end, which would hold the request to its deadline.
                     s.setSoTimeout((int) (HEAD / 1000));
-                    in.patience(HEAD);
-                    Http.Head h = in.head(false);
+                    in.setMessageTimeoutMicros(HEAD);
+                    HttpHead h = in.readResponseHead();
                     for (int i = 0; h.status() / 100 == 1; i++) {
                         if (i == MOST_AHEAD) {
-                            throw new Http.Bad(502, "no end of 1xx");
+                            throw new HttpException(502, "no end of 1xx");
                         }
-                        h = in.head(false);
+                        h = in.readResponseHead();
                     }
                     s.setSoTimeout(0);
-                    in.patience(Long.MAX_VALUE);
+                    in.setMessageTimeoutMicros(Long.MAX_VALUE);
                     if (h.status() == 200) {
-                        in.events(h, e -> {
+                        in.readEvents(h, e -> {
                             // An engine that is faster than its actor waits; nothing of an answer is lost
                             // by it.
                             Streams.Flow f = flow;
@@ -804,18 +807,18 @@
                                 throw new IOException("ended");
                             }
                         });
-                        mailbox.post(new End(s, !h.closes() && in.empty(), reported(h)));
+                        mailbox.post(new End(s, !h.closesConnection() && in.isBufferEmpty(), reported(h)));
                     } else {
-                        in.body(h);
+                        in.readBody(h);
                         mailbox.post(new Answered(
                                 s,
                                 h.status(),
-                                "1".equals(h.get("X-Rejected")),
-                                !h.closes() && in.empty(),
+                                "1".equals(h.headers().get("X-Rejected")),
+                                !h.closesConnection() && in.isBufferEmpty(),
                                 reported(h)));
                     }
                 }
-            } catch (Http.Bad | SocketTimeoutException e) {
+            } catch (HttpException | SocketTimeoutException e) {
                 // Connecting may time out too, and is told by its own state.
                 why = e.getMessage();
                 spoilt = true;
@@ -826,7 +829,7 @@
         }
     }
 
-    private String reported(Http.Head h) {
-        return reports.inAnswers() ? h.get(LoadReportParser.HEADER) : null;
+    private String reported(HttpHead h) {
+        return reports.inAnswers() ? h.headers().get(LoadReportParser.HEADER) : null;
     }
 }
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -24,7 +24,8 @@
 import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 
 /**
  * The proof that no thread of a router waits by looking again and again. The program runs as a process, by
@@ -161,11 +162,11 @@
 
     /** Engines: some break a stream, some answer that they are full, as the request's id says. */
     private static void engine(Socket s) throws IOException, InterruptedException {
-        Http.Input in = new Http.Input(s.getInputStream(), () -> 0);
-        while (in.await()) {
-            Http.Head h = in.head(true);
-            in.body(h);
-            int kind = h.get("X-Call-Id").hashCode() & 15;
+        HttpReader in = new HttpReader(s.getInputStream(), () -> 0);
+        while (in.awaitMessage()) {
+            HttpHead h = in.readRequestHead();
+            in.readBody(h);
+            int kind = h.headers().get("X-Call-Id").hashCode() & 15;
             if (kind == 0) {
                 say(s, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
                 continue;
@@ -196,7 +197,7 @@
             try (Socket s = new Socket()) {
                 s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 5_000);
                 s.setSoTimeout(20_000);
-                Http.Input in = new Http.Input(s.getInputStream(), () -> 0);
+                HttpReader in = new HttpReader(s.getInputStream(), () -> 0);
                 for (int k = own.nextInt(1, 6); k > 0 && !over; k--, i++) {
                     requests.incrementAndGet();
                     say(
@@ -223,24 +224,24 @@
     }
 
     /** Whether the connection goes on. */
-    private boolean answer(Http.Input in) throws IOException, InterruptedException {
-        if (!in.await()) {
+    private boolean answer(HttpReader in) throws IOException, InterruptedException {
+        if (!in.awaitMessage()) {
             return false; // Closed while it was idle, or at the end: no rule is about that here.
         }
-        Http.Head h = in.head(false);
+        HttpHead h = in.readResponseHead();
         if (h.status() == 200) {
             try {
-                in.events(h, e -> {});
+                in.readEvents(h, e -> {});
             } catch (IOException e) {
                 refused.incrementAndGet(); // Its engine broke it.
                 return false;
             }
             served.incrementAndGet();
         } else {
-            in.body(h);
+            in.readBody(h);
             refused.incrementAndGet();
         }
-        return !h.closes();
+        return !h.closesConnection();
     }
 
     // ---- The router -----------------------------------------------------------------------------------
--- a/src/test/java/magpiehub/discovery/FakeConsulServer.java
+++ b/src/test/java/magpiehub/discovery/FakeConsulServer.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.config.ConfigurationObject;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
 
 /**
  * Serves a {@link FakeRegistry}'s keys by Consul's HTTP interface, written from its public description: blocking
@@ -41,7 +41,7 @@
         byte[] body;
     }
 
-    void answer(FakeRegistryEndpoint endpoint, Http.Head head, String path, String query, byte[] body, OutputStream out)
+    void answer(FakeRegistryEndpoint endpoint, HttpHead head, String path, String query, byte[] body, OutputStream out)
             throws IOException, InterruptedException {
         if (path.startsWith("/v1/agent")) {
             answerAgent(endpoint, path, body, out);
@@ -55,9 +55,10 @@
         }
     }
 
-    private boolean isUnauthorized(FakeRegistryEndpoint endpoint, Http.Head head) {
+    private boolean isUnauthorized(FakeRegistryEndpoint endpoint, HttpHead head) {
         return endpoint.fault == FakeRegistry.Fault.UNAUTHORISED
-                || (registry.password != null && !registry.password.equals(head.get("X-Consul-Token")));
+                || (registry.password != null
+                        && !registry.password.equals(head.headers().get("X-Consul-Token")));
     }
 
     private static Map<String, String> parameters(String query) {
--- a/src/test/java/magpiehub/discovery/FakeEtcdServer.java
+++ b/src/test/java/magpiehub/discovery/FakeEtcdServer.java
@@ -14,7 +14,8 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.config.ConfigurationObject;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpWriter;
 
 /**
  * Serves a {@link FakeRegistry}'s keys by etcd's JSON gateway, written from its public description: authentication,
@@ -53,7 +54,7 @@
         }
     }
 
-    void answer(FakeRegistryEndpoint endpoint, Http.Head head, String path, byte[] body, OutputStream out)
+    void answer(FakeRegistryEndpoint endpoint, HttpHead head, String path, byte[] body, OutputStream out)
             throws IOException, InterruptedException {
         ConfigurationObject request = ConfigurationObject.parse(body, "call");
         if (path.equals("/v3/auth/authenticate")) {
@@ -97,9 +98,10 @@
         endpoint.send(out, 200, "", "{\"header\":{},\"token\":\"" + token + "\"}");
     }
 
-    private boolean isAuthorized(FakeRegistryEndpoint endpoint, Http.Head head) {
+    private boolean isAuthorized(FakeRegistryEndpoint endpoint, HttpHead head) {
         return endpoint.fault != FakeRegistry.Fault.UNAUTHORISED
-                && (registry.password == null || tokens.contains(String.valueOf(head.get("Authorization"))));
+                && (registry.password == null
+                        || tokens.contains(String.valueOf(head.headers().get("Authorization"))));
     }
 
     private static void sendError(FakeRegistryEndpoint endpoint, OutputStream out, int status, int code, String message)
@@ -285,8 +287,8 @@
             generator.writeStringField("note", "台南".repeat(10));
             generator.writeEndObject();
         });
-        Http.Output chunk = new Http.Output();
-        chunk.chunk((new String(line, UTF_8) + "\n").getBytes(UTF_8));
+        HttpWriter chunk = new HttpWriter();
+        chunk.appendChunk((new String(line, UTF_8) + "\n").getBytes(UTF_8));
         endpoint.write(out, chunk.take());
     }
 
--- a/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
@@ -11,7 +11,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.locks.LockSupport;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpWriter;
 import magpiehub.http.Sockets;
 
 /**
@@ -106,8 +108,8 @@
     private void serve(Socket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
-            Http.Input in = new Http.Input(socket.getInputStream(), () -> 0);
-            while (in.await()) {
+            HttpReader in = new HttpReader(socket.getInputStream(), () -> 0);
+            while (in.awaitMessage()) {
                 serveRequest(in, socket.getOutputStream());
             }
         } catch (IOException | InterruptedException | RuntimeException e) {
@@ -117,10 +119,10 @@
         }
     }
 
-    private void serveRequest(Http.Input in, OutputStream out) throws IOException, InterruptedException {
-        Http.Head head = in.head(true);
-        byte[] body = in.body(head);
-        String target = head.start[1];
+    private void serveRequest(HttpReader in, OutputStream out) throws IOException, InterruptedException {
+        HttpHead head = in.readRequestHead();
+        byte[] body = in.readBody(head);
+        String target = head.target();
         int mark = target.indexOf('?');
         String path = mark < 0 ? target : target.substring(0, mark);
         String query = mark < 0 ? "" : target.substring(mark + 1);
@@ -148,9 +150,9 @@
 
     /** Writes a response; {@code headers} are lines of their own, each with its end. */
     void send(OutputStream out, int status, String headers, byte[] body) throws IOException {
-        Http.Output response = new Http.Output();
-        response.text("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n");
-        response.bytes(body);
+        HttpWriter response = new HttpWriter();
+        response.append("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n");
+        response.append(body);
         write(out, response.take());
     }
 
--- a/src/test/java/magpiehub/streaming/StreamsProof.java
+++ b/src/test/java/magpiehub/streaming/StreamsProof.java
@@ -25,7 +25,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpWriter;
 import magpiehub.http.Sockets;
 
 /**
@@ -123,7 +125,7 @@
     }
 
     private static void chunk(OutputStream out, byte[] b) throws IOException {
-        out.write(new Http.Output().chunk(b).take());
+        out.write(new HttpWriter().appendChunk(b).take());
     }
 
     private void engine(ServerSocket server) {
@@ -141,11 +143,11 @@
     private void serve(Socket s) {
         String id = "";
         try (s) {
-            Http.Input in = new Http.Input(s.getInputStream(), () -> 0);
-            while (in.await()) {
-                Http.Head h = in.head(true);
-                in.body(h);
-                id = h.get("X-Call-Id");
+            HttpReader in = new HttpReader(s.getInputStream(), () -> 0);
+            while (in.awaitMessage()) {
+                HttpHead h = in.readRequestHead();
+                in.readBody(h);
+                id = h.headers().get("X-Call-Id");
                 Trouble t = Trouble.valueOf(id.substring(id.indexOf('-') + 1));
                 OutputStream out = s.getOutputStream();
                 out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
@@ -215,12 +217,12 @@
                                     + "\r\nX-Call-Class: chat\r\nX-Route-Hash: " + Integer.toHexString(id.hashCode())
                                     + "\r\nX-Budget-Ms: 8000\r\nContent-Length: 2\r\n\r\n{}")
                             .getBytes(UTF_8));
-            Http.Input in = new Http.Input(s.getInputStream(), () -> System.nanoTime() / 1000);
-            if (!in.await()) {
+            HttpReader in = new HttpReader(s.getInputStream(), () -> System.nanoTime() / 1000);
+            if (!in.awaitMessage()) {
                 cutOff.incrementAndGet();
                 return;
             }
-            Http.Head h = in.head(false);
+            HttpHead h = in.readResponseHead();
             if (h.status() != 200) {
                 refused.incrementAndGet();
                 return;
@@ -242,7 +244,7 @@
         private static final long serialVersionUID = 1L;
     }
 
-    private void read(Socket s, Http.Input in, Http.Head h, String id, Trouble t, ConcurrentLinkedQueue<Long> gaps)
+    private void read(Socket s, HttpReader in, HttpHead h, String id, Trouble t, ConcurrentLinkedQueue<Long> gaps)
             throws IOException, InterruptedException {
         if (t == Trouble.STOPS_READING || t == Trouble.BYTE_A_SECOND) {
             InputStream raw = s.getInputStream();
@@ -262,7 +264,7 @@
         long[] last = {0};
         int[] n = {0};
         try {
-            in.events(h, e -> {
+            in.readEvents(h, e -> {
                 long now = System.nanoTime();
                 if (gaps != null && last[0] != 0) {
                     gaps.add((now - last[0]) / 1000);
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -25,7 +25,8 @@
 import magpiehub.dispatch.ClientCallback;
 import magpiehub.dispatch.EndpointListSource;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 import magpiehub.protocol.PlatformProtocol;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.routing.Endpoint;
@@ -121,9 +122,9 @@
     private static void serve(ServerSocket engine, String last) throws IOException {
         engine.setSoTimeout(60_000);
         try (Socket s = engine.accept()) {
-            Http.Input in = new Http.Input(s.getInputStream(), MonotonicClock.SYSTEM::micros);
-            assertTrue(in.await());
-            in.body(in.head(true));
+            HttpReader in = new HttpReader(s.getInputStream(), MonotonicClock.SYSTEM::micros);
+            assertTrue(in.awaitMessage());
+            in.readBody(in.readRequestHead());
             String event = "data: {\"choices\":[]}\n\n";
             s.getOutputStream()
                     .write(("HTTP/1.1 200 OK\r\nConnection: close\r\n"
@@ -215,11 +216,12 @@
     private boolean take(ProtocolAdapter.Sink sink) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
-        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM::micros);
+        HttpReader in = new HttpReader(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM::micros);
         try {
-            assertTrue(in.await());
-            Http.Head head = in.head(true);
-            ProtocolAdapter.Call call = new PlatformProtocol(() -> site).read(head, in.body(head), in.firstAt());
+            assertTrue(in.awaitMessage());
+            HttpHead head = in.readRequestHead();
+            ProtocolAdapter.Call call =
+                    new PlatformProtocol(() -> site).read(head, in.readBody(head), in.messageStartMicros());
             call.sink(sink);
             return module.submit(call.request, client, call, 2);
         } catch (IOException e) {
