--- /dev/null
+++ b/src/test/java/magpiehub/http/HttpErrors.java
@@ -0,0 +1,17 @@
+package magpiehub.http;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import org.junit.jupiter.api.function.Executable;
+
+/** Assertions on failures to read a message. */
+final class HttpErrors {
+    private HttpErrors() {}
+
+    /** Asserts that an action fails with an {@link HttpException} of a status and a message. */
+    static void assertFails(int status, String message, Executable action) {
+        HttpException e = assertThrows(HttpException.class, action);
+        assertEquals(status + " " + message, e.status() + " " + e.getMessage());
+    }
+}
