--- a/src/main/java/magpiehub/http/HttpException.java
+++ b/src/main/java/magpiehub/http/HttpException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * An exchange that fails with an HTTP error status. Thrown for a message that is malformed, whose end is ambiguous or
- * that exceeds a limit; the bytes that follow on its connection can't be interpreted, so the connection is to be closed.
+ * A message that fails with an HTTP error status. The reader throws it for a message that is malformed, whose end is
+ * ambiguous or that exceeds a limit: the bytes that follow can't be interpreted, so the connection is to be closed.
  */
 public final class HttpException extends IOException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/magpiehub/http/HttpHeaders.java
+++ b/src/main/java/magpiehub/http/HttpHeaders.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * The value of a header that may occur once only; null if there is none. Two implementations could take the value of
-     * a repeated header from different places, so it is answered with status 400.
+     * The value of a header that may occur once only; null if there is none. Implementations could take the value of a
+     * repeated header from different places, so it is answered with status 400.
      */
     public String getSingle(String name) throws HttpException {
         if (count(name) > 1) {
