--- a/src/main/java/magpiehub/http/HttpLimits.java
+++ b/src/main/java/magpiehub/http/HttpLimits.java
@@ -5,7 +5,7 @@
  */
 public final class HttpLimits {
     /** Start line and headers of a message together. Larger ones are answered with status 431. */
-    public static final int MAX_HEAD_BYTES = 16 * 1024;
+    static final int MAX_HEAD_BYTES = 16 * 1024;
 
     /** A body that is read at once, and an event of a streamed one. Larger ones are answered with 413 and 502. */
     public static final int MAX_BODY_BYTES = 256 * 1024;
@@ -19,8 +19,5 @@
     /** A chunk, unless set otherwise for a connection. No replica sends one so large: its size is corrupt. */
     static final int MAX_CHUNK_BYTES = 4 * MAX_BODY_BYTES;
 
-    /** A line of a body that is read by lines, unless given otherwise. */
-    static final int MAX_LINE_BYTES = 4 * MAX_BODY_BYTES;
-
     private HttpLimits() {}
 }
--- a/src/main/java/magpiehub/http/HttpReader.java
+++ b/src/main/java/magpiehub/http/HttpReader.java
@@ -113,11 +113,6 @@
         splitter.finish();
     }
 
-    /** Reads a chunked body by lines, as {@link #readLines(HttpHead, EventHandler, int)} with the ordinary limit. */
-    public void readLines(HttpHead head, EventHandler handler) throws IOException, InterruptedException {
-        readLines(head, handler, HttpLimits.MAX_LINE_BYTES);
-    }
-
     /**
      * Reads a chunked body by lines, each passed on without its line feed. A line that the end of the body cuts off is
      * dropped. A body that is not chunked is passed on as a whole.
--- a/src/main/java/magpiehub/http/HttpWriter.java
+++ b/src/main/java/magpiehub/http/HttpWriter.java
@@ -16,11 +16,6 @@
         return buffer.length();
     }
 
-    /** Appends one byte. */
-    public void appendByte(int value) {
-        buffer.append(value);
-    }
-
     /** Appends a part of an array. */
     public HttpWriter append(byte[] source, int offset, int count) {
         buffer.append(source, offset, count);
