--- a/src/main/java/magpiehub/downstream/ClientExchange.java
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -1,7 +1,7 @@
 package magpiehub.downstream;
 
 import magpiehub.dispatch.ClientCallback;
-import magpiehub.http.Http;
+import magpiehub.http.HttpWriter;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.streaming.StreamOutcomes.Ending;
 import magpiehub.streaming.Streams;
@@ -86,18 +86,18 @@
      * Writes the head of a response stream. The state changes first: if writing fails half-way, no error response may
      * follow.
      */
-    void writeHead(Http.Output out, boolean lastAnswer) {
+    void writeHead(HttpWriter out, boolean lastAnswer) {
         state = state.started();
         call.begin(out, lastAnswer);
     }
 
     /** Writes an event of the stream. */
-    void writeEvent(Http.Output out, byte[] event) {
+    void writeEvent(HttpWriter out, byte[] event) {
         call.event(out, event);
     }
 
     /** Writes the end of a complete stream. */
-    void writeEnd(Http.Output out, boolean lastAnswer) {
+    void writeEnd(HttpWriter out, boolean lastAnswer) {
         call.end(out, lastAnswer);
     }
 
@@ -106,12 +106,12 @@
      *
      * @return false, with nothing written, if that is not so
      */
-    boolean writeIncompleteEnd(Http.Output out, boolean lastAnswer) {
+    boolean writeIncompleteEnd(HttpWriter out, boolean lastAnswer) {
         return isResponding() && call.saved(out, lastAnswer);
     }
 
     /** Writes what says that the stream broke, never its end; the connection has to be closed afterwards. */
-    void writeBroken(Http.Output out, byte[] error) {
+    void writeBroken(HttpWriter out, byte[] error) {
         if (isResponding()) {
             call.broken(out, error);
         } else {
@@ -120,17 +120,17 @@
     }
 
     /** Writes the answer to a rejected request. */
-    void writeRejection(Http.Output out, long retryAfterMicros, boolean lastAnswer) {
+    void writeRejection(HttpWriter out, long retryAfterMicros, boolean lastAnswer) {
         call.refused(out, retryAfterMicros, lastAnswer);
     }
 
     /** Writes the answer to a failed request. */
-    void writeFailure(Http.Output out, String reason, boolean lastAnswer) {
+    void writeFailure(HttpWriter out, String reason, boolean lastAnswer) {
         call.failed(out, reason, lastAnswer);
     }
 
     /** Writes a sign of life, where the dialect has one and the response has begun. */
-    void writeKeepAlive(Http.Output out) {
+    void writeKeepAlive(HttpWriter out) {
         if (isResponding()) {
             call.alive(out);
         }
--- a/src/main/java/magpiehub/downstream/ClientRequestReader.java
+++ b/src/main/java/magpiehub/downstream/ClientRequestReader.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import magpiehub.http.Http;
+import magpiehub.http.BodyFraming;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 
 /**
  * The reading side of one connection: parses requests and posts them to the connection's actor. {@link #run} occupies a
@@ -40,8 +43,8 @@
         boolean halfClosed = false;
         try {
             halfClosed = readRequests() && mayKeepReading();
-        } catch (Http.Bad e) {
-            connection.post(new ClientMessage.MalformedRequest(e.status, e.getMessage()), 0);
+        } catch (HttpException e) {
+            connection.post(new ClientMessage.MalformedRequest(e.status(), e.getMessage()), 0);
             discardInput();
         } catch (SocketTimeoutException e) {
             connection.post(new ClientMessage.MalformedRequest(REQUEST_TIMED_OUT, "request incomplete"), 0);
@@ -68,9 +71,9 @@
 
     /** Returns true at the end of the input, and false if the connection was cut since its mailbox was full. */
     private boolean readRequests() throws IOException {
-        Http.Input in = new Http.Input(socket.getInputStream(), services.clock()::micros);
-        in.patience(REQUEST_TIMEOUT_MICROS);
-        while (in.await()) {
+        HttpReader in = new HttpReader(socket.getInputStream(), services.clock());
+        in.setMessageTimeoutMicros(REQUEST_TIMEOUT_MICROS);
+        while (in.awaitMessage()) {
             connection.setReceiving(true);
             socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             if (!readRequest(in)) {
@@ -82,18 +85,19 @@
     }
 
     /** Reads a request and posts it; false if the mailbox did not take it. */
-    private boolean readRequest(Http.Input in) throws IOException {
-        Http.Head head = in.head(true);
-        int bodyBytes = Http.Input.announced(head);
+    private boolean readRequest(HttpReader in) throws IOException {
+        HttpHead head = in.readRequestHead();
+        int bodyBytes = BodyFraming.maxBodyBytes(head);
         if (!services.bodyBudget().tryReserve(bodyBytes)) {
             services.eventLog().count("requests_shed");
-            throw new Http.Bad(UNAVAILABLE, "no room");
+            throw new HttpException(UNAVAILABLE, "no room");
         }
         boolean posted = false;
         try {
-            byte[] body = in.body(head);
+            byte[] body = in.readBody(head);
             socket.setSoTimeout(NO_TIMEOUT);
-            posted = connection.postRequest(new ClientMessage.RequestReceived(head, body, in.firstAt(), bodyBytes));
+            posted = connection.postRequest(
+                    new ClientMessage.RequestReceived(head, body, in.messageStartMicros(), bodyBytes));
             connection.setReceiving(false);
         } finally {
             if (!posted) {
--- a/src/main/java/magpiehub/downstream/StatusResources.java
+++ b/src/main/java/magpiehub/downstream/StatusResources.java
@@ -3,7 +3,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import magpiehub.http.Http;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpWriter;
 
 /** The resources for load balancers and operators: {@code /up}, the readiness, and {@code /counters}. Any thread. */
 final class StatusResources {
@@ -31,13 +32,13 @@
     }
 
     /** Writes the complete answer to a request for one of the resources. */
-    void answer(Http.Output out, String method, String path, boolean lastAnswer) {
+    void answer(HttpWriter out, String method, String path, boolean lastAnswer) {
         boolean bodyWanted = !method.equals("HEAD");
         boolean methodAllowed = method.equals("GET") || !bodyWanted;
         int status = methodAllowed ? status(path) : METHOD_NOT_ALLOWED;
         String text = path.equals(COUNTERS_PATH) ? counters.get() : status == OK ? "up\n" : "not ready\n";
         byte[] body = bodyWanted ? text.getBytes(StandardCharsets.UTF_8) : new byte[0];
-        Http.answer(out, status, CONTENT_TYPE, body, lastAnswer);
+        HttpResponses.append(out, status, CONTENT_TYPE, body, lastAnswer);
     }
 
     private int status(String path) {
