--- a/src/main/java/magpiehub/discovery/EndpointListPublisher.java
+++ b/src/main/java/magpiehub/discovery/EndpointListPublisher.java
@@ -59,15 +59,16 @@
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
             Set<String> ids = new HashSet<>(entries.size() * 2);
             entries.forEach(entry -> ids.add(entry.endpoint().id()));
-            upstreams.only(ids);
+            upstreams.retainEndpoints(ids);
         }
         for (EndpointEntry entry : entries) {
             Endpoint endpoint = entry.endpoint();
-            upstreams.place(
-                    endpoint.id(),
-                    entry.address(),
-                    endpoint.state() == EndpointState.LIVE,
-                    endpoint.state() == EndpointState.DEAD);
+            if (endpoint.state() == EndpointState.DEAD) {
+                upstreams.removeEndpoint(endpoint.id());
+            } else {
+                boolean acceptsRequests = endpoint.state() == EndpointState.LIVE;
+                upstreams.updateEndpoint(endpoint.id(), entry.address(), acceptsRequests);
+            }
         }
         dispatcher.updateEndpoints(
                 kind, entries.stream().map(EndpointEntry::endpoint).toList());
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -175,7 +175,7 @@
         ZoneHealth zoneHealth = failoverPlan == null ? new ConnectFailureZoneHealth() : failoverPlan;
         RequestDispatcher created = new RequestDispatcher(
                 configuration.site().routing(), configuration.seed(), clock, upstreams, discovery, log, zoneHealth);
-        upstreams.module(created);
+        upstreams.setDispatcher(created);
         return created;
     }
 
@@ -206,7 +206,7 @@
     private void applySettings(SiteSettings later) throws IOException {
         SiteSettings next = site.get().updatedTo(later);
         streams.settings(readStreamLimits(next), next);
-        upstreams.settings(next);
+        upstreams.updateSettings(next);
         dispatcher.updateSettings(next.routing());
         // Last: the other parts then know every class and tenant that the protocols name by index.
         site.set(next);
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -91,12 +91,12 @@
         this.streams = streams;
         this.clock = clock;
         this.journal = journal;
-        settings(site);
+        updateSettings(site);
         this.most = most;
     }
 
     /** What the settings say of engines, from now on. Any thread. */
-    public final void settings(SiteSettings site) {
+    public final void updateSettings(SiteSettings site) {
         connectTimeoutMs = (int) Math.max(1, site.routing().limits().connectTimeout() / 1000);
         retireAfter = Math.max(1, (long) (site.idleCloseMicros() * RETIRE_AT));
         resume = site.routing().resumesStreams();
@@ -104,7 +104,7 @@
     }
 
     /** Names the module's actor; before anything else is called. */
-    public void module(RequestDispatcher actor) {
+    public void setDispatcher(RequestDispatcher actor) {
         this.module = actor;
     }
 
@@ -130,20 +130,25 @@
                 .start();
     }
 
-    /** Discovery's word on one engine, before the module hears of it. Any thread. */
-    public void place(String id, String hostPort, boolean takes, boolean gone) {
-        if (gone) {
-            // Guards against growing with each engine that there ever was.
-            places.remove(id);
-            streams.gone(id);
-            return;
-        }
+    /**
+     * Sets where an endpoint listens and whether it accepts requests; to be called before the dispatcher hears of it.
+     * Without an address the one known so far stays. Any thread.
+     */
+    public void updateEndpoint(String id, String hostPort, boolean acceptsRequests) {
         places.compute(
-                id, (k, old) -> new Place(hostPort != null ? hostPort : old == null ? null : old.hostPort, takes));
+                id,
+                (k, old) ->
+                        new Place(hostPort != null ? hostPort : old == null ? null : old.hostPort, acceptsRequests));
+    }
+
+    /** Forgets an endpoint that is gone: the table would grow with each one that there ever was. Any thread. */
+    public void removeEndpoint(String id) {
+        places.remove(id);
+        streams.gone(id);
     }
 
     /** Engines that a whole list does not name are gone. */
-    public void only(Set<String> ids) {
+    public void retainEndpoints(Set<String> ids) {
         places.keySet().retainAll(ids);
         streams.only(ids);
     }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -188,7 +188,7 @@
         engines.start();
         discovery = new PlatformDiscovery("127.0.0.1:" + d.server.getLocalPort(), () -> site, engines, clock, log, 7);
         actor = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
-        engines.module(actor);
+        engines.setDispatcher(actor);
         ProtocolAdapter front = messages
                 ? new MessagesProtocol(() -> site, new MessagesProtocol.Options("", "chat", "", Map.of()), null)
                 : new PlatformProtocol(() -> site);
--- a/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
@@ -102,7 +102,7 @@
                 new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, clock, timedLog));
         client = new RegistryClient(settings, () -> site, upstreams, clock, timedLog, seed);
         RequestDispatcher dispatcher = new RequestDispatcher(site.routing(), seed, clock, upstreams, client, timedLog);
-        upstreams.module(dispatcher);
+        upstreams.setDispatcher(dispatcher);
         client.observe(this);
         client.start(dispatcher, null);
         DaemonThreads.newThread("module", dispatcher::run).start();
--- a/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -52,7 +52,7 @@
                         DaemonThreads.newThread("reader", read).start();
                     });
             RequestDispatcher module = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
-            engines.module(module);
+            engines.setDispatcher(module);
             discovery.start(module, null);
             Thread thread = DaemonThreads.newThread("module", module::run);
             thread.start();
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -204,11 +204,11 @@
         streams = new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
         UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
         module = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, engines, roster, log);
-        engines.module(module);
+        engines.setDispatcher(module);
         thread = DaemonThreads.newThread("module", module::run);
         thread.start();
         module.updateEndpoints(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
-        engines.place("e", "127.0.0.1:" + engine.getLocalPort(), takes, false);
+        engines.updateEndpoint("e", "127.0.0.1:" + engine.getLocalPort(), takes);
     }
 
     /** A request, always with the same id; false if the module has no room for it. */
