--- /dev/null
+++ b/src/main/java/magpiehub/upstream/HealthProbe.java
@@ -0,0 +1,85 @@
+package magpiehub.upstream;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+import magpiehub.config.HostPort;
+import magpiehub.http.Http;
+import magpiehub.routing.AttemptOutcome;
+import magpiehub.routing.LoadReport;
+
+/**
+ * One health check on a connection of its own, which blocks its thread until it has reported the result to the
+ * dispatcher. Where the site has load reports, the check requests one.
+ */
+final class HealthProbe implements Runnable {
+    private static final int READ_TIMEOUT_MILLIS = 1000;
+    private static final int STATUS_OK = 200;
+
+    private final UpstreamContext context;
+    private final String endpointId;
+    private final long sentAtMicros;
+    /** Whether the request was written; a failure before that is one to connect. */
+    private boolean sent;
+
+    private LoadReport load;
+
+    HealthProbe(UpstreamContext context, String endpointId, long sentAtMicros) {
+        this.context = context;
+        this.endpointId = endpointId;
+        this.sentAtMicros = sentAtMicros;
+    }
+
+    @Override
+    public void run() {
+        AttemptOutcome outcome;
+        LoadReportParser loadReports = context.settings().loadReports();
+        try (Socket socket = new Socket()) {
+            outcome = exchange(socket, loadReports);
+        } catch (SocketTimeoutException e) {
+            outcome = sent ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED;
+        } catch (IOException | RuntimeException e) {
+            outcome = sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
+        }
+        context.dispatcher().probeCompleted(endpointId, outcome, sentAtMicros, load);
+    }
+
+    private AttemptOutcome exchange(Socket socket, LoadReportParser loadReports) throws IOException {
+        connect(socket);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+        String request = request(loadReports.isInProbes() ? "/metrics/load" : "/alive");
+        socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+        sent = true;
+        Http.Input input = new Http.Input(socket.getInputStream(), context.clock()::micros);
+        if (!input.await()) {
+            return AttemptOutcome.RESET;
+        }
+        Http.Head head = input.head(false);
+        if (head.status() != STATUS_OK) {
+            return AttemptOutcome.FULL;
+        }
+        if (loadReports.isInProbes()) {
+            String body = new String(input.body(head), StandardCharsets.UTF_8);
+            load = context.parseLoadReport(loadReports, body);
+        }
+        return AttemptOutcome.OK;
+    }
+
+    private void connect(Socket socket) throws IOException {
+        UpstreamEndpoint endpoint = context.endpoints().find(endpointId);
+        if (endpoint == null || endpoint.hostPort() == null) {
+            throw new IOException("no address");
+        }
+        socket.setTcpNoDelay(true);
+        socket.connect(
+                HostPort.toSocketAddress(endpoint.hostPort()),
+                context.settings().connectTimeoutMillis());
+    }
+
+    private String request(String target) {
+        return "GET " + target
+                + " HTTP/1.1\r\nHost: " + context.endpoints().find(endpointId).hostPort()
+                + "\r\nConnection: close\r\n\r\n";
+    }
+}
--- a/src/main/java/magpiehub/upstream/LoadReportParser.java
+++ b/src/main/java/magpiehub/upstream/LoadReportParser.java
@@ -7,80 +7,99 @@
 import magpiehub.routing.LoadReport;
 
 /**
- * Engines' load reports as the wire has them: a header of an answer, a comment at a stream's end, the body
- * of a probe. It owns their form and the fields that the settings name. It must never harm an answer: what
- * can't be read, lacks a field, or holds one that is negative or no number is no report.
+ * Parses the load reports of upstreams, which come in a response header, in a comment at the end of a stream, or in
+ * the body of a health check's response. A report that can't be parsed, lacks a field, or has a negative or infinite
+ * value counts as none; it never harms the response that carries it.
+ *
+ * <p>Immutable.
  */
 final class LoadReportParser {
+    /** The name of the response header, which also begins the comment. */
     static final String HEADER = "X-Load-Report";
-    private static final byte[] COMMENT = (": " + HEADER + ":").getBytes(StandardCharsets.US_ASCII);
-    private static final int LONGEST = 1024;
 
-    private final LoadReportSettings said;
+    private static final byte[] COMMENT_PREFIX = (": " + HEADER + ":").getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_LENGTH = 1024;
 
-    LoadReportParser(LoadReportSettings said) {
-        this.said = said;
+    private final LoadReportSettings settings;
+
+    LoadReportParser(LoadReportSettings settings) {
+        this.settings = settings;
     }
 
-    /** Whether answers carry reports; where they don't, nothing is looked for. */
-    boolean inAnswers() {
-        return said.inResponses();
+    /** Whether responses carry reports; if not, they are not searched for any. */
+    boolean isInResponses() {
+        return settings.inResponses();
     }
 
-    /** Whether a probe brings one. */
-    boolean inProbes() {
-        return !said.fields().isEmpty();
+    /** Whether the response to a health check carries a report. */
+    boolean isInProbes() {
+        return !settings.fields().isEmpty();
     }
 
-    /** The report in a header's value or a body; null if there is none. */
-    LoadReport read(String json) {
-        if (json == null || json.length() > LONGEST) {
+    /** Parses the value of a header or comment, or a body; null if it is no valid report. */
+    LoadReport parse(String json) {
+        if (json == null || json.length() > MAX_LENGTH) {
             return null;
         }
         try {
-            ConfigurationObject f = ConfigurationObject.parse(json.getBytes(StandardCharsets.UTF_8), "report");
-            for (String name : said.fields()) {
-                if (!(f.number(name, Double.NaN) >= 0) || Double.isInfinite(f.number(name, 0))) {
-                    return null;
-                }
-            }
-            return new LoadReport(
-                    value(f, "inflight"),
-                    value(f, "queue"),
-                    value(f, "util"),
-                    value(f, "latency_ms"),
-                    value(f, "qps"),
-                    value(f, "eps"),
-                    value(f, "x0"),
-                    value(f, "x1"));
+            ConfigurationObject report = ConfigurationObject.parse(json.getBytes(StandardCharsets.UTF_8), "report");
+            return hasAllFields(report) ? toLoadReport(report) : null;
         } catch (IOException | RuntimeException | StackOverflowError e) {
             return null;
         }
     }
 
-    private double value(ConfigurationObject f, String name) {
-        return said.fields().contains(name) ? f.number(name, Double.NaN) : Double.NaN;
+    private boolean hasAllFields(ConfigurationObject report) {
+        for (String name : settings.fields()) {
+            boolean isNumber = report.number(name, Double.NaN) >= 0;
+            if (!isNumber || Double.isInfinite(report.number(name, 0))) {
+                return false;
+            }
+        }
+        return true;
     }
 
-    /** The text of the report in the comment lines of an event; null if it has none. */
-    static String comment(byte[] event) {
-        for (int line = 0; line < event.length; ) {
-            int end = line;
-            while (end < event.length && event[end] != '\n' && event[end] != '\r') {
-                end++;
-            }
-            if (end - line > COMMENT.length && starts(event, line)) {
-                int from = line + COMMENT.length;
-                return new String(event, from, end - from, StandardCharsets.UTF_8).strip();
+    private LoadReport toLoadReport(ConfigurationObject report) {
+        return new LoadReport(
+                value(report, "inflight"),
+                value(report, "queue"),
+                value(report, "util"),
+                value(report, "latency_ms"),
+                value(report, "qps"),
+                value(report, "eps"),
+                value(report, "x0"),
+                value(report, "x1"));
+    }
+
+    /** A field's value; NaN if the site's settings do not name it. */
+    private double value(ConfigurationObject report, String name) {
+        return settings.fields().contains(name) ? report.number(name, Double.NaN) : Double.NaN;
+    }
+
+    /** Returns the text of the report in the comment lines of a stream's event, or null if it has none. */
+    static String findInComments(byte[] event) {
+        for (int lineStart = 0; lineStart < event.length; ) {
+            int lineEnd = lineEnd(event, lineStart);
+            if (lineEnd - lineStart > COMMENT_PREFIX.length && hasPrefixAt(event, lineStart)) {
+                int textStart = lineStart + COMMENT_PREFIX.length;
+                return new String(event, textStart, lineEnd - textStart, StandardCharsets.UTF_8).strip();
             }
-            line = end + 1;
+            lineStart = lineEnd + 1;
         }
         return null;
     }
 
-    private static boolean starts(byte[] event, int at) {
-        for (int i = 0; i < COMMENT.length; i++) {
-            if (event[at + i] != COMMENT[i]) {
+    private static int lineEnd(byte[] event, int lineStart) {
+        int position = lineStart;
+        while (position < event.length && event[position] != '\n' && event[position] != '\r') {
+            position++;
+        }
+        return position;
+    }
+
+    private static boolean hasPrefixAt(byte[] event, int position) {
+        for (int i = 0; i < COMMENT_PREFIX.length; i++) {
+            if (event[position + i] != COMMENT_PREFIX[i]) {
                 return false;
             }
         }
--- /dev/null
+++ b/src/main/java/magpiehub/upstream/ResponseReader.java
@@ -0,0 +1,126 @@
+package magpiehub.upstream;
+
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import magpiehub.config.HostPort;
+import magpiehub.http.Http;
+import magpiehub.streaming.Streams;
+
+/**
+ * Connects one socket and reads responses from it until it ends, on a thread that blocks. It posts what it reads to
+ * the connection, decides nothing, and never writes or closes; the last message it posts is {@link
+ * ConnectionMessage.ConnectionLost}.
+ */
+final class ResponseReader implements Runnable {
+    /** How long the head of a response may take from its first byte, which comes with the first token. */
+    private static final long HEAD_TIMEOUT_MICROS = 1_000_000;
+
+    private static final int HEAD_TIMEOUT_MILLIS = (int) (HEAD_TIMEOUT_MICROS / 1000);
+    /** Informational responses (1xx) that may precede a response. */
+    private static final int MAX_INFORMATIONAL = 8;
+
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_BAD_GATEWAY = 502;
+
+    private final UpstreamContext context;
+    private final UpstreamConnection connection;
+    private final Socket socket;
+    private final String hostPort;
+
+    ResponseReader(UpstreamContext context, UpstreamConnection connection, Socket socket, String hostPort) {
+        this.context = context;
+        this.connection = connection;
+        this.socket = socket;
+        this.hostPort = hostPort;
+    }
+
+    @Override
+    public void run() {
+        String reason = "ended";
+        boolean malformed = false;
+        try {
+            connect();
+            readResponses();
+        } catch (Http.Bad | SocketTimeoutException e) {
+            // A timeout of connect lands here too; the connection knows by its own state that it was connecting.
+            reason = e.getMessage();
+            malformed = true;
+        } catch (IOException | InterruptedException | RuntimeException | OutOfMemoryError e) {
+            reason = e.toString();
+        }
+        connection.post(new ConnectionMessage.ConnectionLost(socket, reason, malformed));
+    }
+
+    private void connect() throws IOException {
+        socket.setTcpNoDelay(true);
+        socket.connect(HostPort.toSocketAddress(hostPort), context.settings().connectTimeoutMillis());
+        connection.post(new ConnectionMessage.Connected(socket));
+    }
+
+    private void readResponses() throws IOException, InterruptedException {
+        Http.Input input = new Http.Input(socket.getInputStream(), context.clock()::micros);
+        for (int responses = 1; input.await(); responses++) {
+            if (responses > connection.requestsWritten()) {
+                throw new Http.Bad(STATUS_BAD_GATEWAY, "bytes behind the answer");
+            }
+            Http.Head head = readHead(input);
+            if (head.status() == STATUS_OK) {
+                readStream(input, head);
+            } else {
+                readErrorResponse(input, head);
+            }
+        }
+    }
+
+    /** Reads a head in limited time: one without end would hold the request until its deadline. */
+    private Http.Head readHead(Http.Input input) throws IOException {
+        socket.setSoTimeout(HEAD_TIMEOUT_MILLIS);
+        input.patience(HEAD_TIMEOUT_MICROS);
+        Http.Head head = input.head(false);
+        for (int informational = 0; isInformational(head); informational++) {
+            if (informational == MAX_INFORMATIONAL) {
+                throw new Http.Bad(STATUS_BAD_GATEWAY, "no end of 1xx");
+            }
+            head = input.head(false);
+        }
+        socket.setSoTimeout(0);
+        input.patience(Long.MAX_VALUE);
+        return head;
+    }
+
+    private static boolean isInformational(Http.Head head) {
+        return head.status() / 100 == 1;
+    }
+
+    private void readStream(Http.Input input, Http.Head head) throws IOException, InterruptedException {
+        input.events(head, this::postEvent);
+        connection.post(new ConnectionMessage.StreamCompleted(socket, isReusable(input, head), loadReport(head)));
+    }
+
+    /** Waits while the connection is behind: an upstream that is faster than its actor loses nothing by it. */
+    private void postEvent(byte[] event) throws IOException, InterruptedException {
+        Streams streams = context.streams();
+        Streams.Flow flow = connection.flow();
+        streams.came(flow, event.length);
+        if (!connection.postBlocking(new ConnectionMessage.EventReceived(socket, event, flow), event.length)) {
+            streams.dropped(flow, event.length);
+            throw new IOException("ended");
+        }
+    }
+
+    private void readErrorResponse(Http.Input input, Http.Head head) throws IOException {
+        input.body(head);
+        connection.post(new ConnectionMessage.ErrorResponse(
+                socket, head.status(), "1".equals(head.get("X-Rejected")), isReusable(input, head), loadReport(head)));
+    }
+
+    /** Whether the connection may serve another request: it stays open, and no bytes follow the response. */
+    private static boolean isReusable(Http.Input input, Http.Head head) {
+        return !head.closes() && input.empty();
+    }
+
+    private String loadReport(Http.Head head) {
+        return context.settings().loadReports().isInResponses() ? head.get(LoadReportParser.HEADER) : null;
+    }
+}
--- a/src/main/java/magpiehub/upstream/StreamEvent.java
+++ b/src/main/java/magpiehub/upstream/StreamEvent.java
@@ -4,33 +4,21 @@
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
+import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.protocol.ProtocolAdapter;
 
 /**
- * What one event of an engine's stream tells the router: an error, the tokens found in the engine's cache, or
- * the end. An event is the bytes between two empty lines, and passes on to the client as it came.
+ * What the router reads from one server-sent event of an upstream's response stream. An event is the bytes between two
+ * empty lines and is forwarded to the client as it came. Most events have nothing to be read, so that the bytes are
+ * searched for a word before anything is decoded.
  */
 final class StreamEvent {
-    /** The most of an event that is logged (bytes). */
-    private static final int MOST_LOGGED = 120;
+    /** Bytes of an event that are logged at most. */
+    private static final int MAX_LOGGED_BYTES = 120;
 
     private StreamEvent() {}
 
-    private static boolean contains(byte[] b, String word) {
-        int n = word.length();
-        outer:
-        for (int i = 0; i + n <= b.length; i++) {
-            for (int j = 0; j < n; j++) {
-                if (b[i + j] != word.charAt(j)) {
-                    continue outer;
-                }
-            }
-            return true;
-        }
-        return false;
-    }
-
-    /** An error told inside a stream: its name says so, or its data is an object that begins with one. */
+    /** Whether the event reports an error: its name says so, or its data is an object that begins with one. */
     static boolean isError(byte[] event) {
         if (!contains(event, "error")) {
             return false;
@@ -41,32 +29,55 @@
                 || ProtocolAdapter.data(event).replace(" ", "").startsWith("{\"error\"");
     }
 
-    /** An event of the engines' dialect, or a comment. */
-    static boolean known(byte[] event) {
+    /** Whether it is a comment or an event of the dialect that upstreams speak. */
+    static boolean isKnown(byte[] event) {
         return event.length == 0
-                || event[0] == ':'
+                || isComment(event)
                 || contains(event, "\"choices\"")
                 || ProtocolAdapter.data(event).equals("[DONE]");
     }
 
-    /** Prompt tokens found kept, where the event tells it; else -1. */
-    static long kept(byte[] event) {
+    /** Whether a comment begins the event, which must not be empty. */
+    static boolean isComment(byte[] event) {
+        return event[0] == ':';
+    }
+
+    /** The prompt tokens that the upstream had in its cache, or {@link RequestDispatcher#CACHED_TOKENS_UNKNOWN}. */
+    static long cachedTokens(byte[] event) {
         if (!contains(event, "\"cached_tokens\"")) {
-            return -1;
+            return RequestDispatcher.CACHED_TOKENS_UNKNOWN;
         }
         try {
-            return (long)
-                    ConfigurationObject.parse(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event")
-                            .object("usage")
-                            .object("prompt_tokens_details")
-                            .number("cached_tokens", -1);
+            byte[] data = ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8);
+            return (long) ConfigurationObject.parse(data, "event")
+                    .object("usage")
+                    .object("prompt_tokens_details")
+                    .number("cached_tokens", RequestDispatcher.CACHED_TOKENS_UNKNOWN);
         } catch (IOException | ConfigurationException e) {
-            return -1; // An answer's text may hold the word too.
+            return RequestDispatcher.CACHED_TOKENS_UNKNOWN; // The response's text may contain the word too.
+        }
+    }
+
+    /** The beginning of the event, for the log. */
+    static String excerpt(byte[] event) {
+        return new String(event, 0, Math.min(event.length, MAX_LOGGED_BYTES), StandardCharsets.UTF_8).strip();
+    }
+
+    private static boolean contains(byte[] event, String word) {
+        for (int start = 0; start + word.length() <= event.length; start++) {
+            if (hasWordAt(event, start, word)) {
+                return true;
+            }
         }
+        return false;
     }
 
-    /** The event's beginning, for the log. */
-    static String brief(byte[] event) {
-        return new String(event, 0, Math.min(event.length, MOST_LOGGED), StandardCharsets.UTF_8).strip();
+    private static boolean hasWordAt(byte[] event, int start, String word) {
+        for (int i = 0; i < word.length(); i++) {
+            if (event[start + i] != word.charAt(i)) {
+                return false;
+            }
+        }
+        return true;
     }
 }
--- /dev/null
+++ b/src/main/java/magpiehub/upstream/UpstreamContext.java
@@ -0,0 +1,65 @@
+package magpiehub.upstream;
+
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.SiteSettings;
+import magpiehub.dispatch.RequestDispatcher;
+import magpiehub.routing.LoadReport;
+import magpiehub.streaming.Streams;
+import magpiehub.telemetry.EventLog;
+
+/** What the pool, its connections, their readers and the health checks share. Any thread. */
+final class UpstreamContext {
+    private final MonotonicClock clock;
+    private final EventLog eventLog;
+    private final Streams streams;
+    private final UpstreamEndpoints endpoints = new UpstreamEndpoints();
+    private volatile UpstreamSettings settings;
+    /** Set once, before the threads that use it are started. */
+    private RequestDispatcher dispatcher;
+
+    UpstreamContext(SiteSettings site, MonotonicClock clock, EventLog eventLog, Streams streams) {
+        this.clock = clock;
+        this.eventLog = eventLog;
+        this.streams = streams;
+        this.settings = UpstreamSettings.of(site);
+    }
+
+    MonotonicClock clock() {
+        return clock;
+    }
+
+    EventLog eventLog() {
+        return eventLog;
+    }
+
+    Streams streams() {
+        return streams;
+    }
+
+    UpstreamEndpoints endpoints() {
+        return endpoints;
+    }
+
+    UpstreamSettings settings() {
+        return settings;
+    }
+
+    void updateSettings(SiteSettings site) {
+        settings = UpstreamSettings.of(site);
+    }
+
+    RequestDispatcher dispatcher() {
+        return dispatcher;
+    }
+
+    void setDispatcher(RequestDispatcher requestDispatcher) {
+        dispatcher = requestDispatcher;
+    }
+
+    /** Parses a load report and counts whether it could be read; null if it could not. */
+    LoadReport parseLoadReport(LoadReportParser parser, String json) {
+        LoadReport report = parser.parse(json);
+        eventLog.count(report == null ? "load_reports_unreadable" : "load_reports");
+        return report;
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/upstream/UpstreamRequest.java
@@ -0,0 +1,29 @@
+package magpiehub.upstream;
+
+import magpiehub.http.Http;
+import magpiehub.protocol.ProtocolAdapter;
+
+/** Encodes the HTTP request that an upstream is sent for an attempt. */
+final class UpstreamRequest {
+    private static final long MICROS_PER_MILLI = 1000;
+
+    private UpstreamRequest() {}
+
+    /**
+     * Returns the request's bytes.
+     *
+     * @param hostPort the upstream's address
+     * @param timeLeftMicros the time until the attempt's deadline; the upstream is told 1 ms at least
+     */
+    static byte[] encode(ProtocolAdapter.Call call, String hostPort, long timeLeftMicros) {
+        long timeLeftMillis = Math.max(1, timeLeftMicros / MICROS_PER_MILLI);
+        return new Http.Output()
+                .text("POST " + call.target + " HTTP/1.1\r\nHost: " + hostPort
+                        + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body.length
+                        + "\r\nX-Call-Id: " + call.request.id() + "\r\nX-Budget-Ms: " + timeLeftMillis + "\r\n")
+                .bytes(call.headers)
+                .text("\r\n")
+                .bytes(call.body)
+                .take();
+    }
+}
