--- /dev/null
+++ b/src/test/java/magpiehub/upstream/IdleConnectionsTest.java
@@ -0,0 +1,94 @@
+package magpiehub.upstream;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import magpiehub.concurrent.CachedThreadPool;
+import magpiehub.concurrent.MonotonicClock;
+import magpiehub.config.ConfigurationObject;
+import magpiehub.config.SiteSettings;
+import magpiehub.config.SiteSettingsParser;
+import magpiehub.streaming.StreamLimits;
+import magpiehub.streaming.Streams;
+import magpiehub.telemetry.EventLog;
+import magpiehub.telemetry.SyslogEventLog;
+import org.junit.jupiter.api.Test;
+
+class IdleConnectionsTest {
+    private static final long START_MICROS = 1_000_000;
+    private static final long REST_MICROS = IdleConnections.MIN_REST_MICROS;
+
+    private final UpstreamContext context = newContext();
+    private final IdleConnections idle = new IdleConnections();
+
+    @Test
+    void aConnectionRestsBeforeItServesAgain() {
+        UpstreamConnection connection = addIdle("a", START_MICROS);
+        assertNull(idle.takeRested("a", START_MICROS + REST_MICROS - 1));
+        assertSame(connection, idle.takeRested("a", START_MICROS + REST_MICROS));
+        assertNull(idle.takeRested("a", START_MICROS + REST_MICROS));
+    }
+
+    @Test
+    void theConnectionLastUsedOfThoseThatHaveRestedIsTaken() {
+        UpstreamConnection oldest = addIdle("a", START_MICROS);
+        UpstreamConnection older = addIdle("a", START_MICROS + 1);
+        addIdle("a", START_MICROS + 2);
+        assertSame(older, idle.takeRested("a", START_MICROS + 1 + REST_MICROS));
+        assertSame(oldest, idle.takeRested("a", START_MICROS + 1 + REST_MICROS));
+    }
+
+    @Test
+    void connectionsToOtherEndpointsAreNotTaken() {
+        addIdle("a", START_MICROS);
+        assertNull(idle.takeRested("b", START_MICROS + REST_MICROS));
+        assertNull(idle.takeOldest("b"));
+    }
+
+    @Test
+    void theLongestIdleOfTheLargestPoolIsEvicted() {
+        addIdle("a", START_MICROS);
+        UpstreamConnection longestIdle = addIdle("b", START_MICROS + 1);
+        addIdle("b", START_MICROS + 2);
+        assertSame(longestIdle, idle.takeFromLargest());
+    }
+
+    @Test
+    void nothingIsEvictedWhereNothingIsIdle() {
+        assertNull(idle.takeFromLargest());
+        UpstreamConnection connection = addIdle("a", START_MICROS);
+        assertTrue(idle.remove(connection));
+        assertFalse(idle.remove(connection));
+        assertNull(idle.takeFromLargest());
+    }
+
+    private UpstreamConnection addIdle(String endpointId, long nowMicros) {
+        ConnectionTimer timer = new ConnectionTimer(MonotonicClock.SYSTEM);
+        UpstreamConnection connection =
+                new UpstreamConnection(endpointId, context, new CachedThreadPool("unused"), timer, null);
+        connection.markIdle(nowMicros);
+        idle.add(connection);
+        return connection;
+    }
+
+    private static UpstreamContext newContext() {
+        try {
+            byte[] settings =
+                    Files.readString(Path.of("src/test/resources/site.json")).getBytes(StandardCharsets.UTF_8);
+            SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(settings, "settings"));
+            StreamLimits limits = StreamLimits.none(site.routing().classes(), 64 << 20);
+            EventLog eventLog = new SyslogEventLog(System.err, "test", 1);
+            Streams streams = new Streams(limits, site, MonotonicClock.SYSTEM, eventLog);
+            return new UpstreamContext(site, MonotonicClock.SYSTEM, eventLog, streams);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
