--- a/src/main/java/magpiehub/upstream/ConnectionActor.java
+++ b/src/main/java/magpiehub/upstream/ConnectionActor.java
@@ -4,7 +4,6 @@
 import java.net.Socket;
 import magpiehub.concurrent.CachedThreadPool;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.http.Sockets;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.LoadReport;
@@ -36,17 +35,13 @@
     private final ConnectionTimer timer;
     private final UpstreamConnection.Listener listener;
 
+    private final ConnectionSocket socket = new ConnectionSocket();
     private final ResponseState response = new ResponseState();
     /** The attempt in progress, or null. */
     private UpstreamAttempt attempt;
-    /** The current socket, or null. */
-    private Socket socket;
-    /** The address that the current socket was opened to. */
-    private String connectedTo;
     /** The time at which the handling of the current message began. */
     private long nowMicros;
 
-    private boolean connecting;
     private boolean discharged;
     private boolean reusable;
     private long idleSinceMicros;
@@ -98,7 +93,7 @@
         if (attempt != null) {
             return response.isInProgress() ? silentUntilMicros() : NEVER;
         }
-        return socket == null ? NEVER : idleSinceMicros + context.settings().retireIdleAfterMicros();
+        return socket.isOpen() ? idleSinceMicros + context.settings().retireIdleAfterMicros() : NEVER;
     }
 
     private long silentUntilMicros() {
@@ -114,7 +109,7 @@
     @Override
     public void onDischarged(ConnectionMessage.Discharged message) {
         discharged = true;
-        closeSocket();
+        socket.close();
         connection.closeMailbox();
         timer.remove(connection);
     }
@@ -144,22 +139,22 @@
             return;
         }
         response.setSink(call.sink());
-        if (socket != null && hasEndpointMoved()) {
-            closeSocket();
+        if (socket.isOpen() && hasEndpointMoved()) {
+            socket.close();
         }
-        if (socket == null) {
+        if (!socket.isOpen()) {
             openSocket();
-        } else if (attempt.attachSocket(socket)) {
+        } else if (attempt.attachSocket(socket.get())) {
             writeRequest();
         } else {
-            closeSocket();
+            socket.close();
             release(false);
         }
     }
 
     private boolean hasEndpointMoved() {
         UpstreamEndpoint endpoint = context.endpoints().find(endpointId);
-        return endpoint != null && !connectedTo.equals(endpoint.hostPort());
+        return endpoint != null && !socket.hostPort().equals(endpoint.hostPort());
     }
 
     /**
@@ -186,18 +181,16 @@
             release(false);
             return;
         }
-        socket = newSocket;
-        connectedTo = endpoint.hostPort();
-        connecting = true;
+        socket.replace(newSocket, endpoint.hostPort());
         connection.recordNewSocket();
         log.connecting();
-        readers.execute(new ResponseReader(context, connection, newSocket, connectedTo));
+        readers.execute(new ResponseReader(context, connection, newSocket, socket.hostPort()));
     }
 
     @Override
     public void onConnected(ConnectionMessage.Connected message) {
-        if (isCurrent(message.socket())) {
-            connecting = false;
+        if (socket.isCurrent(message.socket())) {
+            socket.markConnected();
             writeRequest();
         }
     }
@@ -216,16 +209,16 @@
             // Connecting may have taken a while since this turn began: the upstream is told what is left now.
             long timeLeftMicros =
                     attempt.attempt().deadlineMicros() - context.clock().micros();
-            byte[] request = UpstreamRequest.encode(call, connectedTo, timeLeftMicros);
+            byte[] request = UpstreamRequest.encode(call, socket.hostPort(), timeLeftMicros);
             connection.recordRequest(response.sink().flow());
-            socket.getOutputStream().write(request);
+            socket.write(request);
         } catch (IOException e) {
             writeFailed(reused, e);
         }
     }
 
     private void writeFailed(boolean reused, IOException failure) {
-        closeSocket();
+        socket.close();
         if (!attempt.detachSocket()) {
             release(false);
         } else if (reused) {
@@ -246,7 +239,7 @@
 
     @Override
     public void onErrorResponse(ConnectionMessage.ErrorResponse message) {
-        if (!isCurrent(message.socket())) {
+        if (!socket.isCurrent(message.socket())) {
             return;
         }
         if (attempt == null) {
@@ -256,7 +249,7 @@
         reusable = message.reusable();
         response.setLoadReport(message.loadReport());
         if (!message.reusable()) {
-            closeSocket();
+            socket.close();
         }
         int status = message.status();
         boolean mayReject = status == STATUS_SERVICE_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT;
@@ -269,7 +262,7 @@
 
     @Override
     public void onEventReceived(ConnectionMessage.EventReceived message) {
-        if (!isCurrent(message.socket()) || !acceptEvent(message.bytes())) {
+        if (!socket.isCurrent(message.socket()) || !acceptEvent(message.bytes())) {
             drop(message);
         }
     }
@@ -299,7 +292,7 @@
     private void errorEventReceived(byte[] event) {
         boolean started = response.isStarted();
         log.errorEvent(started);
-        closeSocket();
+        socket.close();
         if (started) {
             response.endWithError(event);
             finishStream();
@@ -328,7 +321,7 @@
 
     @Override
     public void onStreamCompleted(ConnectionMessage.StreamCompleted message) {
-        if (!isCurrent(message.socket())) {
+        if (!socket.isCurrent(message.socket())) {
             return;
         }
         if (attempt == null) {
@@ -343,7 +336,7 @@
             response.setLoadReport(message.loadReport());
         }
         if (!message.reusable()) {
-            closeSocket();
+            socket.close();
         }
         reportUnknownLastEvent();
         startStream();
@@ -361,7 +354,7 @@
 
     @Override
     public void onConnectionLost(ConnectionMessage.ConnectionLost message) {
-        if (isCurrent(message.socket())) {
+        if (socket.isCurrent(message.socket())) {
             connectionLost(message.reason(), message.malformed());
         }
     }
@@ -371,14 +364,14 @@
             closeWhileIdle();
             return;
         }
-        closeSocket();
+        socket.close();
         if (response.hasEnded()) {
             return;
         }
         if (attempt.isAborted()) {
             return; // This side closed the socket: the message that ends the attempt is in the mailbox.
         }
-        if (connecting) {
+        if (socket.isConnecting()) {
             connectFailed(reason);
             return;
         }
@@ -417,7 +410,7 @@
     /** Ends an attempt whose stream has not started. A socket on which a response may still come is closed first. */
     private void endAttempt(AttemptOutcome outcome) {
         if (outcome != AttemptOutcome.FULL && outcome != AttemptOutcome.ERROR) {
-            closeSocket();
+            socket.close();
         }
         reportEnd(outcome);
     }
@@ -426,7 +419,7 @@
         UpstreamAttempt ended = attempt;
         ended.detachSocket();
         dropHeldEvents();
-        release(socket != null && reusable);
+        release(socket.isOpen() && reusable);
         String report = response.loadReport();
         LoadReport load = report == null
                 ? null
@@ -438,7 +431,7 @@
     @Override
     public void onAttemptAborted(ConnectionMessage.AttemptAborted message) {
         if (message.attempt() == attempt) {
-            closeSocket();
+            socket.close();
             dropHeldEvents();
             release(false);
         }
@@ -450,13 +443,13 @@
         attempt = null;
         response.setSink(null);
         if (!keepSocket) {
-            closeSocket();
+            socket.close();
         }
         context.dispatcher().execute(() -> listener.onReleased(connection, keepSocket));
     }
 
     private void closeWhileIdle() {
-        closeSocket();
+        socket.close();
         context.dispatcher().execute(() -> listener.onClosedWhileIdle(connection));
     }
 
@@ -471,15 +464,4 @@
     private void drop(ConnectionMessage.EventReceived event) {
         streams.dropped(event.flow(), event.bytes().length);
     }
-
-    private boolean isCurrent(Socket messageSocket) {
-        return messageSocket == socket;
-    }
-
-    private void closeSocket() {
-        if (socket != null) {
-            Sockets.closeQuietly(socket);
-            socket = null;
-        }
-    }
 }
