--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -38,109 +38,114 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** What no recorded exchange can time: a list that changes between the decision and the write. */
+/** Races that recorded exchanges can't time, such as a list that changes between the decision and the write. */
 public class UpstreamPoolTest {
-    private final SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
+    private final SyslogEventLog eventLog = new SyslogEventLog(System.err, "test", 1);
     private volatile CompletableFuture<String> answer = new CompletableFuture<>();
-    private volatile boolean gone;
-    private Thread thread;
+    private volatile boolean clientGone;
+    private Thread dispatcherThread;
     private SiteSettings site;
     private Streams streams;
-    private RequestDispatcher module;
+    private RequestDispatcher dispatcher;
 
     @After
     public void stop() {
-        thread.interrupt();
+        dispatcherThread.interrupt();
     }
 
     @Test
     public void anEngineThatDrainsAfterTheDecisionGetsNothing() throws Exception {
-        try (ServerSocket engine = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            // The list's actor has heard of the drain; its word to the module is still under way.
-            start(engine, false);
-            take(null);
+        try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
+            // Service discovery has reported the drain to the pool, but not yet to the dispatcher.
+            startRouter(upstream, false);
+            submit(null);
             assertEquals("refused", answer.get(60, TimeUnit.SECONDS));
-            assertTrue(log.counters(), log.counters().contains("drained_before_write 1\n"));
-            engine.setSoTimeout(1);
-            org.junit.Assert.assertThrows(java.net.SocketTimeoutException.class, engine::accept);
+            assertTrue(eventLog.counters(), eventLog.counters().contains("drained_before_write 1\n"));
+            upstream.setSoTimeout(1);
+            org.junit.Assert.assertThrows(java.net.SocketTimeoutException.class, upstream::accept);
         }
     }
 
-    /** The engine's queue of connections is full, so that this one comes up late; its client leaves
-     *  meanwhile, and the word of that is still under way. */
+    /**
+     * The upstream's backlog is full, so that connecting takes long; the client leaves meanwhile, and the dispatcher
+     * has not heard of it yet.
+     */
     @Test
     public void aConnectionThatComesUpForNobodyIsClosed() throws Exception {
-        try (ServerSocket engine = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        try (ServerSocket upstream = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 Socket first = new Socket();
                 Socket second = new Socket()) {
-            first.connect(engine.getLocalSocketAddress());
-            second.connect(engine.getLocalSocketAddress());
-            start(engine, true);
-            take(null);
-            counted("engine_connects 1\n");
-            gone = true;
-            engine.setSoTimeout(60_000);
-            engine.accept().close();
-            engine.accept().close();
-            try (Socket late = engine.accept()) {
+            first.connect(upstream.getLocalSocketAddress());
+            second.connect(upstream.getLocalSocketAddress());
+            startRouter(upstream, true);
+            submit(null);
+            awaitCounter("engine_connects 1\n");
+            clientGone = true;
+            upstream.setSoTimeout(60_000);
+            upstream.accept().close();
+            upstream.accept().close();
+            try (Socket late = upstream.accept()) {
                 assertEquals("a request for nobody", -1, late.getInputStream().read());
             }
-            counted("answered_abandoned 1\n");
+            awaitCounter("answered_abandoned 1\n");
         }
     }
 
-    private void counted(String line) throws InterruptedException {
+    private void awaitCounter(String line) throws InterruptedException {
         long end = System.nanoTime() + 60_000_000_000L;
-        while (!log.counters().contains(line)) {
-            assertTrue(line + "was not counted in\n" + log.counters(), System.nanoTime() < end);
+        while (!eventLog.counters().contains(line)) {
+            assertTrue(line + "was not counted in\n" + eventLog.counters(), System.nanoTime() < end);
             Thread.sleep(1);
         }
     }
 
-    /** The module hears of a stream's end before its client does: a client that asks again as soon as it has
-     *  read the end, under the same id, finds its request over. */
+    /**
+     * The dispatcher hears of a stream's end before the client does: a client that submits again as soon as it has read
+     * the end, under the same id, finds its request over.
+     */
     @Test
     public void aClientThatHasReadTheEndFindsItsRequestOver() throws Exception {
-        for (String last : List.of("0\r\n\r\n", "")) {
+        for (String lastChunk : List.of("0\r\n\r\n", "")) {
             answer = new CompletableFuture<>();
-            try (ServerSocket engine = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-                start(engine, true);
-                CompletableFuture<Boolean> again = new CompletableFuture<>();
-                take(new AskAgain(() -> again.complete(take(new AskAgain(() -> {})))));
-                serve(engine, last);
-                assertTrue("there was no room", again.get(60, TimeUnit.SECONDS));
-                serve(engine, "0\r\n\r\n");
-                assertFalse(log.counters(), log.counters().contains("ids_in_use"));
+            try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
+                startRouter(upstream, true);
+                CompletableFuture<Boolean> submittedAgain = new CompletableFuture<>();
+                submit(new SubmitAgain(() -> submittedAgain.complete(submit(new SubmitAgain(() -> {})))));
+                respond(upstream, lastChunk);
+                assertTrue("there was no room", submittedAgain.get(60, TimeUnit.SECONDS));
+                respond(upstream, "0\r\n\r\n");
+                assertFalse(eventLog.counters(), eventLog.counters().contains("ids_in_use"));
                 assertFalse("answered by the module: " + answer, answer.isDone());
             }
-            thread.interrupt();
+            dispatcherThread.interrupt();
         }
     }
 
-    /** One event, and the end of the stream: its last chunk, or none. */
-    private static void serve(ServerSocket engine, String last) throws IOException {
-        engine.setSoTimeout(60_000);
-        try (Socket s = engine.accept()) {
-            Http.Input in = new Http.Input(s.getInputStream(), MonotonicClock.SYSTEM::micros);
-            assertTrue(in.await());
-            in.body(in.head(true));
+    /** Responds with one event and the end of the stream: its last chunk, or none. */
+    private static void respond(ServerSocket upstream, String lastChunk) throws IOException {
+        upstream.setSoTimeout(60_000);
+        try (Socket connection = upstream.accept()) {
+            Http.Input input = new Http.Input(connection.getInputStream(), MonotonicClock.SYSTEM::micros);
+            assertTrue(input.await());
+            input.body(input.head(true));
             String event = "data: {\"choices\":[]}\n\n";
-            s.getOutputStream()
+            connection
+                    .getOutputStream()
                     .write(("HTTP/1.1 200 OK\r\nConnection: close\r\n"
                                     + "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(event.length())
                                     + "\r\n"
-                                    + event + "\r\n" + last)
+                                    + event + "\r\n" + lastChunk)
                             .getBytes(UTF_8));
         }
     }
 
-    /** The client's side of a stream: does something the moment it is told of the end. */
-    private final class AskAgain implements ProtocolAdapter.Sink {
+    /** The client's side of a stream: runs a task the moment it is told of the end. */
+    private final class SubmitAgain implements ProtocolAdapter.Sink {
         private final Streams.Flow flow = streams.open(0, -1, "1", () -> {});
-        private final Runnable atTheEnd;
+        private final Runnable onEnd;
 
-        AskAgain(Runnable atTheEnd) {
-            this.atTheEnd = atTheEnd;
+        SubmitAgain(Runnable onEnd) {
+            this.onEnd = onEnd;
         }
 
         @Override
@@ -148,12 +153,12 @@
 
         @Override
         public void end() {
-            atTheEnd.run();
+            onEnd.run();
         }
 
         @Override
         public void broken(byte[] error, StreamOutcomes.Ending why) {
-            atTheEnd.run();
+            onEnd.run();
         }
 
         @Override
@@ -180,10 +185,10 @@
 
         @Override
         public boolean isClientGone() {
-            return gone;
+            return clientGone;
         }
     };
-    private final EndpointListSource roster = new EndpointListSource() {
+    private final EndpointListSource endpointSource = new EndpointListSource() {
         @Override
         public void watch() {}
 
@@ -194,34 +199,37 @@
         public void fetch() {}
     };
 
-    /** One engine, of which the list says at last that it takes work, or not. */
-    private void start(ServerSocket engine, boolean takes) throws IOException {
+    /** Starts a dispatcher and a pool with one upstream, of which the list said last whether it accepts requests. */
+    private void startRouter(ServerSocket upstream, boolean acceptsRequests) throws IOException {
         site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 Files.readString(Path.of("src/test/resources/site.json"))
                         .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
                         .getBytes(UTF_8),
                 "settings"));
-        streams = new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
-        UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
-        module = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, engines, roster, log);
-        engines.setDispatcher(module);
-        thread = DaemonThreads.newThread("module", module::run);
-        thread.start();
-        module.updateEndpoints(EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
-        engines.updateEndpoint("e", "127.0.0.1:" + engine.getLocalPort(), takes);
+        streams = new Streams(
+                StreamLimits.none(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, eventLog);
+        UpstreamPool pool = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, eventLog, new ActorThreadPool(), streams);
+        dispatcher = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, pool, endpointSource, eventLog);
+        pool.setDispatcher(dispatcher);
+        dispatcherThread = DaemonThreads.newThread("module", dispatcher::run);
+        dispatcherThread.start();
+        dispatcher.updateEndpoints(
+                EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
+        pool.updateEndpoint("e", "127.0.0.1:" + upstream.getLocalPort(), acceptsRequests);
     }
 
-    /** A request, always with the same id; false if the module has no room for it. */
-    private boolean take(ProtocolAdapter.Sink sink) {
+    /** Submits a request, always with the same id; false if the dispatcher's mailbox is full. */
+    private boolean submit(ProtocolAdapter.Sink sink) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
-        Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM::micros);
+        Http.Input input =
+                new Http.Input(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM::micros);
         try {
-            assertTrue(in.await());
-            Http.Head head = in.head(true);
-            ProtocolAdapter.Call call = new PlatformProtocol(() -> site).read(head, in.body(head), in.firstAt());
+            assertTrue(input.await());
+            Http.Head head = input.head(true);
+            ProtocolAdapter.Call call = new PlatformProtocol(() -> site).read(head, input.body(head), input.firstAt());
             call.sink(sink);
-            return module.submit(call.request, client, call, 2);
+            return dispatcher.submit(call.request, client, call, 2);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
