--- /dev/null
+++ b/src/main/java/magpiehub/upstream/ResponseHandler.java
@@ -0,0 +1,182 @@
+package magpiehub.upstream;
+
+import magpiehub.routing.AttemptOutcome;
+import magpiehub.streaming.Streams;
+
+/**
+ * Handles what is read from a connection's current socket: forwards the events of a granted stream to the client, holds
+ * those of one that is not granted yet, and ends the attempt with the outcome that the response shows. What arrives
+ * without an attempt ends the socket. Belongs to the connection's actor.
+ */
+final class ResponseHandler {
+    private static final int STATUS_SERVICE_UNAVAILABLE = 503;
+    private static final int STATUS_GATEWAY_TIMEOUT = 504;
+
+    private final UpstreamConnection connection;
+    private final String endpointId;
+    private final UpstreamContext context;
+    private final Streams streams;
+    private final ConnectionSocket socket;
+    private final AttemptExecution execution;
+    private final ResponseState response;
+    private final ConnectionLog log;
+
+    ResponseHandler(
+            UpstreamConnection connection,
+            UpstreamContext context,
+            ConnectionSocket socket,
+            AttemptExecution execution,
+            ConnectionLog log) {
+        this.connection = connection;
+        this.endpointId = connection.endpointId();
+        this.context = context;
+        this.streams = context.streams();
+        this.socket = socket;
+        this.execution = execution;
+        this.response = execution.response();
+        this.log = log;
+    }
+
+    /** Handles a complete response other than a stream. */
+    void errorResponse(ConnectionMessage.ErrorResponse message) {
+        if (!execution.isActive()) {
+            execution.closeWhileIdle();
+            return;
+        }
+        execution.responseCompleted(message.reusable());
+        response.setLoadReport(message.loadReport());
+        int status = message.status();
+        boolean mayReject = status == STATUS_SERVICE_UNAVAILABLE || status == STATUS_GATEWAY_TIMEOUT;
+        boolean notExecuted = mayReject && message.rejected();
+        if (!notExecuted) {
+            log.errorResponse(status);
+        }
+        execution.endBeforeStream(notExecuted ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
+    }
+
+    /** Handles an event; returns whether it was forwarded, or held until the stream is granted. */
+    boolean acceptEvent(byte[] event, long nowMicros) {
+        if (!execution.isActive()) {
+            execution.closeWhileIdle();
+            return false;
+        }
+        if (response.hasEnded()) {
+            return false;
+        }
+        if (StreamEvent.isError(event)) {
+            errorEventReceived(event);
+            return false;
+        }
+        if (response.isStarted() && !StreamEvent.isComment(event)) {
+            streams.heard(connection.flow(), endpointId, nowMicros - response.lastEventMicros(), nowMicros);
+        }
+        response.recordEvent(event, context.settings().loadReports().isInResponses(), nowMicros);
+        startStream();
+        response.forwardOrHold(event);
+        return true;
+    }
+
+    private void errorEventReceived(byte[] event) {
+        boolean started = response.isStarted();
+        log.errorEvent(started);
+        socket.close();
+        if (started) {
+            response.endWithError(event);
+            execution.finishStream();
+        } else {
+            execution.endBeforeStream(AttemptOutcome.ERROR);
+        }
+    }
+
+    private void startStream() {
+        if (!response.isStarted()) {
+            response.markStarted();
+            context.dispatcher().streamStarted(execution.attempt().attempt());
+        }
+    }
+
+    /** Forwards the stream to the client from now on. */
+    void streamGranted() {
+        response.markGranted();
+        streams.begun(connection.flow(), endpointId);
+        response.forwardHeldEvents();
+        execution.finishStream();
+    }
+
+    /** Handles the end of a stream that is complete by its framing. */
+    void streamCompleted(ConnectionMessage.StreamCompleted message) {
+        if (!execution.isActive()) {
+            execution.closeWhileIdle();
+            return;
+        }
+        if (response.hasEnded()) {
+            return;
+        }
+        execution.responseCompleted(message.reusable());
+        if (response.loadReport() == null) {
+            response.setLoadReport(message.loadReport());
+        }
+        reportUnknownLastEvent();
+        startStream();
+        response.end(AttemptOutcome.OK);
+        execution.finishStream();
+    }
+
+    /** The framing says that the stream is complete, whatever its last event is called. */
+    private void reportUnknownLastEvent() {
+        byte[] lastEvent = response.lastEvent();
+        if (lastEvent != null && !StreamEvent.isKnown(lastEvent)) {
+            log.unknownLastEvent(lastEvent);
+        }
+    }
+
+    /**
+     * Handles the loss of the connection, at whatever point: of the connect, the response, or while idle.
+     *
+     * @param malformed whether it was given up because the response was malformed
+     */
+    void connectionLost(String reason, boolean malformed) {
+        if (!execution.isActive()) {
+            execution.closeWhileIdle();
+            return;
+        }
+        socket.close();
+        if (response.hasEnded()) {
+            return;
+        }
+        if (execution.attempt().isAborted()) {
+            return; // This side closed the socket: the message that ends the attempt is in the mailbox.
+        }
+        if (socket.isConnecting()) {
+            execution.connectFailed(reason);
+            return;
+        }
+        boolean started = response.isStarted();
+        log.connectionLost(started, reason);
+        AttemptOutcome outcome = malformed ? AttemptOutcome.SPOILT : AttemptOutcome.RESET;
+        if (started) {
+            response.end(outcome);
+            execution.finishStream();
+        } else {
+            execution.endBeforeStream(outcome);
+        }
+    }
+
+    /** Ends a stream on which the upstream has sent nothing for too long. */
+    void streamStalled() {
+        log.streamStalled();
+        response.markStalled();
+        connectionLost("silent", false);
+    }
+
+    /** Until when the upstream may send nothing on the stream in progress. */
+    long silentUntilMicros(long nowMicros) {
+        return streams.silentUntil(
+                connection.flow(),
+                endpointId,
+                context.settings().resumesStreams(),
+                response.lastHeardMicros(),
+                response.lastEventMicros(),
+                nowMicros);
+    }
+}
--- a/src/main/java/magpiehub/upstream/UpstreamAttempt.java
+++ b/src/main/java/magpiehub/upstream/UpstreamAttempt.java
@@ -23,10 +23,21 @@
         this.attempt = attempt;
     }
 
+    /** The attempt as the dispatcher knows it. */
     Attempt attempt() {
         return attempt;
     }
 
+    /** What is to be sent; null once the request is over or its client has gone. Any thread. */
+    Object payload() {
+        return attempt.payload();
+    }
+
+    /** When the attempt times out, if its stream has not started. */
+    long deadlineMicros() {
+        return attempt.deadlineMicros();
+    }
+
     /** Names the connection that carries out the attempt. Dispatcher's thread, before the attempt is started. */
     void assignTo(UpstreamConnection assignedConnection) {
         connection = assignedConnection;
