--- a/src/main/java/magpiehub/upstream/ConnectionActor.java
+++ b/src/main/java/magpiehub/upstream/ConnectionActor.java
@@ -1,6 +1,7 @@
 package magpiehub.upstream;
 
 import magpiehub.concurrent.CachedThreadPool;
+import magpiehub.streaming.Streams;
 
 /**
  * The actor of an {@link UpstreamConnection}: passes each message on to the part that it concerns, ignores those from
@@ -12,6 +13,7 @@
 final class ConnectionActor implements ConnectionMessage.Handler {
     private final UpstreamConnection connection;
     private final UpstreamContext context;
+    private final Streams streams;
     private final ConnectionTimer timer;
     private final ConnectionLog log;
     private final ConnectionSocket socket = new ConnectionSocket();
@@ -31,6 +33,7 @@
             UpstreamConnection.Listener listener) {
         this.connection = connection;
         this.context = context;
+        this.streams = context.streams();
         this.timer = timer;
         this.log = new ConnectionLog(context.eventLog(), connection.endpointId());
         this.execution = new AttemptExecution(connection, context, socket, log, listener);
@@ -150,6 +153,6 @@
     }
 
     private void drop(ConnectionMessage.EventReceived event) {
-        context.streams().dropped(event.flow(), event.bytes().length);
+        streams.dropped(event.flow(), event.bytes().length);
     }
 }
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -27,6 +27,7 @@
  */
 public final class UpstreamPool implements UpstreamFleet {
     private final UpstreamContext context;
+    private final Streams streams;
     private final int maxConnections;
     private final ActorThreadPool actorThreads;
     private final CachedThreadPool readers = new CachedThreadPool("engine-reader");
@@ -54,6 +55,7 @@
             ActorThreadPool actorThreads,
             Streams streams) {
         this.context = new UpstreamContext(site, clock, eventLog, streams);
+        this.streams = streams;
         this.maxConnections = maxConnections;
         this.actorThreads = actorThreads;
         this.timer = new ConnectionTimer(clock);
@@ -87,13 +89,13 @@
     /** Forgets an endpoint that is gone. */
     public void removeEndpoint(String id) {
         context.endpoints().remove(id);
-        context.streams().gone(id);
+        streams.gone(id);
     }
 
     /** Forgets all endpoints but these, which a complete endpoint list names. */
     public void retainEndpoints(Set<String> ids) {
         context.endpoints().retain(ids);
-        context.streams().only(ids);
+        streams.only(ids);
     }
 
     // ---- The dispatcher's thread ----------------------------------------------------------------------
