--- /dev/null
+++ b/src/main/java/magpiehub/upstream/ConnectionActor.java
@@ -0,0 +1,158 @@
+package magpiehub.upstream;
+
+import magpiehub.concurrent.CachedThreadPool;
+import magpiehub.streaming.Streams;
+
+/**
+ * The actor of an {@link UpstreamConnection}: passes each message on to the part that it concerns, ignores those from
+ * a socket or for an attempt that is no longer the current one, and sets the connection's timer.
+ *
+ * <p><b>Threads.</b> Everything runs in the actor's turns, one at a time, on the shared thread pool, and so do its
+ * parts. Nothing waits but for the write of a request.
+ */
+final class ConnectionActor implements ConnectionMessage.Handler {
+    private final UpstreamConnection connection;
+    private final UpstreamContext context;
+    private final Streams streams;
+    private final ConnectionTimer timer;
+    private final ConnectionLog log;
+    private final ConnectionSocket socket = new ConnectionSocket();
+    private final AttemptExecution execution;
+    private final RequestSender sender;
+    private final ResponseHandler responses;
+    /** The time at which the handling of the current message began. */
+    private long nowMicros;
+
+    private boolean discharged;
+
+    ConnectionActor(
+            UpstreamConnection connection,
+            UpstreamContext context,
+            CachedThreadPool readers,
+            ConnectionTimer timer,
+            UpstreamConnection.Listener listener) {
+        this.connection = connection;
+        this.context = context;
+        this.streams = context.streams();
+        this.timer = timer;
+        this.log = new ConnectionLog(context.eventLog(), connection.endpointId());
+        this.execution = new AttemptExecution(connection, context, socket, log, listener);
+        this.sender = new RequestSender(connection, context, socket, execution, log, readers);
+        this.responses = new ResponseHandler(connection, context, socket, execution, log);
+    }
+
+    /** Handles the messages that are waiting. */
+    void runTurn() {
+        for (ConnectionMessage message = connection.poll(); message != null; message = connection.poll()) {
+            if (!discharged) {
+                handle(message);
+            } else if (message instanceof ConnectionMessage.EventReceived event) {
+                drop(event);
+            }
+        }
+    }
+
+    private void handle(ConnectionMessage message) {
+        nowMicros = context.clock().micros();
+        try {
+            message.deliverTo(this);
+        } catch (RuntimeException | StackOverflowError | OutOfMemoryError e) {
+            // Ends this attempt alone; the dispatcher is told that its connection was lost.
+            log.failure(e);
+            responses.connectionLost(e.toString(), false);
+        }
+        if (!discharged) {
+            connection.wakeAt(nextTimerMicros());
+        }
+    }
+
+    private long nextTimerMicros() {
+        if (execution.isStreamInProgress()) {
+            return responses.silentUntilMicros(nowMicros);
+        }
+        if (!execution.isActive() && socket.isOpen()) {
+            return execution.idleSinceMicros() + context.settings().retireIdleAfterMicros();
+        }
+        return UpstreamConnection.NEVER;
+    }
+
+    @Override
+    public void onTimerDue(ConnectionMessage.TimerDue message) {
+        if (nowMicros < connection.timerDueMicros()) {
+            return;
+        }
+        if (!execution.isActive()) {
+            execution.closeWhileIdle();
+        } else if (execution.isStreamInProgress() && nowMicros >= responses.silentUntilMicros(nowMicros)) {
+            responses.streamStalled();
+        }
+    }
+
+    @Override
+    public void onDischarged(ConnectionMessage.Discharged message) {
+        discharged = true;
+        socket.close();
+        connection.closeMailbox();
+        timer.remove(connection);
+    }
+
+    @Override
+    public void onAttemptStarted(ConnectionMessage.AttemptStarted message) {
+        execution.begin(message.attempt());
+        sender.send();
+    }
+
+    @Override
+    public void onStreamGranted(ConnectionMessage.StreamGranted message) {
+        if (execution.isCurrent(message.attempt())) {
+            responses.streamGranted();
+        }
+    }
+
+    @Override
+    public void onAttemptAborted(ConnectionMessage.AttemptAborted message) {
+        if (execution.isCurrent(message.attempt())) {
+            execution.endAborted();
+        }
+    }
+
+    @Override
+    public void onConnected(ConnectionMessage.Connected message) {
+        if (socket.isCurrent(message.socket())) {
+            socket.markConnected();
+            sender.writeRequest();
+        }
+    }
+
+    @Override
+    public void onErrorResponse(ConnectionMessage.ErrorResponse message) {
+        if (socket.isCurrent(message.socket())) {
+            responses.errorResponse(message);
+        }
+    }
+
+    @Override
+    public void onEventReceived(ConnectionMessage.EventReceived message) {
+        if (!socket.isCurrent(message.socket()) || !responses.acceptEvent(message.bytes(), nowMicros)) {
+            drop(message);
+        }
+    }
+
+    @Override
+    public void onStreamCompleted(ConnectionMessage.StreamCompleted message) {
+        if (socket.isCurrent(message.socket())) {
+            responses.streamCompleted(message);
+        }
+    }
+
+    @Override
+    public void onConnectionLost(ConnectionMessage.ConnectionLost message) {
+        if (socket.isCurrent(message.socket())) {
+            responses.connectionLost(message.reason(), message.malformed());
+        }
+    }
+
+    private void drop(ConnectionMessage.EventReceived event) {
+        streams.dropped(event.flow(), event.bytes().length);
+    }
+}
