--- /dev/null
+++ b/src/main/java/magpiehub/simulator/RouterEvent.java
@@ -0,0 +1,96 @@
+package magpiehub.simulator;
+
+import java.util.List;
+import magpiehub.routing.AttemptOutcome;
+import magpiehub.routing.Endpoint;
+import magpiehub.routing.EndpointListKind;
+import magpiehub.routing.LoadReport;
+import magpiehub.routing.RoutingEvents;
+import magpiehub.routing.RoutingRequest;
+
+/** An event that the simulator sends to one simulated router. Durations are in microseconds. */
+sealed interface RouterEvent {
+    /** Hands the event to the router's policy as something that happens at {@code nowMicros}. */
+    void deliverTo(RoutingEvents policy, long nowMicros);
+
+    /** A client's request has come. */
+    record RequestArrived(RoutingRequest request) implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onRequest(nowMicros, request);
+        }
+    }
+
+    /** The first token of an attempt has come. */
+    record StreamStarted(String requestId, int attempt, long tookMicros) implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onStreamStarted(nowMicros, requestId, attempt, tookMicros);
+        }
+    }
+
+    /**
+     * An attempt has ended.
+     *
+     * @param settled whether the request is over for its client
+     * @param cachedTokens prompt tokens that the replica found in its cache, -1 if it did not say
+     * @param loadReport null if there was none
+     */
+    record AttemptEnded(
+            String requestId,
+            int attempt,
+            AttemptOutcome outcome,
+            long tookMicros,
+            boolean settled,
+            long cachedTokens,
+            LoadReport loadReport)
+            implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onAttemptEnded(
+                    nowMicros, requestId, attempt, outcome, tookMicros, settled, cachedTokens, loadReport);
+        }
+    }
+
+    /** The client has disconnected. */
+    record ClientGone(String requestId) implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onClientGone(nowMicros, requestId);
+        }
+    }
+
+    /** A timer has fired. */
+    record TimerFired(long token) implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onTimer(nowMicros, token);
+        }
+    }
+
+    /** A health check has ended; {@code loadReport} is null if it brought none. */
+    record ProbeEnded(String replicaId, AttemptOutcome outcome, long tookMicros, LoadReport loadReport)
+            implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onProbeResult(nowMicros, replicaId, outcome, tookMicros, loadReport);
+        }
+    }
+
+    /** Another simulated router has sent a message. */
+    @SuppressWarnings("ArrayRecordComponent") // Handed on once, never compared.
+    record PeerMessageReceived(int peer, byte[] payload) implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onPeerMessage(nowMicros, peer, payload);
+        }
+    }
+
+    /** An endpoint list has come. */
+    record EndpointsReceived(EndpointListKind kind, List<Endpoint> endpoints) implements RouterEvent {
+        @Override
+        public void deliverTo(RoutingEvents policy, long nowMicros) {
+            policy.onEndpoints(nowMicros, kind, endpoints);
+        }
+    }
+}
