--- a/src/main/java/magpiehub/simulator/SimulatedRouters.java
+++ b/src/main/java/magpiehub/simulator/SimulatedRouters.java
@@ -11,11 +11,11 @@
 
 /** The simulated routers that are running, by instance number: a routing policy for each. Not thread-safe. */
 final class SimulatedRouters {
-    private final ReplyWriter reply;
+    private final Reply reply;
     private final Map<Integer, RoutingEvents> policies = new HashMap<>();
 
     /** A table without routers; the actions of each go to {@code reply}. */
-    SimulatedRouters(ReplyWriter reply) {
+    SimulatedRouters(Reply reply) {
         this.reply = reply;
     }
 
--- a/src/main/java/magpiehub/simulator/SimulatorAdapter.java
+++ b/src/main/java/magpiehub/simulator/SimulatorAdapter.java
@@ -14,18 +14,18 @@
  */
 public final class SimulatorAdapter {
     private final InputStream in;
-    private final OutputStream out;
     private final PrintStream errors;
-    private final ReplyWriter reply = new ReplyWriter();
-    private final SimulatedRouters routers = new SimulatedRouters(reply);
+    private final Reply reply;
+    private final SimulatedRouters routers;
     private long nowMicros;
     private boolean isInBatch;
 
     /** An adapter that reads messages from {@code in}, replies to {@code out} and describes faults on {@code errors}. */
-    public SimulatorAdapter(InputStream in, OutputStream out, PrintStream errors) {
+    public SimulatorAdapter(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         this.in = in;
-        this.out = out;
         this.errors = errors;
+        reply = new Reply(out);
+        routers = new SimulatedRouters(reply);
     }
 
     /**
@@ -74,7 +74,7 @@
         }
         if (message.messageName().equals("EOB")) {
             isInBatch = false;
-            reply.send(out);
+            reply.send();
             return true;
         }
         return playForRouter(message);
@@ -99,10 +99,8 @@
         } catch (RuntimeException | StackOverflowError e) {
             e.printStackTrace(errors);
             reply.clear();
-            reply.startMessage("INTERNAL_ERROR", message.instance)
-                    .text("bodyText", e.toString())
-                    .endMessage();
-            reply.send(out);
+            reply.add(new ReplyMessage.RouterFailure(message.instance, e.toString()));
+            reply.send();
             return false;
         }
     }
--- a/src/main/java/magpiehub/simulator/package-info.java
+++ b/src/main/java/magpiehub/simulator/package-info.java
@@ -5,7 +5,7 @@
  * of simulated time, and answers each batch with the actions that the routers took. Reading goes through
  * {@code MessageReader}, which fills a {@code MessageFields}; {@code RouterEventDecoder} makes a typed event of it;
  * {@code SimulatedRouters} holds one {@link magpiehub.routing.RoutingPolicy} for each simulated router; and
- * {@code ReplyActions} turns a policy's actions into messages of a {@code ReplyWriter}. Nothing here decides anything.
+ * {@code ReplyActions} adds a policy's actions to the {@code Reply} as messages. Nothing here decides anything.
  *
  * <p>{@link magpiehub.simulator.JitWarmUp} runs an artificial exchange through the adapter to get hot code compiled.
  */
