--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -40,7 +40,7 @@
     }
 
     private static void runAdapter() throws IOException {
-        JitWarmUp.run(JitWarmUp.MANY);
+        JitWarmUp.run(JitWarmUp.ADAPTER_ROUNDS);
         System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
     }
 
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -213,7 +213,7 @@
     }
 
     private void warmUp() throws IOException {
-        JitWarmUp.run(JitWarmUp.FEW);
+        JitWarmUp.run(JitWarmUp.ROUTER_ROUNDS);
         platformProtocol.warm();
     }
 
--- a/src/main/java/magpiehub/simulator/ReplyMessage.java
+++ b/src/main/java/magpiehub/simulator/ReplyMessage.java
@@ -163,7 +163,6 @@
     }
 
     /** Deliver a message to one peer, or to all if {@code peer} is negative. */
-    @SuppressWarnings("ArrayRecordComponent") // Written once, never compared.
     record SendToPeer(int instance, int peer, byte[] payload) implements ReplyMessage {
         @Override
         public String wireName() {
--- a/src/main/java/magpiehub/simulator/RouterEvent.java
+++ b/src/main/java/magpiehub/simulator/RouterEvent.java
@@ -78,7 +78,6 @@
     }
 
     /** Another simulated router has sent a message. */
-    @SuppressWarnings("ArrayRecordComponent") // Handed on once, never compared.
     record PeerMessageReceived(int peer, byte[] payload) implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
--- a/src/test/java/magpiehub/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/magpiehub/simulator/SimulatorAdapterTest.java
@@ -29,22 +29,22 @@
     private String err;
 
     private void play(String text) throws IOException {
-        ByteArrayOutputStream o = new ByteArrayOutputStream();
-        ByteArrayOutputStream e = new ByteArrayOutputStream();
+        ByteArrayOutputStream replies = new ByteArrayOutputStream();
+        ByteArrayOutputStream errors = new ByteArrayOutputStream();
         status = new SimulatorAdapter(
                         new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)),
-                        o,
-                        new PrintStream(e, true, StandardCharsets.UTF_8))
+                        replies,
+                        new PrintStream(errors, true, StandardCharsets.UTF_8))
                 .run();
-        out = o.toString(StandardCharsets.UTF_8);
-        err = e.toString(StandardCharsets.UTF_8);
+        out = replies.toString(StandardCharsets.UTF_8);
+        err = errors.toString(StandardCharsets.UTF_8);
     }
 
-    private void bad(String text, String... words) throws IOException {
+    private void assertMalformed(String text, String... words) throws IOException {
         play(text);
         assertEquals(1, status, text);
-        for (String w : words) {
-            assertTrue(err.contains(w), err + " lacks " + w);
+        for (String word : words) {
+            assertTrue(err.contains(word), err + " lacks " + word);
         }
         assertFalse(out.contains("INTERNAL"), out);
         assertTrue(out.isEmpty() || out.endsWith("{\"EOR\":{}}\n"), "nothing half written: " + out);
@@ -79,6 +79,19 @@
         assertEquals(3, out.split("EOR", -1).length - 1);
     }
 
+    @Test
+    void textsAreEscapedInReplies() throws IOException {
+        play(
+                OPEN
+                        + """
+                {"INGRESS":{"who":3,"job":"q\\"b\\\\u\\u00fcp\\ud83d\\ude00d\\u007fc\\u0001l\\ud800e","type":9,"dropDeadMs":5000}}
+                {"EOB":{}}
+                """);
+        assertEquals(0, status, err);
+        String id = "q\\\"b\\\\u\u00fcp\ud83d\ude00d\u007fc\\u0001l?e";
+        assertTrue(out.endsWith("{\"REJECT\":{\"who\":3,\"job\":\"" + id + "\"}}\n{\"EOR\":{}}\n"), out);
+    }
+
     @Test
     void stopAndStartInOneBatch() throws IOException {
         String again = START.replace(
@@ -93,19 +106,20 @@
 
     @Test
     void malformedInputNamesLineAndField() throws IOException {
-        bad("{\"ROUND\":{\"atTimeMs\":\"x\"}}\n", "line 1", "ROUND.atTimeMs", "must be a number");
-        bad("{\"ROUND\":{\"atTimeMs\":1}}\n{\"ROUND\":{\"atTimeMs\":1}}\n", "line 2", "open already");
-        bad("{\"EOB\":{}}\n", "line 1", "outside a batch");
-        bad("{\"ROUND\":{}}\n", "ROUND.atTimeMs", "is missing");
-        bad("[]\n", "line 1", "must be an object");
-        bad("{\"ROUND\":{\"atTimeMs\":1}}\n", "inside a batch");
-        bad(OPEN + "{\"INGRESS\":{\"who\":3,\"dropDeadMs\":1}}\n", "INGRESS.job");
-        bad(OPEN + "{\"INGRESS\":{\"who\":3,\"job\":\"a\"}}\n", "INGRESS.dropDeadMs");
-        bad(OPEN + "{\"INGRESS\":{\"who\":4,\"job\":\"a\"}}\n", "who", "not started");
-        bad(OPEN + "{\"NONSENSE\":{\"who\":3}}\n", "NONSENSE", "no message");
-        bad(OPEN + "{\"ANSWER\":{\"who\":3,\"job\":\"a\",\"reason\":77}}\n", "77");
-        bad(OPEN + "{\"ANSWER\":{\"who\":3,\n", "line 10");
-        bad(START.replace("\"live\"", "\"lively\""), "line 6", "state", "lively");
-        bad(START.replace("\"mostTries\":4", "\"mostTries\":\"4\""), "facts.limits.mostTries", "wrong type");
+        assertMalformed("{\"ROUND\":{\"atTimeMs\":\"x\"}}\n", "line 1", "ROUND.atTimeMs", "must be a number");
+        assertMalformed("{\"ROUND\":{\"atTimeMs\":1}}\n{\"ROUND\":{\"atTimeMs\":1}}\n", "line 2", "open already");
+        assertMalformed("{\"EOB\":{}}\n", "line 1", "outside a batch");
+        assertMalformed("{\"ROUND\":{}}\n", "ROUND.atTimeMs", "is missing");
+        assertMalformed("[]\n", "line 1", "must be an object");
+        assertMalformed("{\"ROUND\":{\"atTimeMs\":1}}\n", "inside a batch");
+        assertMalformed(OPEN + "{\"INGRESS\":{\"who\":3,\"dropDeadMs\":1}}\n", "INGRESS.job");
+        assertMalformed(OPEN + "{\"INGRESS\":{\"who\":3,\"job\":\"a\"}}\n", "INGRESS.dropDeadMs");
+        assertMalformed(OPEN + "{\"INGRESS\":{\"who\":4,\"job\":\"a\"}}\n", "who", "not started");
+        assertMalformed(OPEN + "{\"NONSENSE\":{\"who\":3}}\n", "NONSENSE", "no message");
+        assertMalformed(OPEN + "{\"ANSWER\":{\"who\":3,\"job\":\"a\",\"reason\":77}}\n", "77");
+        assertMalformed(OPEN + "{\"ANSWER\":{\"who\":3,\n", "line 10");
+        assertMalformed(START.replace("\"live\"", "\"lively\""), "line 6", "state", "lively");
+        assertMalformed(
+                START.replace("\"mostTries\":4", "\"mostTries\":\"4\""), "facts.limits.mostTries", "wrong type");
     }
 }
