--- /dev/null
+++ b/src/test/java/magpiehub/PlantedSpin.java
@@ -0,0 +1,38 @@
+package magpiehub;
+
+import java.io.IOException;
+import java.util.concurrent.atomic.AtomicBoolean;
+import magpiehub.concurrent.DaemonThreads;
+import magpiehub.concurrent.Mailbox;
+import magpiehub.concurrent.MonotonicClock;
+
+/** The program with a spinning wait planted in it, to show that {@link StepProof} finds one. */
+public final class PlantedSpin {
+    private static final long WAITER_START_MICROS = 3_000_000;
+    private static final long TELLER_START_MICROS = 3_500_000;
+
+    private PlantedSpin() {}
+
+    public static void main(String[] args) throws IOException {
+        AtomicBoolean told = new AtomicBoolean();
+        startLater(WAITER_START_MICROS, "planted-waiter", () -> {
+            while (!told.get()) {
+                Thread.onSpinWait();
+            }
+        });
+        startLater(TELLER_START_MICROS, "planted-teller", () -> told.set(true));
+        Main.main(args);
+    }
+
+    private static void startLater(long delayMicros, String threadName, Runnable action) {
+        DaemonThreads.newThread(threadName, () -> {
+                    try {
+                        new Mailbox<>(MonotonicClock.SYSTEM, 1).take(MonotonicClock.SYSTEM.micros() + delayMicros);
+                        action.run();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                })
+                .start();
+    }
+}
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/StepProof.java
@@ -2,7 +2,6 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -11,115 +10,65 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.concurrent.Mailbox;
-import magpiehub.concurrent.MonotonicClock;
 import magpiehub.http.HttpHead;
 import magpiehub.http.HttpReader;
 
 /**
- * The proof that no thread of a router waits by looking again and again. The program runs as a process, by
- * the options of {@code run}, on one core where a thread goes on until it waits: the first-in-first-out
- * class of the scheduler, which takes no turn away. A seed lets some threads run ahead of all others for a
- * while, so that the others stand still wherever they are, and another process takes a part of each moment,
- * so that the router has a share of the core only. A thread that waits for what another one does then never
- * ends its wait, and is seen by its CPU time: a second of it without a single wait in between. It owns the
- * scheduling and the bound. It must never take a time off the wall for its verdict.
+ * Shows that no thread of a router spins while it waits for another. The program runs as a process, by the options of
+ * the deploy file's {@code run}, on one core and in the scheduler's first-in-first-out class, where a thread goes on
+ * until it waits. A seed lets some threads run ahead of all others for a while, so that the others stand still
+ * wherever they are, and another process takes a part of the core. A thread that spins until another one has done
+ * something then never ends, and is seen by its CPU time: a second of it without a wait. The verdict does not depend
+ * on times off the wall.
  *
- * <p>{@code StepProof SEED [SECONDS] [spin]}; {@code spin} plants such a wait. The last line says ok or
- * short.
+ * <p>{@code StepProof SEED [SECONDS] [spin]}; {@code spin} plants such a thread. The last line says ok or short.
  */
 public final class StepProof {
-    /** CPU time without a wait or a system call that is too much (ms). */
-    private static final long MOST_MS = 1_000;
-    /** A thread that spends a larger part of its time in the kernel makes system calls. */
-    private static final double MOST_SYSTEM = 0.2;
-
     private static final int ENGINES = 8;
-    private static final int SAMPLE_MS = 50;
-    /** The kernel's clock ticks, which /proc counts CPU time in (Hz). */
-    private static final long TICKS = 100;
-
-    // ---- The verdict ----------------------------------------------------------------------------------
-    /** What is known of one thread: CPU time since it last waited. */
-    static final class Runs {
-        private final Map<Long, long[]> since = new HashMap<>();
-        /** The longest run without a wait, by the thread's name (ms). */
-        final Map<String, Long> longest = new TreeMap<>();
-
-        /** One look at a thread: user and system time (ticks), and how often it has waited. Returns the
-         *  length of its run (ms), or -1 while that is within the bound. */
-        long look(long thread, String name, long user, long system, long waits) {
-            long[] s = since.get(thread);
-            if (s == null || s[2] != waits) {
-                since.put(thread, new long[] {user, system, waits});
-                return -1;
-            }
-            long ms = (user - s[0]) * 1000 / TICKS;
-            if (system - s[1] > MOST_SYSTEM * (user - s[0])) {
-                return -1;
-            }
-            longest.merge(name, ms, Math::max);
-            return ms >= MOST_MS ? ms : -1;
-        }
-    }
-
-    /** The program with a wait of the kind that is looked for: started in place of its own main class. */
-    public static final class Planted {
-        private Planted() {}
-
-        public static void main(String[] args) throws IOException {
-            AtomicBoolean told = new AtomicBoolean();
-            after(3_000_000, "planted-waiter", () -> {
-                while (!told.get()) {
-                    Thread.onSpinWait();
-                }
-            });
-            after(3_500_000, "planted-teller", () -> told.set(true));
-            Main.main(args);
-        }
-
-        private static void after(long us, String name, Runnable then) {
-            DaemonThreads.newThread(name, () -> {
-                        try {
-                            new Mailbox<>(MonotonicClock.SYSTEM, 1).take(MonotonicClock.SYSTEM.micros() + us);
-                            then.run();
-                        } catch (InterruptedException e) {
-                            Thread.currentThread().interrupt();
-                        }
-                    })
-                    .start();
-        }
-    }
+    private static final int CLIENTS = 24;
+    private static final int DEFAULT_SECONDS = 30;
+    private static final int SHUTDOWN_TIMEOUT_SECONDS = 30;
+    private static final int MAX_SAMPLE_INTERVAL_MILLIS = 50;
+    private static final int MIN_TURN_MILLIS = 500;
+    private static final int MAX_TURN_MILLIS = 2_500;
+    private static final int REPORTED_THREADS = 4;
+    private static final int EXIT_NOT_ALLOWED = 2;
 
+    private final long seed;
     private final SplittableRandom random;
     private final Path folder;
     private final String core;
+    private final CpuRunTracker cpuRuns = new CpuRunTracker();
+    /** CPU time so far of each thread seen, in clock ticks, by its name and id. */
+    private final Map<String, Long> cpuTicks = new TreeMap<>();
+
     private final List<ServerSocket> servers = new ArrayList<>();
     private final AtomicInteger requests = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger wrong = new AtomicInteger();
     private final CountDownLatch started = new CountDownLatch(1);
+    private int threadsRunAhead;
     private Process router;
     private volatile int port;
     private volatile boolean over;
 
     private StepProof(long seed, Path folder) throws IOException {
+        this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.folder = folder;
-        int n = Runtime.getRuntime().availableProcessors();
-        this.core = Integer.toString((int) (seed % n + n) % n);
+        int cores = Runtime.getRuntime().availableProcessors();
+        this.core = Integer.toString((int) (seed % cores + cores) % cores);
     }
 
     // ---- Peers ----------------------------------------------------------------------------------------
@@ -246,6 +195,21 @@
 
     // ---- The router -----------------------------------------------------------------------------------
     private void start(boolean planted) throws IOException {
+        Path configuration = writeConfiguration();
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", command(planted)).redirectErrorStream(true);
+        builder.environment().put("ROUTER_CONFIG", configuration.toString());
+        builder.environment().put("TMPDIR", folder.toString());
+        builder.environment()
+                .keySet()
+                .removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY", "ROUTER_CONSOLE", "ROUTER_FD"));
+        router = builder.start();
+        Runtime.getRuntime().addShutdownHook(new Thread(router::destroyForcibly));
+        BufferedReader log = router.inputReader();
+        DaemonThreads.newThread("log", () -> readLog(log)).start();
+    }
+
+    /** Starts the upstreams and discovery, and writes a configuration that names them. */
+    private Path writeConfiguration() throws IOException {
         StringBuilder known = new StringBuilder();
         for (int i = 0; i < ENGINES; i++) {
             known.append(i == 0 ? "" : ",")
@@ -257,152 +221,110 @@
                     .append("\",\"phase\":\"Ready\"}");
         }
         ServerSocket discovery = serve(s -> list(s, known.toString()));
-        Path config = folder.resolve("router.json");
+        Path configuration = folder.resolve("router.json");
         Files.writeString(
-                config,
+                configuration,
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"console\":\"127.0.0.1:0\","
                         + "\"discovery\":\"127.0.0.1:" + discovery.getLocalPort() + "\",\"seed\":\"7\",\"settings\":"
                         + Files.readString(Path.of("src/test/resources/site.json"))
                         + ",\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}}");
+        return configuration;
+    }
+
+    /** The deploy file's command, on one core in the first-in-first-out class, with the classes under test. */
+    private String command(boolean planted) throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = "))
+                .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        run = run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'))
+        String mainClass = planted ? PlantedSpin.class.getName() : "magpiehub.Main";
+        return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'))
                 .replace("exec java", "exec taskset -c " + core + " chrt -f 1 java")
                 .replace(
                         "-jar target/magpiehub.jar serve",
-                        "-cp " + System.getProperty("java.class.path")
-                                + " " + (planted ? Planted.class.getName().replace("$", "\\$") : "magpiehub.Main")
-                                + " serve");
-        ProcessBuilder b = new ProcessBuilder("sh", "-c", run).redirectErrorStream(true);
-        b.environment().put("ROUTER_CONFIG", config.toString());
-        b.environment().put("TMPDIR", folder.toString());
-        b.environment()
-                .keySet()
-                .removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY", "ROUTER_CONSOLE", "ROUTER_FD"));
-        router = b.start();
-        Runtime.getRuntime().addShutdownHook(new Thread(router::destroyForcibly));
-        BufferedReader log = router.inputReader();
-        DaemonThreads.newThread("log", () -> {
-                    try {
-                        for (String l = log.readLine(); l != null; l = log.readLine()) {
-                            if (l.contains(" started ")) {
-                                port = Integer.parseInt(l.replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
-                                started.countDown();
-                            }
-                            if (System.getenv("PROOF_LOG") != null || !l.startsWith("<")) {
-                                System.err.println(l);
-                            }
-                        }
-                    } catch (IOException e) {
-                        // Its end.
-                    }
-                })
-                .start();
-    }
-
-    // ---- Scheduling and sampling ----------------------------------------------------------------------
-    /** A shell that carries out a command a line: a process for each would itself disturb what is shown. */
-    private static final class Shell implements AutoCloseable {
-        private final Process sh;
-        private final OutputStream to;
-
-        Shell() throws IOException {
-            sh = new ProcessBuilder("sh")
-                    .redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.DISCARD)
-                    .start();
-            to = sh.getOutputStream();
-        }
-
-        void say(String line) throws IOException {
-            to.write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            to.flush();
-        }
-
-        @Override
-        public void close() throws IOException {
-            to.close();
-            sh.destroyForcibly();
-        }
+                        "-cp " + System.getProperty("java.class.path") + " " + mainClass + " serve");
     }
 
-    /** A thread as /proc tells it; times in ticks. */
-    record Seen(long thread, String name, long user, long system, long waits) {}
-
-    static List<Seen> seen(long pid) throws IOException {
-        List<Seen> all = new ArrayList<>();
-        List<Path> tasks;
-        try (var l = Files.list(Path.of("/proc/" + pid + "/task"))) {
-            tasks = l.sorted().toList();
-        }
-        for (Path t : tasks) {
-            try {
-                String stat = Files.readString(t.resolve("stat"));
-                long waits = Files.readAllLines(t.resolve("status")).stream()
-                        .filter(l -> l.startsWith("voluntary"))
-                        .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
-                        .findFirst()
-                        .orElse(0);
-                String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-                all.add(new Seen(
-                        Long.parseLong(t.getFileName().toString()),
-                        stat.substring(stat.indexOf('(') + 1, stat.lastIndexOf(')')),
-                        Long.parseLong(f[11]),
-                        Long.parseLong(f[12]),
-                        waits));
-            } catch (IOException | java.io.UncheckedIOException e) {
-                // The thread has ended meanwhile.
+    private void readLog(BufferedReader log) {
+        try {
+            for (String line = log.readLine(); line != null; line = log.readLine()) {
+                if (line.contains(" started ")) {
+                    port = Integer.parseInt(line.replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+                    started.countDown();
+                }
+                if (System.getenv("PROOF_LOG") != null || !line.startsWith("<")) {
+                    System.err.println(line);
+                }
             }
+        } catch (IOException e) {
+            // The router has ended.
         }
-        return all;
     }
 
-    /** One look at all threads; a thread's run that is over the bound, or null. */
-    private String look(Runs runs, Map<String, long[]> cpu) throws IOException, InterruptedException {
-        for (Seen t : seen(router.pid())) {
-            cpu.put(t.name + " " + t.thread, new long[] {t.user, t.system});
-            long ms = runs.look(t.thread, t.name, t.user, t.system, t.waits);
-            if (ms >= 0) {
-                return t.name + " (thread " + t.thread + ") ran " + ms + " ms of CPU without a wait\n"
-                        + stack(t.thread);
+    // ---- Scheduling and sampling ----------------------------------------------------------------------
+    /** Samples all threads once; describes one whose run is over the bound. */
+    private Optional<String> findSpinningThread() throws IOException, InterruptedException {
+        for (ThreadSample thread : ThreadSample.ofProcess(router.pid())) {
+            cpuTicks.put(thread.name() + " " + thread.id(), thread.userTicks() + thread.systemTicks());
+            long runMillis = cpuRuns.record(thread);
+            if (runMillis >= 0) {
+                return Optional.of(thread.name() + " (thread " + thread.id() + ") ran " + runMillis
+                        + " ms of CPU without a wait\n" + stack(thread.id()));
             }
         }
-        return null;
+        return Optional.empty();
     }
 
     /** The thread's stack, read from outside: the process is not asked, since it may not answer. */
     private String stack(long thread) throws IOException, InterruptedException {
-        // Stopped first, by its first thread on another core: whoever attaches waits for each thread to stop,
-        // and those would wait for the one that runs.
-        String pid = Long.toString(router.pid());
-        new ProcessBuilder(
-                        "sh",
-                        "-c",
-                        "kill -STOP " + pid + "; taskset -pc 0-"
-                                + (Runtime.getRuntime().availableProcessors() - 1) + " " + pid + " >/dev/null")
-                .start()
-                .waitFor();
-        Process p = new ProcessBuilder(
-                        "timeout", "20", System.getProperty("java.home") + "/bin/jhsdb", "jstack", "--pid", pid)
+        stopRouterOnAllCores();
+        Process jstack = new ProcessBuilder(
+                        "timeout",
+                        "20",
+                        System.getProperty("java.home") + "/bin/jhsdb",
+                        "jstack",
+                        "--pid",
+                        Long.toString(router.pid()))
                 .redirectErrorStream(true)
                 .start();
-        String all = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String all = new String(jstack.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         int id = all.indexOf("nid=0x" + Long.toHexString(thread) + " ");
-        int at = all.lastIndexOf("\n\"", Math.max(0, id)) + 1;
-        int end = all.indexOf("\n\"", Math.max(at, id));
+        int start = all.lastIndexOf("\n\"", Math.max(0, id)) + 1;
+        int end = all.indexOf("\n\"", Math.max(start, id));
         return id < 0
                 ? "no stack of a Java thread: " + all.substring(0, Math.min(all.length(), 600))
-                : all.substring(at, end < 0 ? all.length() : end).stripTrailing();
+                : all.substring(start, end < 0 ? all.length() : end).stripTrailing();
+    }
+
+    /**
+     * Stops the router by its first thread on another core: whoever attaches waits for each thread to stop, and those
+     * would wait for the one that runs.
+     */
+    private void stopRouterOnAllCores() throws IOException, InterruptedException {
+        String pid = Long.toString(router.pid());
+        int lastCore = Runtime.getRuntime().availableProcessors() - 1;
+        new ProcessBuilder("sh", "-c", "kill -STOP " + pid + "; taskset -pc 0-" + lastCore + " " + pid + " >/dev/null")
+                .start()
+                .waitFor();
     }
 
-    /** Plays for some seconds; returns what was found, or null. */
-    private String play(int seconds, Runs runs, Map<String, long[]> cpu, int[] turns) throws Exception {
-        // A share of the core: another process, which goes first, has it for a part of each moment. A stop of
-        // the whole process would end a wait of the kind looked for, since what goes on after it is put in
-        // another order.
-        Process other = new ProcessBuilder(
+    /** Plays for some seconds; describes a thread that was found to spin, which ends the play. */
+    private Optional<String> play(int seconds) throws Exception {
+        Process competitor = startCompetitor();
+        try (FifoScheduling scheduling = new FifoScheduling()) {
+            return play(System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds), scheduling);
+        } finally {
+            over = true;
+            competitor.destroyForcibly();
+        }
+    }
+
+    /**
+     * A process that goes first and has the core for a part of each moment. A stop of the whole router would end a
+     * wait of the kind looked for, since what goes on after it is put in another order.
+     */
+    private Process startCompetitor() throws IOException {
+        Process competitor = new ProcessBuilder(
                         "taskset",
                         "-c",
                         core,
@@ -413,103 +335,98 @@
                         "-c",
                         "while :; do i=0; while [ $i -lt 9000 ]; do i=$((i+1)); done; sleep 0.01; done")
                 .start();
-        Runtime.getRuntime().addShutdownHook(new Thread(other::destroyForcibly));
-        try (Shell threads = new Shell()) {
-            List<Thread> clients = new ArrayList<>();
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-            List<Long> ahead = new ArrayList<>();
-            long next = 0;
-            while (System.nanoTime() < until) {
-                if (clients.isEmpty() && started.getCount() == 0) {
-                    for (int i = 0; i < 24; i++) {
-                        int number = i;
-                        SplittableRandom own = random.split();
-                        clients.add(DaemonThreads.newThread("client", () -> client(number, own)));
-                        clients.get(i).start();
-                    }
-                }
-                if (System.nanoTime() >= next) {
-                    next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(random.nextInt(500, 2_500));
-                    StringBuilder change = new StringBuilder();
-                    ahead.forEach(t -> change.append("chrt -f -p 1 ").append(t).append(';'));
-                    ahead.clear();
-                    List<Seen> all = seen(router.pid());
-                    for (int i = random.nextInt(4); i > 0 && !all.isEmpty(); i--) {
-                        ahead.add(all.get(random.nextInt(all.size())).thread);
-                    }
-                    ahead.forEach(t -> change.append("chrt -f -p 2 ").append(t).append(';'));
-                    threads.say(change.append(':').toString());
-                    turns[0] += ahead.size();
-                }
-                String found = look(runs, cpu);
-                if (found != null) {
-                    return found;
-                }
-                TimeUnit.MILLISECONDS.sleep(random.nextInt(SAMPLE_MS));
+        Runtime.getRuntime().addShutdownHook(new Thread(competitor::destroyForcibly));
+        return competitor;
+    }
+
+    private Optional<String> play(long endNanos, FifoScheduling scheduling) throws Exception {
+        boolean hasClients = false;
+        long nextTurnNanos = 0;
+        while (System.nanoTime() < endNanos) {
+            if (!hasClients && started.getCount() == 0) {
+                startClients();
+                hasClients = true;
             }
-        } finally {
-            over = true;
-            other.destroyForcibly();
+            if (System.nanoTime() >= nextTurnNanos) {
+                int turnMillis = random.nextInt(MIN_TURN_MILLIS, MAX_TURN_MILLIS);
+                nextTurnNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(turnMillis);
+                threadsRunAhead += scheduling.changeThreadsAhead(ThreadSample.ofProcess(router.pid()), random);
+            }
+            Optional<String> spinning = findSpinningThread();
+            if (spinning.isPresent()) {
+                return spinning;
+            }
+            TimeUnit.MILLISECONDS.sleep(random.nextInt(MAX_SAMPLE_INTERVAL_MILLIS));
         }
-        return null;
+        return Optional.empty();
     }
 
-    static boolean allowed() throws Exception {
-        return new ProcessBuilder("chrt", "-f", "1", "true")
-                        .redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
-                        .start()
-                        .waitFor()
-                == 0;
+    private void startClients() {
+        for (int i = 0; i < CLIENTS; i++) {
+            int number = i;
+            SplittableRandom own = random.split();
+            DaemonThreads.newThread("client", () -> client(number, own)).start();
+        }
     }
 
-    public static void main(String[] args) throws Exception {
-        long seed = Long.parseLong(args[0]);
-        int seconds = args.length > 1 ? Integer.parseInt(args[1]) : 30;
-        boolean planted = args.length > 2 && args[2].equals("spin");
-        if (!allowed()) {
-            System.out.println("proof step: no right to the scheduler's first-in-first-out class (chrt -f)");
-            System.exit(2);
-        }
-        Path folder = Files.createTempDirectory("proof-step");
-        StepProof p = new StepProof(seed, folder);
-        Runs runs = new Runs();
-        Map<String, long[]> cpu = new TreeMap<>();
-        int[] turns = {0};
-        String found;
+    // ---- The verdict ----------------------------------------------------------------------------------
+    /** Runs a router for some seconds and reports; whether no thread spun and every request had an answer. */
+    private boolean run(int seconds, boolean planted) throws Exception {
+        Optional<String> spinning;
         boolean ended;
         try {
-            p.start(planted);
-            found = p.play(seconds, runs, cpu, turns);
-            p.router.toHandle().destroy();
-            ended = found != null || p.router.waitFor(30, TimeUnit.SECONDS);
+            start(planted);
+            spinning = play(seconds);
+            router.toHandle().destroy();
+            ended = spinning.isPresent() || router.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } finally {
-            p.over = true;
-            p.router.destroyForcibly().waitFor();
-            for (ServerSocket s : p.servers) {
-                s.close();
+            over = true;
+            router.destroyForcibly().waitFor();
+            for (ServerSocket server : servers) {
+                server.close();
             }
         }
-        Map<String, Long> byName = new TreeMap<>();
-        cpu.forEach(
-                (k, v) -> byName.merge(k.substring(0, k.lastIndexOf(' ')), (v[0] + v[1]) * 1000 / TICKS, Long::sum));
-        StringBuilder line = new StringBuilder();
-        runs.longest.entrySet().stream()
+        reportCpuTime();
+        spinning.ifPresent(thread -> System.out.println("out of bounds: " + thread));
+        boolean ok = spinning.isEmpty() && ended && served.get() > 0 && wrong.get() == 0;
+        System.out.println("proof step seed=" + seed + " requests=" + requests + " served=" + served
+                + " refused=" + refused + " without_answer=" + wrong + " ran_ahead=" + threadsRunAhead
+                + " ended=" + ended + " longest_run_ms:" + longestRuns() + (ok ? " ok" : " short"));
+        return ok;
+    }
+
+    private void reportCpuTime() {
+        Map<String, Long> millisByName = new TreeMap<>();
+        cpuTicks.forEach((nameAndId, ticks) -> millisByName.merge(
+                nameAndId.substring(0, nameAndId.lastIndexOf(' ')),
+                ticks * 1000 / ThreadSample.TICKS_PER_SECOND,
+                Long::sum));
+        long all = millisByName.values().stream().mapToLong(Long::longValue).sum();
+        System.out.printf(Locale.ROOT, "cpu_ms=%d operators=%d%n", all, millisByName.getOrDefault("operators", 0L));
+    }
+
+    private String longestRuns() {
+        StringBuilder text = new StringBuilder();
+        cpuRuns.longestRunMillis().entrySet().stream()
                 .sorted((a, b) -> Long.compare(b.getValue(), a.getValue()))
-                .limit(4)
-                .forEach(e -> line.append(' ')
-                        .append(e.getKey().replace(' ', '-'))
+                .limit(REPORTED_THREADS)
+                .forEach(run -> text.append(' ')
+                        .append(run.getKey().replace(' ', '-'))
                         .append('=')
-                        .append(e.getValue()));
-        long all = byName.values().stream().mapToLong(Long::longValue).sum();
-        System.out.printf(Locale.ROOT, "cpu_ms=%d operators=%d%n", all, byName.getOrDefault("operators", 0L));
-        if (found != null) {
-            System.out.println("out of bounds: " + found);
+                        .append(run.getValue()));
+        return text.toString();
+    }
+
+    public static void main(String[] args) throws Exception {
+        long seed = Long.parseLong(args[0]);
+        int seconds = args.length > 1 ? Integer.parseInt(args[1]) : DEFAULT_SECONDS;
+        boolean planted = args.length > 2 && args[2].equals("spin");
+        if (!FifoScheduling.isAllowed()) {
+            System.out.println("proof step: no right to the scheduler's first-in-first-out class (chrt -f)");
+            System.exit(EXIT_NOT_ALLOWED);
         }
-        boolean ok = found == null && ended && p.served.get() > 0 && p.wrong.get() == 0;
-        System.out.println("proof step seed=" + seed + " requests=" + p.requests + " served=" + p.served
-                + " refused=" + p.refused + " without_answer=" + p.wrong + " ran_ahead=" + turns[0]
-                + " ended=" + ended + " longest_run_ms:" + line + (ok ? " ok" : " short"));
+        Path folder = Files.createTempDirectory("proof-step");
+        boolean ok = new StepProof(seed, folder).run(seconds, planted);
         System.exit(ok ? 0 : 1);
     }
 }
--- a/src/test/java/magpiehub/StepProofTest.java
+++ b/src/test/java/magpiehub/StepProofTest.java
@@ -6,11 +6,11 @@
 
 /** What the proof of waits counts: CPU time of a thread that has neither waited nor made system calls. */
 public class StepProofTest {
-    private final StepProof.Runs runs = new StepProof.Runs();
+    private final CpuRunTracker runs = new CpuRunTracker();
 
     /** Ticks of 10 ms. */
     private long look(long user, long system, long waits) {
-        return runs.look(7, "t", user, system, waits);
+        return runs.record(new ThreadSample(7, "t", user, system, waits));
     }
 
     @Test
@@ -18,7 +18,7 @@
         assertEquals(-1, look(50, 1, 3));
         assertEquals(-1, look(149, 1, 3));
         assertEquals(1_000, look(150, 1, 3));
-        assertEquals(1_000L, runs.longest.get("t").longValue());
+        assertEquals(1_000L, runs.longestRunMillis().get("t").longValue());
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/magpiehub/ThreadSample.java
@@ -0,0 +1,64 @@
+package magpiehub;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * What /proc says about a thread at one moment.
+ *
+ * @param id the kernel's number of the thread
+ * @param userTicks CPU time outside the kernel so far, in the kernel's clock ticks
+ * @param systemTicks CPU time inside the kernel so far, in the kernel's clock ticks
+ * @param waits how often it has waited so far
+ */
+record ThreadSample(long id, String name, long userTicks, long systemTicks, long waits) {
+    /** The kernel's clock ticks a second. */
+    static final long TICKS_PER_SECOND = 100;
+
+    /** Places in /proc's {@code stat}, counted from the field after the thread's name. */
+    private static final int USER_TICKS_FIELD = 11;
+
+    private static final int SYSTEM_TICKS_FIELD = 12;
+
+    /** A sample of each thread of a process, in the order of their numbers as texts. */
+    static List<ThreadSample> ofProcess(long pid) throws IOException {
+        List<Path> tasks;
+        try (var files = Files.list(Path.of("/proc/" + pid + "/task"))) {
+            tasks = files.sorted().toList();
+        }
+        List<ThreadSample> samples = new ArrayList<>();
+        for (Path task : tasks) {
+            try {
+                samples.add(read(task));
+            } catch (IOException | UncheckedIOException e) {
+                // The thread has ended meanwhile.
+            }
+        }
+        return samples;
+    }
+
+    private static ThreadSample read(Path task) throws IOException {
+        String stat = Files.readString(task.resolve("stat"));
+        long waits = readWaits(task);
+        int nameEnd = stat.lastIndexOf(')');
+        String[] fields = stat.substring(nameEnd + 2).split(" ");
+        return new ThreadSample(
+                Long.parseLong(task.getFileName().toString()),
+                stat.substring(stat.indexOf('(') + 1, nameEnd),
+                Long.parseLong(fields[USER_TICKS_FIELD]),
+                Long.parseLong(fields[SYSTEM_TICKS_FIELD]),
+                waits);
+    }
+
+    private static long readWaits(Path task) throws IOException {
+        return Files.readAllLines(task.resolve("status")).stream()
+                .filter(line -> line.startsWith("voluntary"))
+                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                .findFirst()
+                .orElse(0);
+    }
+}
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -48,7 +48,7 @@
      */
     @Test
     public void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
-        Assume.assumeTrue("the first-in-first-out class", StepProof.allowed());
+        Assume.assumeTrue("the first-in-first-out class", FifoScheduling.isAllowed());
         String core = Integer.toString(Runtime.getRuntime().availableProcessors() - 1);
         Process p = new ProcessBuilder(
                         "taskset",
@@ -67,7 +67,7 @@
                 .start();
         try (BufferedReader out = p.inputReader()) {
             assertEquals("begun", out.readLine());
-            long taker = taker(p.pid()).thread();
+            long taker = taker(p.pid()).id();
             assertEquals(
                     0,
                     new ProcessBuilder("chrt", "-f", "-p", "2", Long.toString(taker))
@@ -75,12 +75,11 @@
                             .waitFor());
             p.getOutputStream().write('\n');
             p.getOutputStream().flush();
-            StepProof.Runs runs = new StepProof.Runs();
+            CpuRunTracker runs = new CpuRunTracker();
             while (p.isAlive()) {
-                StepProof.Seen t = taker(p.pid());
-                if (t != null) {
-                    assertEquals(
-                            "ms of CPU without a wait", -1, runs.look(taker, "taker", t.user(), t.system(), t.waits()));
+                ThreadSample sample = taker(p.pid());
+                if (sample != null) {
+                    assertEquals("ms of CPU without a wait", -1, runs.record(sample));
                 }
             }
             assertEquals(0, p.exitValue());
@@ -89,9 +88,9 @@
         }
     }
 
-    private static StepProof.Seen taker(long pid) {
+    private static ThreadSample taker(long pid) {
         try {
-            List<StepProof.Seen> all = StepProof.seen(pid);
+            List<ThreadSample> all = ThreadSample.ofProcess(pid);
             return all.stream()
                     .filter(t -> t.name().equals("taker"))
                     .findFirst()
