--- a/src/test/java/magpiehub/FullHouseTest.java
+++ b/src/test/java/magpiehub/FullHouseTest.java
@@ -15,19 +15,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import magpiehub.concurrent.DaemonThreads;
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 import org.junit.rules.Timeout;
 
-/** The program as a process that is short of descriptors, or starts while discovery fails: what it must be
- *  able to do all the same. The limit on descriptors is the system's own. */
+/**
+ * The router as a process that is short of file descriptors, or starts while discovery fails: what it must be able to
+ * do all the same. The limit on descriptors is the system's own.
+ */
 public class FullHouseTest {
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final String CONTENT = "{\"stream\":true}";
 
+    private static final String CHUNKED_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+    private static final int SLOW_DISCOVERY_MILLIS = 3_000;
+
+    /** How long a router may take from its start until it is ready. */
+    private static final long START_NANOS = 10_000_000_000L;
+
+    /** How long the router may take to watch discovery and serve a new client once discovery is back. */
+    private static final int RECOVERY_MILLIS = 6_000;
+
+    private static final long RECOVERY_NANOS = RECOVERY_MILLIS * 1_000_000L;
+
     /** How discovery fails while a router starts. */
-    private enum Fails {
+    private enum DiscoveryFault {
         REFUSES,
         NEVER_ANSWERS,
         SAYS_503,
@@ -41,23 +56,23 @@
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private Process start(String name, int sockets, int discovery, String known) throws IOException {
+    private Process start(String name, int sockets, int discoveryPort, String known) throws IOException {
         Path config = folder.newFile().toPath();
         Files.writeString(
                 config,
                 "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\","
-                        + "\"discovery\":\"127.0.0.1:" + discovery + "\",\"seed\":\"7\","
+                        + "\"discovery\":\"127.0.0.1:" + discoveryPort + "\",\"seed\":\"7\","
                         + "\"limits\":{\"sockets\":" + sockets + "},\"settings\":"
                         + Files.readString(Path.of("src/test/resources/site.json")) + known + "}");
-        ProcessBuilder b = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
                 "ulimit -n " + sockets + " && exec \"$0\" -Xmx64m -Xss512k -cp \"$1\" magpiehub.Main serve",
                 ProcessHandle.current().info().command().orElse("java"),
                 System.getProperty("java.class.path"));
-        b.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY"));
-        b.environment().putAll(Map.of("ROUTER_CONFIG", config.toString()));
-        return b.redirectErrorStream(true).start();
+        builder.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY"));
+        builder.environment().putAll(Map.of("ROUTER_CONFIG", config.toString()));
+        return builder.redirectErrorStream(true).start();
     }
 
     private static String list(ServerSocket engine) {
@@ -74,56 +89,50 @@
     }
 
     /** Nothing that a test does not wait for may fill a pipe. */
-    private static void drain(BufferedReader log, StringBuffer to) {
-        Thread t = new Thread(() -> {
-            try {
-                for (String l = log.readLine(); l != null; l = log.readLine()) {
-                    to.append(l).append('\n');
-                }
-            } catch (IOException e) {
-                // The test is over.
-            }
-        });
-        t.setDaemon(true);
-        t.start();
+    private static void drain(BufferedReader log, StringBuffer lines) {
+        DaemonThreads.newThread("log", () -> {
+                    try {
+                        for (String line = log.readLine(); line != null; line = log.readLine()) {
+                            lines.append(line).append('\n');
+                        }
+                    } catch (IOException e) {
+                        // The test is over.
+                    }
+                })
+                .start();
     }
 
-    private static void ask(Socket s, String id) throws IOException {
+    private static void ask(Socket client, String id) throws IOException {
         ServeTest.say(
-                s,
+                client,
                 "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
                         + "\r\nX-Call-Class: chat\r\nX-Budget-Ms: 20000\r\nContent-Length: " + CONTENT.length()
                         + "\r\n\r\n" + CONTENT);
     }
 
-    /** An engine that answers each request at once. */
+    /** An upstream that answers each request at once. */
     private static void serve(ServerSocket engine) {
-        Thread t = new Thread(() -> {
-            while (!engine.isClosed()) {
-                try {
-                    Socket s = engine.accept();
-                    Thread one = new Thread(() -> answer(s));
-                    one.setDaemon(true);
-                    one.start();
-                } catch (IOException e) {
-                    return;
-                }
-            }
-        });
-        t.setDaemon(true);
-        t.start();
+        DaemonThreads.newThread("engine", () -> {
+                    while (!engine.isClosed()) {
+                        try {
+                            Socket connection = engine.accept();
+                            DaemonThreads.newThread("connection", () -> answerAll(connection))
+                                    .start();
+                        } catch (IOException e) {
+                            return;
+                        }
+                    }
+                })
+                .start();
     }
 
-    private static void answer(Socket s) {
-        try (s;
-                BufferedReader in = ServeTest.reader(s)) {
-            for (String l = in.readLine(); l != null; l = in.readLine()) {
-                if (l.isEmpty()) {
+    private static void answerAll(Socket connection) {
+        try (connection;
+                BufferedReader in = ServeTest.reader(connection)) {
+            for (String line = in.readLine(); line != null; line = in.readLine()) {
+                if (line.isEmpty()) {
                     in.read(new char[CONTENT.length()]);
-                    ServeTest.say(
-                            s,
-                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                    + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
+                    ServeTest.say(connection, CHUNKED_RESPONSE_HEAD + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
                 }
             }
         } catch (IOException e) {
@@ -131,76 +140,101 @@
         }
     }
 
-    private static String answered(Socket s) throws IOException {
-        return ServeTest.reader(s).readLine();
+    private static String answered(Socket client) throws IOException {
+        return ServeTest.reader(client).readLine();
     }
 
     @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
     private void idleClientsFill(int sockets) throws Exception {
-        List<Socket> idle = new ArrayList<>();
-        StringBuffer seen = new StringBuffer();
+        List<Socket> idleClients = new ArrayList<>();
+        StringBuffer logged = new StringBuffer();
         ServerSocket discovery = new ServerSocket(0, 8, HERE);
-        int at = discovery.getLocalPort();
+        int discoveryPort = discovery.getLocalPort();
         try (ServerSocket engine = new ServerSocket(0, 512, HERE);
-                Socket served = new Socket()) {
+                Socket servedClient = new Socket()) {
             serve(engine);
-            Process p = start("full", sockets, at, known(engine));
-            try (BufferedReader log = p.inputReader()) {
+            Process router = start("full", sockets, discoveryPort, known(engine));
+            try (BufferedReader log = router.inputReader()) {
                 int port = port(log);
-                drain(log, seen);
-                Socket watch = discovery.accept();
-                discovery.close();
-                watch.close(); // Down from here on: connections are refused.
-                served.connect(new InetSocketAddress(HERE, port));
-                ask(served, "first");
-                assertEquals("HTTP/1.1 200 OK", answered(served));
-                for (int i = 0; i < sockets + 200; i++) {
-                    Socket s = new Socket();
-                    idle.add(s);
-                    try {
-                        s.connect(new InetSocketAddress(HERE, port), 20);
-                        if (i % 3 == 0) {
-                            ServeTest.say(s, "GET /up HTTP/1.1\r\n\r\n");
-                        } else if (i % 3 == 1) {
-                            ServeTest.say(s, "GET /up HT");
-                        }
-                    } catch (IOException e) {
-                        // No more are let in, or it was closed to make room.
-                    }
-                }
-                long files;
-                try (var descriptors = Files.list(Path.of("/proc/" + p.pid() + "/fd"))) {
-                    files = descriptors.count();
-                }
-                assertTrue(files + " descriptors of " + sockets, files <= sockets);
-                long back = System.nanoTime();
-                try (ServerSocket again = new ServerSocket(at, 8, HERE)) {
-                    again.setSoTimeout(6_000);
-                    try (Socket w = again.accept()) {
-                        assertTrue(ServeTest.until(ServeTest.reader(w), "GET ").contains("follow=1"));
-                        ServeTest.say(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-                        assertTrue("in time", System.nanoTime() - back < 6_000_000_000L);
-                        // An engine's connection is to be had as well, and one who comes again after being
-                        // refused is let in: room is made from those who have rested for 2 s.
-                        String got = "";
-                        for (int i = 0; !"HTTP/1.1 200 OK".equals(got); i++) {
-                            assertTrue("turned away: " + got, System.nanoTime() - back < 6_000_000_000L);
-                            try (Socket fresh = new Socket(HERE, port)) {
-                                ask(fresh, "again" + i);
-                                got = answered(fresh);
-                            }
-                            Thread.sleep(50);
-                        }
-                    }
-                }
-                assertFalse(seen.toString(), seen.indexOf("accept-failure") >= 0);
-                assertTrue("the log is written still", seen.indexOf("discovery-failed") >= 0);
+                drain(log, logged);
+                stopDiscovery(discovery);
+                servedClient.connect(new InetSocketAddress(HERE, port));
+                ask(servedClient, "first");
+                assertEquals("HTTP/1.1 200 OK", answered(servedClient));
+                connectIdleClients(sockets + 200, port, idleClients);
+                assertOpenDescriptorsAtMost(sockets, router);
+                assertRecoversInTime(discoveryPort, port);
+                assertFalse(logged.toString(), logged.indexOf("accept-failure") >= 0);
+                assertTrue("the log is written still", logged.indexOf("discovery-failed") >= 0);
             } finally {
-                p.destroyForcibly();
-                for (Socket s : idle) {
-                    s.close();
+                router.destroyForcibly();
+                for (Socket client : idleClients) {
+                    client.close();
+                }
+            }
+        }
+    }
+
+    /** Ends the router's watch; its further connections are refused. */
+    private static void stopDiscovery(ServerSocket discovery) throws IOException {
+        Socket watch = discovery.accept();
+        discovery.close();
+        watch.close();
+    }
+
+    /** Opens connections that are answered and stay, that stop within a request, and that send nothing. */
+    private static void connectIdleClients(int count, int port, List<Socket> opened) {
+        for (int i = 0; i < count; i++) {
+            Socket client = new Socket();
+            opened.add(client);
+            try {
+                client.connect(new InetSocketAddress(HERE, port), 20);
+                if (i % 3 == 0) {
+                    ServeTest.say(client, "GET /up HTTP/1.1\r\n\r\n");
+                } else if (i % 3 == 1) {
+                    ServeTest.say(client, "GET /up HT");
                 }
+            } catch (IOException e) {
+                // No more are accepted, or it was closed to free its descriptor.
+            }
+        }
+    }
+
+    private static void assertOpenDescriptorsAtMost(int limit, Process router) throws IOException {
+        long files;
+        try (var descriptors = Files.list(Path.of("/proc/" + router.pid() + "/fd"))) {
+            files = descriptors.count();
+        }
+        assertTrue(files + " descriptors of " + limit, files <= limit);
+    }
+
+    /** Discovery comes back: within {@link #RECOVERY_NANOS} it is watched again, and a new client is served. */
+    private static void assertRecoversInTime(int discoveryPort, int port) throws Exception {
+        long begun = System.nanoTime();
+        try (ServerSocket discovery = new ServerSocket(discoveryPort, 8, HERE)) {
+            discovery.setSoTimeout(RECOVERY_MILLIS);
+            try (Socket watch = discovery.accept()) {
+                assertTrue(ServeTest.until(ServeTest.reader(watch), "GET ").contains("follow=1"));
+                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
+                assertTrue("in time", System.nanoTime() - begun < RECOVERY_NANOS);
+                assertNewClientIsServed(port, begun);
+            }
+        }
+    }
+
+    /**
+     * A connection to the upstream is to be had as well, and a client that comes again after being rejected is
+     * accepted: capacity is freed from connections that have been idle for 2 s.
+     */
+    private static void assertNewClientIsServed(int port, long begun) throws Exception {
+        String status = "";
+        for (int i = 0; !"HTTP/1.1 200 OK".equals(status); i++) {
+            assertTrue("turned away: " + status, System.nanoTime() - begun < RECOVERY_NANOS);
+            try (Socket client = new Socket(HERE, port)) {
+                ask(client, "again" + i);
+                status = answered(client);
             }
+            Thread.sleep(50);
         }
     }
 
@@ -214,80 +248,91 @@
         idleClientsFill(1024);
     }
 
-    /** With a list of its own, whatever discovery does; without one, as soon as a slow one has told it. */
-    @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
+    /** With a list of its own, whatever discovery does; without one, as soon as a slow one has sent it. */
     @Test
     public void aRestartedRouterIsReadyInTime() throws Exception {
-        List<Process> all = new ArrayList<>();
+        List<Process> routers = new ArrayList<>();
         List<ServerSocket> servers = new ArrayList<>();
         try (ServerSocket engine = new ServerSocket(0, 512, HERE)) {
             serve(engine);
-            for (Fails f : Fails.values()) {
-                ServerSocket d = new ServerSocket(0, 64, HERE);
-                servers.add(d);
-                discovery(d, f, list(engine) + "\n");
+            for (DiscoveryFault fault : DiscoveryFault.values()) {
+                ServerSocket discovery = new ServerSocket(0, 64, HERE);
+                servers.add(discovery);
+                serveFaulty(discovery, fault, list(engine) + "\n");
                 long begun = System.nanoTime();
-                Process p = start(f.name(), 256, d.getLocalPort(), f == Fails.SLOW ? "" : known(engine));
-                all.add(p);
-                BufferedReader log = p.inputReader();
-                int port = port(log);
-                drain(log, new StringBuffer());
-                String up = "";
-                for (int i = 0; !up.contains(" 200 "); i++) {
-                    assertTrue(f + ": not ready in time", System.nanoTime() - begun < 10_000_000_000L);
-                    // Clients knock already.
-                    try (Socket early = new Socket(HERE, port);
-                            Socket s = new Socket(HERE, port)) {
-                        ask(early, "early" + i);
-                        ServeTest.say(s, "GET /up HTTP/1.1\r\n\r\n");
-                        up = answered(s);
-                    }
-                    Thread.sleep(20);
-                }
-                try (Socket s = new Socket(HERE, port)) {
-                    ask(s, "served");
-                    assertEquals(f + ": it said that it can serve", "HTTP/1.1 200 OK", answered(s));
-                }
+                String known = fault == DiscoveryFault.SLOW ? "" : known(engine);
+                Process router = start(fault.name(), 256, discovery.getLocalPort(), known);
+                routers.add(router);
+                assertReadyInTime(router, fault, begun);
             }
         } finally {
-            all.forEach(Process::destroyForcibly);
-            for (ServerSocket s : servers) {
-                s.close();
+            routers.forEach(Process::destroyForcibly);
+            for (ServerSocket server : servers) {
+                server.close();
+            }
+        }
+    }
+
+    @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
+    private static void assertReadyInTime(Process router, DiscoveryFault fault, long begun) throws Exception {
+        BufferedReader log = router.inputReader();
+        int port = port(log);
+        drain(log, new StringBuffer());
+        String status = "";
+        for (int i = 0; !status.contains(" 200 "); i++) {
+            assertTrue(fault + ": not ready in time", System.nanoTime() - begun < START_NANOS);
+            // Clients send requests already.
+            try (Socket earlyClient = new Socket(HERE, port);
+                    Socket healthCheck = new Socket(HERE, port)) {
+                ask(earlyClient, "early" + i);
+                ServeTest.say(healthCheck, "GET /up HTTP/1.1\r\n\r\n");
+                status = answered(healthCheck);
             }
+            Thread.sleep(20);
+        }
+        try (Socket client = new Socket(HERE, port)) {
+            ask(client, "served");
+            assertEquals(fault + ": it said that it can serve", "HTTP/1.1 200 OK", answered(client));
         }
     }
 
-    private static void discovery(ServerSocket d, Fails how, String list) throws IOException {
-        if (how == Fails.REFUSES) {
-            d.close();
+    private static void serveFaulty(ServerSocket discovery, DiscoveryFault fault, String list) throws IOException {
+        if (fault == DiscoveryFault.REFUSES) {
+            discovery.close();
             return;
         }
         @SuppressWarnings("ModifiedButNotUsed") // Keeps the sockets reachable, and so open.
         List<Socket> open = new ArrayList<>();
-        Thread t = new Thread(() -> {
-            while (!d.isClosed()) {
-                try {
-                    Socket s = d.accept();
-                    open.add(s);
-                    if (how == Fails.SAYS_503) {
-                        ServeTest.say(s, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-                    } else if (how == Fails.CUTS) {
-                        ServeTest.say(
-                                s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "20\r\n{\"revision\":3,");
-                        s.close();
-                    } else if (how == Fails.SLOW) {
-                        Thread.sleep(3_000);
-                        ServeTest.say(
-                                s,
-                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                        + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
+        DaemonThreads.newThread("discovery", () -> {
+                    while (!discovery.isClosed()) {
+                        try {
+                            Socket watch = discovery.accept();
+                            open.add(watch);
+                            answerFaultily(watch, fault, list);
+                        } catch (IOException | InterruptedException e) {
+                            // The next one.
+                        }
                     }
-                } catch (IOException | InterruptedException e) {
-                    // The next one.
-                }
+                })
+                .start();
+    }
+
+    private static void answerFaultily(Socket watch, DiscoveryFault fault, String list)
+            throws IOException, InterruptedException {
+        switch (fault) {
+            case SAYS_503 -> ServeTest.say(watch, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            case CUTS -> {
+                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "20\r\n{\"revision\":3,");
+                watch.close();
+            }
+            case SLOW -> {
+                Thread.sleep(SLOW_DISCOVERY_MILLIS);
+                ServeTest.say(
+                        watch, CHUNKED_RESPONSE_HEAD + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             }
-        });
-        t.setDaemon(true);
-        t.start();
+            default -> {
+                // No answer.
+            }
+        }
     }
 }
