--- a/src/main/java/magpiehub/simulator/SimulatorAdapter.java
+++ b/src/main/java/magpiehub/simulator/SimulatorAdapter.java
@@ -20,7 +20,7 @@
     private long nowMicros;
     private boolean isInBatch;
 
-    /** An adapter that reads messages from {@code in}, replies to {@code out} and describes faults on {@code errors}. */
+    /** An adapter that reads messages from {@code in}, replies to {@code out} and reports faults on {@code errors}. */
     public SimulatorAdapter(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         this.in = in;
         this.errors = errors;
--- a/src/test/java/magpiehub/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/magpiehub/simulator/SimulatorAdapterTest.java
@@ -84,7 +84,8 @@
         play(
                 OPEN
                         + """
-                {"INGRESS":{"who":3,"job":"q\\"b\\\\u\\u00fcp\\ud83d\\ude00d\\u007fc\\u0001l\\ud800e","type":9,"dropDeadMs":5000}}
+                {"INGRESS":{"who":3,"job":"q\\"b\\\\u\\u00fcp\\ud83d\\ude00d\\u007fc\\u0001l\\ud800e",
+                "type":9,"dropDeadMs":5000}}
                 {"EOB":{}}
                 """);
         assertEquals(0, status, err);
