--- /dev/null
+++ b/src/main/java/magpiehub/simulator/ReplyActions.java
@@ -0,0 +1,80 @@
+package magpiehub.simulator;
+
+import magpiehub.routing.RoutingActions;
+
+/** Adds the actions of one simulated router to the reply, in the order in which they are taken. */
+final class ReplyActions implements RoutingActions {
+    private final int instance;
+    private final Reply reply;
+
+    ReplyActions(int instance, Reply reply) {
+        this.instance = instance;
+        this.reply = reply;
+    }
+
+    @Override
+    public void sendAttempt(String requestId, String replicaId, long timeoutMicros) {
+        reply.add(new ReplyMessage.SendAttempt(instance, requestId, replicaId, timeoutMicros));
+    }
+
+    @Override
+    public void cancelAttempt(String requestId, int attempt) {
+        reply.add(new ReplyMessage.CancelAttempt(instance, requestId, attempt));
+    }
+
+    @Override
+    public void reject(String requestId, long retryAfterMicros) {
+        reply.add(new ReplyMessage.Reject(instance, requestId, retryAfterMicros));
+    }
+
+    @Override
+    public void fail(String requestId) {
+        reply.add(new ReplyMessage.Fail(instance, requestId));
+    }
+
+    @Override
+    public void watch() {
+        reply.add(new ReplyMessage.SetWatch(instance, true));
+    }
+
+    @Override
+    public void unwatch() {
+        reply.add(new ReplyMessage.SetWatch(instance, false));
+    }
+
+    @Override
+    public void fetch() {
+        reply.add(new ReplyMessage.FetchEndpoints(instance));
+    }
+
+    @Override
+    public void setTimer(long atMicros, long token) {
+        reply.add(new ReplyMessage.SetTimer(instance, atMicros, token));
+    }
+
+    @Override
+    public void probe(String replicaId) {
+        reply.add(new ReplyMessage.Probe(instance, replicaId));
+    }
+
+    @Override
+    public void migrateStream(String requestId) {
+        reply.add(new ReplyMessage.MigrateStream(instance, requestId));
+    }
+
+    @Override
+    public void closeIdleConnections(String replicaId) {
+        reply.add(new ReplyMessage.CloseIdleConnections(instance, replicaId));
+    }
+
+    @Override
+    public void sendToPeer(int peer, byte[] payload) {
+        // A copy: the reply is written only at the end of the batch.
+        reply.add(new ReplyMessage.SendToPeer(instance, peer, payload.clone()));
+    }
+
+    @Override
+    public void log(String line) {
+        reply.add(new ReplyMessage.LogLine(instance, line));
+    }
+}
