--- a/Makefile
+++ b/Makefile
@@ -30,7 +30,7 @@
 .PHONY: proof-streams
 proof-streams:
 	@timeout 90 java -Xmx1g -cp target/test-classes:target/magpiehub.jar \
-	    magpiehub.streaming.StreamsProof $(SEED) $(SCALE)
+	    magpiehub.streaming.StreamFaultRun $(SEED) $(SCALE)
 
 # The registry client against a fake registry: SEED chooses the faults; SCALE is endpoints, changes, clients, complete clients.
 .PHONY: proof-registry
--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.http.Sockets;
-import magpiehub.streaming.StreamOutcomes.Ending;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamClient;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * One client's connection, as all threads see it: its socket, its mailbox, and the state that the accepting thread and
@@ -18,7 +19,7 @@
  * <p>The connection is closed orderly by its actor alone. {@link #cut} closes the socket under the actor, which ends
  * in its next turn; this is for clients that do not read, on whom the actor may be blocked in a write.
  */
-final class ClientConnection implements Streams.Reader, EvictionCandidate {
+final class ClientConnection implements StreamClient, EvictionCandidate {
     /**
      * When a client that has connected must have sent its first request completely, whether it sends nothing, a head
      * without end or half a request: it is owed an error within 3 s.
@@ -135,15 +136,15 @@
 
     /** Closes the socket at once: the stream's budget is exceeded, or its client has not read for too long. */
     @Override
-    public void cut() {
+    public void disconnect() {
         cutOnce();
     }
 
     /** Cuts the connection if its client has read nothing of a stream for longer than its request's class allows. */
-    void cutIfStalled(long nowMicros, long leastMicros, Ending ending) {
-        Streams.Flow flow = actor.responseFlow();
-        if (flow != null && services.streams().stuck(flow, nowMicros, leastMicros, ending)) {
-            cut();
+    void cutIfStalled(long nowMicros, long leastMicros, StreamOutcome ending) {
+        StreamFlow flow = actor.responseFlow();
+        if (flow != null && services.streams().isClientStalled(flow, nowMicros, leastMicros, ending)) {
+            disconnect();
         }
     }
 
--- a/src/main/java/magpiehub/downstream/ClientConnectionActor.java
+++ b/src/main/java/magpiehub/downstream/ClientConnectionActor.java
@@ -5,8 +5,8 @@
 import java.net.Socket;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.http.Sockets;
-import magpiehub.streaming.StreamOutcomes.Ending;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * The actor of one connection: it takes the messages from the mailbox, has the {@link ClientMessageHandler} handle them
@@ -44,7 +44,7 @@
     }
 
     /** The stream whose bytes are being written, or null. */
-    Streams.Flow responseFlow() {
+    StreamFlow responseFlow() {
         return writer.flow();
     }
 
@@ -109,7 +109,7 @@
             return;
         }
         closed = true;
-        handler.release(failed ? Ending.FAULT : Ending.READER_LEFT);
+        handler.release(failed ? StreamOutcome.INTERNAL_ERROR : StreamOutcome.CLIENT_DISCONNECTED);
         services.connections().remove(connection);
     }
 
--- a/src/main/java/magpiehub/downstream/ClientExchange.java
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -3,8 +3,8 @@
 import magpiehub.dispatch.ClientCallback;
 import magpiehub.http.Http;
 import magpiehub.protocol.ProtocolAdapter;
-import magpiehub.streaming.StreamOutcomes.Ending;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * One request of a connection and its response, as the dispatcher ({@link ClientCallback}) and the upstream side
@@ -16,10 +16,10 @@
 final class ClientExchange implements ClientCallback, ProtocolAdapter.Sink {
     private final ClientConnection connection;
     private final ProtocolAdapter.Call call;
-    private final Streams.Flow flow;
+    private final StreamFlow flow;
     private ExchangeState state = ExchangeState.PENDING;
 
-    ClientExchange(ClientConnection connection, ProtocolAdapter.Call call, Streams.Flow flow) {
+    ClientExchange(ClientConnection connection, ProtocolAdapter.Call call, StreamFlow flow) {
         this.connection = connection;
         this.call = call;
         this.flow = flow;
@@ -28,7 +28,7 @@
     // ---- Any thread -----------------------------------------------------------------------------------
 
     @Override
-    public Streams.Flow flow() {
+    public StreamFlow flow() {
         return flow;
     }
 
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void broken(byte[] error, Ending why) {
+    public void broken(byte[] error, StreamOutcome why) {
         connection.post(new ClientMessage.StreamBroken(this, error, why), 0);
     }
 
@@ -59,7 +59,7 @@
 
     @Override
     public void migrate() {
-        connection.post(new ClientMessage.StreamBroken(this, null, Ending.MOVED), 0);
+        connection.post(new ClientMessage.StreamBroken(this, null, StreamOutcome.MIGRATED), 0);
     }
 
     @Override
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -9,8 +9,8 @@
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.protocol.ProtocolAdapter;
-import magpiehub.streaming.StreamOutcomes.Ending;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamOutcome;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -49,7 +49,7 @@
             Supplier<String> counters,
             int maxConnections,
             ActorThreadPool actorThreads,
-            Streams streams) {
+            FlowController streams) {
         ConnectionCapacity capacity = new ConnectionCapacity(maxConnections);
         this.listenerSocket = listenerSocket;
         this.clock = clock;
@@ -61,7 +61,7 @@
                 clock,
                 eventLog,
                 streams,
-                MAILBOX_BYTES + streams.largestBuffer(),
+                MAILBOX_BYTES + streams.maxBufferBytes(),
                 actorThreads,
                 new CachedThreadPool("client-reader"),
                 connections,
@@ -126,7 +126,7 @@
     public void cutStalledConnections(long leastMicros) {
         long nowMicros = clock.micros();
         for (ClientConnection connection : connections.all()) {
-            connection.cutIfStalled(nowMicros, leastMicros, Ending.STOPPED);
+            connection.cutIfStalled(nowMicros, leastMicros, StreamOutcome.SHUTDOWN);
         }
     }
 
--- a/src/main/java/magpiehub/downstream/ClientMessage.java
+++ b/src/main/java/magpiehub/downstream/ClientMessage.java
@@ -1,7 +1,7 @@
 package magpiehub.downstream;
 
 import magpiehub.http.Http;
-import magpiehub.streaming.StreamOutcomes.Ending;
+import magpiehub.streaming.StreamOutcome;
 
 /** A message in the mailbox of a {@link ClientConnection}; one record and one handler method for each kind. */
 sealed interface ClientMessage {
@@ -120,7 +120,7 @@
     }
 
     /** The exchange's response stream has ended early; {@code error} is the upstream's error event, or null. */
-    record StreamBroken(ClientExchange exchange, byte[] error, Ending ending) implements ClientMessage {
+    record StreamBroken(ClientExchange exchange, byte[] error, StreamOutcome ending) implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
             handler.onStreamBroken(this);
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -4,8 +4,8 @@
 import java.net.Socket;
 import magpiehub.http.Http;
 import magpiehub.protocol.ProtocolAdapter;
-import magpiehub.streaming.StreamOutcomes.Ending;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * What a connection's actor does for each message: it starts and answers the exchanges of the connection, one at a time
@@ -63,7 +63,7 @@
     // ---- Called by the actor --------------------------------------------------------------------------
 
     /** The stream of the request in progress, or null. */
-    Streams.Flow currentFlow() {
+    StreamFlow currentFlow() {
         return current == null ? null : current.flow();
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Releases what the connection holds, and ends its streams; to be called once, when it is closed. */
-    void release(Ending ending) {
+    void release(StreamOutcome ending) {
         requests.releaseAll();
         endStreams(ending);
         if (current != null) {
@@ -105,13 +105,13 @@
     }
 
     /** Ends the stream that was being written, whose own ending was not, and the one of the request in progress. */
-    private void endStreams(Ending ending) {
-        Streams.Flow written = writer.flow();
+    private void endStreams(StreamOutcome ending) {
+        StreamFlow written = writer.flow();
         if (written != null) {
-            services.streams().end(written, ending);
+            services.streams().endStream(written, ending);
         }
         if (current != null && current.flow() != written) {
-            services.streams().end(current.flow(), ending);
+            services.streams().endStream(current.flow(), ending);
         }
     }
 
@@ -160,8 +160,8 @@
             completeAnswer(true);
             return;
         }
-        Streams.Flow flow = services.streams()
-                .open(call.request.classIndex(), call.request.tenantIndex(), call.request.id(), connection);
+        StreamFlow flow = services.streams()
+                .openStream(call.request.classIndex(), call.request.tenantIndex(), call.request.id(), connection);
         if (flow == null) {
             reject(call, lastAnswer);
             return;
@@ -170,7 +170,7 @@
         writer.openStream(flow);
         call.sink(current);
         if (!services.dispatcher().submit(call.request, current, call, request.body().length)) {
-            services.streams().end(flow, Ending.FAULT);
+            services.streams().endStream(flow, StreamOutcome.INTERNAL_ERROR);
             writer.withdrawStream();
             reject(call, lastAnswer);
         }
@@ -237,7 +237,7 @@
         if (message.exchange() == current) {
             ensureHeadWritten();
             current.writeEnd(writer.output(), close.isLastAnswer());
-            writer.endStream(Ending.WHOLE);
+            writer.endStream(StreamOutcome.COMPLETE);
             completeAnswer(close.isLastAnswer());
         }
     }
@@ -254,9 +254,9 @@
             return;
         }
         writer.endStream(message.ending());
-        boolean mayEndInOrder = message.ending() != Ending.MOVED && message.error() == null;
+        boolean mayEndInOrder = message.ending() != StreamOutcome.MIGRATED && message.error() == null;
         if (mayEndInOrder && current.writeIncompleteEnd(writer.output(), close.isLastAnswer())) {
-            writer.endStream(Ending.INCOMPLETE);
+            writer.endStream(StreamOutcome.INCOMPLETE);
             completeAnswer(close.isLastAnswer());
             return;
         }
@@ -284,7 +284,7 @@
 
     /** If the request has become a stream all the same, it ends by a fault; one that has not has no ending. */
     private void completeWithoutStream() {
-        writer.endStream(Ending.FAULT);
+        writer.endStream(StreamOutcome.INTERNAL_ERROR);
         completeAnswer(close.isLastAnswer());
     }
 
--- a/src/main/java/magpiehub/downstream/ConnectionAcceptor.java
+++ b/src/main/java/magpiehub/downstream/ConnectionAcceptor.java
@@ -52,7 +52,7 @@
 
     private void configure(Socket accepted) throws IOException {
         accepted.setTcpNoDelay(true);
-        int sendBufferBytes = services.streams().allowances().sendBuffer();
+        int sendBufferBytes = services.streams().limits().sendBufferBytes();
         if (sendBufferBytes > 0) {
             accepted.setSendBufferSize(sendBufferBytes);
         }
--- a/src/main/java/magpiehub/downstream/ConnectionMonitor.java
+++ b/src/main/java/magpiehub/downstream/ConnectionMonitor.java
@@ -1,7 +1,7 @@
 package magpiehub.downstream;
 
 import magpiehub.concurrent.Mailbox;
-import magpiehub.streaming.StreamOutcomes.Ending;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * Looks at all connections periodically: expires their timers, cuts those whose clients do not read, and closes idle
@@ -41,7 +41,7 @@
     private void checkConnections(long nowMicros) {
         for (ClientConnection connection : services.connections().all()) {
             connection.checkTimer(nowMicros);
-            connection.cutIfStalled(nowMicros, NO_LIMIT, Ending.READER_STUCK);
+            connection.cutIfStalled(nowMicros, NO_LIMIT, StreamOutcome.CLIENT_STALLED);
         }
         eviction.closeDrained(services.drain(), nowMicros, PERIOD_MICROS);
         services.actorThreads().checkForStall();
--- a/src/main/java/magpiehub/downstream/ListenerServices.java
+++ b/src/main/java/magpiehub/downstream/ListenerServices.java
@@ -5,7 +5,7 @@
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.protocol.ProtocolAdapter;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -24,7 +24,7 @@
         RequestDispatcher dispatcher,
         MonotonicClock clock,
         EventLog eventLog,
-        Streams streams,
+        FlowController streams,
         long mailboxBytes,
         ActorThreadPool actorThreads,
         CachedThreadPool readerThreads,
--- a/src/main/java/magpiehub/downstream/ResponseWriter.java
+++ b/src/main/java/magpiehub/downstream/ResponseWriter.java
@@ -4,8 +4,9 @@
 import java.io.OutputStream;
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.http.Http;
-import magpiehub.streaming.StreamOutcomes.Ending;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * The writing side of one connection: its output buffer, and the accounting of the stream whose bytes are in it. A
@@ -17,16 +18,16 @@
     /** With so many bytes buffered, they are written before the next message is handled. */
     private static final int FLUSH_BYTES = 16 * 1024;
 
-    private final Streams streams;
+    private final FlowController streams;
     private final Http.Output out = new Http.Output();
     /** The stream that {@link #out} holds bytes or the end of, until these are written; null if there is none. */
-    private volatile Streams.Flow flow;
+    private volatile StreamFlow flow;
     /** The stream's bytes in {@link #out}. */
     private long unwrittenStreamBytes;
     /** The stream's ending, once its last byte is in {@link #out}. */
-    private Ending unwrittenEnding;
+    private StreamOutcome unwrittenEnding;
 
-    ResponseWriter(Streams streams) {
+    ResponseWriter(FlowController streams) {
         this.streams = streams;
     }
 
@@ -36,7 +37,7 @@
     }
 
     /** The stream of the response that is being written, or null. */
-    Streams.Flow flow() {
+    StreamFlow flow() {
         return flow;
     }
 
@@ -46,7 +47,7 @@
     }
 
     /** Makes a stream the one that is written, unless the end of the one before it has to be written first. */
-    void openStream(Streams.Flow opened) {
+    void openStream(StreamFlow opened) {
         if (unwrittenEnding == null) {
             flow = opened;
         }
@@ -63,7 +64,7 @@
     }
 
     /** The last byte of the stream was buffered. */
-    void endStream(Ending ending) {
+    void endStream(StreamOutcome ending) {
         unwrittenEnding = ending;
     }
 
@@ -71,7 +72,7 @@
     void flush(OutputStream socket) throws IOException {
         ActorThreadPool.enterBlockingCall();
         try {
-            out.flush(socket, () -> streams.passed(flow, 0));
+            out.flush(socket, () -> streams.recordDelivered(flow, 0));
         } finally {
             ActorThreadPool.exitBlockingCall();
         }
@@ -83,15 +84,15 @@
      *
      * @param next the stream of the request in progress, or null
      */
-    void reportWritten(Streams.Flow next) {
+    void reportWritten(StreamFlow next) {
         if (unwrittenStreamBytes > 0) {
-            streams.passed(flow, unwrittenStreamBytes);
+            streams.recordDelivered(flow, unwrittenStreamBytes);
             unwrittenStreamBytes = 0;
         }
         if (unwrittenEnding != null) {
-            Streams.Flow written = flow;
+            StreamFlow written = flow;
             flow = next;
-            streams.end(written, unwrittenEnding);
+            streams.endStream(written, unwrittenEnding);
             unwrittenEnding = null;
         }
     }
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -32,8 +32,9 @@
 import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.store.KeyValueStore;
 import magpiehub.store.LastWriteWinsStore;
+import magpiehub.streaming.FlowController;
 import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.SyslogEventLog;
 import magpiehub.upstream.UpstreamPool;
 
@@ -60,7 +61,7 @@
     /** The settings in force; protocols read them for each request. */
     private final AtomicReference<SiteSettings> site;
 
-    private final Streams streams;
+    private final FlowController streams;
     private final UpstreamPool upstreams;
     /** Null where the platform's discovery is used. */
     private final DiscoverySettings registry;
@@ -128,14 +129,15 @@
         return created;
     }
 
-    private Streams createStreams() throws IOException {
+    private FlowController createStreams() throws IOException {
         StreamLimits limits = readStreamLimits(configuration.site());
-        return new Streams(limits, configuration.site(), clock, log);
+        return new FlowController(limits, configuration.site(), clock, log);
     }
 
     private static StreamLimits readStreamLimits(SiteSettings settings) throws IOException {
         List<RequestClass> classes = settings.routing().classes();
-        return StreamLimits.read(STREAMS_FILE, classes, Runtime.getRuntime().maxMemory());
+        return StreamLimitsReader.read(
+                STREAMS_FILE, classes, Runtime.getRuntime().maxMemory());
     }
 
     private UpstreamPool startUpstreams() {
@@ -205,7 +207,7 @@
 
     private void applySettings(SiteSettings later) throws IOException {
         SiteSettings next = site.get().updatedTo(later);
-        streams.settings(readStreamLimits(next), next);
+        streams.updateSettings(readStreamLimits(next), next);
         upstreams.settings(next);
         dispatcher.updateSettings(next.routing());
         // Last: the other parts then know every class and tenant that the protocols name by index.
@@ -252,7 +254,7 @@
 
     /** All counters, one a line. */
     private String counters() {
-        String counters = log.counters() + streams.figures() + discovery.counterLines();
+        String counters = log.counters() + streams.metrics() + discovery.counterLines();
         return failoverPlan == null ? counters : counters + failoverPlan.metrics();
     }
 
--- a/src/main/java/magpiehub/protocol/ProtocolAdapter.java
+++ b/src/main/java/magpiehub/protocol/ProtocolAdapter.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 import magpiehub.http.Http;
 import magpiehub.routing.RoutingRequest;
-import magpiehub.streaming.StreamOutcomes;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * What a client dialect is to the connections: it reads a request into the module's terms, and gives each
@@ -89,10 +89,10 @@
         void end();
 
         /** The stream broke; {@code error} is the engine's error event, or null. */
-        void broken(byte[] error, StreamOutcomes.Ending why);
+        void broken(byte[] error, StreamOutcome why);
 
         /** The stream's account. */
-        Streams.Flow flow();
+        StreamFlow flow();
     }
 
     /** The event's data: what stands behind its {@code data:} fields. */
--- a/src/main/java/magpiehub/streaming/BufferBudget.java
+++ b/src/main/java/magpiehub/streaming/BufferBudget.java
@@ -4,185 +4,143 @@
 import java.util.List;
 
 /**
- * One byte budget for all streams together. It owns what each stream has between its engine's socket and its
- * client's: every byte is counted once, when it has come from the engine, until the client's socket has taken
- * it. It is a plain state machine: it must never do I/O, read a clock or wait. An instance belongs to one
- * lock or one thread.
+ * One byte budget for the buffers of all streams together. A byte counts once, from the moment it has come from the
+ * upstream until the client's socket has taken it.
  *
- * <p>A stream is <em>in step</em> while it holds no more than {@link #STEP} bytes, or has held more for less
- * than {@link #GRACE}. Where bytes run short, a stream in step is never ended: the one that is furthest
- * behind for longest is, by bytes held times the time since it fell behind.
+ * <p>A stream <em>keeps up</em> while it buffers no more than {@link #KEEPING_UP_BYTES}, or has buffered more for less
+ * than {@link #LAG_GRACE_MICROS}; otherwise it is <em>lagging</em>. Where bytes run short, a stream that keeps up is
+ * never ended. Of the lagging ones the worst is, by buffered bytes times the time it has been lagging.
+ *
+ * <p>A state machine without I/O or a clock of its own. Not thread-safe: an instance belongs to one lock or one thread.
+ *
+ * @param <T> what the user keeps for a stream, see {@link StreamBuffer#owner}
  */
-public final class BufferBudget {
-    /** What a stream that keeps up may hold (bytes): a few events, and what one write takes. */
-    public static final int STEP = 48 * 1024;
-    /** A stream that fell behind only now has not had the time to catch up (us). */
-    public static final long GRACE = 500_000;
-    /** What is kept back for each stream (bytes). */
-    static final int PLEDGE = 8 * 1024;
-
-    private static final long NEVER = Long.MAX_VALUE;
-
-    /** One stream's part. */
-    public static final class Account {
-        /** Whose part it is. */
-        final Object owner;
-
-        private final long allowance;
-        private long held;
-        private long passed;
-        private long came;
-        /** When the client's socket last took bytes, or the first of those that wait came (us). */
-        private long movedAt;
-
-        private long behindSince = NEVER;
-        private boolean closed;
-
-        private Account(Object owner, long allowance, long now) {
-            this.owner = owner;
-            this.allowance = allowance;
-            this.movedAt = now;
-        }
-
-        /** Bytes that the client's socket has not taken. */
-        public long held() {
-            return held;
-        }
-
-        /** Bytes that the client's socket has taken. */
-        public long passed() {
-            return passed;
-        }
-
-        /** Bytes that have come from the engine. */
-        public long came() {
-            return came;
-        }
-
-        /** How long nothing has moved towards the client though bytes wait (us); 0 if none wait. */
-        public long stuckFor(long now) {
-            return held == 0 || closed ? 0 : Math.max(0, now - movedAt);
-        }
-
-        /** How long this stream has been out of step (us); 0 if it is in step. */
-        public long behindFor(long now) {
-            return behindSince == NEVER || now - behindSince < GRACE ? 0 : now - behindSince;
-        }
-    }
-
-    private final long total;
-    private final List<Account> open = new ArrayList<>();
-    private long held;
-    private long most;
-
-    /** A budget of so many bytes. */
-    public BufferBudget(long total) {
-        if (total < STEP) {
-            throw new IllegalArgumentException("a budget below one stream's step");
-        }
-        this.total = total;
+public final class BufferBudget<T> {
+    /** What a stream that keeps up may buffer: a few events, and what one write takes (bytes). */
+    public static final int KEEPING_UP_BYTES = 48 * 1024;
+    /** A client that fell behind only now has not had the time to catch up (us). */
+    public static final long LAG_GRACE_MICROS = 500_000;
+    /** What is reserved for each stream when a new one asks to be admitted (bytes). */
+    static final int RESERVED_BYTES = 8 * 1024;
+    /** What a stream may buffer even though the budget is spent, so that each one moves (bytes). */
+    static final int MIN_SHARE_BYTES = KEEPING_UP_BYTES / 4;
+
+    private final long totalBytes;
+    private final List<StreamBuffer<T>> openBuffers = new ArrayList<>();
+    private long bufferedBytes;
+    private long maxBufferedBytes;
+
+    /**
+     * A budget that no stream uses yet.
+     *
+     * @throws IllegalArgumentException if it is too small for one stream that keeps up
+     */
+    public BufferBudget(long totalBytes) {
+        if (totalBytes < KEEPING_UP_BYTES) {
+            throw new IllegalArgumentException("a budget smaller than the buffer of one stream that keeps up");
+        }
+        this.totalBytes = totalBytes;
     }
 
-    /** Bytes held by all streams; the most there ever were. */
-    public long held() {
-        return held;
+    /** Bytes that all streams buffer now. */
+    public long bufferedBytes() {
+        return bufferedBytes;
     }
 
-    public long most() {
-        return most;
+    /** The most bytes that all streams ever buffered at once. */
+    public long maxBufferedBytes() {
+        return maxBufferedBytes;
     }
 
-    public long total() {
-        return total;
+    /** The size of the budget (bytes). */
+    public long totalBytes() {
+        return totalBytes;
     }
 
-    /** Whether one more stream may begin: what streams in step hold, or a little for each of them and for the
-     *  new one, must fit. What readers behind hold does not count: room is made by ending them. */
-    public boolean admits(long now) {
-        long pledged = PLEDGE;
-        for (Account a : open) {
-            pledged += a.behindFor(now) > 0 ? 0 : Math.max(a.held, PLEDGE);
+    /**
+     * Whether one more stream may begin: what the streams that keep up buffer, or a little for each of them and for the
+     * new one, must fit. What lagging streams buffer does not count: capacity is gained by ending them.
+     */
+    public boolean hasCapacityForStream(long nowMicros) {
+        long reserved = RESERVED_BYTES;
+        for (StreamBuffer<T> buffer : openBuffers) {
+            reserved += buffer.laggingMicros(nowMicros) > 0 ? 0 : Math.max(buffer.bufferedBytes(), RESERVED_BYTES);
         }
-        return pledged <= total;
+        return reserved <= totalBytes;
     }
 
-    /** A stream that may hold so many bytes of its own. */
-    public Account open(Object owner, long allowance, long now) {
-        Account a = new Account(owner, allowance, now);
-        open.add(a);
-        return a;
+    /**
+     * Opens the buffer of a new stream.
+     *
+     * @param maxBytes what it may buffer at most before its upstream has to wait
+     */
+    public StreamBuffer<T> open(T owner, long maxBytes, long nowMicros) {
+        StreamBuffer<T> buffer = new StreamBuffer<>(owner, maxBytes, nowMicros);
+        openBuffers.add(buffer);
+        return buffer;
     }
 
-    /** Whether the engine's next bytes may be read now; else the engine waits. */
-    public boolean room(Account a) {
-        return a.closed || (a.held < a.allowance && (held < total || a.held < STEP / 4));
+    /** Whether the upstream's next bytes may be read now; if not, the upstream waits. */
+    public boolean hasCapacity(StreamBuffer<T> buffer) {
+        return buffer.isClosed()
+                || (!buffer.isFull() && (bufferedBytes < totalBytes || buffer.bufferedBytes() < MIN_SHARE_BYTES));
     }
 
-    /** Bytes have come from the engine. */
-    public void came(Account a, int bytes, long now) {
-        if (a.closed) {
+    /** Records bytes that have come from the upstream. */
+    public void receive(StreamBuffer<T> buffer, int bytes, long nowMicros) {
+        if (buffer.isClosed()) {
             return;
         }
-        if (a.held == 0) {
-            a.movedAt = now;
-        }
-        a.came += bytes;
-        a.held += bytes;
-        held += bytes;
-        most = Math.max(most, held);
-        if (a.held > STEP && a.behindSince == NEVER) {
-            a.behindSince = now;
-        }
+        buffer.add(bytes, nowMicros);
+        bufferedBytes += bytes;
+        maxBufferedBytes = Math.max(maxBufferedBytes, bufferedBytes);
     }
 
-    /** Bytes were taken by the client's socket. */
-    public void passed(Account a, long bytes, long now) {
-        if (!a.closed) {
-            less(a, bytes);
-            a.passed += bytes;
-            a.movedAt = now;
+    /**
+     * Records bytes that the client's socket has taken.
+     *
+     * @throws IllegalStateException if they are more than the stream has buffered
+     */
+    public void deliver(StreamBuffer<T> buffer, long bytes, long nowMicros) {
+        if (!buffer.isClosed()) {
+            buffer.deliver(bytes, nowMicros);
+            bufferedBytes -= bytes;
         }
     }
 
-    /** Bytes that had come were let go of: an attempt that the client never saw. */
-    public void dropped(Account a, long bytes, long now) {
-        if (!a.closed) {
-            less(a, bytes);
-        }
-    }
-
-    private void less(Account a, long bytes) {
-        if (bytes < 0 || bytes > a.held) {
-            throw new IllegalStateException(bytes + " bytes taken of " + a.held);
-        }
-        a.held -= bytes;
-        held -= bytes;
-        if (a.held <= STEP) {
-            a.behindSince = NEVER;
+    /**
+     * Releases bytes that the client will never see: those of an attempt that was not the one answered with.
+     *
+     * @throws IllegalStateException if they are more than the stream has buffered
+     */
+    public void discard(StreamBuffer<T> buffer, long bytes) {
+        if (!buffer.isClosed()) {
+            buffer.remove(bytes);
+            bufferedBytes -= bytes;
         }
     }
 
-    /** The stream is over; what it held is free. */
-    public void close(Account a) {
-        if (!a.closed) {
-            a.closed = true;
-            held -= a.held;
-            open.remove(a);
+    /** Ends a stream and releases what it buffered. Does nothing the second time. */
+    public void close(StreamBuffer<T> buffer) {
+        if (!buffer.isClosed()) {
+            buffer.close();
+            bufferedBytes -= buffer.bufferedBytes();
+            openBuffers.remove(buffer);
         }
     }
 
-    /** The stream to end since bytes are short; null if they are not, or all are in step. */
-    public Account victim(long now) {
-        if (held < total) {
+    /** The stream to end because the budget is spent; null if it is not, or if all streams keep up. */
+    public StreamBuffer<T> selectVictim(long nowMicros) {
+        if (bufferedBytes < totalBytes) {
             return null;
         }
-        Account worst = null;
-        double most = 0;
-        for (Account a : open) {
-            double far = (double) a.held * a.behindFor(now);
-            if (far > most) {
-                most = far;
-                worst = a;
+        StreamBuffer<T> worst = null;
+        double worstLag = 0;
+        for (StreamBuffer<T> buffer : openBuffers) {
+            double lag = (double) buffer.bufferedBytes() * buffer.laggingMicros(nowMicros);
+            if (lag > worstLag) {
+                worstLag = lag;
+                worst = buffer;
             }
         }
         return worst;
--- a/src/main/java/magpiehub/streaming/StallDetector.java
+++ b/src/main/java/magpiehub/streaming/StallDetector.java
@@ -5,155 +5,108 @@
 import java.util.Set;
 
 /**
- * What is normal for an engine's streams, and from it when a silence is a stall. It owns the gaps between
- * events: of each engine, of the whole fleet over a long time, and of the fleet now. It is a plain state
- * machine: it must never do I/O or read a clock. An instance belongs to one lock or one thread.
+ * Learns from the gaps between events how long a silence of each upstream is normal, and says from when on it is a
+ * stall. The limit is a multiple of the upstream's own slowest gaps. Where the fleet as a whole has become slower, all
+ * limits grow with it: a slowdown that all upstreams share is no stall.
  *
- * <p>Gaps are kept in classes a quarter of an octave wide, and halved now and then so that what was normal is
- * forgotten; all that is asked of them is quantiles, which bursts (many events in one read) can't move far.
- * A limit is a multiple of the engine's own slowest gaps. Where the fleet as a whole has become slower,
- * limits grow with it: a shared slowness is no stall.
+ * <p>A state machine without I/O or a clock of its own. Not thread-safe: an instance belongs to one lock or one thread.
  */
 public final class StallDetector {
-    /** Limits (us): never sooner than {@code floor}, never later than {@code ceiling}; {@code factor} times
-     *  the gap that 99 of 100 stay below. */
-    public record Options(long floor, long ceiling, double factor) {
-        /** Whether silences are judged by what was learnt; if not, the ceiling alone counts. */
-        public boolean learns() {
-            return floor < ceiling;
-        }
+    /** An upstream's histogram is halved at so many gaps. */
+    private static final int UPSTREAM_HALVING_THRESHOLD = 2048;
+    /** The histogram of the fleet's pace of now is halved at so many gaps. */
+    private static final int RECENT_HALVING_THRESHOLD = 512;
+    /** The histogram of the fleet's usual pace is halved at so many gaps: much later than the recent one. */
+    private static final int USUAL_HALVING_THRESHOLD = 65_536;
+    /** The most by which a slowdown of the whole fleet lengthens the limits. */
+    private static final double MAX_FLEET_SLOWDOWN = 4;
+    /** The part of an upstream's gaps that stay below its slowest normal one. */
+    private static final double SLOWEST_GAP_QUANTILE = 0.99;
+
+    private static final double MEDIAN = 0.5;
+
+    private static final class Upstream {
+        private final GapHistogram gaps = new GapHistogram(UPSTREAM_HALVING_THRESHOLD);
+        /** When an event last came on any of its streams (us). */
+        private long lastEventMicros;
+
+        private int openStreams;
     }
 
-    /** Gaps shorter than this came in one burst and say nothing of the engine (us). */
-    private static final long BURST = 500;
-
-    private static final int CLASSES = 80;
-    private static final int LEAST = 40;
-    private static final int HALVED_AT = 2048;
-    /** The fleet's gaps of now are forgotten after so many, its usual ones much later. */
-    private static final int NOW_AT = 512;
-
-    private static final int USUAL_AT = 65_536;
-    private static final double SLOWEST_SHARED = 4;
-
-    /** Counts of gaps by size. */
-    static final class Gaps {
-        private final int[] counts = new int[CLASSES];
-        private final int halvedAt;
-        private int total;
-
-        Gaps(int halvedAt) {
-            this.halvedAt = halvedAt;
-        }
-
-        static int at(long gap) {
-            return (int) Math.max(0, Math.min(CLASSES - 1, 4 * Math.log((double) gap / BURST) / Math.log(2)));
-        }
-
-        void add(long gap) {
-            counts[at(gap)]++;
-            if (++total >= halvedAt) {
-                total = 0;
-                for (int i = 0; i < CLASSES; i++) {
-                    counts[i] /= 2;
-                    total += counts[i];
-                }
-            }
-        }
+    private final StallLimits limits;
+    private final Map<String, Upstream> upstreams = new HashMap<>();
+    private final GapHistogram usualGaps = new GapHistogram(USUAL_HALVING_THRESHOLD);
+    private final GapHistogram recentGaps = new GapHistogram(RECENT_HALVING_THRESHOLD);
 
-        /** The gap that a part of all stay below (us), to a quarter of an octave; 0 if too few are known. */
-        long quantile(double part) {
-            if (total < LEAST) {
-                return 0;
-            }
-            long below = 0;
-            for (int i = 0; i < CLASSES; i++) {
-                below += counts[i];
-                if (below >= part * total) {
-                    return (long) (BURST * Math.pow(2, (i + 1) / 4.0));
-                }
-            }
-            throw new AssertionError("more than all");
-        }
+    /** A detector that has learned nothing yet. */
+    public StallDetector(StallLimits limits) {
+        this.limits = limits;
     }
 
-    private static final class Engine {
-        final Gaps gaps = new Gaps(HALVED_AT);
-        /** When this engine last said anything on any stream, and how many streams it has under way. */
-        long heardAt;
-
-        int streams;
-    }
-
-    private final Options options;
-    private final Map<String, Engine> engines = new HashMap<>();
-    private final Gaps usual = new Gaps(USUAL_AT);
-    private final Gaps lately = new Gaps(NOW_AT);
-
-    public StallDetector(Options options) {
-        this.options = options;
-    }
-
-    /** A stream has begun on an engine. */
-    public void begun(String engine, long now) {
-        if (!options.learns()) {
+    /** Records that a stream has begun on an upstream. */
+    public void startStream(String upstreamId, long nowMicros) {
+        if (!limits.isAdaptive()) {
             return;
         }
-        Engine e = engines.computeIfAbsent(engine, k -> new Engine());
-        e.streams++;
-        e.heardAt = now;
+        Upstream upstream = upstreams.computeIfAbsent(upstreamId, id -> new Upstream());
+        upstream.openStreams++;
+        upstream.lastEventMicros = nowMicros;
     }
 
-    /** A stream is over on an engine. */
-    public void ended(String engine) {
-        Engine e = engines.get(engine);
-        if (e != null && e.streams > 0) {
-            e.streams--;
+    /** Records that a stream is over on an upstream. */
+    public void endStream(String upstreamId) {
+        Upstream upstream = upstreams.get(upstreamId);
+        if (upstream != null && upstream.openStreams > 0) {
+            upstream.openStreams--;
         }
     }
 
-    /** An event has come, so long after the one before it on its stream (us). */
-    public void heard(String engine, long gap, long now) {
-        Engine e = engines.computeIfAbsent(engine, k -> new Engine());
-        e.heardAt = now;
-        if (gap >= BURST) {
-            e.gaps.add(gap);
-            usual.add(gap);
-            lately.add(gap);
+    /**
+     * Records an event.
+     *
+     * @param gapMicros the time since the event before it on the same stream
+     */
+    public void recordEvent(String upstreamId, long gapMicros, long nowMicros) {
+        Upstream upstream = upstreams.computeIfAbsent(upstreamId, id -> new Upstream());
+        upstream.lastEventMicros = nowMicros;
+        if (gapMicros >= GapHistogram.MIN_GAP_MICROS) {
+            upstream.gaps.add(gapMicros);
+            usualGaps.add(gapMicros);
+            recentGaps.add(gapMicros);
         }
     }
 
-    /** The engine is no longer listed. */
-    public void gone(String engine) {
-        engines.remove(engine);
+    /** Forgets an upstream that is no longer in the endpoint list. */
+    public void removeUpstream(String upstreamId) {
+        upstreams.remove(upstreamId);
     }
 
-    /** Engines that are not among these are no longer listed. */
-    public void only(Set<String> listed) {
-        engines.keySet().retainAll(listed);
+    /** Forgets all upstreams but these. */
+    public void retainUpstreams(Set<String> upstreamIds) {
+        upstreams.keySet().retainAll(upstreamIds);
     }
 
-    /** How much slower than usual the fleet is now; 1 if it is not. */
-    public double shared() {
-        long was = usual.quantile(0.5);
-        long is = lately.quantile(0.5);
-        return was == 0 || is <= was ? 1 : Math.min(SLOWEST_SHARED, (double) is / was);
+    /** How many times slower than usual the whole fleet is now; 1 if it is not. */
+    public double fleetSlowdown() {
+        long usual = usualGaps.quantile(MEDIAN);
+        long recent = recentGaps.quantile(MEDIAN);
+        return usual == 0 || recent <= usual ? 1 : Math.min(MAX_FLEET_SLOWDOWN, (double) recent / usual);
     }
 
     /**
-     * How long a stream on this engine may be silent (us) before that is a stall. An engine whose other
-     * streams go on is given twice as long: one stream may wait behind another's prompt.
+     * How long a stream on this upstream may be silent before that is a stall (us). An upstream whose other streams go
+     * on is given twice as long: one stream may wait behind the prompt of another.
      */
-    public long limit(String engine, long now) {
-        Engine e = engines.get(engine);
-        long slowest = e == null ? 0 : e.gaps.quantile(0.99);
-        if (!options.learns() || slowest == 0) {
-            return options.ceiling;
+    public long limitMicros(String upstreamId, long nowMicros) {
+        Upstream upstream = upstreams.get(upstreamId);
+        long slowestGap = upstream == null ? 0 : upstream.gaps.quantile(SLOWEST_GAP_QUANTILE);
+        if (!limits.isAdaptive() || slowestGap == 0) {
+            return limits.maxMicros();
         }
-        double limit = Math.max((double) options.floor, options.factor * slowest) * shared();
-        if (e.streams > 1 && now - e.heardAt < limit / 2) {
+        double limit = Math.max((double) limits.minMicros(), limits.factor() * slowestGap) * fleetSlowdown();
+        if (upstream.openStreams > 1 && nowMicros - upstream.lastEventMicros < limit / 2) {
             limit *= 2;
         }
-        return (long) Math.min((double) options.ceiling, limit);
+        return (long) Math.min((double) limits.maxMicros(), limit);
     }
 }
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -29,8 +29,9 @@
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.LoadReport;
-import magpiehub.streaming.StreamOutcomes;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamOutcome;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -70,7 +71,7 @@
     private final int most;
     private volatile boolean resume;
     private volatile LoadReportParser reports;
-    private final Streams streams;
+    private final FlowController streams;
     private final Map<String, Place> places = new ConcurrentHashMap<>();
     private final Map<String, ArrayDeque<Connection>> idle = new HashMap<>();
     private final ActorThreadPool crew;
@@ -86,7 +87,7 @@
             MonotonicClock clock,
             EventLog journal,
             ActorThreadPool crew,
-            Streams streams) {
+            FlowController streams) {
         this.crew = crew;
         this.streams = streams;
         this.clock = clock;
@@ -135,7 +136,7 @@
         if (gone) {
             // Guards against growing with each engine that there ever was.
             places.remove(id);
-            streams.gone(id);
+            streams.removeUpstream(id);
             return;
         }
         places.compute(
@@ -145,7 +146,7 @@
     /** Engines that a whole list does not name are gone. */
     public void only(Set<String> ids) {
         places.keySet().retainAll(ids);
-        streams.only(ids);
+        streams.retainUpstreams(ids);
     }
 
     // ---- The pools: the module's thread ---------------------------------------------------------------
@@ -354,7 +355,7 @@
     private record Answered(Socket from, int status, boolean rejected, boolean reusable, String report) {}
 
     /** One event, counted as {@code flow}'s. */
-    private record Event(Socket from, byte[] bytes, Streams.Flow flow) {}
+    private record Event(Socket from, byte[] bytes, StreamFlow flow) {}
 
     private record End(Socket from, boolean reusable, String report) {}
 
@@ -397,7 +398,7 @@
 
         private long eventAt;
         /** The account of the request in hand; the reader counts what comes as its own. */
-        private volatile Streams.Flow flow;
+        private volatile StreamFlow flow;
 
         private boolean silent;
 
@@ -415,7 +416,7 @@
                 }
                 if (gone) {
                     if (m instanceof Event e) {
-                        streams.dropped(e.flow, e.bytes.length);
+                        streams.discard(e.flow, e.bytes.length);
                     }
                     continue;
                 }
@@ -424,7 +425,7 @@
                 due = lease == null
                         ? socket == null ? Long.MAX_VALUE : idleSince + retireAfter
                         : begun && outcome == null
-                                ? streams.silentUntil(flow, server, resume, heardAt, eventAt, now)
+                                ? streams.silenceDeadline(flow, server, resume, heardAt, eventAt, now)
                                 : Long.MAX_VALUE;
             }
         }
@@ -437,7 +438,7 @@
                 retire();
             } else if (begun
                     && outcome == null
-                    && now >= streams.silentUntil(flow, server, resume, heardAt, eventAt, now)) {
+                    && now >= streams.silenceDeadline(flow, server, resume, heardAt, eventAt, now)) {
                 journal.count("silent_streams");
                 silent = true;
                 broke("silent", false);
@@ -455,7 +456,7 @@
                     begin(s.lease);
                 } else if (m instanceof Grant g && g.lease == lease) {
                     granted = true;
-                    streams.begun(flow, server);
+                    streams.startStream(flow, server);
                     pending.forEach(sink::event);
                     pending.clear();
                     finish();
@@ -467,7 +468,7 @@
                     answered(a);
                 } else if (m instanceof Event e) {
                     if (e.from != socket || !event(e.bytes, now)) {
-                        streams.dropped(e.flow, e.bytes.length);
+                        streams.discard(e.flow, e.bytes.length);
                     }
                 } else if (m instanceof End e && e.from == socket) {
                     end(e);
@@ -627,7 +628,7 @@
                 return false;
             }
             if (begun && bytes[0] != ':') {
-                streams.heard(flow, server, now - eventAt, now);
+                streams.recordEvent(flow, server, now - eventAt, now);
             }
             heardAt = now;
             eventAt = begun && bytes[0] == ':' ? eventAt : now;
@@ -650,7 +651,7 @@
         /** What came and was not granted is not the client's. */
         private void forget() {
             for (byte[] b : pending) {
-                streams.dropped(flow, b.length);
+                streams.discard(flow, b.length);
             }
             pending.clear();
         }
@@ -718,9 +719,9 @@
                 return;
             }
             ProtocolAdapter.Sink client = sink;
-            StreamOutcomes.Ending ending = outcome == AttemptOutcome.ERROR
-                    ? StreamOutcomes.Ending.ENGINE_ERROR
-                    : silent ? StreamOutcomes.Ending.ENGINE_STALLED : StreamOutcomes.Ending.ENGINE_BROKE;
+            StreamOutcome ending = outcome == AttemptOutcome.ERROR
+                    ? StreamOutcome.UPSTREAM_ERROR
+                    : silent ? StreamOutcome.UPSTREAM_STALLED : StreamOutcome.UPSTREAM_DISCONNECTED;
             over(outcome);
             if (outcome == AttemptOutcome.OK) {
                 client.end();
@@ -797,10 +798,10 @@
                         in.events(h, e -> {
                             // An engine that is faster than its actor waits; nothing of an answer is lost
                             // by it.
-                            Streams.Flow f = flow;
-                            streams.came(f, e.length);
+                            StreamFlow f = flow;
+                            streams.reserveCapacity(f, e.length);
                             if (!mailbox.postBlocking(new Event(s, e, f), e.length)) {
-                                streams.dropped(f, e.length);
+                                streams.discard(f, e.length);
                                 throw new IOException("ended");
                             }
                         });
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -36,8 +36,8 @@
 import magpiehub.protocol.MessagesProtocol;
 import magpiehub.protocol.PlatformProtocol;
 import magpiehub.protocol.ProtocolAdapter;
-import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.SyslogEventLog;
 import magpiehub.upstream.UpstreamPool;
 
@@ -134,7 +134,7 @@
     private boolean messages;
     private int most = 64;
     private String allowances = "{}";
-    private Streams streams;
+    private FlowController streams;
     private String siteFile = "site.json";
     private boolean resume = true;
     private boolean pushed;
@@ -176,8 +176,8 @@
         Peer d = peers.computeIfAbsent("d", k -> new Peer());
         d.server = new ServerSocket(0, 8, any.getAddress());
         ActorThreadPool crew = new ActorThreadPool();
-        streams = new Streams(
-                StreamLimits.of(
+        streams = new FlowController(
+                StreamLimitsReader.parse(
                         ConfigurationObject.parse(allowances.getBytes(UTF_8), "streams.json"),
                         site.routing().classes(),
                         64 << 20),
@@ -470,7 +470,7 @@
     }
 
     private boolean has(String counter) {
-        return ("\n" + log.counters() + streams.figures()).contains("\n" + counter + "\n");
+        return ("\n" + log.counters() + streams.metrics()).contains("\n" + counter + "\n");
     }
 
     private void counter(String rest) throws Exception {
--- a/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
@@ -18,8 +18,8 @@
 import magpiehub.config.SiteSettings;
 import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.EventLog;
 import magpiehub.upstream.UpstreamPool;
 
@@ -99,7 +99,8 @@
                 clock,
                 timedLog,
                 new ActorThreadPool(),
-                new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, clock, timedLog));
+                new FlowController(
+                        StreamLimitsReader.defaults(site.routing().classes(), 64 << 20), site, clock, timedLog));
         client = new RegistryClient(settings, () -> site, upstreams, clock, timedLog, seed);
         RequestDispatcher dispatcher = new RequestDispatcher(site.routing(), seed, clock, upstreams, client, timedLog);
         upstreams.module(dispatcher);
--- a/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -16,8 +16,8 @@
 import magpiehub.config.SiteSettings;
 import magpiehub.config.SiteSettingsParser;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.SyslogEventLog;
 import magpiehub.upstream.UpstreamPool;
 import org.junit.Test;
@@ -43,7 +43,8 @@
                     clock,
                     log,
                     new ActorThreadPool(),
-                    new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, clock, log));
+                    new FlowController(
+                            StreamLimitsReader.defaults(site.routing().classes(), 64 << 20), site, clock, log));
             PlatformDiscovery discovery = new PlatformDiscovery(
                     "127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
                         if (calls.incrementAndGet() == 1) {
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -31,9 +31,10 @@
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
-import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.StreamOutcomes;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamLimitsReader;
+import magpiehub.streaming.StreamOutcome;
 import magpiehub.telemetry.SyslogEventLog;
 import org.junit.After;
 import org.junit.Test;
@@ -45,7 +46,7 @@
     private volatile boolean gone;
     private Thread thread;
     private SiteSettings site;
-    private Streams streams;
+    private FlowController streams;
     private RequestDispatcher module;
 
     @After
@@ -136,7 +137,7 @@
 
     /** The client's side of a stream: does something the moment it is told of the end. */
     private final class AskAgain implements ProtocolAdapter.Sink {
-        private final Streams.Flow flow = streams.open(0, -1, "1", () -> {});
+        private final StreamFlow flow = streams.openStream(0, -1, "1", () -> {});
         private final Runnable atTheEnd;
 
         AskAgain(Runnable atTheEnd) {
@@ -152,12 +153,12 @@
         }
 
         @Override
-        public void broken(byte[] error, StreamOutcomes.Ending why) {
+        public void broken(byte[] error, StreamOutcome why) {
             atTheEnd.run();
         }
 
         @Override
-        public Streams.Flow flow() {
+        public StreamFlow flow() {
             return flow;
         }
     }
@@ -201,7 +202,8 @@
                         .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
                         .getBytes(UTF_8),
                 "settings"));
-        streams = new Streams(StreamLimits.none(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
+        streams = new FlowController(
+                StreamLimitsReader.defaults(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, log);
         UpstreamPool engines = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, log, new ActorThreadPool(), streams);
         module = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, engines, roster, log);
         engines.module(module);
