--- a/src/main/java/magpiehub/downstream/ClientExchange.java
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -2,24 +2,25 @@
 
 import magpiehub.dispatch.ClientCallback;
 import magpiehub.http.Http;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ProtocolExchange;
+import magpiehub.protocol.StreamListener;
 import magpiehub.streaming.StreamFlow;
 import magpiehub.streaming.StreamOutcome;
 
 /**
  * One request of a connection and its response, as the dispatcher ({@link ClientCallback}) and the upstream side
- * ({@link ProtocolAdapter.Sink}) see it.
+ * ({@link StreamListener}) see it.
  *
  * <p><b>Threads.</b> The methods of these two interfaces may be called from any thread; they post a message to the
  * connection's actor and return at once. All others are for the actor's turns.
  */
-final class ClientExchange implements ClientCallback, ProtocolAdapter.Sink {
+final class ClientExchange implements ClientCallback, StreamListener {
     private final ClientConnection connection;
-    private final ProtocolAdapter.Call call;
+    private final ProtocolExchange call;
     private final StreamFlow flow;
     private ExchangeState state = ExchangeState.PENDING;
 
-    ClientExchange(ClientConnection connection, ProtocolAdapter.Call call, StreamFlow flow) {
+    ClientExchange(ClientConnection connection, ProtocolExchange call, StreamFlow flow) {
         this.connection = connection;
         this.call = call;
         this.flow = flow;
@@ -33,17 +34,17 @@
     }
 
     @Override
-    public void event(byte[] event) {
+    public void onEvent(byte[] event) {
         connection.post(new ClientMessage.StreamEvent(this, event), event.length);
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         connection.post(new ClientMessage.StreamCompleted(this), 0);
     }
 
     @Override
-    public void broken(byte[] error, StreamOutcome why) {
+    public void onFailure(byte[] error, StreamOutcome why) {
         connection.post(new ClientMessage.StreamBroken(this, error, why), 0);
     }
 
@@ -70,7 +71,7 @@
     // ---- The actor's turns ----------------------------------------------------------------------------
 
     String requestId() {
-        return call.request.id();
+        return call.request().id();
     }
 
     /** Whether no byte of the response has been written, so that an error response is still possible. */
@@ -88,17 +89,17 @@
      */
     void writeHead(Http.Output out, boolean lastAnswer) {
         state = state.started();
-        call.begin(out, lastAnswer);
+        call.writeStart(out, lastAnswer);
     }
 
     /** Writes an event of the stream. */
     void writeEvent(Http.Output out, byte[] event) {
-        call.event(out, event);
+        call.writeEvent(out, event);
     }
 
     /** Writes the end of a complete stream. */
     void writeEnd(Http.Output out, boolean lastAnswer) {
-        call.end(out, lastAnswer);
+        call.writeEnd(out, lastAnswer);
     }
 
     /**
@@ -107,32 +108,32 @@
      * @return false, with nothing written, if that is not so
      */
     boolean writeIncompleteEnd(Http.Output out, boolean lastAnswer) {
-        return isResponding() && call.saved(out, lastAnswer);
+        return isResponding() && call.tryWriteIncompleteEnd(out, lastAnswer);
     }
 
     /** Writes what says that the stream broke, never its end; the connection has to be closed afterwards. */
     void writeBroken(Http.Output out, byte[] error) {
         if (isResponding()) {
-            call.broken(out, error);
+            call.writeStreamError(out, error);
         } else {
-            call.failed(out, "stream broke", true);
+            call.writeFailure(out, "stream broke", true);
         }
     }
 
     /** Writes the answer to a rejected request. */
     void writeRejection(Http.Output out, long retryAfterMicros, boolean lastAnswer) {
-        call.refused(out, retryAfterMicros, lastAnswer);
+        call.writeRejection(out, retryAfterMicros, lastAnswer);
     }
 
     /** Writes the answer to a failed request. */
     void writeFailure(Http.Output out, String reason, boolean lastAnswer) {
-        call.failed(out, reason, lastAnswer);
+        call.writeFailure(out, reason, lastAnswer);
     }
 
     /** Writes a sign of life, where the dialect has one and the response has begun. */
     void writeKeepAlive(Http.Output out) {
         if (isResponding()) {
-            call.alive(out);
+            call.writeKeepAlive(out);
         }
     }
 
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import magpiehub.http.Http;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ProtocolExchange;
 import magpiehub.streaming.StreamFlow;
 import magpiehub.streaming.StreamOutcome;
 
@@ -151,9 +151,9 @@
 
     /** Hands a request to the dispatcher; one that is malformed or finds no capacity is answered at once. */
     private void submit(ClientMessage.RequestReceived request, boolean lastAnswer) {
-        ProtocolAdapter.Call call;
+        ProtocolExchange call;
         try {
-            call = services.protocol().read(request.head(), request.body(), request.firstByteMicros());
+            call = services.protocol().readRequest(request.head(), request.body(), request.firstByteMicros());
         } catch (Http.Bad e) {
             services.eventLog().count("malformed_requests");
             writeError(e.status, e.getMessage(), 0);
@@ -161,31 +161,35 @@
             return;
         }
         StreamFlow flow = services.streams()
-                .openStream(call.request.classIndex(), call.request.tenantIndex(), call.request.id(), connection);
+                .openStream(
+                        call.request().classIndex(),
+                        call.request().tenantIndex(),
+                        call.request().id(),
+                        connection);
         if (flow == null) {
             reject(call, lastAnswer);
             return;
         }
         current = new ClientExchange(connection, call, flow);
         writer.openStream(flow);
-        call.sink(current);
-        if (!services.dispatcher().submit(call.request, current, call, request.body().length)) {
+        call.setStreamListener(current);
+        if (!services.dispatcher().submit(call.request(), current, call, request.body().length)) {
             services.streams().endStream(flow, StreamOutcome.INTERNAL_ERROR);
             writer.withdrawStream();
             reject(call, lastAnswer);
         }
     }
 
-    private void reject(ProtocolAdapter.Call call, boolean lastAnswer) {
+    private void reject(ProtocolExchange call, boolean lastAnswer) {
         services.eventLog().count("answered_refused");
         services.eventLog().count("requests_shed");
-        call.refused(writer.output(), REJECTION_RETRY_AFTER_MICROS, lastAnswer);
+        call.writeRejection(writer.output(), REJECTION_RETRY_AFTER_MICROS, lastAnswer);
         completeAnswer(lastAnswer);
     }
 
     /** Writes an answer that is not an exchange's; it announces the close. */
     private void writeError(int status, String reason, long retryAfterMicros) {
-        services.protocol().error(writer.output(), status, reason, retryAfterMicros, true);
+        services.protocol().writeError(writer.output(), status, reason, retryAfterMicros, true);
     }
 
     /** An answer is buffered completely: closes the connection orderly, or goes on with the next request. */
--- a/src/main/java/magpiehub/downstream/ClientRequestReader.java
+++ b/src/main/java/magpiehub/downstream/ClientRequestReader.java
@@ -62,7 +62,7 @@
 
     /** Whether a client that has closed its sending side is taken to be still reading. */
     private boolean mayKeepReading() {
-        return services.streams().limits().halfClose() && services.protocol().tellsLife();
+        return services.streams().limits().halfClose() && services.protocol().hasKeepAlive();
     }
 
     /** Returns true at the end of the input, and false if the connection was cut since its mailbox was full. */
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -22,6 +22,7 @@
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
 import magpiehub.protocol.MessagesProtocol;
+import magpiehub.protocol.MessagesSettings;
 import magpiehub.protocol.PlatformProtocol;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.routing.ConnectFailureZoneHealth;
@@ -106,7 +107,7 @@
         // Not before: a request that waits in the socket of a process that can't read it yet loses time that
         // nobody counts, for its deadline runs from when it was sent.
         ClientListener clients = openClientListener();
-        MessagesProtocol.Options messagesSettings = MessagesProtocol.Options.read(MESSAGES_FILE);
+        MessagesSettings messagesSettings = MessagesSettings.read(MESSAGES_FILE);
         KeyValueStore store = LastWriteWinsStore.fromFile(STORE_FILE, configuration.name(), clock, log);
         startMessagesListener(messagesSettings, store);
         ServiceAnnouncement announcement = new ServiceAnnouncement(configuration, registry, store, clock, log);
@@ -216,7 +217,7 @@
 
     private void warmUp() throws IOException {
         JitWarmUp.run(JitWarmUp.FEW);
-        platformProtocol.warm();
+        platformProtocol.warmUp();
     }
 
     private ClientListener openClientListener() throws IOException {
@@ -226,7 +227,7 @@
         return addListener(socket, platformProtocol, connectionLimits.downstream());
     }
 
-    private void startMessagesListener(MessagesProtocol.Options settings, KeyValueStore store) throws IOException {
+    private void startMessagesListener(MessagesSettings settings, KeyValueStore store) throws IOException {
         if (settings == null) {
             return;
         }
--- /dev/null
+++ b/src/main/java/magpiehub/protocol/PlatformHeaders.java
@@ -0,0 +1,110 @@
+package magpiehub.protocol;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.CharacterCodingException;
+import java.nio.charset.StandardCharsets;
+import magpiehub.config.SiteSettings;
+import magpiehub.http.Http;
+
+/** The platform's request headers: their names, and the forms of their values. */
+final class PlatformHeaders {
+    static final String REQUEST_ID = "X-Call-Id";
+    static final String CLASS = "X-Call-Class";
+    static final String TENANT = "X-Caller";
+    static final String SESSION_HASH = "X-Route-Hash";
+    static final String TIMEOUT_MS = "X-Budget-Ms";
+    static final String PROMPT_INFO = "X-Call-Info";
+    static final String COST_MICROS = "X-Call-Cost";
+    static final String REPEAT = "X-Again";
+
+    static final int DECIMAL = 10;
+    static final int HEXADECIMAL = 16;
+
+    private static final int MAX_ID_LENGTH = 64;
+    /** A longer timeout is a mistake (ms): a day. */
+    private static final long MAX_TIMEOUT_MS = 86_400_000;
+
+    private static final long MICROS_PER_MILLI = 1000;
+    /** Longer numbers are not read: these fit a long, and no request costs more. */
+    private static final int MAX_COST_DIGITS = 15;
+
+    private PlatformHeaders() {}
+
+    /** The value of a header that must stand exactly once. */
+    static String require(Http.Head head, String name) throws Http.Bad {
+        String value = head.only(name);
+        if (value == null) {
+            throw new Http.Bad(400, name + " is missing");
+        }
+        return value;
+    }
+
+    /**
+     * A name as the settings spell it. Heads are read as bytes, one character each, while names in them are UTF-8. A
+     * value that is not UTF-8 stays as it was read; null stays null.
+     */
+    static String decodeName(String value) {
+        if (value == null || value.chars().allMatch(c -> c < 0x80)) {
+            return value;
+        }
+        try {
+            return StandardCharsets.UTF_8
+                    .newDecoder()
+                    .decode(ByteBuffer.wrap(value.getBytes(StandardCharsets.ISO_8859_1)))
+                    .toString();
+        } catch (CharacterCodingException e) {
+            return value;
+        }
+    }
+
+    /** The index of a class that must be in the settings: routing decisions know no other. */
+    static int requireClass(SiteSettings site, String name) throws Http.Bad {
+        int index = site.classIndex(name);
+        if (index < 0) {
+            throw new Http.Bad(400, "no such class");
+        }
+        return index;
+    }
+
+    /** A request id that is short and of visible ASCII characters. */
+    static String requireId(String id) throws Http.Bad {
+        if (id.isEmpty() || id.length() > MAX_ID_LENGTH || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
+            throw new Http.Bad(400, "malformed X-Call-Id");
+        }
+        return id;
+    }
+
+    /** How long the client waits (us), given in milliseconds. */
+    static long parseTimeoutMicros(String millis) throws Http.Bad {
+        long timeout = parseUnsigned(millis, DECIMAL, TIMEOUT_MS);
+        if (timeout > MAX_TIMEOUT_MS) {
+            throw new Http.Bad(400, "malformed X-Budget-Ms");
+        }
+        return timeout * MICROS_PER_MILLI;
+    }
+
+    /** The client's estimate of the work (ms), given in microseconds; 0 where there is none that can be read. */
+    static double parseCostMillis(String micros) {
+        String digits = micros == null ? "" : micros.strip();
+        return digits.length() <= MAX_COST_DIGITS && Http.digits(digits) ? Long.parseLong(digits) / 1000.0 : 0;
+    }
+
+    /**
+     * A number without a sign. Hexadecimal ids may use all 64 bits.
+     *
+     * @param header the header's name for the error
+     */
+    static long parseUnsigned(String text, int radix, String header) throws Http.Bad {
+        try {
+            if (!text.isEmpty() && Character.digit(text.charAt(0), radix) >= 0) {
+                long value = Long.parseUnsignedLong(text, radix);
+                if (radix == HEXADECIMAL || value >= 0) {
+                    return value;
+                }
+            }
+        } catch (NumberFormatException e) {
+            // Answered with the same error as the other malformed values.
+        }
+        throw new Http.Bad(400, "malformed " + header);
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/protocol/PlatformWarmUp.java
@@ -0,0 +1,80 @@
+package magpiehub.protocol;
+
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import magpiehub.http.Http;
+
+/** Reads and forwards a made-up exchange of the platform's protocol in memory until the code for it is compiled. */
+final class PlatformWarmUp {
+    /** Enough for the JIT compiler to have compiled the loops over bytes. */
+    private static final int ROUNDS = 60;
+
+    private static final int EVENTS = 20;
+    private static final int BODY_LENGTH = 8192;
+    /** The prompt that, with the JSON around it, makes a body of {@link #BODY_LENGTH}. */
+    private static final int PROMPT_LENGTH = 8163;
+
+    private final PlatformProtocol protocol;
+    private final byte[] request;
+    private final byte[] response;
+
+    /** A warm-up with requests of a class that the settings have. */
+    PlatformWarmUp(PlatformProtocol protocol, String className) {
+        this.protocol = protocol;
+        this.request = createRequest(className);
+        this.response = createResponse();
+    }
+
+    private static byte[] createRequest(String className) {
+        return ("POST " + PlatformProtocol.PATH + " HTTP/1.1\r\nHost: warm\r\nX-Call-Id: 0\r\nX-Call-Class: "
+                        + className + "\r\n"
+                        + "X-Caller: warm\r\nX-Route-Hash: 7f\r\nX-Budget-Ms: 1\r\n"
+                        + "X-Call-Info: prefix=5c,prompt_len=9\r\n"
+                        + "Content-Length: " + BODY_LENGTH + "\r\n\r\n{\"stream\":true,\"messages\":\""
+                        + "x".repeat(PROMPT_LENGTH) + "\"}")
+                .getBytes(StandardCharsets.UTF_8);
+    }
+
+    private static byte[] createResponse() {
+        String event = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"}}]}\n\n";
+        return ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                        + (Integer.toHexString(event.length()) + "\r\n" + event + "\r\n").repeat(EVENTS)
+                        + "0\r\n\r\n")
+                .getBytes(StandardCharsets.UTF_8);
+    }
+
+    /** Does nothing where no header can name the class: no client can ask for it either. */
+    void run() throws IOException {
+        Http.Output out = new Http.Output();
+        for (int i = 0; i < ROUNDS; i++) {
+            ProtocolExchange exchange;
+            try {
+                exchange = readRequest();
+            } catch (Http.Bad e) {
+                return;
+            }
+            writeResponse(exchange, out);
+        }
+    }
+
+    private ProtocolExchange readRequest() throws IOException {
+        Http.Input in = new Http.Input(new ByteArrayInputStream(request), () -> 0);
+        in.await();
+        Http.Head head = in.head(true);
+        return protocol.readRequest(head, in.body(head), 0);
+    }
+
+    private void writeResponse(ProtocolExchange exchange, Http.Output out) throws IOException {
+        Http.Input upstream = new Http.Input(new ByteArrayInputStream(response), () -> 0);
+        upstream.await();
+        exchange.writeStart(out, false);
+        try {
+            upstream.events(upstream.head(false), event -> exchange.writeEvent(out, event));
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+        exchange.writeEnd(out, false);
+        out.take();
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/protocol/PromptInfo.java
@@ -0,0 +1,47 @@
+package magpiehub.protocol;
+
+import magpiehub.http.Http;
+
+/**
+ * What the header {@code X-Call-Info} says of a prompt; what it does not say is 0.
+ *
+ * @param prefixId the id of the prompt's shared prefix
+ * @param promptTokens the length of the prompt
+ * @param prefixTokens the length of the prefix
+ * @param maxOutputTokens the most tokens that the response may have
+ */
+record PromptInfo(long prefixId, long promptTokens, long prefixTokens, long maxOutputTokens) {
+    private static final PromptInfo NONE = new PromptInfo(0, 0, 0, 0);
+
+    /** Parses {@code name=value} pairs with commas between; names that are not known are ignored. */
+    static PromptInfo parse(String header) throws Http.Bad {
+        if (header == null || header.isBlank()) {
+            return NONE;
+        }
+        long prefixId = 0;
+        long promptTokens = 0;
+        long prefixTokens = 0;
+        long maxOutputTokens = 0;
+        for (String pair : header.split(",")) {
+            int equals = pair.indexOf('=');
+            String name = equals < 0 ? "" : pair.substring(0, equals).strip();
+            String value = pair.substring(equals + 1).strip();
+            switch (name) {
+                case "prefix" -> prefixId = number(value, PlatformHeaders.HEXADECIMAL);
+                case "prompt_len" -> promptTokens = number(value, PlatformHeaders.DECIMAL);
+                case "prefix_len" -> prefixTokens = number(value, PlatformHeaders.DECIMAL);
+                case "max_out" -> maxOutputTokens = number(value, PlatformHeaders.DECIMAL);
+                default -> {
+                    if (equals <= 0) {
+                        throw new Http.Bad(400, "malformed X-Call-Info");
+                    }
+                }
+            }
+        }
+        return new PromptInfo(prefixId, promptTokens, prefixTokens, maxOutputTokens);
+    }
+
+    private static long number(String value, int radix) throws Http.Bad {
+        return PlatformHeaders.parseUnsigned(value, radix, PlatformHeaders.PROMPT_INFO);
+    }
+}
--- /dev/null
+++ b/src/main/java/magpiehub/protocol/RequestValidation.java
@@ -0,0 +1,51 @@
+package magpiehub.protocol;
+
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.IOException;
+import magpiehub.config.Json;
+import magpiehub.http.Http;
+
+/** Checks of a request that all protocols share. */
+final class RequestValidation {
+    private RequestValidation() {}
+
+    /**
+     * The target of a request, which must be a POST to a path, with a query or without.
+     *
+     * @throws Http.Bad with status 404 for another path, 405 for another method
+     */
+    static String requirePost(Http.Head head, String path) throws Http.Bad {
+        String target = head.start[1];
+        if (!target.equals(path) && !target.startsWith(path + "?")) {
+            throw new Http.Bad(404, "no such path");
+        }
+        if (!head.start[0].equals("POST")) {
+            throw new Http.Bad(405, "POST only");
+        }
+        return target;
+    }
+
+    /**
+     * Checks that a body is one JSON object. Guards against forwarding what upstreams can't parse: their error would
+     * look like a fault of theirs.
+     */
+    static void requireJsonObject(byte[] body) throws Http.Bad {
+        try (JsonParser parser = Json.FACTORY.createParser(body)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new Http.Bad(400, "body is no JSON object");
+            }
+            parser.skipChildren();
+            if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
+                throw new Http.Bad(400, "body is no single JSON object");
+            }
+        } catch (Http.Bad e) {
+            throw e;
+        } catch (JsonProcessingException e) {
+            throw new Http.Bad(400, "body is no JSON");
+        } catch (IOException e) {
+            throw new Http.Bad(400, "body is unreadable");
+        }
+    }
+}
--- a/src/main/java/magpiehub/upstream/StreamEvent.java
+++ b/src/main/java/magpiehub/upstream/StreamEvent.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ServerSentEvents;
 
 /**
  * What one event of an engine's stream tells the router: an error, the tokens found in the engine's cache, or
@@ -38,7 +38,7 @@
         String text = new String(event, StandardCharsets.UTF_8);
         return text.startsWith("event: error")
                 || text.contains("\nevent: error")
-                || ProtocolAdapter.data(event).replace(" ", "").startsWith("{\"error\"");
+                || ServerSentEvents.data(event).replace(" ", "").startsWith("{\"error\"");
     }
 
     /** An event of the engines' dialect, or a comment. */
@@ -46,7 +46,7 @@
         return event.length == 0
                 || event[0] == ':'
                 || contains(event, "\"choices\"")
-                || ProtocolAdapter.data(event).equals("[DONE]");
+                || ServerSentEvents.data(event).equals("[DONE]");
     }
 
     /** Prompt tokens found kept, where the event tells it; else -1. */
@@ -56,7 +56,7 @@
         }
         try {
             return (long)
-                    ConfigurationObject.parse(ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8), "event")
+                    ConfigurationObject.parse(ServerSentEvents.data(event).getBytes(StandardCharsets.UTF_8), "event")
                             .object("usage")
                             .object("prompt_tokens_details")
                             .number("cached_tokens", -1);
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -24,7 +24,8 @@
 import magpiehub.dispatch.UpstreamFleet;
 import magpiehub.http.Http;
 import magpiehub.http.Sockets;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ProtocolExchange;
+import magpiehub.protocol.StreamListener;
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
@@ -379,7 +380,7 @@
         private Socket socket;
         private String connectedTo;
         private Lease lease;
-        private ProtocolAdapter.Sink sink;
+        private StreamListener sink;
         private boolean begun;
         private boolean granted;
         private final ArrayDeque<byte[]> pending = new ArrayDeque<>(2);
@@ -457,7 +458,7 @@
                 } else if (m instanceof Grant g && g.lease == lease) {
                     granted = true;
                     streams.startStream(flow, server);
-                    pending.forEach(sink::event);
+                    pending.forEach(sink::onEvent);
                     pending.clear();
                     finish();
                 } else if (m instanceof Stop s && s.lease == lease) {
@@ -494,11 +495,11 @@
             report = null;
             lastEvent = null;
             Object work = l.attempt.payload();
-            if (!(work instanceof ProtocolAdapter.Call call)) {
+            if (!(work instanceof ProtocolExchange call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
             }
-            sink = call.sink();
+            sink = call.streamListener();
             if (socket != null && places.get(server) != null && !connectedTo.equals(places.get(server).hostPort)) {
                 drop();
             }
@@ -546,7 +547,7 @@
             if (!takes()) {
                 return;
             }
-            if (!(lease.attempt.payload() instanceof ProtocolAdapter.Call call)) {
+            if (!(lease.attempt.payload() instanceof ProtocolExchange call)) {
                 fail(AttemptOutcome.CANCELLED);
                 return;
             }
@@ -576,16 +577,16 @@
             fail(AttemptOutcome.CONNECT_FAILED);
         }
 
-        private byte[] request(ProtocolAdapter.Call call, Attempt a) {
+        private byte[] request(ProtocolExchange call, Attempt a) {
             // Connecting may have taken a while since this turn began: the engine is told what is left now.
             long left = Math.max(1, (a.deadlineMicros() - clock.micros()) / 1000);
             return new Http.Output()
-                    .text("POST " + call.target + " HTTP/1.1\r\nHost: " + connectedTo
-                            + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body.length
-                            + "\r\nX-Call-Id: " + call.request.id() + "\r\nX-Budget-Ms: " + left + "\r\n")
-                    .bytes(call.headers)
+                    .text("POST " + call.target() + " HTTP/1.1\r\nHost: " + connectedTo
+                            + "\r\nContent-Type: application/json\r\nContent-Length: " + call.body().length
+                            + "\r\nX-Call-Id: " + call.request().id() + "\r\nX-Budget-Ms: " + left + "\r\n")
+                    .bytes(call.headers())
                     .text("\r\n")
-                    .bytes(call.body)
+                    .bytes(call.body())
                     .take();
         }
 
@@ -641,7 +642,7 @@
             lastEvent = bytes;
             start();
             if (granted) {
-                sink.event(bytes);
+                sink.onEvent(bytes);
             } else {
                 pending.add(bytes);
             }
@@ -718,15 +719,15 @@
             if (!granted || outcome == null || lease == null) {
                 return;
             }
-            ProtocolAdapter.Sink client = sink;
+            StreamListener client = sink;
             StreamOutcome ending = outcome == AttemptOutcome.ERROR
                     ? StreamOutcome.UPSTREAM_ERROR
                     : silent ? StreamOutcome.UPSTREAM_STALLED : StreamOutcome.UPSTREAM_DISCONNECTED;
             over(outcome);
             if (outcome == AttemptOutcome.OK) {
-                client.end();
+                client.onEnd();
             } else {
-                client.broken(error, ending);
+                client.onFailure(error, ending);
             }
         }
 
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -34,6 +34,7 @@
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
 import magpiehub.protocol.MessagesProtocol;
+import magpiehub.protocol.MessagesSettings;
 import magpiehub.protocol.PlatformProtocol;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.streaming.FlowController;
@@ -190,7 +191,7 @@
         actor = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
         engines.module(actor);
         ProtocolAdapter front = messages
-                ? new MessagesProtocol(() -> site, new MessagesProtocol.Options("", "chat", "", Map.of()), null)
+                ? new MessagesProtocol(() -> site, new MessagesSettings("", "chat", "", Map.of()), null)
                 : new PlatformProtocol(() -> site);
         clients = new ClientListener(
                 ListenerSocket.bind(any),
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -27,7 +27,8 @@
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.http.Http;
 import magpiehub.protocol.PlatformProtocol;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ProtocolExchange;
+import magpiehub.protocol.StreamListener;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
@@ -136,7 +137,7 @@
     }
 
     /** The client's side of a stream: does something the moment it is told of the end. */
-    private final class AskAgain implements ProtocolAdapter.Sink {
+    private final class AskAgain implements StreamListener {
         private final StreamFlow flow = streams.openStream(0, -1, "1", () -> {});
         private final Runnable atTheEnd;
 
@@ -145,15 +146,15 @@
         }
 
         @Override
-        public void event(byte[] event) {}
+        public void onEvent(byte[] event) {}
 
         @Override
-        public void end() {
+        public void onEnd() {
             atTheEnd.run();
         }
 
         @Override
-        public void broken(byte[] error, StreamOutcome why) {
+        public void onFailure(byte[] error, StreamOutcome why) {
             atTheEnd.run();
         }
 
@@ -214,16 +215,16 @@
     }
 
     /** A request, always with the same id; false if the module has no room for it. */
-    private boolean take(ProtocolAdapter.Sink sink) {
+    private boolean take(StreamListener sink) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
         Http.Input in = new Http.Input(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM::micros);
         try {
             assertTrue(in.await());
             Http.Head head = in.head(true);
-            ProtocolAdapter.Call call = new PlatformProtocol(() -> site).read(head, in.body(head), in.firstAt());
-            call.sink(sink);
-            return module.submit(call.request, client, call, 2);
+            ProtocolExchange call = new PlatformProtocol(() -> site).readRequest(head, in.body(head), in.firstAt());
+            call.setStreamListener(sink);
+            return module.submit(call.request(), client, call, 2);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
