--- a/src/main/java/magpiehub/protocol/MessagesExchange.java
+++ b/src/main/java/magpiehub/protocol/MessagesExchange.java
@@ -8,9 +8,9 @@
 import magpiehub.routing.RoutingRequest;
 
 /**
- * An exchange of the messages API: a stream of {@code message_start}, {@code content_block_delta}, {@code message_delta}
- * and {@code message_stop}, or one complete message. Neither {@code message_stop} nor a complete message is written
- * unless the upstream's stream has ended in order, or has at least given its finish reason.
+ * An exchange of the messages API: a stream of {@code message_start}, {@code content_block_delta},
+ * {@code message_delta} and {@code message_stop}, or one complete message. Neither {@code message_stop} nor a
+ * complete message is written unless the upstream's stream has ended in order, or has at least given its finish reason.
  */
 final class MessagesExchange extends ProtocolExchange {
     private static final int INTERNAL_SERVER_ERROR = 500;
--- a/src/main/java/magpiehub/protocol/PlatformHeaders.java
+++ b/src/main/java/magpiehub/protocol/PlatformHeaders.java
@@ -69,7 +69,7 @@
     /** A request id that is short and of visible ASCII characters. */
     static String requireId(String id) throws Http.Bad {
         if (id.isEmpty() || id.length() > MAX_ID_LENGTH || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
-            throw new Http.Bad(400, "malformed X-Call-Id");
+            throw new Http.Bad(400, "malformed " + REQUEST_ID);
         }
         return id;
     }
@@ -78,7 +78,7 @@
     static long parseTimeoutMicros(String millis) throws Http.Bad {
         long timeout = parseUnsigned(millis, DECIMAL, TIMEOUT_MS);
         if (timeout > MAX_TIMEOUT_MS) {
-            throw new Http.Bad(400, "malformed X-Budget-Ms");
+            throw new Http.Bad(400, "malformed " + TIMEOUT_MS);
         }
         return timeout * MICROS_PER_MILLI;
     }
--- a/src/main/java/magpiehub/protocol/PlatformProtocol.java
+++ b/src/main/java/magpiehub/protocol/PlatformProtocol.java
@@ -8,16 +8,16 @@
 import magpiehub.routing.RoutingRequest;
 
 /**
- * The platform's own protocol: {@code POST /v1/chat/completions}, described by the platform's headers. Bodies and events
- * are forwarded byte for byte.
+ * The platform's own protocol: {@code POST /v1/chat/completions}, described by the platform's headers. Bodies and
+ * events are forwarded byte for byte.
  */
 public final class PlatformProtocol implements ProtocolAdapter {
     static final String PATH = "/v1/chat/completions";
 
     /**
-     * Headers that upstreams don't get from the client, in lower case: those that the router reads or writes itself, and
-     * the codings that a client takes, since the router reads the events that it forwards. Upstreams get everything else
-     * that a client says of its request, such as its idempotency key.
+     * Headers that upstreams don't get from the client, in lower case: those that the router reads or writes itself,
+     * and the codings that a client takes, since the router reads the events that it forwards. Upstreams get
+     * everything else that a client says of its request, such as its idempotency key.
      */
     private static final Set<String> ROUTER_HEADERS = Set.of(
             "accept-encoding",
--- a/src/main/java/magpiehub/protocol/PromptInfo.java
+++ b/src/main/java/magpiehub/protocol/PromptInfo.java
@@ -33,7 +33,7 @@
                 case "max_out" -> maxOutputTokens = number(value, PlatformHeaders.DECIMAL);
                 default -> {
                     if (equals <= 0) {
-                        throw new Http.Bad(400, "malformed X-Call-Info");
+                        throw new Http.Bad(400, "malformed " + PlatformHeaders.PROMPT_INFO);
                     }
                 }
             }
--- a/src/main/java/magpiehub/streaming/FlowController.java
+++ b/src/main/java/magpiehub/streaming/FlowController.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Replaces the settings. Classes and tenants must keep their indexes. The budget and the stall detector stay as they
-     * were at the start.
+     * Replaces the settings. Classes and tenants must keep their indexes. The budget and the stall detector stay as
+     * they were at the start.
      */
     public void updateSettings(StreamLimits newLimits, SiteSettings site) {
         limits = newLimits;
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Ends a stream and releases its buffer. Where its client was cut off, the cause noted then is the outcome. A request
-     * that never became a stream has no outcome.
+     * Ends a stream and releases its buffer. Where its client was cut off, the cause noted then is the outcome. A
+     * request that never became a stream has no outcome.
      */
     public void endStream(StreamFlow flow, StreamOutcome reported) {
         StreamOutcome outcome;
@@ -210,8 +210,8 @@
     }
 
     /**
-     * Called under the lock. The flow is marked as waiting without a gap from the first look to the last: whoever asks in
-     * between would take an upstream that is not read from for a silent one.
+     * Called under the lock. The flow is marked as waiting without a gap from the first look to the last: whoever asks
+     * in between would take an upstream that is not read from for a silent one.
      */
     private void awaitCapacity(StreamFlow flow) throws InterruptedException {
         waitingReaders++;
--- a/src/test/java/magpiehub/streaming/BufferBudgetTest.java
+++ b/src/test/java/magpiehub/streaming/BufferBudgetTest.java
@@ -17,7 +17,7 @@
     private static final long SECOND = 1_000_000;
 
     @Test
-    public void theFurthestBehindForLongestGoesFirstAndNeverOneInStep() {
+    public void theStreamThatLagsMostIsTheVictimAndNeverOneThatKeepsUp() {
         BufferBudget<Object> budget = new BufferBudget<>(1 << 20);
         StreamBuffer<Object> stuck = budget.open("stuck", 1 << 20, 0);
         StreamBuffer<Object> slow = budget.open("slow", 1 << 20, 0);
@@ -31,7 +31,7 @@
         assertNull(budget.selectVictim(4 * SECOND));
         budget.close(slow);
         assertTrue(budget.hasCapacity(fine));
-        // All short of bytes, all in step: their engines wait, nobody goes.
+        // The budget is spent and all keep up: their upstreams wait, none is ended.
         List<StreamBuffer<Object>> keepingUp = new ArrayList<>();
         for (int i = 0; budget.bufferedBytes() < budget.totalBytes(); i++) {
             keepingUp.add(budget.open(i, 1 << 20, 5 * SECOND));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void newStreamsAreRefusedBeforeTheBudgetIsOverrun() {
+    public void newStreamsAreRejectedBeforeTheBudgetIsOverrun() {
         BufferBudget<Object> budget = new BufferBudget<>(10 * BufferBudget.KEEPING_UP_BYTES);
         int streams = 0;
         for (; budget.hasCapacityForStream(0); streams++) {
@@ -93,7 +93,7 @@
     }
 
     @Test
-    public void aReaderIsStuckOnceNothingMovesThoughBytesWait() {
+    public void aClientIsStalledOnceItTakesNothingThoughBytesWait() {
         BufferBudget<Object> budget = new BufferBudget<>(1 << 20);
         StreamBuffer<Object> buffer = budget.open("", 1 << 20, 0);
         assertEquals("nothing waits", 0, buffer.stalledMicros(100 * SECOND));
--- a/src/test/java/magpiehub/streaming/FaultyClients.java
+++ b/src/test/java/magpiehub/streaming/FaultyClients.java
@@ -59,7 +59,10 @@
         return maxOpenStreams.get();
     }
 
-    /** Sends a request and reads its stream as the fault says. Gaps between events (us) are added to {@code gaps}, unless null. */
+    /**
+     * Sends a request and reads its stream as the fault says. Gaps between events (us) are added to {@code gaps},
+     * unless null.
+     */
     void run(String id, StreamFault fault, ConcurrentLinkedQueue<Long> gaps) {
         try (Socket socket = new Socket()) {
             connect(socket, fault);
--- a/src/test/java/magpiehub/streaming/ScriptedUpstreams.java
+++ b/src/test/java/magpiehub/streaming/ScriptedUpstreams.java
@@ -15,7 +15,10 @@
 import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Http;
 
-/** Upstreams on loopback that write the stream which the id of a request asks for. They measure how soon they learn that a client has gone. */
+/**
+ * Upstreams on loopback that write the stream which the id of a request asks for. They measure how soon they learn
+ * that a client has gone.
+ */
 final class ScriptedUpstreams implements AutoCloseable {
     private static final int BACKLOG = 512;
 
--- a/src/test/java/magpiehub/streaming/StallDetectorTest.java
+++ b/src/test/java/magpiehub/streaming/StallDetectorTest.java
@@ -14,10 +14,10 @@
     private static final StallLimits ADAPTIVE = new StallLimits(500 * MILLISECOND, 10 * SECOND, 8);
 
     private static long feed(
-            StallDetector detector, int engines, long from, int events, long gap, SplittableRandom random) {
+            StallDetector detector, int upstreams, long from, int events, long gap, SplittableRandom random) {
         long now = from;
         for (int i = 0; i < events; i++) {
-            for (int upstream = 0; upstream < engines; upstream++) {
+            for (int upstream = 0; upstream < upstreams; upstream++) {
                 // A burst now and then: many events in one read.
                 detector.recordEvent(
                         "e" + upstream, random.nextInt(10) == 0 ? 10 : gap * 3 / 4 + random.nextLong(gap / 2), now);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void oneSilentEngineIsAStallWithinASecondOrTwo() {
+    public void aSilentUpstreamIsStalledWithinASecondOrTwo() {
         StallDetector detector = new StallDetector(ADAPTIVE);
         assertEquals("nothing is known yet", 10 * SECOND, detector.limitMicros("e0", 0));
         long now = feed(detector, 8, 0, 300, 60 * MILLISECOND, new SplittableRandom(1));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void sharedSlownessIsNoStall() {
+    public void aSlowdownOfTheWholeFleetIsNoStall() {
         StallDetector detector = new StallDetector(ADAPTIVE);
         SplittableRandom random = new SplittableRandom(3);
         long now = feed(detector, 8, 0, 2000, 100 * MILLISECOND, random);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void aStreamWhoseEngineGoesOnWithOthersIsGivenLonger() {
+    public void aStreamWhoseUpstreamServesOthersIsGivenLonger() {
         StallDetector detector = new StallDetector(ADAPTIVE);
         long now = feed(detector, 2, 0, 300, 60 * MILLISECOND, new SplittableRandom(4));
         detector.startStream("e0", now);
--- a/src/test/java/magpiehub/streaming/StreamFaultRunTest.java
+++ b/src/test/java/magpiehub/streaming/StreamFaultRunTest.java
@@ -7,7 +7,7 @@
 /** The randomized fault test at a small scale. */
 public class StreamFaultRunTest {
     @Test
-    public void theProofHoldsAtASmallScale() throws Exception {
+    public void allBoundsHoldAtASmallScale() throws Exception {
         StringBuilder line = new StringBuilder();
         boolean holds = StreamFaultRun.run(3, 12, 26, line);
         assertTrue(line.toString(), holds);
--- a/src/test/java/magpiehub/streaming/StreamLimitsReaderTest.java
+++ b/src/test/java/magpiehub/streaming/StreamLimitsReaderTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void allowancesNameTheFieldThatIsWrong() throws Exception {
+    public void errorsNameTheKeyThatIsWrong() throws Exception {
         StreamLimits limits = parse("{\"pause_ms\":20000,\"classes\":{\"bulk\":{\"buffer_kb\":2048}}}");
         assertEquals(20 * SECOND, limits.classes().get(0).clientStallMicros());
         assertEquals(512 << 10, limits.classes().get(0).bufferBytes());
--- a/src/test/java/magpiehub/streaming/StreamOutcomeCountsTest.java
+++ b/src/test/java/magpiehub/streaming/StreamOutcomeCountsTest.java
@@ -9,7 +9,7 @@
 /** The counts of outcomes, driven directly. */
 public class StreamOutcomeCountsTest {
     @Test
-    public void eachStreamHasOneEnding() {
+    public void eachStreamHasOneOutcome() {
         StreamOutcomeCounts outcomes = new StreamOutcomeCounts();
         outcomes.recordStart();
         assertEquals(1, outcomes.open());
