--- a/src/main/java/magpiehub/downstream/ClientMessage.java
+++ b/src/main/java/magpiehub/downstream/ClientMessage.java
@@ -1,6 +1,6 @@
 package magpiehub.downstream;
 
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
 import magpiehub.streaming.StreamOutcome;
 
 /** A message in the mailbox of a {@link ClientConnection}; one record and one handler method for each kind. */
@@ -43,7 +43,7 @@
      * @param firstByteMicros when its first byte arrived
      * @param reservedBytes what it has reserved of the {@link RequestBodyBudget}; whoever drops the message releases it
      */
-    record RequestReceived(Http.Head head, byte[] body, long firstByteMicros, int reservedBytes)
+    record RequestReceived(HttpHead head, byte[] body, long firstByteMicros, int reservedBytes)
             implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.net.Socket;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
 import magpiehub.protocol.ProtocolExchange;
 import magpiehub.streaming.StreamFlow;
 import magpiehub.streaming.StreamOutcome;
@@ -132,12 +132,12 @@
     private void begin(ClientMessage.RequestReceived request) {
         requests.start(request);
         connection.setIdleSinceMicros(EvictionCandidate.BUSY);
-        if (request.head().closes() || services.connections().isCrowded()) {
+        if (request.head().closesConnection() || services.connections().isCrowded()) {
             close.closeAfterAnswer();
         }
         boolean lastAnswer = close.isLastAnswer();
-        String method = request.head().start[0];
-        String path = request.head().start[1];
+        String method = request.head().method();
+        String path = request.head().target();
         if (StatusResources.handles(path)) {
             services.statusResources().answer(writer.output(), method, path, lastAnswer);
             completeAnswer(lastAnswer);
@@ -154,9 +154,9 @@
         ProtocolExchange call;
         try {
             call = services.protocol().readRequest(request.head(), request.body(), request.firstByteMicros());
-        } catch (Http.Bad e) {
+        } catch (HttpException e) {
             services.eventLog().count("malformed_requests");
-            writeError(e.status, e.getMessage(), 0);
+            writeError(e.status(), e.getMessage(), 0);
             completeAnswer(true);
             return;
         }
--- a/src/main/java/magpiehub/downstream/ResponseWriter.java
+++ b/src/main/java/magpiehub/downstream/ResponseWriter.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import magpiehub.concurrent.ActorThreadPool;
-import magpiehub.http.Http;
+import magpiehub.http.HttpWriter;
 import magpiehub.streaming.FlowController;
 import magpiehub.streaming.StreamFlow;
 import magpiehub.streaming.StreamOutcome;
@@ -19,7 +19,7 @@
     private static final int FLUSH_BYTES = 16 * 1024;
 
     private final FlowController streams;
-    private final Http.Output out = new Http.Output();
+    private final HttpWriter out = new HttpWriter();
     /** The stream that {@link #out} holds bytes or the end of, until these are written; null if there is none. */
     private volatile StreamFlow flow;
     /** The stream's bytes in {@link #out}. */
@@ -32,7 +32,7 @@
     }
 
     /** The buffer, to be written by {@link #flush}. */
-    Http.Output output() {
+    HttpWriter output() {
         return out;
     }
 
@@ -72,7 +72,7 @@
     void flush(OutputStream socket) throws IOException {
         ActorThreadPool.enterBlockingCall();
         try {
-            out.flush(socket, () -> streams.recordDelivered(flow, 0));
+            out.flushTo(socket, () -> streams.recordDelivered(flow, 0));
         } finally {
             ActorThreadPool.exitBlockingCall();
         }
@@ -104,6 +104,6 @@
 
     /** Writes the buffer without the accounting of any stream; for use after {@link #discard}. */
     void flushUnreported(OutputStream socket) throws IOException {
-        out.flush(socket);
+        out.flushTo(socket);
     }
 }
--- a/src/main/java/magpiehub/protocol/MessagesExchange.java
+++ b/src/main/java/magpiehub/protocol/MessagesExchange.java
@@ -4,7 +4,8 @@
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
-import magpiehub.http.Http;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 
 /**
@@ -38,8 +39,8 @@
     }
 
     /** Writes an event, with members after its type that begin with a comma. */
-    private static void writeApiEvent(Http.Output out, String type, String members) {
-        out.chunk(("event: " + type + "\ndata: {\"type\":\"" + type + '"' + members + "}\n\n")
+    private static void writeApiEvent(HttpWriter out, String type, String members) {
+        out.appendChunk(("event: " + type + "\ndata: {\"type\":\"" + type + '"' + members + "}\n\n")
                 .getBytes(StandardCharsets.UTF_8));
     }
 
@@ -51,10 +52,10 @@
     }
 
     @Override
-    public void writeStart(Http.Output out, boolean close) {
+    public void writeStart(HttpWriter out, boolean close) {
         if (streams) {
             progress.estimatePromptTokens((long) request().promptTokens());
-            Http.streamHead(out, close);
+            HttpResponses.appendEventStreamHead(out, close);
             writeApiEvent(out, "message_start", ",\"message\":" + messageJson("", "null"));
             writeApiEvent(
                     out, "content_block_start", ",\"index\":0,\"content_block\":{\"type\":\"text\",\"text\":\"\"}");
@@ -62,7 +63,7 @@
     }
 
     @Override
-    public void writeEvent(Http.Output out, byte[] event) {
+    public void writeEvent(HttpWriter out, byte[] event) {
         if (ServerSentEvents.isComment(event)) {
             writeKeepAlive(out);
             return;
@@ -72,7 +73,7 @@
         }
     }
 
-    private void addText(Http.Output out, String delta) {
+    private void addText(HttpWriter out, String delta) {
         if (!delta.isEmpty() && streams) {
             String members = ",\"index\":0,\"delta\":{\"type\":\"text_delta\",\"text\":" + JsonText.quote(delta) + "}";
             writeApiEvent(out, "content_block_delta", members);
@@ -82,7 +83,7 @@
     }
 
     @Override
-    public void writeEnd(Http.Output out, boolean close) {
+    public void writeEnd(HttpWriter out, boolean close) {
         if (!streams) {
             writeMessage(out, close);
             return;
@@ -94,18 +95,18 @@
                 ",\"delta\":{\"stop_reason\":" + JsonText.quote(progress.stopReason())
                         + ",\"stop_sequence\":null},\"usage\":" + progress.usageJson());
         writeApiEvent(out, "message_stop", "");
-        out.lastChunk();
+        out.appendLastChunk();
     }
 
-    private void writeMessage(Http.Output out, boolean close) {
+    private void writeMessage(HttpWriter out, boolean close) {
         String content = "{\"type\":\"text\",\"text\":" + JsonText.quote(text.toString()) + "}";
         byte[] body =
                 messageJson(content, JsonText.quote(progress.stopReason())).getBytes(StandardCharsets.UTF_8);
-        Http.answer(out, 200, "application/json", body, close);
+        HttpResponses.append(out, 200, "application/json", body, close);
     }
 
     @Override
-    public boolean tryWriteIncompleteEnd(Http.Output out, boolean close) {
+    public boolean tryWriteIncompleteEnd(HttpWriter out, boolean close) {
         if (progress.isFinished()) {
             writeEnd(out, close);
         }
@@ -113,7 +114,7 @@
     }
 
     @Override
-    public boolean writeKeepAlive(Http.Output out) {
+    public boolean writeKeepAlive(HttpWriter out) {
         if (streams) {
             writeApiEvent(out, "ping", "");
         }
@@ -121,11 +122,11 @@
     }
 
     @Override
-    public void writeStreamError(Http.Output out, byte[] errorEvent) {
+    public void writeStreamError(HttpWriter out, byte[] errorEvent) {
         String reason = errorEvent == null ? "the stream broke" : "the engine failed: " + reasonOf(errorEvent);
         if (streams) {
             String error = MessagesProtocol.errorJson(INTERNAL_SERVER_ERROR, reason);
-            out.chunk(("event: error\ndata: " + error + "\n\n").getBytes(StandardCharsets.UTF_8));
+            out.appendChunk(("event: error\ndata: " + error + "\n\n").getBytes(StandardCharsets.UTF_8));
         } else {
             protocol.writeError(out, INTERNAL_SERVER_ERROR, reason, 0, true);
         }
@@ -141,12 +142,12 @@
     }
 
     @Override
-    public void writeRejection(Http.Output out, long retryAfterMicros, boolean close) {
+    public void writeRejection(HttpWriter out, long retryAfterMicros, boolean close) {
         protocol.writeError(out, 503, "refused", retryAfterMicros, close);
     }
 
     @Override
-    public void writeFailure(Http.Output out, String reason, boolean close) {
+    public void writeFailure(HttpWriter out, String reason, boolean close) {
         protocol.writeError(out, 504, reason, 0, close);
     }
 }
--- a/src/main/java/magpiehub/protocol/MessagesProtocol.java
+++ b/src/main/java/magpiehub/protocol/MessagesProtocol.java
@@ -7,7 +7,10 @@
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 import magpiehub.store.KeyValueStore;
 
@@ -50,40 +53,41 @@
     }
 
     @Override
-    public ProtocolExchange readRequest(Http.Head head, byte[] body, long receivedAtMicros) throws Http.Bad {
+    public ProtocolExchange readRequest(HttpHead head, byte[] body, long receivedAtMicros) throws HttpException {
         RequestValidation.requirePost(head, PATH);
         try {
             return translate(head, new MessagesRequest(ConfigurationObject.parse(body, "request")), receivedAtMicros);
         } catch (ConfigurationException e) {
-            throw new Http.Bad(400, e.getMessage());
-        } catch (Http.Bad e) {
+            throw new HttpException(400, e.getMessage());
+        } catch (HttpException e) {
             throw e;
         } catch (IOException e) {
-            throw new Http.Bad(400, "body is unreadable");
+            throw new HttpException(400, "body is unreadable");
         }
     }
 
-    private ProtocolExchange translate(Http.Head head, MessagesRequest request, long receivedAtMicros) throws Http.Bad {
+    private ProtocolExchange translate(HttpHead head, MessagesRequest request, long receivedAtMicros)
+            throws HttpException {
         byte[] upstreamBody = MessagesTranslator.toChatCompletion(request);
         RoutingRequest routing = createRoutingRequest(head, request, receivedAtMicros);
         return new MessagesExchange(
                 this,
                 routing,
-                head.endToEnd(IDEMPOTENCY_KEY::equals),
+                head.headers().endToEndLines(IDEMPOTENCY_KEY::equals),
                 upstreamBody,
                 request.model(),
                 request.wantsStream());
     }
 
-    private RoutingRequest createRoutingRequest(Http.Head head, MessagesRequest request, long receivedAtMicros)
-            throws Http.Bad {
+    private RoutingRequest createRoutingRequest(HttpHead head, MessagesRequest request, long receivedAtMicros)
+            throws HttpException {
         SiteSettings current = site.get();
-        String namedClass = PlatformHeaders.decodeName(head.get(PlatformHeaders.CLASS));
+        String namedClass = PlatformHeaders.decodeName(head.headers().get(PlatformHeaders.CLASS));
         int classIndex =
                 PlatformHeaders.requireClass(current, namedClass != null ? namedClass : classOf(request.model()));
-        String tenant = PlatformHeaders.decodeName(head.get(PlatformHeaders.TENANT));
-        String id = head.get(PlatformHeaders.REQUEST_ID);
-        String timeout = head.get(PlatformHeaders.TIMEOUT_MS);
+        String tenant = PlatformHeaders.decodeName(head.headers().get(PlatformHeaders.TENANT));
+        String id = head.headers().get(PlatformHeaders.REQUEST_ID);
+        String timeout = head.headers().get(PlatformHeaders.TIMEOUT_MS);
         long timeoutMicros = timeout != null
                 ? PlatformHeaders.parseTimeoutMicros(timeout)
                 : current.routing().classes().get(classIndex).deadline();
@@ -112,8 +116,8 @@
     }
 
     /** A conversation is known by its first message, since each turn repeats all that went before. */
-    private static long sessionOf(Http.Head head, MessagesRequest request) throws Http.Bad {
-        String session = head.get(PlatformHeaders.SESSION_HASH);
+    private static long sessionOf(HttpHead head, MessagesRequest request) throws HttpException {
+        String session = head.headers().get(PlatformHeaders.SESSION_HASH);
         if (session != null) {
             return PlatformHeaders.parseUnsigned(session, PlatformHeaders.HEXADECIMAL, PlatformHeaders.SESSION_HASH);
         }
@@ -140,9 +144,9 @@
     }
 
     @Override
-    public void writeError(Http.Output out, int status, String reason, long retryAfterMicros, boolean close) {
+    public void writeError(HttpWriter out, int status, String reason, long retryAfterMicros, boolean close) {
         int apiStatus = status == SERVICE_UNAVAILABLE ? OVERLOADED : status;
-        Http.error(out, apiStatus, errorJson(apiStatus, reason) + "\n", retryAfterMicros, close);
+        HttpResponses.appendError(out, apiStatus, errorJson(apiStatus, reason) + "\n", retryAfterMicros, close);
     }
 
     /** The API's error object for a status. */
--- a/src/main/java/magpiehub/protocol/MessagesRequest.java
+++ b/src/main/java/magpiehub/protocol/MessagesRequest.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import magpiehub.config.ConfigurationObject;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
 
 /** The body of a request of the messages API. */
 final class MessagesRequest {
@@ -22,16 +22,16 @@
     /**
      * Reads a body.
      *
-     * @throws Http.Bad with status 400 if something required is missing, or can't be translated
+     * @throws HttpException with status 400 if something required is missing, or can't be translated
      * @throws magpiehub.config.ConfigurationException if a value is of the wrong type
      */
-    MessagesRequest(ConfigurationObject body) throws Http.Bad {
+    MessagesRequest(ConfigurationObject body) throws HttpException {
         this.body = body;
         model = body.text("model", null);
         maxTokens = body.number("max_tokens", 0);
         List<ConfigurationObject> entries = body.objects("messages");
         if (model == null || maxTokens < 1 || entries.isEmpty()) {
-            throw new Http.Bad(400, "model, max_tokens and messages are required");
+            throw new HttpException(400, "model, max_tokens and messages are required");
         }
         system = readText(body, "system");
         temperature = readOptionalNumber("temperature");
@@ -47,16 +47,16 @@
         return body.map().containsKey(key) ? Double.valueOf(body.number(key, 1)) : null;
     }
 
-    private static Message readMessage(ConfigurationObject entry) throws Http.Bad {
+    private static Message readMessage(ConfigurationObject entry) throws HttpException {
         String role = entry.text("role", "");
         if (!role.equals("user") && !role.equals("assistant")) {
-            throw new Http.Bad(400, "messages.role must be user or assistant");
+            throw new HttpException(400, "messages.role must be user or assistant");
         }
         return new Message(role, readText(entry, "content"));
     }
 
     /** A text, or the texts of a list of blocks joined; upstreams take no other blocks. */
-    private static String readText(ConfigurationObject object, String key) throws Http.Bad {
+    private static String readText(ConfigurationObject object, String key) throws HttpException {
         Object value = object.map().get(key);
         if (value == null) {
             return "";
@@ -67,7 +67,7 @@
         StringBuilder text = new StringBuilder();
         for (ConfigurationObject block : object.objects(key)) {
             if (!block.text("type", "").equals("text")) {
-                throw new Http.Bad(400, key + " may hold text blocks only");
+                throw new HttpException(400, key + " may hold text blocks only");
             }
             text.append(block.text("text", ""));
         }
--- a/src/main/java/magpiehub/protocol/MessagesTranslator.java
+++ b/src/main/java/magpiehub/protocol/MessagesTranslator.java
@@ -2,7 +2,8 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpLimits;
 
 /** Translates the body of a messages request to the chat completion that upstreams get. */
 final class MessagesTranslator {
@@ -11,9 +12,9 @@
     /**
      * The body for upstreams. It always asks for a stream with usage, whatever the client wants.
      *
-     * @throws Http.Bad with status 413 if it is larger than upstreams take
+     * @throws HttpException with status 413 if it is larger than upstreams take
      */
-    static byte[] toChatCompletion(MessagesRequest request) throws Http.Bad {
+    static byte[] toChatCompletion(MessagesRequest request) throws HttpException {
         StringBuilder json = new StringBuilder(256 + request.system().length());
         json.append("{\"model\":")
                 .append(JsonText.quote(request.model()))
@@ -25,8 +26,8 @@
         appendStops(json, request.stopSequences());
         appendMessages(json, request);
         byte[] body = json.append('}').toString().getBytes(StandardCharsets.UTF_8);
-        if (body.length > Http.MOST_BODY) {
-            throw new Http.Bad(413, "body too large");
+        if (body.length > HttpLimits.MAX_BODY_BYTES) {
+            throw new HttpException(413, "body too large");
         }
         return body;
     }
--- a/src/main/java/magpiehub/protocol/PlatformExchange.java
+++ b/src/main/java/magpiehub/protocol/PlatformExchange.java
@@ -1,6 +1,7 @@
 package magpiehub.protocol;
 
-import magpiehub.http.Http;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 
 /** An exchange of the platform's protocol: the upstream's events as they come, one chunk each. */
@@ -13,34 +14,34 @@
     }
 
     @Override
-    public void writeStart(Http.Output out, boolean close) {
-        Http.streamHead(out, close);
+    public void writeStart(HttpWriter out, boolean close) {
+        HttpResponses.appendEventStreamHead(out, close);
     }
 
     @Override
-    public void writeEvent(Http.Output out, byte[] event) {
-        out.chunk(event);
+    public void writeEvent(HttpWriter out, byte[] event) {
+        out.appendChunk(event);
     }
 
     @Override
-    public void writeEnd(Http.Output out, boolean close) {
-        out.lastChunk();
+    public void writeEnd(HttpWriter out, boolean close) {
+        out.appendLastChunk();
     }
 
     @Override
-    public void writeStreamError(Http.Output out, byte[] errorEvent) {
+    public void writeStreamError(HttpWriter out, byte[] errorEvent) {
         if (errorEvent != null) {
-            out.chunk(errorEvent);
+            out.appendChunk(errorEvent);
         }
     }
 
     @Override
-    public void writeRejection(Http.Output out, long retryAfterMicros, boolean close) {
+    public void writeRejection(HttpWriter out, long retryAfterMicros, boolean close) {
         protocol.writeError(out, 503, "refused", retryAfterMicros, close);
     }
 
     @Override
-    public void writeFailure(Http.Output out, String reason, boolean close) {
+    public void writeFailure(HttpWriter out, String reason, boolean close) {
         protocol.writeError(out, 504, reason, 0, close);
     }
 }
--- a/src/main/java/magpiehub/protocol/PlatformHeaders.java
+++ b/src/main/java/magpiehub/protocol/PlatformHeaders.java
@@ -4,7 +4,9 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 import magpiehub.config.SiteSettings;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpSyntax;
 
 /** The platform's request headers: their names, and the forms of their values. */
 final class PlatformHeaders {
@@ -31,10 +33,10 @@
     private PlatformHeaders() {}
 
     /** The value of a header that must stand exactly once. */
-    static String require(Http.Head head, String name) throws Http.Bad {
-        String value = head.only(name);
+    static String require(HttpHead head, String name) throws HttpException {
+        String value = head.headers().getSingle(name);
         if (value == null) {
-            throw new Http.Bad(400, name + " is missing");
+            throw new HttpException(400, name + " is missing");
         }
         return value;
     }
@@ -58,27 +60,27 @@
     }
 
     /** The index of a class that must be in the settings: routing decisions know no other. */
-    static int requireClass(SiteSettings site, String name) throws Http.Bad {
+    static int requireClass(SiteSettings site, String name) throws HttpException {
         int index = site.classIndex(name);
         if (index < 0) {
-            throw new Http.Bad(400, "no such class");
+            throw new HttpException(400, "no such class");
         }
         return index;
     }
 
     /** A request id that is short and of visible ASCII characters. */
-    static String requireId(String id) throws Http.Bad {
+    static String requireId(String id) throws HttpException {
         if (id.isEmpty() || id.length() > MAX_ID_LENGTH || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
-            throw new Http.Bad(400, "malformed " + REQUEST_ID);
+            throw new HttpException(400, "malformed " + REQUEST_ID);
         }
         return id;
     }
 
     /** How long the client waits (us), given in milliseconds. */
-    static long parseTimeoutMicros(String millis) throws Http.Bad {
+    static long parseTimeoutMicros(String millis) throws HttpException {
         long timeout = parseUnsigned(millis, DECIMAL, TIMEOUT_MS);
         if (timeout > MAX_TIMEOUT_MS) {
-            throw new Http.Bad(400, "malformed " + TIMEOUT_MS);
+            throw new HttpException(400, "malformed " + TIMEOUT_MS);
         }
         return timeout * MICROS_PER_MILLI;
     }
@@ -86,7 +88,7 @@
     /** The client's estimate of the work (ms), given in microseconds; 0 where there is none that can be read. */
     static double parseCostMillis(String micros) {
         String digits = micros == null ? "" : micros.strip();
-        return digits.length() <= MAX_COST_DIGITS && Http.digits(digits) ? Long.parseLong(digits) / 1000.0 : 0;
+        return digits.length() <= MAX_COST_DIGITS && HttpSyntax.isDigits(digits) ? Long.parseLong(digits) / 1000.0 : 0;
     }
 
     /**
@@ -94,7 +96,7 @@
      *
      * @param header the header's name for the error
      */
-    static long parseUnsigned(String text, int radix, String header) throws Http.Bad {
+    static long parseUnsigned(String text, int radix, String header) throws HttpException {
         try {
             if (!text.isEmpty() && Character.digit(text.charAt(0), radix) >= 0) {
                 long value = Long.parseUnsignedLong(text, radix);
@@ -105,6 +107,6 @@
         } catch (NumberFormatException e) {
             // Answered with the same error as the other malformed values.
         }
-        throw new Http.Bad(400, "malformed " + header);
+        throw new HttpException(400, "malformed " + header);
     }
 }
--- a/src/main/java/magpiehub/protocol/PlatformProtocol.java
+++ b/src/main/java/magpiehub/protocol/PlatformProtocol.java
@@ -4,7 +4,10 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import magpiehub.config.SiteSettings;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpResponses;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 
 /**
@@ -43,22 +46,22 @@
     }
 
     @Override
-    public ProtocolExchange readRequest(Http.Head head, byte[] body, long receivedAtMicros) throws Http.Bad {
+    public ProtocolExchange readRequest(HttpHead head, byte[] body, long receivedAtMicros) throws HttpException {
         String target = RequestValidation.requirePost(head, PATH);
         RequestValidation.requireJsonObject(body);
         RoutingRequest request = parseHeaders(site.get(), head, receivedAtMicros);
-        byte[] headers = head.endToEnd(name -> !ROUTER_HEADERS.contains(name));
+        byte[] headers = head.headers().endToEndLines(name -> !ROUTER_HEADERS.contains(name));
         return new PlatformExchange(this, request, target, headers, body);
     }
 
-    private static RoutingRequest parseHeaders(SiteSettings site, Http.Head head, long receivedAtMicros)
-            throws Http.Bad {
+    private static RoutingRequest parseHeaders(SiteSettings site, HttpHead head, long receivedAtMicros)
+            throws HttpException {
         String id = PlatformHeaders.requireId(PlatformHeaders.require(head, PlatformHeaders.REQUEST_ID));
         long timeout = PlatformHeaders.parseTimeoutMicros(PlatformHeaders.require(head, PlatformHeaders.TIMEOUT_MS));
-        String tenant = PlatformHeaders.decodeName(head.only(PlatformHeaders.TENANT));
-        String session = head.only(PlatformHeaders.SESSION_HASH);
-        PromptInfo prompt = PromptInfo.parse(head.only(PlatformHeaders.PROMPT_INFO));
-        String repeat = head.get(PlatformHeaders.REPEAT);
+        String tenant = PlatformHeaders.decodeName(head.headers().getSingle(PlatformHeaders.TENANT));
+        String session = head.headers().getSingle(PlatformHeaders.SESSION_HASH);
+        PromptInfo prompt = PromptInfo.parse(head.headers().getSingle(PlatformHeaders.PROMPT_INFO));
+        String repeat = head.headers().get(PlatformHeaders.REPEAT);
         String className = PlatformHeaders.decodeName(PlatformHeaders.require(head, PlatformHeaders.CLASS));
         return new RoutingRequest(
                 id,
@@ -70,7 +73,7 @@
                                 session, PlatformHeaders.HEXADECIMAL, PlatformHeaders.SESSION_HASH),
                 prompt.prefixId(),
                 receivedAtMicros + timeout,
-                PlatformHeaders.parseCostMillis(head.get(PlatformHeaders.COST_MICROS)),
+                PlatformHeaders.parseCostMillis(head.headers().get(PlatformHeaders.COST_MICROS)),
                 prompt.promptTokens(),
                 prompt.prefixTokens(),
                 prompt.maxOutputTokens(),
@@ -85,8 +88,8 @@
     }
 
     @Override
-    public void writeError(Http.Output out, int status, String reason, long retryAfterMicros, boolean close) {
+    public void writeError(HttpWriter out, int status, String reason, long retryAfterMicros, boolean close) {
         String body = "{\"error\":{\"message\":\"" + reason + "\",\"code\":" + status + "}}\n";
-        Http.error(out, status, body, retryAfterMicros, close);
+        HttpResponses.appendError(out, status, body, retryAfterMicros, close);
     }
 }
--- a/src/main/java/magpiehub/protocol/PlatformWarmUp.java
+++ b/src/main/java/magpiehub/protocol/PlatformWarmUp.java
@@ -3,7 +3,10 @@
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
+import magpiehub.http.HttpWriter;
 
 /** Reads and forwards a made-up exchange of the platform's protocol in memory until the code for it is compiled. */
 final class PlatformWarmUp {
@@ -46,12 +49,12 @@
 
     /** Does nothing where no header can name the class: no client can ask for it either. */
     void run() throws IOException {
-        Http.Output out = new Http.Output();
+        HttpWriter out = new HttpWriter();
         for (int i = 0; i < ROUNDS; i++) {
             ProtocolExchange exchange;
             try {
                 exchange = readRequest();
-            } catch (Http.Bad e) {
+            } catch (HttpException e) {
                 return;
             }
             writeResponse(exchange, out);
@@ -59,18 +62,18 @@
     }
 
     private ProtocolExchange readRequest() throws IOException {
-        Http.Input in = new Http.Input(new ByteArrayInputStream(request), () -> 0);
-        in.await();
-        Http.Head head = in.head(true);
-        return protocol.readRequest(head, in.body(head), 0);
+        HttpReader in = new HttpReader(new ByteArrayInputStream(request), () -> 0);
+        in.awaitMessage();
+        HttpHead head = in.readRequestHead();
+        return protocol.readRequest(head, in.readBody(head), 0);
     }
 
-    private void writeResponse(ProtocolExchange exchange, Http.Output out) throws IOException {
-        Http.Input upstream = new Http.Input(new ByteArrayInputStream(response), () -> 0);
-        upstream.await();
+    private void writeResponse(ProtocolExchange exchange, HttpWriter out) throws IOException {
+        HttpReader upstream = new HttpReader(new ByteArrayInputStream(response), () -> 0);
+        upstream.awaitMessage();
         exchange.writeStart(out, false);
         try {
-            upstream.events(upstream.head(false), event -> exchange.writeEvent(out, event));
+            upstream.readEvents(upstream.readResponseHead(), event -> exchange.writeEvent(out, event));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/magpiehub/protocol/PromptInfo.java
+++ b/src/main/java/magpiehub/protocol/PromptInfo.java
@@ -1,6 +1,6 @@
 package magpiehub.protocol;
 
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
 
 /**
  * What the header {@code X-Call-Info} says of a prompt; what it does not say is 0.
@@ -14,7 +14,7 @@
     private static final PromptInfo NONE = new PromptInfo(0, 0, 0, 0);
 
     /** Parses {@code name=value} pairs with commas between; names that are not known are ignored. */
-    static PromptInfo parse(String header) throws Http.Bad {
+    static PromptInfo parse(String header) throws HttpException {
         if (header == null || header.isBlank()) {
             return NONE;
         }
@@ -33,7 +33,7 @@
                 case "max_out" -> maxOutputTokens = number(value, PlatformHeaders.DECIMAL);
                 default -> {
                     if (equals <= 0) {
-                        throw new Http.Bad(400, "malformed " + PlatformHeaders.PROMPT_INFO);
+                        throw new HttpException(400, "malformed " + PlatformHeaders.PROMPT_INFO);
                     }
                 }
             }
@@ -41,7 +41,7 @@
         return new PromptInfo(prefixId, promptTokens, prefixTokens, maxOutputTokens);
     }
 
-    private static long number(String value, int radix) throws Http.Bad {
+    private static long number(String value, int radix) throws HttpException {
         return PlatformHeaders.parseUnsigned(value, radix, PlatformHeaders.PROMPT_INFO);
     }
 }
--- a/src/main/java/magpiehub/protocol/ProtocolAdapter.java
+++ b/src/main/java/magpiehub/protocol/ProtocolAdapter.java
@@ -1,6 +1,8 @@
 package magpiehub.protocol;
 
-import magpiehub.http.Http;
+import magpiehub.http.HttpException;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpWriter;
 
 /**
  * A client protocol: parses requests, and writes the responses that belong to no request. It keeps no state between
@@ -11,9 +13,9 @@
      * Parses a complete request.
      *
      * @param receivedAtMicros when its first byte came; its deadline counts from then on
-     * @throws Http.Bad if it is no valid request of this protocol, with the status to answer it with
+     * @throws HttpException if it is no valid request of this protocol, with the status to answer it with
      */
-    ProtocolExchange readRequest(Http.Head head, byte[] body, long receivedAtMicros) throws Http.Bad;
+    ProtocolExchange readRequest(HttpHead head, byte[] body, long receivedAtMicros) throws HttpException;
 
     /** Whether {@link ProtocolExchange#writeKeepAlive} writes anything in this protocol. */
     default boolean hasKeepAlive() {
@@ -26,5 +28,5 @@
      * @param retryAfterMicros what {@code Retry-After} tells the client; 0 for no such header
      * @param close whether the connection ends with this response
      */
-    void writeError(Http.Output out, int status, String reason, long retryAfterMicros, boolean close);
+    void writeError(HttpWriter out, int status, String reason, long retryAfterMicros, boolean close);
 }
--- a/src/main/java/magpiehub/protocol/ProtocolExchange.java
+++ b/src/main/java/magpiehub/protocol/ProtocolExchange.java
@@ -1,6 +1,6 @@
 package magpiehub.protocol;
 
-import magpiehub.http.Http;
+import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 
 /**
@@ -59,27 +59,27 @@
     }
 
     /** Writes the head of a successful response, and what the protocol has before the first event. */
-    public abstract void writeStart(Http.Output out, boolean close);
+    public abstract void writeStart(HttpWriter out, boolean close);
 
     /** Writes one event of the upstream's stream. */
-    public abstract void writeEvent(Http.Output out, byte[] event);
+    public abstract void writeEvent(HttpWriter out, byte[] event);
 
     /** Writes the end of a complete stream. */
-    public abstract void writeEnd(Http.Output out, boolean close);
+    public abstract void writeEnd(HttpWriter out, boolean close);
 
     /**
      * Writes the last bytes of a stream that failed, which must not look like the end of a complete one.
      *
      * @param errorEvent the upstream's error event, or null
      */
-    public abstract void writeStreamError(Http.Output out, byte[] errorEvent);
+    public abstract void writeStreamError(HttpWriter out, byte[] errorEvent);
 
     /**
      * Ends an incomplete stream in order, if all that matters of it has come and the protocol has a form for that.
      *
      * @return false, with nothing written, if not
      */
-    public boolean tryWriteIncompleteEnd(Http.Output out, boolean close) {
+    public boolean tryWriteIncompleteEnd(HttpWriter out, boolean close) {
         return false;
     }
 
@@ -88,13 +88,13 @@
      *
      * @return false, with nothing written, if the protocol has none
      */
-    public boolean writeKeepAlive(Http.Output out) {
+    public boolean writeKeepAlive(HttpWriter out) {
         return false;
     }
 
     /** Writes that the request is rejected; no upstream has begun it, so a retry is harmless. */
-    public abstract void writeRejection(Http.Output out, long retryAfterMicros, boolean close);
+    public abstract void writeRejection(HttpWriter out, long retryAfterMicros, boolean close);
 
     /** Writes that the request has failed. */
-    public abstract void writeFailure(Http.Output out, String reason, boolean close);
+    public abstract void writeFailure(HttpWriter out, String reason, boolean close);
 }
--- a/src/test/java/magpiehub/streaming/FaultyClients.java
+++ b/src/test/java/magpiehub/streaming/FaultyClients.java
@@ -10,7 +10,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 
 /** Clients of the router, each with one stream and the fault that is injected into it. */
 final class FaultyClients {
@@ -67,11 +68,11 @@
         try (Socket socket = new Socket()) {
             connect(socket, fault);
             socket.getOutputStream().write(request(id));
-            Http.Input in = new Http.Input(socket.getInputStream(), () -> System.nanoTime() / 1000);
-            if (!in.await()) {
+            HttpReader in = new HttpReader(socket.getInputStream(), () -> System.nanoTime() / 1000);
+            if (!in.awaitMessage()) {
                 return;
             }
-            Http.Head head = in.head(false);
+            HttpHead head = in.readResponseHead();
             if (head.status() != 200) {
                 rejected.incrementAndGet();
                 return;
@@ -110,12 +111,7 @@
     }
 
     private void read(
-            Socket socket,
-            Http.Input in,
-            Http.Head head,
-            String id,
-            StreamFault fault,
-            ConcurrentLinkedQueue<Long> gaps)
+            Socket socket, HttpReader in, HttpHead head, String id, StreamFault fault, ConcurrentLinkedQueue<Long> gaps)
             throws IOException, InterruptedException {
         if (fault == StreamFault.STOPS_READING || fault == StreamFault.BYTE_A_SECOND) {
             readSlowly(socket, fault);
@@ -147,15 +143,15 @@
     }
 
     private static void readEvents(
-            Http.Input in,
-            Http.Head head,
+            HttpReader in,
+            HttpHead head,
             StreamFault fault,
             ConcurrentLinkedQueue<Long> gaps,
             ByteArrayOutputStream received)
             throws IOException, InterruptedException {
         long[] lastEventNanos = {0};
         int[] events = {0};
-        in.events(head, event -> {
+        in.readEvents(head, event -> {
             long now = System.nanoTime();
             if (gaps != null && lastEventNanos[0] != 0) {
                 gaps.add((now - lastEventNanos[0]) / 1000);
--- a/src/test/java/magpiehub/streaming/ScriptedStream.java
+++ b/src/test/java/magpiehub/streaming/ScriptedStream.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import magpiehub.http.Http;
+import magpiehub.http.HttpWriter;
 
 /** The numbered events of a stream, so that what a client got is compared with what was sent, to the byte. */
 final class ScriptedStream {
@@ -87,7 +87,7 @@
     }
 
     private static void writeChunk(OutputStream out, byte[] bytes) throws IOException {
-        out.write(new Http.Output().chunk(bytes).take());
+        out.write(new HttpWriter().appendChunk(bytes).take());
     }
 
     /** An event that comes byte by byte and has no end. */
--- a/src/test/java/magpiehub/streaming/ScriptedUpstreams.java
+++ b/src/test/java/magpiehub/streaming/ScriptedUpstreams.java
@@ -13,7 +13,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import magpiehub.concurrent.DaemonThreads;
-import magpiehub.http.Http;
+import magpiehub.http.HttpHead;
+import magpiehub.http.HttpReader;
 
 /**
  * Upstreams on loopback that write the stream which the id of a request asks for. They measure how soon they learn
@@ -77,11 +78,11 @@
     private void serve(Socket socket) {
         String id = "";
         try (socket) {
-            Http.Input in = new Http.Input(socket.getInputStream(), () -> 0);
-            while (in.await()) {
-                Http.Head head = in.head(true);
-                in.body(head);
-                id = head.get("X-Call-Id");
+            HttpReader in = new HttpReader(socket.getInputStream(), () -> 0);
+            while (in.awaitMessage()) {
+                HttpHead head = in.readRequestHead();
+                in.readBody(head);
+                id = head.headers().get("X-Call-Id");
                 StreamFault fault = StreamFault.ofRequestId(id);
                 OutputStream out = socket.getOutputStream();
                 out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
