--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -22,6 +22,7 @@
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
 import magpiehub.protocol.MessagesProtocol;
+import magpiehub.protocol.MessagesSettings;
 import magpiehub.protocol.PlatformProtocol;
 import magpiehub.protocol.ProtocolAdapter;
 import magpiehub.routing.ConnectFailureZoneHealth;
@@ -32,8 +33,9 @@
 import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.store.KeyValueStore;
 import magpiehub.store.LastWriteWinsStore;
+import magpiehub.streaming.FlowController;
 import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.SyslogEventLog;
 import magpiehub.upstream.UpstreamPool;
 
@@ -60,7 +62,7 @@
     /** The settings in force; protocols read them for each request. */
     private final AtomicReference<SiteSettings> site;
 
-    private final Streams streams;
+    private final FlowController streams;
     private final UpstreamPool upstreams;
     /** Null where the platform's discovery is used. */
     private final DiscoverySettings registry;
@@ -105,7 +107,7 @@
         // Not before: a request that waits in the socket of a process that can't read it yet loses time that
         // nobody counts, for its deadline runs from when it was sent.
         ClientListener clients = openClientListener();
-        MessagesProtocol.Options messagesSettings = MessagesProtocol.Options.read(MESSAGES_FILE);
+        MessagesSettings messagesSettings = MessagesSettings.read(MESSAGES_FILE);
         KeyValueStore store = LastWriteWinsStore.fromFile(STORE_FILE, configuration.name(), clock, log);
         startMessagesListener(messagesSettings, store);
         ServiceAnnouncement announcement = new ServiceAnnouncement(configuration, registry, store, clock, log);
@@ -128,14 +130,15 @@
         return created;
     }
 
-    private Streams createStreams() throws IOException {
+    private FlowController createStreams() throws IOException {
         StreamLimits limits = readStreamLimits(configuration.site());
-        return new Streams(limits, configuration.site(), clock, log);
+        return new FlowController(limits, configuration.site(), clock, log);
     }
 
     private static StreamLimits readStreamLimits(SiteSettings settings) throws IOException {
         List<RequestClass> classes = settings.routing().classes();
-        return StreamLimits.read(STREAMS_FILE, classes, Runtime.getRuntime().maxMemory());
+        return StreamLimitsReader.read(
+                STREAMS_FILE, classes, Runtime.getRuntime().maxMemory());
     }
 
     private UpstreamPool startUpstreams() {
@@ -205,7 +208,7 @@
 
     private void applySettings(SiteSettings later) throws IOException {
         SiteSettings next = site.get().updatedTo(later);
-        streams.settings(readStreamLimits(next), next);
+        streams.updateSettings(readStreamLimits(next), next);
         upstreams.updateSettings(next);
         dispatcher.updateSettings(next.routing());
         // Last: the other parts then know every class and tenant that the protocols name by index.
@@ -214,7 +217,7 @@
 
     private void warmUp() throws IOException {
         JitWarmUp.run(JitWarmUp.ROUTER_ROUNDS);
-        platformProtocol.warm();
+        platformProtocol.warmUp();
     }
 
     private ClientListener openClientListener() throws IOException {
@@ -224,7 +227,7 @@
         return addListener(socket, platformProtocol, connectionLimits.downstream());
     }
 
-    private void startMessagesListener(MessagesProtocol.Options settings, KeyValueStore store) throws IOException {
+    private void startMessagesListener(MessagesSettings settings, KeyValueStore store) throws IOException {
         if (settings == null) {
             return;
         }
@@ -252,7 +255,7 @@
 
     /** All counters, one a line. */
     private String counters() {
-        String counters = log.counters() + streams.figures() + discovery.counterLines();
+        String counters = log.counters() + streams.metrics() + discovery.counterLines();
         return failoverPlan == null ? counters : counters + failoverPlan.metrics();
     }
 
--- a/src/main/java/magpiehub/upstream/AttemptExecution.java
+++ b/src/main/java/magpiehub/upstream/AttemptExecution.java
@@ -1,11 +1,11 @@
 package magpiehub.upstream;
 
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.StreamListener;
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.LoadReport;
-import magpiehub.streaming.StreamOutcomes;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * The attempt in progress on a connection, if there is one, and the ways in which it ends. Each end gives the
@@ -17,7 +17,7 @@
     private final UpstreamContext context;
     private final ConnectionSocket socket;
     private final ConnectionLog log;
-    private final Streams streams;
+    private final FlowController streams;
     private final UpstreamConnection.Listener listener;
     private final ResponseState response = new ResponseState();
     /** The attempt in progress, or null. */
@@ -98,14 +98,14 @@
         if (!response.isGranted() || !response.hasEnded() || attempt == null) {
             return;
         }
-        ProtocolAdapter.Sink client = response.sink();
+        StreamListener client = response.sink();
         AttemptOutcome outcome = response.outcome();
-        StreamOutcomes.Ending ending = response.ending();
+        StreamOutcome ending = response.ending();
         reportEnd(outcome);
         if (outcome == AttemptOutcome.OK) {
-            client.end();
+            client.onEnd();
         } else {
-            client.broken(response.errorEvent(), ending);
+            client.onFailure(response.errorEvent(), ending);
         }
     }
 
@@ -160,7 +160,7 @@
     /** Drops events of a stream that was not granted: they are not the client's. */
     private void dropHeldEvents() {
         for (byte[] event : response.heldEvents()) {
-            streams.dropped(connection.flow(), event.length);
+            streams.discard(connection.flow(), event.length);
         }
         response.heldEvents().clear();
     }
--- a/src/main/java/magpiehub/upstream/ConnectionActor.java
+++ b/src/main/java/magpiehub/upstream/ConnectionActor.java
@@ -1,7 +1,7 @@
 package magpiehub.upstream;
 
 import magpiehub.concurrent.CachedThreadPool;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
 
 /**
  * The actor of an {@link UpstreamConnection}: passes each message on to the part that it concerns, ignores those from
@@ -13,7 +13,7 @@
 final class ConnectionActor implements ConnectionMessage.Handler {
     private final UpstreamConnection connection;
     private final UpstreamContext context;
-    private final Streams streams;
+    private final FlowController streams;
     private final ConnectionTimer timer;
     private final ConnectionLog log;
     private final ConnectionSocket socket = new ConnectionSocket();
@@ -153,6 +153,6 @@
     }
 
     private void drop(ConnectionMessage.EventReceived event) {
-        streams.dropped(event.flow(), event.bytes().length);
+        streams.discard(event.flow(), event.bytes().length);
     }
 }
--- a/src/main/java/magpiehub/upstream/ConnectionMessage.java
+++ b/src/main/java/magpiehub/upstream/ConnectionMessage.java
@@ -1,7 +1,7 @@
 package magpiehub.upstream;
 
 import java.net.Socket;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamFlow;
 
 /**
  * A message in the mailbox of an {@link UpstreamConnection}; one record and one handler method for each kind. What a
@@ -99,7 +99,7 @@
     }
 
     /** One event of a response stream. Its bytes are counted as {@code flow}'s until they are dropped or forwarded. */
-    record EventReceived(Socket socket, byte[] bytes, Streams.Flow flow) implements ConnectionMessage {
+    record EventReceived(Socket socket, byte[] bytes, StreamFlow flow) implements ConnectionMessage {
         @Override
         public void deliverTo(Handler handler) {
             handler.onEventReceived(this);
--- a/src/main/java/magpiehub/upstream/RequestSender.java
+++ b/src/main/java/magpiehub/upstream/RequestSender.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.net.Socket;
 import magpiehub.concurrent.CachedThreadPool;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ProtocolExchange;
 import magpiehub.routing.AttemptOutcome;
 
 /**
@@ -38,11 +38,11 @@
 
     /** Sends the request of the attempt that has just begun, on the current socket or a new one. */
     void send() {
-        if (!(execution.attempt().payload() instanceof ProtocolAdapter.Call call)) {
+        if (!(execution.attempt().payload() instanceof ProtocolExchange call)) {
             execution.endBeforeStream(AttemptOutcome.CANCELLED);
             return;
         }
-        execution.response().setSink(call.sink());
+        execution.response().setSink(call.streamListener());
         if (socket.isOpen() && hasEndpointMoved()) {
             socket.close();
         }
@@ -96,7 +96,7 @@
         if (usableEndpoint() == null) {
             return;
         }
-        if (!(execution.attempt().payload() instanceof ProtocolAdapter.Call call)) {
+        if (!(execution.attempt().payload() instanceof ProtocolExchange call)) {
             execution.endBeforeStream(AttemptOutcome.CANCELLED);
             return;
         }
--- a/src/main/java/magpiehub/upstream/ResponseHandler.java
+++ b/src/main/java/magpiehub/upstream/ResponseHandler.java
@@ -1,7 +1,7 @@
 package magpiehub.upstream;
 
 import magpiehub.routing.AttemptOutcome;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
 
 /**
  * Handles what is read from a connection's current socket: forwards the events of a granted stream to the client, holds
@@ -15,7 +15,7 @@
     private final UpstreamConnection connection;
     private final String endpointId;
     private final UpstreamContext context;
-    private final Streams streams;
+    private final FlowController streams;
     private final ConnectionSocket socket;
     private final AttemptExecution execution;
     private final ResponseState response;
@@ -68,7 +68,7 @@
             return false;
         }
         if (response.isStarted() && !StreamEvent.isComment(event)) {
-            streams.heard(connection.flow(), endpointId, nowMicros - response.lastEventMicros(), nowMicros);
+            streams.recordEvent(connection.flow(), endpointId, nowMicros - response.lastEventMicros(), nowMicros);
         }
         response.recordEvent(event, context.settings().loadReports().isInResponses(), nowMicros);
         startStream();
@@ -98,7 +98,7 @@
     /** Forwards the stream to the client from now on. */
     void streamGranted() {
         response.markGranted();
-        streams.begun(connection.flow(), endpointId);
+        streams.startStream(connection.flow(), endpointId);
         response.forwardHeldEvents();
         execution.finishStream();
     }
@@ -171,7 +171,7 @@
 
     /** Until when the upstream may send nothing on the stream in progress. */
     long silentUntilMicros(long nowMicros) {
-        return streams.silentUntil(
+        return streams.silenceDeadline(
                 connection.flow(),
                 endpointId,
                 context.settings().resumesStreams(),
--- a/src/main/java/magpiehub/upstream/ResponseReader.java
+++ b/src/main/java/magpiehub/upstream/ResponseReader.java
@@ -7,7 +7,8 @@
 import magpiehub.http.HttpException;
 import magpiehub.http.HttpHead;
 import magpiehub.http.HttpReader;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamFlow;
 
 /**
  * Connects one socket and reads responses from it until it ends, on a thread that blocks. It posts what it reads to
@@ -102,11 +103,11 @@
 
     /** Waits while the connection is behind: an upstream that is faster than its actor loses nothing by it. */
     private void postEvent(byte[] event) throws IOException, InterruptedException {
-        Streams streams = context.streams();
-        Streams.Flow flow = connection.flow();
-        streams.came(flow, event.length);
+        FlowController streams = context.streams();
+        StreamFlow flow = connection.flow();
+        streams.reserveCapacity(flow, event.length);
         if (!connection.postBlocking(new ConnectionMessage.EventReceived(socket, event, flow), event.length)) {
-            streams.dropped(flow, event.length);
+            streams.discard(flow, event.length);
             throw new IOException("ended");
         }
     }
--- a/src/main/java/magpiehub/upstream/ResponseState.java
+++ b/src/main/java/magpiehub/upstream/ResponseState.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayDeque;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.StreamListener;
 import magpiehub.routing.AttemptOutcome;
-import magpiehub.streaming.StreamOutcomes;
+import magpiehub.streaming.StreamOutcome;
 
 /**
  * What is known of the response to a connection's attempt in progress. Events that arrive before the stream is granted
@@ -12,7 +12,7 @@
  */
 final class ResponseState {
     /** Where the events of a granted stream go; null between two attempts. */
-    private ProtocolAdapter.Sink sink;
+    private StreamListener sink;
 
     private boolean started;
     private boolean granted;
@@ -46,11 +46,11 @@
         lastEvent = null;
     }
 
-    ProtocolAdapter.Sink sink() {
+    StreamListener sink() {
         return sink;
     }
 
-    void setSink(ProtocolAdapter.Sink newSink) {
+    void setSink(StreamListener newSink) {
         sink = newSink;
     }
 
@@ -104,11 +104,11 @@
     }
 
     /** Why a stream ended that is not complete. */
-    StreamOutcomes.Ending ending() {
+    StreamOutcome ending() {
         if (outcome == AttemptOutcome.ERROR) {
-            return StreamOutcomes.Ending.ENGINE_ERROR;
+            return StreamOutcome.UPSTREAM_ERROR;
         }
-        return stalled ? StreamOutcomes.Ending.ENGINE_STALLED : StreamOutcomes.Ending.ENGINE_BROKE;
+        return stalled ? StreamOutcome.UPSTREAM_STALLED : StreamOutcome.UPSTREAM_DISCONNECTED;
     }
 
     /** Records what an event says. The first one counts as an event even if it is a comment. */
@@ -156,7 +156,7 @@
     /** Forwards an event to the client, or holds it until the stream is granted. */
     void forwardOrHold(byte[] event) {
         if (granted) {
-            sink.event(event);
+            sink.onEvent(event);
         } else {
             heldEvents.add(event);
         }
@@ -164,7 +164,7 @@
 
     /** Forwards the events that were held. */
     void forwardHeldEvents() {
-        heldEvents.forEach(sink::event);
+        heldEvents.forEach(sink::onEvent);
         heldEvents.clear();
     }
 
--- a/src/main/java/magpiehub/upstream/StreamEvent.java
+++ b/src/main/java/magpiehub/upstream/StreamEvent.java
@@ -5,7 +5,7 @@
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
 import magpiehub.dispatch.RequestDispatcher;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ServerSentEvents;
 
 /**
  * What the router reads from one server-sent event of an upstream's response stream. An event is the bytes between two
@@ -26,7 +26,7 @@
         String text = new String(event, StandardCharsets.UTF_8);
         return text.startsWith("event: error")
                 || text.contains("\nevent: error")
-                || ProtocolAdapter.data(event).replace(" ", "").startsWith("{\"error\"");
+                || ServerSentEvents.data(event).replace(" ", "").startsWith("{\"error\"");
     }
 
     /** Whether it is a comment or an event of the dialect that upstreams speak. */
@@ -34,7 +34,7 @@
         return event.length == 0
                 || isComment(event)
                 || contains(event, "\"choices\"")
-                || ProtocolAdapter.data(event).equals("[DONE]");
+                || ServerSentEvents.data(event).equals("[DONE]");
     }
 
     /** Whether a comment begins the event, which must not be empty. */
@@ -48,7 +48,7 @@
             return RequestDispatcher.CACHED_TOKENS_UNKNOWN;
         }
         try {
-            byte[] data = ProtocolAdapter.data(event).getBytes(StandardCharsets.UTF_8);
+            byte[] data = ServerSentEvents.data(event).getBytes(StandardCharsets.UTF_8);
             return (long) ConfigurationObject.parse(data, "event")
                     .object("usage")
                     .object("prompt_tokens_details")
--- a/src/main/java/magpiehub/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiehub/upstream/UpstreamConnection.java
@@ -3,7 +3,7 @@
 import magpiehub.concurrent.ActorThreadPool;
 import magpiehub.concurrent.CachedThreadPool;
 import magpiehub.concurrent.Mailbox;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamFlow;
 
 /**
  * One connection to an upstream, as the pool, the timer and the socket's reader see it; {@link ConnectionActor} does
@@ -44,7 +44,7 @@
     /** Requests written on the current socket: a response without a request is none. */
     private volatile int requestsWritten;
     /** The flow of the current request, to which the reader counts what it reads. */
-    private volatile Streams.Flow flow;
+    private volatile StreamFlow flow;
 
     UpstreamConnection(
             String endpointId,
@@ -117,7 +117,7 @@
     }
 
     /** The flow of the request written last. */
-    Streams.Flow flow() {
+    StreamFlow flow() {
         return flow;
     }
 
@@ -145,7 +145,7 @@
 
     /** Records a request that is about to be written: before a response can arrive, whose reader counts by it. */
     @SuppressWarnings("NonAtomicVolatileUpdate") // Only the connection's own turns write the count.
-    void recordRequest(Streams.Flow requestFlow) {
+    void recordRequest(StreamFlow requestFlow) {
         flow = requestFlow;
         requestsWritten++;
     }
--- a/src/main/java/magpiehub/upstream/UpstreamContext.java
+++ b/src/main/java/magpiehub/upstream/UpstreamContext.java
@@ -4,20 +4,20 @@
 import magpiehub.config.SiteSettings;
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.routing.LoadReport;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
 import magpiehub.telemetry.EventLog;
 
 /** What the pool, its connections, their readers and the health checks share. Any thread. */
 final class UpstreamContext {
     private final MonotonicClock clock;
     private final EventLog eventLog;
-    private final Streams streams;
+    private final FlowController streams;
     private final UpstreamEndpoints endpoints = new UpstreamEndpoints();
     private volatile UpstreamSettings settings;
     /** Set once, before the threads that use it are started. */
     private RequestDispatcher dispatcher;
 
-    UpstreamContext(SiteSettings site, MonotonicClock clock, EventLog eventLog, Streams streams) {
+    UpstreamContext(SiteSettings site, MonotonicClock clock, EventLog eventLog, FlowController streams) {
         this.clock = clock;
         this.eventLog = eventLog;
         this.streams = streams;
@@ -32,7 +32,7 @@
         return eventLog;
     }
 
-    Streams streams() {
+    FlowController streams() {
         return streams;
     }
 
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -14,7 +14,7 @@
 import magpiehub.routing.AttemptOutcome;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
 import magpiehub.telemetry.EventLog;
 
 /**
@@ -27,7 +27,7 @@
  */
 public final class UpstreamPool implements UpstreamFleet {
     private final UpstreamContext context;
-    private final Streams streams;
+    private final FlowController streams;
     private final int maxConnections;
     private final ActorThreadPool actorThreads;
     private final CachedThreadPool readers = new CachedThreadPool("engine-reader");
@@ -53,7 +53,7 @@
             MonotonicClock clock,
             EventLog eventLog,
             ActorThreadPool actorThreads,
-            Streams streams) {
+            FlowController streams) {
         this.context = new UpstreamContext(site, clock, eventLog, streams);
         this.streams = streams;
         this.maxConnections = maxConnections;
@@ -89,13 +89,13 @@
     /** Forgets an endpoint that is gone. */
     public void removeEndpoint(String id) {
         context.endpoints().remove(id);
-        streams.gone(id);
+        streams.removeUpstream(id);
     }
 
     /** Forgets all endpoints but these, which a complete endpoint list names. */
     public void retainEndpoints(Set<String> ids) {
         context.endpoints().retain(ids);
-        streams.only(ids);
+        streams.retainUpstreams(ids);
     }
 
     // ---- The dispatcher's thread ----------------------------------------------------------------------
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -31,10 +31,11 @@
 import magpiehub.downstream.ClientListener;
 import magpiehub.downstream.ListenerSocket;
 import magpiehub.protocol.MessagesProtocol;
+import magpiehub.protocol.MessagesSettings;
 import magpiehub.protocol.PlatformProtocol;
 import magpiehub.protocol.ProtocolAdapter;
-import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.SyslogEventLog;
 import magpiehub.upstream.UpstreamPool;
 
@@ -64,7 +65,7 @@
     private boolean messages;
     private int most = 64;
     private String allowances = "{}";
-    private Streams streams;
+    private FlowController streams;
     private String siteFile = "site.json";
     private boolean resume = true;
     private boolean pushed;
@@ -100,8 +101,8 @@
         ExchangePeer d = peer("d");
         d.listen();
         ActorThreadPool crew = new ActorThreadPool();
-        streams = new Streams(
-                StreamLimits.of(
+        streams = new FlowController(
+                StreamLimitsReader.parse(
                         ConfigurationObject.parse(allowances.getBytes(UTF_8), "streams.json"),
                         site.routing().classes(),
                         64 << 20),
@@ -114,7 +115,7 @@
         actor = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
         engines.setDispatcher(actor);
         ProtocolAdapter front = messages
-                ? new MessagesProtocol(() -> site, new MessagesProtocol.Options("", "chat", "", Map.of()), null)
+                ? new MessagesProtocol(() -> site, new MessagesSettings("", "chat", "", Map.of()), null)
                 : new PlatformProtocol(() -> site);
         clients = new ClientListener(
                 ListenerSocket.bind(any),
@@ -380,7 +381,7 @@
     }
 
     private boolean hasCounter(String nameAndValue) {
-        return ("\n" + log.counters() + streams.figures()).contains("\n" + nameAndValue + "\n");
+        return ("\n" + log.counters() + streams.metrics()).contains("\n" + nameAndValue + "\n");
     }
 
     /** Waits for something that the router does by itself; the limit is for failing only. */
--- a/src/test/java/magpiehub/upstream/IdleConnectionsTest.java
+++ b/src/test/java/magpiehub/upstream/IdleConnectionsTest.java
@@ -15,8 +15,9 @@
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.SiteSettings;
 import magpiehub.config.SiteSettingsParser;
+import magpiehub.streaming.FlowController;
 import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.EventLog;
 import magpiehub.telemetry.SyslogEventLog;
 import org.junit.jupiter.api.Test;
@@ -83,9 +84,9 @@
             byte[] settings =
                     Files.readString(Path.of("src/test/resources/site.json")).getBytes(StandardCharsets.UTF_8);
             SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(settings, "settings"));
-            StreamLimits limits = StreamLimits.none(site.routing().classes(), 64 << 20);
+            StreamLimits limits = StreamLimitsReader.defaults(site.routing().classes(), 64 << 20);
             EventLog eventLog = new SyslogEventLog(System.err, "test", 1);
-            Streams streams = new Streams(limits, site, MonotonicClock.SYSTEM, eventLog);
+            FlowController streams = new FlowController(limits, site, MonotonicClock.SYSTEM, eventLog);
             return new UpstreamContext(site, MonotonicClock.SYSTEM, eventLog, streams);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/test/java/magpiehub/upstream/ResponseStateTest.java
+++ b/src/test/java/magpiehub/upstream/ResponseStateTest.java
@@ -8,7 +8,7 @@
 
 import magpiehub.dispatch.RequestDispatcher;
 import magpiehub.routing.AttemptOutcome;
-import magpiehub.streaming.StreamOutcomes;
+import magpiehub.streaming.StreamOutcome;
 import org.junit.jupiter.api.Test;
 
 class ResponseStateTest {
@@ -64,11 +64,11 @@
     @Test
     void theEndingTellsAnErrorAStallAndALostConnectionApart() {
         response.end(AttemptOutcome.RESET);
-        assertEquals(StreamOutcomes.Ending.ENGINE_BROKE, response.ending());
+        assertEquals(StreamOutcome.UPSTREAM_DISCONNECTED, response.ending());
         response.markStalled();
-        assertEquals(StreamOutcomes.Ending.ENGINE_STALLED, response.ending());
+        assertEquals(StreamOutcome.UPSTREAM_STALLED, response.ending());
         response.endWithError(EVENT);
-        assertEquals(StreamOutcomes.Ending.ENGINE_ERROR, response.ending());
+        assertEquals(StreamOutcome.UPSTREAM_ERROR, response.ending());
     }
 
     @Test
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -28,13 +28,15 @@
 import magpiehub.http.HttpHead;
 import magpiehub.http.HttpReader;
 import magpiehub.protocol.PlatformProtocol;
-import magpiehub.protocol.ProtocolAdapter;
+import magpiehub.protocol.ProtocolExchange;
+import magpiehub.protocol.StreamListener;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
-import magpiehub.streaming.StreamLimits;
-import magpiehub.streaming.StreamOutcomes;
-import magpiehub.streaming.Streams;
+import magpiehub.streaming.FlowController;
+import magpiehub.streaming.StreamFlow;
+import magpiehub.streaming.StreamLimitsReader;
+import magpiehub.streaming.StreamOutcome;
 import magpiehub.telemetry.SyslogEventLog;
 import org.junit.After;
 import org.junit.Test;
@@ -46,7 +48,7 @@
     private volatile boolean clientGone;
     private Thread dispatcherThread;
     private SiteSettings site;
-    private Streams streams;
+    private FlowController streams;
     private RequestDispatcher dispatcher;
 
     @After
@@ -141,8 +143,8 @@
     }
 
     /** The client's side of a stream: runs a task the moment it is told of the end. */
-    private final class SubmitAgain implements ProtocolAdapter.Sink {
-        private final Streams.Flow flow = streams.open(0, -1, "1", () -> {});
+    private final class SubmitAgain implements StreamListener {
+        private final StreamFlow flow = streams.openStream(0, -1, "1", () -> {});
         private final Runnable onEnd;
 
         SubmitAgain(Runnable onEnd) {
@@ -150,20 +152,20 @@
         }
 
         @Override
-        public void event(byte[] event) {}
+        public void onEvent(byte[] event) {}
 
         @Override
-        public void end() {
+        public void onEnd() {
             onEnd.run();
         }
 
         @Override
-        public void broken(byte[] error, StreamOutcomes.Ending why) {
+        public void onFailure(byte[] error, StreamOutcome why) {
             onEnd.run();
         }
 
         @Override
-        public Streams.Flow flow() {
+        public StreamFlow flow() {
             return flow;
         }
     }
@@ -207,8 +209,8 @@
                         .replace("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":30000")
                         .getBytes(UTF_8),
                 "settings"));
-        streams = new Streams(
-                StreamLimits.none(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, eventLog);
+        streams = new FlowController(
+                StreamLimitsReader.defaults(site.routing().classes(), 64 << 20), site, MonotonicClock.SYSTEM, eventLog);
         UpstreamPool pool = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, eventLog, new ActorThreadPool(), streams);
         dispatcher = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, pool, endpointSource, eventLog);
         pool.setDispatcher(dispatcher);
@@ -220,17 +222,17 @@
     }
 
     /** Submits a request, always with the same id; false if the dispatcher's mailbox is full. */
-    private boolean submit(ProtocolAdapter.Sink sink) {
+    private boolean submit(StreamListener sink) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
         HttpReader input = new HttpReader(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM);
         try {
             assertTrue(input.awaitMessage());
             HttpHead head = input.readRequestHead();
-            ProtocolAdapter.Call call =
-                    new PlatformProtocol(() -> site).read(head, input.readBody(head), input.messageStartMicros());
-            call.sink(sink);
-            return dispatcher.submit(call.request, client, call, 2);
+            ProtocolExchange call = new PlatformProtocol(() -> site)
+                    .readRequest(head, input.readBody(head), input.messageStartMicros());
+            call.setStreamListener(sink);
+            return dispatcher.submit(call.request(), client, call, 2);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
