--- a/lab/src/test/java/magpiehub/lab/ClientsTest.java
+++ b/lab/src/test/java/magpiehub/lab/ClientsTest.java
@@ -1,7 +1,7 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -17,19 +17,16 @@
 import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.HttpHead;
 import magpiehub.http.HttpReader;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 
 /** The verdict on each answer, on sockets: a router that does wrong in one way, and the word that the rig
  *  has for
  *  it. This is how each bound on answers was seen to fail. */
-public class ClientsTest {
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class ClientsTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    @Rule
-    public final Timeout patience = Timeout.seconds(60);
-
     private Clients clients;
 
     /** What a router says to a request: its id, and how many tokens are asked for. */
@@ -116,50 +113,47 @@
             List<Clients.Result> all = clients.finish(30_000_000);
             assertEquals(0, clients.open());
             assertTrue(all.size() > 5);
-            assertEquals(
-                    "none is excused",
-                    0,
-                    all.stream().filter(Clients.Result::excused).count());
+            assertEquals(0, all.stream().filter(Clients.Result::excused).count(), "none is excused");
             return all.stream().map(Clients.Result::how).collect(Collectors.toSet());
         }
     }
 
     @Test
-    public void aWholeStreamIsServed() throws Exception {
+    void aWholeStreamIsServed() throws Exception {
         assertEquals(Set.of(Clients.End.SERVED), ends(ClientsTest::whole));
         assertEquals(0, clients.twice());
     }
 
     @Test
-    public void aSecondAnswerBehindTheFirstIsCounted() throws Exception {
+    void aSecondAnswerBehindTheFirstIsCounted() throws Exception {
         ends((call, n) -> whole(call, n) + "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n|");
         assertTrue(clients.twice() > 0);
     }
 
     @Test
-    public void aConnectionThatEndsWithoutAWordIsNone() throws Exception {
+    void aConnectionThatEndsWithoutAWordIsNone() throws Exception {
         assertEquals(Set.of(Clients.End.NONE), ends((call, n) -> null));
     }
 
     @Test
-    public void aStreamThatLacksTokensOrHasAnothersIsSpoilt() throws Exception {
+    void aStreamThatLacksTokensOrHasAnothersIsSpoilt() throws Exception {
         assertEquals(
                 Set.of(Clients.End.SPOILT),
                 ends((call, n) -> HEAD + tokens(call, 0, 1) + tokens(call, 2, n) + event("[DONE]") + "0\r\n\r\n"));
         assertEquals(Set.of(Clients.End.SPOILT), ends((call, n) -> whole("0" + call.substring(1) + "x", n)));
         assertEquals(
-                "an end in order that is none",
                 Set.of(Clients.End.SPOILT),
-                ends((call, n) -> HEAD + tokens(call, 0, n) + "0\r\n\r\n"));
+                ends((call, n) -> HEAD + tokens(call, 0, n) + "0\r\n\r\n"),
+                "an end in order that is none");
     }
 
     @Test
-    public void aStreamThatBreaksOffIsBroken() throws Exception {
+    void aStreamThatBreaksOffIsBroken() throws Exception {
         assertEquals(Set.of(Clients.End.BROKEN), ends((call, n) -> HEAD + tokens(call, 0, 1) + "|"));
     }
 
     @Test
-    public void refusedAndFailedAreToldApart() throws Exception {
+    void refusedAndFailedAreToldApart() throws Exception {
         assertEquals(
                 Set.of(Clients.End.REFUSED),
                 ends((call, n) -> "HTTP/1.1 503 x\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n"));
--- a/lab/src/test/java/magpiehub/lab/DiscoveryTest.java
+++ b/lab/src/test/java/magpiehub/lab/DiscoveryTest.java
@@ -1,7 +1,7 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -12,23 +12,21 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.junit.After;
-import org.junit.Before;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 
 /** The discovery stand-in and its faults, as a router meets them. */
-public class DiscoveryTest {
-    @Rule
-    public final Timeout patience = Timeout.seconds(60);
-
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class DiscoveryTest {
     private final Discovery discovery =
             new Discovery(List.of("north", "south"), (from, m) -> "10.0." + from + "." + m.number() + ":80");
     private InetSocketAddress at;
 
-    @Before
-    public void open() throws IOException {
+    @BeforeEach
+    @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+    void open() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             at = (InetSocketAddress) free.getLocalSocketAddress();
         }
@@ -37,8 +35,9 @@
         discovery.put("b", 1, 2, "Ready", 0);
     }
 
-    @After
-    public void close() throws IOException {
+    @AfterEach
+    @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+    void close() throws IOException {
         discovery.close();
     }
 
@@ -61,52 +60,52 @@
     }
 
     @Test
-    public void aRouterIsToldTheWholeListAndThenEachChangeByItsOwnAddresses() throws IOException {
+    void aRouterIsToldTheWholeListAndThenEachChangeByItsOwnAddresses() throws IOException {
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         String all = told(watch);
-        assertTrue(all, all.contains("\"complete\":true") && all.contains("\"host_port\":\"10.0.1.2:80\""));
+        assertTrue(all.contains("\"complete\":true") && all.contains("\"host_port\":\"10.0.1.2:80\""), all);
         assertEquals(Long.MAX_VALUE, discovery.told("a", 4));
         discovery.put("a", 0, 1, "Terminating", 0);
         String change = told(watch);
-        assertTrue(change, change.contains("Terminating") && !change.contains("\"id\":\"b\""));
-        assertTrue("and it is known when", discovery.told("a", 4) <= EngineSite.micros());
+        assertTrue(change.contains("Terminating") && !change.contains("\"id\":\"b\""), change);
+        assertTrue(discovery.told("a", 4) <= EngineSite.micros(), "and it is known when");
         discovery.put("a", 0, 1, "Gone", 0);
         assertTrue(told(watch).contains("Gone"));
         String later = told(ask("/discovery/hosts?follow=1&since=3"));
-        assertTrue("only what came after", later.contains("Gone") && !later.contains("\"id\":\"b\""));
+        assertTrue(later.contains("Gone") && !later.contains("\"id\":\"b\""), "only what came after");
     }
 
     @Test
-    public void aLateListTellsNothingBeforeItsTimeAndAllOfItThen() throws IOException {
+    void aLateListTellsNothingBeforeItsTimeAndAllOfItThen() throws IOException {
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         told(watch);
         discovery.late(200_000);
         long from = EngineSite.micros();
         discovery.put("b", 1, 2, "Gone", 0);
         assertTrue(
-                "a router that starts now knows no more",
-                discovery.known(4, 1).contains("\"id\":\"b\"") || EngineSite.micros() - from >= 200_000);
+                discovery.known(4, 1).contains("\"id\":\"b\"") || EngineSite.micros() - from >= 200_000,
+                "a router that starts now knows no more");
         assertTrue(
-                "a list asked for meanwhile is as late",
                 told(ask("/discovery/hosts?follow=1")).contains("\"id\":\"b\"")
-                        || EngineSite.micros() - from >= 200_000);
+                        || EngineSite.micros() - from >= 200_000,
+                "a list asked for meanwhile is as late");
         assertTrue(told(watch).contains("Gone"));
         assertTrue(EngineSite.micros() - from >= 200_000);
     }
 
     @Test
-    public void aTornWatchEndsInALineAndTheNextIsWhole() throws IOException {
+    void aTornWatchEndsInALineAndTheNextIsWhole() throws IOException {
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         told(watch);
         discovery.tear();
         String half = told(watch);
-        assertTrue(half, half != null && !half.endsWith("}"));
-        assertEquals("and no more", null, told(watch));
+        assertTrue(half != null && !half.endsWith("}"), half);
+        assertEquals(null, told(watch), "and no more");
         assertTrue(told(ask("/discovery/hosts?follow=1")).endsWith("]}"));
     }
 
     @Test
-    public void whileItIsDownNobodyIsAnswered() throws IOException {
+    void whileItIsDownNobodyIsAnswered() throws IOException {
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         told(watch);
         discovery.down(true);
@@ -114,7 +113,7 @@
             try {
                 assertEquals(null, told(in));
             } catch (IOException e) {
-                assertTrue("a reset is an end", e.getMessage() != null);
+                assertTrue(e.getMessage() != null, "a reset is an end");
             }
         }
         discovery.down(false);
--- a/lab/src/test/java/magpiehub/lab/EngineTest.java
+++ b/lab/src/test/java/magpiehub/lab/EngineTest.java
@@ -1,15 +1,15 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The model of one engine, driven directly. */
-public class EngineTest {
+class EngineTest {
     private static final Engine.Build B = new Engine.Build(2, 3, 20, 100, 64, 4, 128, 1_000, 0.5, 1_000, 4);
     private static final String TEXT = "abcd".repeat(64);
     private final List<String> told = new ArrayList<>();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void aStreamComesInOrderAndEndsOnce() {
+    void aStreamComesInOrderAndEndsOnce() {
         Engine e = new Engine(B, Long.MIN_VALUE / 2);
         assertTrue(e.take(sequence("a", "", 9), 0));
         run(e, 0);
@@ -41,29 +41,29 @@
     }
 
     @Test
-    public void aPromptThatWasReadIsKeptByItsBlocksAndTheOldestGoes() {
+    void aPromptThatWasReadIsKeptByItsBlocksAndTheOldestGoes() {
         Engine e = new Engine(B, Long.MIN_VALUE / 2);
         e.take(sequence("a", TEXT, 1), 0);
         long cold = run(e, 0);
         e.take(sequence("b", TEXT + "another end of the same beginning", 1), 0);
         long warm = run(e, 0);
-        assertTrue("a prompt that is kept is not read again: " + warm, warm < cold);
+        assertTrue(warm < cold, "a prompt that is kept is not read again: " + warm);
         assertEquals("b 0-1 last cached 64", told.get(1));
         e.take(sequence("c", "wxyz".repeat(128), 1), 0);
         run(e, 0);
         e.take(sequence("d", TEXT, 1), 0);
         run(e, 0);
-        assertEquals("there is room for 128 tokens", "d 0-1 last cached 0", told.get(3));
+        assertEquals("d 0-1 last cached 0", told.get(3), "there is room for 128 tokens");
     }
 
     @Test
-    public void aFullQueueTurnsAwayAndADroppedSequenceMakesRoom() {
+    void aFullQueueTurnsAwayAndADroppedSequenceMakesRoom() {
         Engine e = new Engine(B, Long.MIN_VALUE / 2);
         Engine.Sequence first = sequence("0", "", 99);
         assertTrue(e.take(first, 0));
         assertTrue(e.take(sequence("1", "", 99), 0));
         assertTrue(e.take(sequence("2", "", 99), 0));
-        assertFalse("three wait", e.take(sequence("3", "", 99), 0));
+        assertFalse(e.take(sequence("3", "", 99), 0), "three wait");
         e.step(0);
         assertEquals(2, e.running());
         assertEquals(1, e.waiting());
@@ -74,16 +74,16 @@
     }
 
     @Test
-    public void aColdEngineIsSlowerAndFallsUnderWorkThatAWarmOneTurnsAway() {
+    void aColdEngineIsSlowerAndFallsUnderWorkThatAWarmOneTurnsAway() {
         Engine cold = new Engine(B, 0);
-        assertEquals(0.5, cold.speed(0), 0);
-        assertEquals(1, cold.speed(1_000_000), 0);
+        assertEquals(0.5, cold.speed(0));
+        assertEquals(1, cold.speed(1_000_000));
         Engine warm = new Engine(B, Long.MIN_VALUE / 2);
         for (int i = 0; i < 30; i++) {
             cold.take(sequence("x", TEXT, 10), i * 1_000L);
             warm.take(sequence("x", TEXT, 10), i * 1_000L);
         }
-        assertTrue("30 times 0.106 s of work within 30 ms, 4 x 0.5 s may come", cold.fallen());
+        assertTrue(cold.fallen(), "30 times 0.106 s of work within 30 ms, 4 x 0.5 s may come");
         assertFalse(warm.fallen());
         Engine little = new Engine(B, 0);
         for (int i = 0; i < 15; i++) {
--- a/lab/src/test/java/magpiehub/lab/PlayTest.java
+++ b/lab/src/test/java/magpiehub/lab/PlayTest.java
@@ -1,7 +1,7 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,21 +10,18 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Whole processes with faults between them: routers as {@code run} starts them, engines, the list, clients.
  *  What
  *  is asserted are the rules, which no machine is too slow for; times are the proof's. */
-public class PlayTest {
+@Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class PlayTest {
     /** Guards against a play that does not come to its end. */
-    @Rule
-    public final Timeout patience = Timeout.seconds(300);
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private static final Map<String, String> PLANNED = Map.of("site.json", "{\"gentleMs\": 500}");
 
@@ -40,8 +37,7 @@
                 .replace("\"rate\": 25", "\"rate\": 8")
                 .replaceFirst("(?s)\"faults\": \\[.*", "\"faults\": [" + faults.replace('\'', '"') + "]}");
         Path jar = Fleet.root().resolve("target/magpiehub.jar");
-        try (Fleet f =
-                new Fleet(Scenario.read(json, seed), jar, folder.getRoot().toPath(), net, files, l -> {})) {
+        try (Fleet f = new Fleet(Scenario.read(json, seed), jar, folder, net, files, l -> {})) {
             return f.play();
         }
     }
@@ -49,17 +45,17 @@
     private static void rulesHold(Fleet.Outcome o) {
         List<Verdict.Bound> broken =
                 new Verdict(o).rules().stream().filter(b -> !b.holds()).toList();
-        assertEquals(broken + " " + o.failures() + new Verdict(o).together() + o.toDrained(), 0, broken.size());
+        assertEquals(0, broken.size(), broken + " " + o.failures() + new Verdict(o).together() + o.toDrained());
         assertTrue(
-                "requests went through",
                 o.results().stream()
                                 .filter(r -> r.how() == Clients.End.SERVED || r.how() == Clients.End.LATE)
                                 .count()
-                        > o.results().size() / 2);
+                        > o.results().size() / 2,
+                "requests went through");
     }
 
     @Test
-    public void aSiteIsKilledAndComesBackColdUnderNewIds() throws IOException {
+    void aSiteIsKilledAndComesBackColdUnderNewIds() throws IOException {
         Fleet.Outcome o = play(
                 240,
                 1,
@@ -68,11 +64,11 @@
         rulesHold(o);
         Set<String> at = o.attempts().stream().map(Fleet.Attempt::engine).collect(Collectors.toSet());
         String lost = o.scenario().sites.get(o.scenario().faults.get(0).site()).name();
-        assertTrue(at + " has old ones of " + lost, at.stream().anyMatch(e -> e.matches(lost + "-e[123]")));
+        assertTrue(at.stream().anyMatch(e -> e.matches(lost + "-e[123]")), at + " has old ones of " + lost);
     }
 
     @Test
-    public void aSiteIsStoppedAndContinued() throws IOException {
+    void aSiteIsStoppedAndContinued() throws IOException {
         rulesHold(play(
                 241,
                 2,
@@ -81,22 +77,22 @@
     }
 
     @Test
-    public void aSiteIsCutOffAndServesItsOwnClients() throws IOException {
+    void aSiteIsCutOffAndServesItsOwnClients() throws IOException {
         Fleet.Outcome o = play(242, 3, "{'at':1.5,'do':'cut','site':'any'},{'at':4.5,'do':'heal','site':'any'}");
         rulesHold(o);
         int site = o.scenario().faults.get(0).site();
         long cut = o.faults().get(0).at();
         assertTrue(
-                "its own engines serve its clients",
                 o.results().stream()
                         .anyMatch(r -> r.site() == site
                                 && r.due() > cut + 200_000
                                 && r.due() < cut + 2_800_000
-                                && r.how() == Clients.End.SERVED));
+                                && r.how() == Clients.End.SERVED),
+                "its own engines serve its clients");
     }
 
     @Test
-    public void enginesDrainWhileTheListIsTornAndARouterIsKilled() throws IOException {
+    void enginesDrainWhileTheListIsTornAndARouterIsKilled() throws IOException {
         rulesHold(play(
                 243,
                 4,
@@ -109,7 +105,7 @@
     /** With the plan for the loss of a site: routers say what became of it, of the right one, and it is
      *  back. */
     @Test
-    public void aSilentSiteIsDoubtedByItsNameWhereThatIsPlannedFor() throws IOException {
+    void aSilentSiteIsDoubtedByItsNameWhereThatIsPlannedFor() throws IOException {
         Fleet.Outcome o = play(
                 244,
                 5,
@@ -119,20 +115,20 @@
         rulesHold(o);
         String lost = o.scenario().sites.get(o.scenario().faults.get(0).site()).name();
         assertTrue(
-                o.stands().toString(),
                 o.stands().stream()
-                        .anyMatch(s -> s.site().equals(lost) && s.from().equals("whole") && s.to().equals("doubted")));
+                        .anyMatch(s -> s.site().equals(lost) && s.from().equals("whole") && s.to().equals("doubted")),
+                o.stands().toString());
         assertEquals(
-                "none else is called lost",
                 0,
                 o.stands().stream()
                         .filter(s -> s.to().equals("lost") && !s.site().equals(lost))
-                        .count());
+                        .count(),
+                "none else is called lost");
     }
 
     /** An operator gives one site up and takes it back, while another is lost. */
     @Test
-    public void anOperatorsWordHoldsDuringTheLossOfAnotherSite() throws IOException {
+    void anOperatorsWordHoldsDuringTheLossOfAnotherSite() throws IOException {
         Fleet.Outcome o = play(
                 245,
                 6,
@@ -150,10 +146,10 @@
                 .toList();
         long there = then.stream().filter(a -> a.engine().startsWith("north-")).count();
         assertTrue(
+                then.size() > 5 && there * 5 < then.size(),
                 "once its part has fallen to nothing, the last resort of few, until it is taken back: "
                         + there
-                        + " of " + then.size(),
-                then.size() > 5 && there * 5 < then.size());
+                        + " of " + then.size());
         assertTrue(o.stands().stream().anyMatch(s -> s.site().equals("north") && s.to().equals("returning")));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/RelayTest.java
+++ b/lab/src/test/java/magpiehub/lab/RelayTest.java
@@ -1,8 +1,8 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.ConnectException;
@@ -14,25 +14,23 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.After;
-import org.junit.Before;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 
 /** Paths and their faults, on real sockets. */
-public class RelayTest {
-    @Rule
-    public final Timeout patience = Timeout.seconds(60);
-
+@Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class RelayTest {
     private final List<String> seen = new ArrayList<>();
     private ServerSocket target;
     private Relay relay;
     private Relay.Path path;
     private InetSocketAddress at;
 
-    @Before
-    public void open() throws IOException {
+    @BeforeEach
+    @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+    void open() throws IOException {
         target = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             at = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
@@ -51,8 +49,9 @@
         });
     }
 
-    @After
-    public void close() throws IOException {
+    @AfterEach
+    @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+    void close() throws IOException {
         relay.close();
         target.close();
     }
@@ -85,7 +84,7 @@
     }
 
     @Test
-    public void whatACutPathHoldsBackComesOnceItIsHealedAndNoneIsLost() throws Exception {
+    void whatACutPathHoldsBackComesOnceItIsHealedAndNoneIsLost() throws Exception {
         try (Socket c = client();
                 Socket t = target.accept()) {
             say(c, "one");
@@ -93,19 +92,19 @@
             path.cut(true, false);
             say(c, "two");
             say(t, "back");
-            assertEquals("the other way is open", "back", hear(c, 4));
+            assertEquals("back", hear(c, 4), "the other way is open");
             c.shutdownOutput();
             t.setSoTimeout(50);
             assertThrows(SocketTimeoutException.class, () -> t.getInputStream().read());
             path.heal(0, 0);
             t.setSoTimeout(30_000);
             assertEquals("two", hear(t, 3));
-            assertEquals("the end comes behind it", -1, t.getInputStream().read());
+            assertEquals(-1, t.getInputStream().read(), "the end comes behind it");
         }
     }
 
     @Test
-    public void aNewConnectionDoesNotComeUpOverACutPathAndDoesOnceItIsHealed() throws Exception {
+    void aNewConnectionDoesNotComeUpOverACutPathAndDoesOnceItIsHealed() throws Exception {
         path.cut(false, true);
         assertThrows(SocketTimeoutException.class, () -> {
             try (Socket s = new Socket()) {
@@ -121,7 +120,7 @@
     }
 
     @Test
-    public void aBlackHoleTakesConnectionsAndSaysNothing() throws Exception {
+    void aBlackHoleTakesConnectionsAndSaysNothing() throws Exception {
         path.blackHole();
         try (Socket c = client();
                 Socket t = target.accept()) {
@@ -135,7 +134,7 @@
     }
 
     @Test
-    public void aResetEndsWhatIsOpenAtBothSides() throws Exception {
+    void aResetEndsWhatIsOpenAtBothSides() throws Exception {
         try (Socket c = client();
                 Socket t = target.accept()) {
             say(c, "x");
@@ -147,7 +146,7 @@
     }
 
     @Test
-    public void anEndedProcessRefusesAndIsThereAgainOnceItListens() throws Exception {
+    void anEndedProcessRefusesAndIsThereAgainOnceItListens() throws Exception {
         InetSocketAddress was = (InetSocketAddress) target.getLocalSocketAddress();
         target.close();
         relay.down();
@@ -169,7 +168,7 @@
     }
 
     @Test
-    public void aSlowPathTakesItsTimeAndKeepsTheOrder() throws Exception {
+    void aSlowPathTakesItsTimeAndKeepsTheOrder() throws Exception {
         path.slow(30_000, 0, 0);
         try (Socket c = client();
                 Socket t = target.accept()) {
@@ -183,7 +182,7 @@
     }
 
     @Test
-    public void aRequestIsSeenFromItsFirstByteToTheLastChunkOfItsAnswer() throws Exception {
+    void aRequestIsSeenFromItsFirstByteToTheLastChunkOfItsAnswer() throws Exception {
         try (Socket c = client();
                 Socket t = target.accept()) {
             say(c, "POST /x HTTP/1.1\r\nX-Call-Id: 7\r\nContent-Length: 2\r\n\r\n{}");
--- a/lab/src/test/java/magpiehub/lab/ScenarioTest.java
+++ b/lab/src/test/java/magpiehub/lab/ScenarioTest.java
@@ -1,9 +1,9 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNotEquals;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -11,14 +11,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Scenario files: what a seed makes of one, and what is turned down with which words. */
-public class ScenarioTest {
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+class ScenarioTest {
+    @TempDir
+    Path folder;
 
     private static final Path FILE = Path.of("scenarios/zone-cut.json");
 
@@ -27,12 +26,11 @@
     }
 
     @Test
-    public void whatTheFileLeavesOpenIsDrawnFromTheSeedAlone() throws IOException {
+    void whatTheFileLeavesOpenIsDrawnFromTheSeedAlone() throws IOException {
         assertEquals(Scenario.read(FILE, 3).faults, Scenario.read(FILE, 3).faults);
         assertNotEquals(Scenario.read(FILE, 3).faults, Scenario.read(FILE, 4).faults);
         List<Scenario.Fault> f = Scenario.read(FILE, 5).faults;
-        assertEquals(
-                "any is one site for the whole play", f.get(0).site(), f.get(1).site());
+        assertEquals(f.get(0).site(), f.get(1).site(), "any is one site for the whole play");
         for (long seed = 0; seed < 50; seed++) {
             SiteProof p = SiteProof.drawn(seed, null);
             assertTrue(p.scenario().lengthMs <= 24_000);
@@ -43,7 +41,7 @@
     }
 
     @Test
-    public void aFileThatSaysSomethingUnknownIsTurnedDownWithThePlace() throws IOException {
+    void aFileThatSaysSomethingUnknownIsTurnedDownWithThePlace() throws IOException {
         String good = Files.readString(FILE);
         assertTrue(wrong(good.replace("\"cut\"", "\"cutt\"")).contains("faults[0].do must be one of kill, stop"));
         assertTrue(wrong(good.replace("\"way\"", "\"ways\"")).contains("faults[0] has no member ways"));
@@ -57,12 +55,12 @@
     }
 
     @Test
-    public void aWrongCallEndsWithTwoAndSaysWhy() throws IOException {
-        Path bad = folder.newFile().toPath();
+    void aWrongCallEndsWithTwoAndSaysWhy() throws IOException {
+        Path bad = Files.createTempFile(folder, "junit", ".tmp");
         Files.writeString(bad, "{}");
         StringWriter err = new StringWriter();
         assertEquals(2, Lab.commands().setErr(new PrintWriter(err)).execute("check", bad.toString()));
-        assertTrue(err.toString(), err.toString().startsWith("lab: "));
+        assertTrue(err.toString().startsWith("lab: "), err.toString());
         assertEquals(2, Lab.commands().setErr(new PrintWriter(err)).execute("check", "no-such-file.json"));
         assertEquals(2, Lab.commands().setErr(new PrintWriter(err)).execute("play"));
         assertEquals(0, Lab.commands().execute("check", FILE.toString()));
--- a/lab/src/test/java/magpiehub/lab/SiteProofTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteProofTest.java
@@ -1,36 +1,34 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import org.junit.Assume;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.Assumptions;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The proof of the loss of a site as CI plays it: nine routers, 24 engines, what three seeds draw. Its
  *  bounds on
  *  times are left to {@code make proof-site}; a machine that can't carry the load by itself says nothing. */
-public class SiteProofTest {
+@Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class SiteProofTest {
     private static final List<String> TIMES = List.of("until nine tenths", "p99 of first tokens");
     /** Guards against a play that does not come to its end. */
-    @Rule
-    public final Timeout patience = Timeout.seconds(300);
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private void holds(int net, long seed, String kind) throws IOException {
         SiteProof p = SiteProof.drawn(seed, null);
-        assertEquals("drawn from the seed", kind, p.kind());
+        assertEquals(kind, p.kind(), "drawn from the seed");
         try (Fleet f = new Fleet(
                 p.scenario(),
                 Fleet.root().resolve("target/magpiehub.jar"),
-                folder.getRoot().toPath(),
+                folder,
                 net,
                 Map.of("site.json", "{}"),
                 l -> {})) {
@@ -42,26 +40,26 @@
                             .toList());
             System.out.println("proof-site seed=" + seed + " case=" + kind + " rig late p99 ms=" + o.late() / 1000);
             all.forEach(System.out::println);
-            Assume.assumeTrue("requests left " + o.late() / 1000 + " ms late", o.late() <= 50_000);
+            Assumptions.assumeTrue(o.late() <= 50_000, "requests left " + o.late() / 1000 + " ms late");
             List<Verdict.Bound> broken = all.stream()
                     .filter(b -> !b.holds() && TIMES.stream().noneMatch(b.name()::contains))
                     .toList();
-            assertTrue(broken + " " + o.toDrained() + o.failures(), broken.isEmpty());
+            assertTrue(broken.isEmpty(), broken + " " + o.toDrained() + o.failures());
         }
     }
 
     @Test
-    public void seedOne() throws IOException {
+    void seedOne() throws IOException {
         holds(246, 1, "cut-back");
     }
 
     @Test
-    public void seedTwo() throws IOException {
+    void seedTwo() throws IOException {
         holds(247, 2, "cut-off");
     }
 
     @Test
-    public void seedThree() throws IOException {
+    void seedThree() throws IOException {
         holds(248, 3, "killed");
     }
 }
--- a/lab/src/test/java/magpiehub/lab/VerdictTest.java
+++ b/lab/src/test/java/magpiehub/lab/VerdictTest.java
@@ -1,24 +1,23 @@
 package magpiehub.lab;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Each bound seen to hold on a play without a fault, and to fail on one that breaks it. */
-public class VerdictTest {
+class VerdictTest {
     private static final long S = 1_000_000;
     private static final Verdict.Loss LOSS = new Verdict.Loss(1, 10 * S, 14 * S, true);
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private final List<Clients.Result> results = new ArrayList<>();
     private final List<Fleet.Attempt> attempts = new ArrayList<>();
@@ -71,7 +70,7 @@
                         .toList();
         assertEquals(names.length, no.size());
         for (int i = 0; i < names.length; i++) {
-            assertTrue(no.get(i), no.get(i).contains(names[i]));
+            assertTrue(no.get(i).contains(names[i]), no.get(i));
         }
     }
 
@@ -82,12 +81,12 @@
     }
 
     @Test
-    public void aPlayWithoutAFaultHolds() throws IOException {
+    void aPlayWithoutAFaultHolds() throws IOException {
         fails();
     }
 
     @Test
-    public void whoGetsNoAnswerOfARunningRouterIsSeenAndWhoMetTheFaultIsNot() throws IOException {
+    void whoGetsNoAnswerOfARunningRouterIsSeenAndWhoMetTheFaultIsNot() throws IOException {
         ended(1, 10 * S, 10 * S + 100_000, Clients.End.NONE, true);
         fails();
         ended(1, 2 * S, 2 * S + 100_000, Clients.End.NONE, false);
@@ -95,13 +94,13 @@
     }
 
     @Test
-    public void aSpoiltAnswerIsSeen() throws IOException {
+    void aSpoiltAnswerIsSeen() throws IOException {
         ended(1, 2 * S, 2 * S + 100_000, Clients.End.SPOILT, false);
         fails("none or two final answers");
     }
 
     @Test
-    public void twoAttemptsAtOnceAreSeenBeyondTheSlackOnly() throws IOException {
+    void twoAttemptsAtOnceAreSeenBeyondTheSlackOnly() throws IOException {
         attempts.add(new Fleet.Attempt("x", 0, "e1", S, 2 * S));
         attempts.add(new Fleet.Attempt("x", 0, "e2", 2 * S - 50_000, 3 * S));
         fails();
@@ -110,7 +109,7 @@
     }
 
     @Test
-    public void whatTheRigCountedIsSeen() throws IOException {
+    void whatTheRigCountedIsSeen() throws IOException {
         fell = List.of("e1");
         drained = List.of("e1 got x");
         failures = List.of("kill");
@@ -121,7 +120,7 @@
     }
 
     @Test
-    public void aLossThatCostsTooMuchIsSeen() throws IOException {
+    void aLossThatCostsTooMuchIsSeen() throws IOException {
         ended(0, 10 * S, 11 * S, Clients.End.REFUSED, false);
         fails("served while south is lost"); // 0.875 of it, and nine tenths again after 1 s.
         ended(2, 10 * S, 13 * S, Clients.End.LATE, false);
@@ -129,7 +128,7 @@
     }
 
     @Test
-    public void aReturnThatCostsTooMuchIsSeen() throws IOException {
+    void aReturnThatCostsTooMuchIsSeen() throws IOException {
         results.replaceAll(r -> r.due() < 14 * S
                 ? r
                 : new Clients.Result(
@@ -150,7 +149,7 @@
     }
 
     @Test
-    public void aSiteCalledLostWithoutALossIsSeenAndOneThatWasLostIsNot() throws IOException {
+    void aSiteCalledLostWithoutALossIsSeenAndOneThatWasLostIsNot() throws IOException {
         stands.add(new Fleet.Stand(11 * S, 0, "south", "doubted", "lost", "silence"));
         fails();
         stands.add(new Fleet.Stand(11 * S, 0, "west", "doubted", "lost", "silence"));
@@ -158,7 +157,7 @@
     }
 
     @Test
-    public void aWordThatSwingsIsSeen() throws IOException {
+    void aWordThatSwingsIsSeen() throws IOException {
         for (int i = 0; i < 9; i++) {
             stands.add(new Fleet.Stand(11 * S, 0, "south", "whole", "doubted", "silence"));
             fails(i < 8 ? new String[0] : new String[] {"changes of a router's word"});
@@ -166,22 +165,19 @@
     }
 
     @Test
-    public void aReportHoldsItselfAndCompares() throws IOException {
+    void aReportHoldsItselfAndCompares() throws IOException {
         Fleet.Outcome o = outcome();
-        Report.write(o, new Verdict(o).of(List.of(LOSS)), folder.getRoot().toPath(), "a.jar");
-        String page = Files.readString(folder.getRoot().toPath().resolve("report.html"));
+        Report.write(o, new Verdict(o).of(List.of(LOSS)), folder, "a.jar");
+        String page = Files.readString(folder.resolve("report.html"));
         assertTrue(page.contains("<svg") && page.contains("kill south") && !page.contains("<script"));
         ended(0, 10 * S, 13 * S, Clients.End.REFUSED, false);
-        Path b = folder.newFolder().toPath();
+        Path b = Files.createTempDirectory(folder, "junit");
         Fleet.Outcome other = outcome();
         Report.write(other, new Verdict(other).of(List.of(LOSS)), b, "b.jar");
-        List<String> lines = Report.compare(Report.read(folder.getRoot().toPath()), Report.read(b));
-        assertTrue(lines.toString(), lines.stream().anyMatch(l -> l.matches("served while south.* 1.000 +0.625 !")));
-        Path page2 = folder.getRoot().toPath().resolve("both.html");
-        assertEquals(
-                0,
-                Lab.commands()
-                        .execute("compare", folder.getRoot().toString(), b.toString(), "--html", page2.toString()));
+        List<String> lines = Report.compare(Report.read(folder), Report.read(b));
+        assertTrue(lines.stream().anyMatch(l -> l.matches("served while south.* 1.000 +0.625 !")), lines.toString());
+        Path page2 = folder.resolve("both.html");
+        assertEquals(0, Lab.commands().execute("compare", folder.toString(), b.toString(), "--html", page2.toString()));
         assertTrue(Files.readString(page2).contains("b.jar"));
     }
 }
--- a/src/test/java/magpiehub/EventDelayTest.java
+++ b/src/test/java/magpiehub/EventDelayTest.java
@@ -1,13 +1,15 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.ExecutorService;
@@ -16,16 +18,16 @@
 import java.util.concurrent.atomic.LongAccumulator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * How long events take through a router that runs for a quarter of the time only, as on a share of a core:
  * many streams of one engine, beside a client that reads nothing of a large one.
  */
-public class EventDelayTest {
+@Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class EventDelayTest {
     private static final int STREAMS = 16;
     private static final int EVENTS = 30;
     private static final long EVENT_GAP_MS = 100;
@@ -46,11 +48,8 @@
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final Pattern WRITTEN_AT = Pattern.compile("\"content\":\"(\\d+)\"");
 
-    @Rule
-    public final Timeout patience = Timeout.seconds(120);
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private final LongAccumulator longestDelay = new LongAccumulator(Math::max, 0);
     /** How late this machine wakes a thread of the test itself, as it does the router's. */
@@ -59,17 +58,17 @@
     private final AtomicBoolean over = new AtomicBoolean();
 
     @Test
-    public void eventsArePassedOnInTimeOnAQuarterOfACore() throws Exception {
+    void eventsArePassedOnInTimeOnAQuarterOfACore() throws Exception {
         play();
         long most = MOST_DELAY_NANOS + longestOversleep.get();
         assertTrue(
+                longestDelay.get() <= most,
                 "an event took " + longestDelay.get() / 1_000_000 + " ms, " + longestOversleep.get() / 1_000_000
-                        + " ms of lateness of the machine's own",
-                longestDelay.get() <= most);
+                        + " ms of lateness of the machine's own");
     }
 
     private void play() throws Exception {
-        try (RouterProcess router = new RouterProcess(folder.newFile().toPath())) {
+        try (RouterProcess router = new RouterProcess(Files.createTempFile(folder, "junit", ".tmp"))) {
             router.start();
             try (Socket watch = router.watched()) {
                 int port = router.port();
--- a/src/test/java/magpiehub/ExchangePeer.java
+++ b/src/test/java/magpiehub/ExchangePeer.java
@@ -1,8 +1,8 @@
 package magpiehub;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -75,7 +75,7 @@
     String readLine() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         for (int next = read(); next != '\n'; next = read()) {
-            assertTrue("the connection ended after: " + bytes, next >= 0);
+            assertTrue(next >= 0, "the connection ended after: " + bytes);
             bytes.write(next);
         }
         String line = bytes.toString(UTF_8);
@@ -84,7 +84,7 @@
 
     String readText(int length) throws IOException {
         byte[] bytes = socket.getInputStream().readNBytes(length);
-        assertEquals("the connection ended early", length, bytes.length);
+        assertEquals(length, bytes.length, "the connection ended early");
         return new String(bytes, UTF_8);
     }
 
--- a/src/test/java/magpiehub/FloodTest.java
+++ b/src/test/java/magpiehub/FloodTest.java
@@ -1,26 +1,28 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.LongAccumulator;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
 /** A router as a process whose clients send much at once and go, or whose engine's answers never end. */
-public class FloodTest {
+@Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class FloodTest {
     private static final int CLIENTS = 40;
     private static final int REQUESTS = 60;
     /** An attempt that begins so long after its client's close is a fault; the platform allows two a day. */
@@ -43,11 +45,8 @@
             new Endless("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n", "3e8\r\n" + "x".repeat(1000) + "\r\n"),
             new Endless("", "HTTP/1.1 100 Continue\r\n\r\n"));
 
-    @Rule
-    public final Timeout patience = Timeout.seconds(120);
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
     /** When the client of each request closed its connection (ns). */
     private final Map<String, Long> closedAt = new ConcurrentHashMap<>();
     /** When each request reached the engine (ns). */
@@ -58,8 +57,8 @@
     /** Many requests in one write, and a reset right after it: next to nothing of it is sent on once they
      *  have gone, and who stays is served. */
     @Test
-    public void clientsThatSendMuchAtOnceAndGoKeepNobodyFromBeingServed() throws Exception {
-        try (RouterProcess router = new RouterProcess(folder.newFile().toPath())) {
+    void clientsThatSendMuchAtOnceAndGoKeepNobodyFromBeingServed() throws Exception {
+        try (RouterProcess router = new RouterProcess(Files.createTempFile(folder, "junit", ".tmp"))) {
             router.start();
             try (Socket watch = router.watched()) {
                 int port = router.port();
@@ -83,21 +82,21 @@
                 late.add(id);
             }
         });
-        assertTrue("sent on after their clients had gone: " + late, late.size() <= ATTEMPTS_ALLOWED);
+        assertTrue(late.size() <= ATTEMPTS_ALLOWED, "sent on after their clients had gone: " + late);
     }
 
     /** Each endless answer costs its attempt and nothing else: the client gets one final answer that is not
      *  200, and the next request is served. */
     @Test
-    public void answersThatNeverEndAreGivenUp() throws Exception {
+    void answersThatNeverEndAreGivenUp() throws Exception {
         for (Endless endless : ENDLESS_ANSWERS) {
-            try (RouterProcess router = new RouterProcess(folder.newFile().toPath())) {
+            try (RouterProcess router = new RouterProcess(Files.createTempFile(folder, "junit", ".tmp"))) {
                 router.start();
                 try (Socket watch = router.watched()) {
                     int port = router.port();
                     router.serve(connection -> spoil(connection, endless));
                     String answer = answerTo(port, SPOILT, "3000");
-                    assertFalse(endless.first + answer, answer.contains(" 200 "));
+                    assertFalse(answer.contains(" 200 "), endless.first + answer);
                     assertEquals("HTTP/1.1 200 OK", answerTo(port, "next", "3000"));
                     assertTrue(router.process().isAlive());
                     assertTrue(get(port, "/up").startsWith("HTTP/1.1 200 OK"));
--- a/src/test/java/magpiehub/FullHouseTest.java
+++ b/src/test/java/magpiehub/FullHouseTest.java
@@ -1,8 +1,8 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -16,16 +16,16 @@
 import java.util.List;
 import java.util.Map;
 import magpiehub.concurrent.DaemonThreads;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * The router as a process that is short of file descriptors, or starts while discovery fails: what it must be able to
  * do all the same. The limit on descriptors is the system's own.
  */
-public class FullHouseTest {
+@Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class FullHouseTest {
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final String CONTENT = "{\"stream\":true}";
 
@@ -50,14 +50,11 @@
         SLOW
     }
 
-    @Rule
-    public final Timeout patience = Timeout.seconds(120);
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private Process start(String name, int sockets, int discoveryPort, String known) throws IOException {
-        Path config = folder.newFile().toPath();
+        Path config = Files.createTempFile(folder, "junit", ".tmp");
         Files.writeString(
                 config,
                 "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\","
@@ -164,8 +161,8 @@
                 connectIdleClients(sockets + 200, port, idleClients);
                 assertOpenDescriptorsAtMost(sockets, router);
                 assertRecoversInTime(discoveryPort, port);
-                assertFalse(logged.toString(), logged.indexOf("accept-failure") >= 0);
-                assertTrue("the log is written still", logged.indexOf("discovery-failed") >= 0);
+                assertFalse(logged.indexOf("accept-failure") >= 0, logged.toString());
+                assertTrue(logged.indexOf("discovery-failed") >= 0, "the log is written still");
             } finally {
                 router.destroyForcibly();
                 for (Socket client : idleClients) {
@@ -205,7 +202,7 @@
         try (var descriptors = Files.list(Path.of("/proc/" + router.pid() + "/fd"))) {
             files = descriptors.count();
         }
-        assertTrue(files + " descriptors of " + limit, files <= limit);
+        assertTrue(files <= limit, files + " descriptors of " + limit);
     }
 
     /** Discovery comes back: within {@link #RECOVERY_NANOS} it is watched again, and a new client is served. */
@@ -216,7 +213,7 @@
             try (Socket watch = discovery.accept()) {
                 assertTrue(ServeTest.until(ServeTest.reader(watch), "GET ").contains("follow=1"));
                 ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
-                assertTrue("in time", System.nanoTime() - begun < RECOVERY_NANOS);
+                assertTrue(System.nanoTime() - begun < RECOVERY_NANOS, "in time");
                 assertNewClientIsServed(port, begun);
             }
         }
@@ -229,7 +226,7 @@
     private static void assertNewClientIsServed(int port, long begun) throws Exception {
         String status = "";
         for (int i = 0; !"HTTP/1.1 200 OK".equals(status); i++) {
-            assertTrue("turned away: " + status, System.nanoTime() - begun < RECOVERY_NANOS);
+            assertTrue(System.nanoTime() - begun < RECOVERY_NANOS, "turned away: " + status);
             try (Socket client = new Socket(HERE, port)) {
                 ask(client, "again" + i);
                 status = answered(client);
@@ -239,18 +236,18 @@
     }
 
     @Test
-    public void idleClientsFillFewDescriptorsWhileDiscoveryIsDown() throws Exception {
+    void idleClientsFillFewDescriptorsWhileDiscoveryIsDown() throws Exception {
         idleClientsFill(256);
     }
 
     @Test
-    public void idleClientsFillManyDescriptorsWhileDiscoveryIsDown() throws Exception {
+    void idleClientsFillManyDescriptorsWhileDiscoveryIsDown() throws Exception {
         idleClientsFill(1024);
     }
 
     /** With a list of its own, whatever discovery does; without one, as soon as a slow one has sent it. */
     @Test
-    public void aRestartedRouterIsReadyInTime() throws Exception {
+    void aRestartedRouterIsReadyInTime() throws Exception {
         List<Process> routers = new ArrayList<>();
         List<ServerSocket> servers = new ArrayList<>();
         try (ServerSocket engine = new ServerSocket(0, 512, HERE)) {
@@ -280,7 +277,7 @@
         drain(log, new StringBuffer());
         String status = "";
         for (int i = 0; !status.contains(" 200 "); i++) {
-            assertTrue(fault + ": not ready in time", System.nanoTime() - begun < START_NANOS);
+            assertTrue(System.nanoTime() - begun < START_NANOS, fault + ": not ready in time");
             // Clients send requests already.
             try (Socket earlyClient = new Socket(HERE, port);
                     Socket healthCheck = new Socket(HERE, port)) {
@@ -292,7 +289,7 @@
         }
         try (Socket client = new Socket(HERE, port)) {
             ask(client, "served");
-            assertEquals(fault + ": it said that it can serve", "HTTP/1.1 200 OK", answered(client));
+            assertEquals("HTTP/1.1 200 OK", answered(client), fault + ": it said that it can serve");
         }
     }
 
--- a/src/test/java/magpiehub/KnownRedTest.java
+++ b/src/test/java/magpiehub/KnownRedTest.java
@@ -1,18 +1,17 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The list of tests that are known to fail: what CI takes, and what it does not. */
-public class KnownRedTest {
+class KnownRedTest {
     private static final String REPORT = "<testsuite>"
             + "<testcase name=\"good\" classname=\"a.ATest\" time=\"1\"/>"
             + "<testcase classname=\"a.ATest\" name=\"bad\" time=\"1\"><failure message=\"name=&quot;x\">at"
@@ -20,13 +19,13 @@
             + "</testcase><testcase name=\"last\" classname=\"a.ATest\"><system-out>&lt;failure</system-out>"
             + "</testcase></testsuite>";
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private String said;
 
     private int run(String what, String list) throws Exception {
-        Path root = folder.newFolder().toPath();
+        Path root = Files.createTempDirectory(folder, "junit");
         Files.writeString(root.resolve("KNOWN-RED.txt"), list);
         write(root.resolve("src/test/java/a/ATest.java"), "void good() {}\nvoid bad() {}\n");
         write(root.resolve("lab/src/test/java/b/BTest.java"), "void each() {}\n");
@@ -44,18 +43,18 @@
     }
 
     @Test
-    public void threeLinesThatNameTestsAreTakenAndPrinted() throws Exception {
+    void threeLinesThatNameTestsAreTakenAndPrinted() throws Exception {
         assertEquals(0, run("check", ""));
         assertEquals("", said);
         String list = "a.ATest#bad; it is slow; 34\n\na.ATest#good; cause; 34\nb.BTest#each[x]; cause; 9\n";
-        assertEquals(said, 0, run("check", list));
-        assertTrue(said, said.contains("known red: a.ATest#bad; it is slow; 34\n"));
+        assertEquals(0, run("check", list), said);
+        assertTrue(said.contains("known red: a.ATest#bad; it is slow; 34\n"), said);
         assertEquals(1, run("check", list + "a.ATest#good; cause; 35\n"));
-        assertTrue(said, said.contains("4 lines, 3 at most"));
+        assertTrue(said.contains("4 lines, 3 at most"), said);
     }
 
     @Test
-    public void aLineThatNamesNoTestOrNoCauseFails() throws Exception {
+    void aLineThatNamesNoTestOrNoCauseFails() throws Exception {
         for (String bad : new String[] {
             "a.ATest#none; cause; 1",
             "c.ATest#bad; cause; 1",
@@ -64,25 +63,25 @@
             "a.ATest#bad; ; 1",
             "a.ATest#bad"
         }) {
-            assertEquals(bad, 1, run("check", bad + "\n"));
+            assertEquals(1, run("check", bad + "\n"), bad);
         }
     }
 
     @Test
-    public void onlyListedFailuresArePassedOver() throws Exception {
-        assertEquals(said, 0, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[two.txt]; cause; 1\n"));
-        assertTrue(said, said.contains("passed over: a.ATest#bad\n"));
+    void onlyListedFailuresArePassedOver() throws Exception {
+        assertEquals(0, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[two.txt]; cause; 1\n"), said);
+        assertTrue(said.contains("passed over: a.ATest#bad\n"), said);
         assertEquals(1, run("judge", "a.ATest#bad; cause; 1\n"));
-        assertTrue(said, said.contains("not listed: a.ATest#each[two.txt]\n"));
+        assertTrue(said.contains("not listed: a.ATest#each[two.txt]\n"), said);
         assertEquals(1, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[one.txt]; cause; 1\n"));
     }
 
     @Test
-    public void theProjectsOwnListIsInOrder() throws Exception {
+    void theProjectsOwnListIsInOrder() throws Exception {
         Process p = new ProcessBuilder("bash", ".ci/known-red", "check")
                 .redirectErrorStream(true)
                 .start();
         said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(said, 0, p.waitFor());
+        assertEquals(0, p.waitFor(), said);
     }
 }
--- a/src/test/java/magpiehub/LeavingTest.java
+++ b/src/test/java/magpiehub/LeavingTest.java
@@ -1,17 +1,17 @@
 package magpiehub;
 
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.lang.management.ManagementFactory;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Many clients that disconnect, more than a recorded exchange has lines for. */
-public class LeavingTest {
+class LeavingTest {
     private static final int CLIENTS = 300;
 
     /** Clients that connect, send one request and disconnect, one after another: no thread is started for each. */
     @Test
-    public void manyShortConnectionsNeedFewThreads() throws Exception {
+    void manyShortConnectionsNeedFewThreads() throws Exception {
         try (Player p = new Player()) {
             p.step("engines e1");
             p.step("start");
@@ -24,13 +24,13 @@
                 p.step("counter clients_left " + (i + 1));
             }
             long started = ManagementFactory.getThreadMXBean().getTotalStartedThreadCount() - before;
-            assertTrue(started + " threads for " + CLIENTS + " connections", started < CLIENTS / 2);
+            assertTrue(started < CLIENTS / 2, started + " threads for " + CLIENTS + " connections");
         }
     }
 
     /** Their requests wait for the dispatcher: none reaches an upstream, and a client that stays is served. */
     @Test
-    public void noRequestOfABurstOfDisconnectedClientsIsForwarded() throws Exception {
+    void noRequestOfABurstOfDisconnectedClientsIsForwarded() throws Exception {
         try (Player p = new Player()) {
             p.step("most 400");
             p.step("engines e1");
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -1,8 +1,8 @@
 package magpiehub;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -317,10 +317,10 @@
                 assertMatches(argument, escape(peer.readText(length)));
             }
             case "<~" -> assertMatches(argument, escape(peer.readChunk()));
-            case "<." -> assertEquals("0 and an empty line", "0|", peer.readLine() + "|" + peer.readLine());
+            case "<." -> assertEquals("0|", peer.readLine() + "|" + peer.readLine(), "0 and an empty line");
             case "<x" -> assertEquals(Integer.parseInt(argument), peer.readAllChunks());
-            case "<fin" -> assertEquals("the connection should have ended in order", -1, peer.read());
-            case "<eof" -> assertTrue("the connection should have ended", peer.hasEnded());
+            case "<fin" -> assertEquals(-1, peer.read(), "the connection should have ended in order");
+            case "<eof" -> assertTrue(peer.hasEnded(), "the connection should have ended");
             default -> {
                 return false;
             }
@@ -338,7 +338,7 @@
                     chatClient.send(name, peer, argument, messages);
                 }
             }
-            case ":" -> assertEquals("begun", argument, peer.awaitBegun());
+            case ":" -> assertEquals(argument, peer.awaitBegun(), "begun");
             case "=" -> {
                 String outcome = peer.awaitOutcome();
                 results.add(name + " " + outcome);
@@ -352,7 +352,7 @@
     }
 
     private static void assertMatches(String pattern, String actual) {
-        assertTrue("got: " + actual, matches(toRegex(pattern), actual));
+        assertTrue(matches(toRegex(pattern), actual), "got: " + actual);
     }
 
     /** The regular expression of a text in which {@code *} stands for any text. */
@@ -388,7 +388,7 @@
     private static void await(BooleanSupplier condition, String failure) throws Exception {
         long end = System.nanoTime() + ExchangePeer.STEP_TIMEOUT_MILLIS * NANOS_PER_MILLI;
         while (!condition.getAsBoolean()) {
-            assertTrue(failure, System.nanoTime() < end);
+            assertTrue(System.nanoTime() < end, failure);
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
--- a/src/test/java/magpiehub/ServeTest.java
+++ b/src/test/java/magpiehub/ServeTest.java
@@ -1,7 +1,7 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -14,23 +14,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The whole program as a process: what it held at SIGTERM is answered before it ends, and a new
  *  configuration is taken on SIGHUP. */
+@Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 public class ServeTest {
     private static final String ASK = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
             + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
 
     /** Guards against a word that never comes, as where SIGHUP is ignored from the start: it fails then. */
-    @Rule
-    public final Timeout patience = Timeout.seconds(120);
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     static BufferedReader reader(Socket s) throws IOException {
         s.setSoTimeout(30_000);
@@ -73,11 +70,11 @@
     }
 
     private RouterProcess router() throws IOException {
-        return new RouterProcess(folder.newFile().toPath());
+        return new RouterProcess(Files.createTempFile(folder, "junit", ".tmp"));
     }
 
     @Test
-    public void aNewFileIsTakenOnSighupAndABadOneChangesNothing() throws Exception {
+    void aNewFileIsTakenOnSighupAndABadOneChangesNothing() throws Exception {
         try (RouterProcess router = router();
                 ServerSocket second = RouterProcess.listen()) {
             router.start();
@@ -101,7 +98,7 @@
     /** Classes come and go with a new file; what is under way keeps its own, and a bad file changes
      * nothing. */
     @Test
-    public void newSettingsHoldAtOnceAndABadFileChangesNothing() throws Exception {
+    void newSettingsHoldAtOnceAndABadFileChangesNothing() throws Exception {
         try (RouterProcess router = router()) {
             String old = router.configuration();
             String fresh = old.replace("\"name\":\"chat\"", "\"name\":\"talk\"");
@@ -137,7 +134,7 @@
                     }
                     BufferedReader answer = reader(after);
                     say(after, ASK.replace("Call-Id: 1", "Call-Id: 2"));
-                    assertEquals("the class has vanished", "HTTP/1.1 400 Bad Request", answer.readLine());
+                    assertEquals("HTTP/1.1 400 Bad Request", answer.readLine(), "the class has vanished");
                 }
                 try (Socket client = connect(port)) {
                     say(client, ASK.replace("Call-Id: 1", "Call-Id: 3").replace("Class: chat", "Class: talk"));
@@ -155,7 +152,7 @@
 
     /** As from nohup: nobody can send it new settings, and whoever looks after it is to know. */
     @Test
-    public void aStartThatIgnoresHangupsSaysSo() throws Exception {
+    void aStartThatIgnoresHangupsSaysSo() throws Exception {
         List<String> ignoring = new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         ignoring.addAll(RouterProcess.COMMAND);
         try (RouterProcess router = router()) {
@@ -168,7 +165,7 @@
 
     /** Before that, a request would wait in the socket and its deadline be counted from too late. */
     @Test
-    public void aRouterListensOnlyOnceItCanRead() throws Exception {
+    void aRouterListensOnlyOnceItCanRead() throws Exception {
         int port;
         try (ServerSocket free = RouterProcess.listen()) {
             port = free.getLocalPort();
@@ -181,8 +178,8 @@
             router.logged(" started ");
             long started = System.nanoTime();
             assertTrue(
-                    "listens at " + (listens - begun) / 1_000_000 + " ms of " + (started - begun) / 1_000_000,
-                    started - listens < (started - begun) / 5);
+                    started - listens < (started - begun) / 5,
+                    "listens at " + (listens - begun) / 1_000_000 + " ms of " + (started - begun) / 1_000_000);
         }
     }
 
@@ -200,7 +197,7 @@
 
     /** The first class is what a start rehearses with: no name of one may end it. */
     @Test
-    public void aSiteWhoseNamesAreNotAsciiStarts() throws Exception {
+    void aSiteWhoseNamesAreNotAsciiStarts() throws Exception {
         for (String name : List.of("résumé", "圖書館", " chat", "a\\tb")) {
             try (RouterProcess router = router()) {
                 router.configure("\"name\":\"chat\"", "\"name\":\"" + name + "\"");
@@ -211,7 +208,7 @@
     }
 
     @Test
-    public void aRehearsalServesAndEnds() throws Exception {
+    void aRehearsalServesAndEnds() throws Exception {
         Process p = new ProcessBuilder(
                         ProcessHandle.current().info().command().orElse("java"),
                         "-cp",
@@ -231,12 +228,12 @@
 
     /** The process is ended whether or not engines answer: nothing is to be left without a word. */
     @Test
-    public void whatHasNotBegunIsRefusedBeforeTheEnd() throws Exception {
+    void whatHasNotBegunIsRefusedBeforeTheEnd() throws Exception {
         assertTrue(atSigterm(false).contains("answered_refused=\"1\" answered_served=\"1\""));
     }
 
     @Test
-    public void whatIsHeldAtSigtermIsAnswered() throws Exception {
+    void whatIsHeldAtSigtermIsAnswered() throws Exception {
         assertTrue(atSigterm(true).contains("answered_served=\"2\""));
     }
 
@@ -282,9 +279,9 @@
                         assertEquals(
                                 served ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 Service Unavailable", answer.readLine());
                         assertEquals(
-                                "the last chunk",
                                 served ? 1 : 0,
-                                answer.lines().filter(l -> l.equals("0")).count());
+                                answer.lines().filter(l -> l.equals("0")).count(),
+                                "the last chunk");
                     }
                 }
                 String counters = router.logged(" counters ");
--- a/src/test/java/magpiehub/StepProofTest.java
+++ b/src/test/java/magpiehub/StepProofTest.java
@@ -1,11 +1,11 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** What the proof of waits counts: CPU time of a thread that has neither waited nor made system calls. */
-public class StepProofTest {
+class StepProofTest {
     private final CpuRunTracker runs = new CpuRunTracker();
 
     /** Ticks of 10 ms. */
@@ -14,7 +14,7 @@
     }
 
     @Test
-    public void aSecondWithoutAWaitIsNamed() {
+    void aSecondWithoutAWaitIsNamed() {
         assertEquals(-1, look(50, 1, 3));
         assertEquals(-1, look(149, 1, 3));
         assertEquals(1_000, look(150, 1, 3));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    public void aWaitBeginsTheCountAnew() {
+    void aWaitBeginsTheCountAnew() {
         look(50, 1, 3);
         assertEquals(-1, look(150, 1, 4));
         assertEquals(-1, look(249, 1, 4));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void systemCallsAreNoSpin() {
+    void systemCallsAreNoSpin() {
         look(0, 0, 3);
         assertEquals(-1, look(200, 100, 3));
     }
--- a/src/test/java/magpiehub/UpgradeTest.java
+++ b/src/test/java/magpiehub/UpgradeTest.java
@@ -1,7 +1,7 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -15,19 +15,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.After;
-import org.junit.Before;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import org.junit.rules.Timeout;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Whole processes as operators run them: two versions on one listening socket, and what was said to one
  * holds on the other. A launcher holds the socket, as the platform does, and starts each process with it
  * as descriptor 0.
  */
-public class UpgradeTest {
+@Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+class UpgradeTest {
     /** Says the socket's port, then starts the program for each line that names a console's port. */
     private static final String LAUNCHER =
             """
@@ -55,11 +55,8 @@
             + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n0\r\n\r\n";
 
     /** Guards against a word that never comes: the test fails then, and does not hang. */
-    @Rule
-    public final Timeout patience = Timeout.seconds(120);
-
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
     private ServerSocket engine;
@@ -68,12 +65,13 @@
     private BufferedReader said;
     private int port;
 
-    @Before
-    public void launch() throws IOException {
+    @BeforeEach
+    @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+    void launch() throws IOException {
         engine = new ServerSocket(0, 64, loopback);
         engine.setSoTimeout(30_000);
         discovery = new ServerSocket(0, 8, loopback);
-        Path config = folder.newFile().toPath();
+        Path config = Files.createTempFile(folder, "junit", ".tmp");
         ServeTest.write(config, discovery, engine);
         ProcessBuilder b = new ProcessBuilder(
                 "perl",
@@ -85,15 +83,16 @@
                 "magpiehub.Main",
                 "serve");
         b.environment().put("ROUTER_CONFIG", config.toString());
-        b.environment().put("TMPDIR", folder.getRoot().toString());
+        b.environment().put("TMPDIR", folder.toString());
         b.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
         launcher = b.redirectErrorStream(true).start();
         said = launcher.inputReader();
         port = Integer.parseInt(said.readLine());
     }
 
-    @After
-    public void end() throws IOException {
+    @AfterEach
+    @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
+    void end() throws IOException {
         launcher.descendants().forEach(ProcessHandle::destroyForcibly);
         launcher.destroyForcibly();
         engine.close();
@@ -153,7 +152,7 @@
 
     /** Requests before, during and after: each gets exactly one answer, and only the old process ends. */
     @Test
-    public void aNewVersionTakesTheSocketOverAndNothingIsLost() throws Exception {
+    void aNewVersionTakesTheSocketOverAndNothingIsLost() throws Exception {
         int first = version();
         assertTrue(call(first, "status").startsWith("SUCCESS active"));
         List<Socket> clients = new ArrayList<>();
@@ -192,7 +191,7 @@
     }
 
     @Test
-    public void whatWasSaidHoldsOnBothProcessesAndOverTheUpgrade() throws Exception {
+    void whatWasSaidHoldsOnBothProcessesAndOverTheUpgrade() throws Exception {
         int first = version();
         assertEquals("FAILURE no engine of that id was ever listed", call(first, "maint-on x"));
         assertEquals("SUCCESS out e", call(first, "maint-on e"));
@@ -222,8 +221,8 @@
 
     /** A state file that is torn is named in the log and starts nothing wrong. */
     @Test
-    public void aTornStateFileNeverFailsAStart() throws Exception {
-        Files.writeString(folder.getRoot().toPath().resolve("magpiehub-n.operators"), "{\"form\":\"magpie");
+    void aTornStateFileNeverFailsAStart() throws Exception {
+        Files.writeString(folder.resolve("magpiehub-n.operators"), "{\"form\":\"magpie");
         launcher.outputWriter().write("0\n");
         launcher.outputWriter().flush();
         ServeTest.until(said, " operators-file-unreadable ");
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/WaitTest.java
@@ -1,6 +1,6 @@
 package magpiehub;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -8,11 +8,11 @@
 import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
-import org.junit.Assume;
-import org.junit.Test;
+import org.junit.jupiter.api.Assumptions;
+import org.junit.jupiter.api.Test;
 
 /** A wait on a mailbox uses no CPU time, at whatever step the thread that posts is suspended. */
-public class WaitTest {
+class WaitTest {
     private static final int TAKES = 4_000;
 
     /** Two threads on one core: the taker has priority, and interrupts the poster at any step. */
@@ -47,8 +47,8 @@
      * With a {@link java.util.concurrent.locks.Condition} in the mailbox, the taker was seen to spin after 124 waits.
      */
     @Test
-    public void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
-        Assume.assumeTrue("the first-in-first-out class", FifoScheduling.isAllowed());
+    void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
+        Assumptions.assumeTrue(FifoScheduling.isAllowed(), "the first-in-first-out class");
         String core = Integer.toString(Runtime.getRuntime().availableProcessors() - 1);
         Process p = new ProcessBuilder(
                         "taskset",
@@ -79,7 +79,7 @@
             while (p.isAlive()) {
                 ThreadSample sample = taker(p.pid());
                 if (sample != null) {
-                    assertEquals("ms of CPU without a wait", -1, runs.record(sample));
+                    assertEquals(-1, runs.record(sample), "ms of CPU without a wait");
                 }
             }
             assertEquals(0, p.exitValue());
--- a/src/test/java/magpiehub/admin/AdminServerTest.java
+++ b/src/test/java/magpiehub/admin/AdminServerTest.java
@@ -1,8 +1,8 @@
 package magpiehub.admin;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -12,11 +12,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import magpiehub.telemetry.EventLog;
-import org.junit.Before;
-import org.junit.Test;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /** One line per connection, and no caller waits for another. */
-public class AdminServerTest {
+class AdminServerTest {
     private final EventLog noLog = new EventLog() {
         @Override
         public void count(String name) {}
@@ -27,8 +27,8 @@
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
     private AdminServer server;
 
-    @Before
-    public void listen() throws IOException {
+    @BeforeEach
+    void listen() throws IOException {
         server = new AdminServer(new InetSocketAddress(loopback, 0), line -> "SUCCESS " + line, noLog);
         server.start();
     }
@@ -54,13 +54,13 @@
     }
 
     @Test
-    public void oneCompleteLineIsACommand() throws IOException {
+    void oneCompleteLineIsACommand() throws IOException {
         assertEquals("SUCCESS status\n", send("status\n", false));
         assertEquals("SUCCESS maint-on e1\n", send("maint-on e1\r\n", false));
     }
 
     @Test
-    public void malformedInputIsAnsweredWithTheReason() throws IOException {
+    void malformedInputIsAnsweredWithTheReason() throws IOException {
         assertEquals("FAILURE the line has no end\n", send("stat", true));
         assertEquals("FAILURE no line\n", send("", true));
         assertEquals("FAILURE one line to a connection\n", send("status\nstatus\n", false));
@@ -70,7 +70,7 @@
 
     /** More connections than the limit send no complete line; the next one is answered all the same. */
     @Test
-    public void idleConnectionsDelayNobody() throws IOException {
+    void idleConnectionsDelayNobody() throws IOException {
         List<Socket> idleConnections = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
@@ -100,7 +100,7 @@
     }
 
     @Test
-    public void anExceptionIsAnsweredAsAnInternalError() throws IOException {
+    void anExceptionIsAnsweredAsAnInternalError() throws IOException {
         AdminServer broken = new AdminServer(
                 new InetSocketAddress(loopback, 0),
                 line -> {
--- a/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
@@ -1,7 +1,7 @@
 package magpiehub.admin;
 
-import static org.junit.Assert.assertArrayEquals;
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -12,15 +12,14 @@
 import java.util.Map;
 import java.util.Set;
 import magpiehub.telemetry.EventLog;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Reads a state file that the program of 2 December 2026 wrote, before its classes were rearranged: a router
  * that is upgraded finds such a file.
  */
-public class MaintenanceStateFileTest {
+class MaintenanceStateFileTest {
     private static final MaintenanceState RECORDED = new MaintenanceState(
             7,
             true,
@@ -30,8 +29,8 @@
             Set.of(30430L),
             Set.of("south"));
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private final EventLog failOnFault = new EventLog() {
         @Override
@@ -52,20 +51,20 @@
     }
 
     @Test
-    public void parsesTheRecordedFile() throws IOException {
+    void parsesTheRecordedFile() throws IOException {
         assertEquals(RECORDED, MaintenanceStateCodec.parse(recordedFile()));
     }
 
     @Test
-    public void formatsTheParsedFileByteForByte() throws IOException {
+    void formatsTheParsedFileByteForByte() throws IOException {
         assertArrayEquals(recordedFile(), MaintenanceStateCodec.format(MaintenanceStateCodec.parse(recordedFile())));
     }
 
     @Test
-    public void findsTheFileByTheRoutersNameAndChangesIt() throws IOException {
-        Path path = folder.getRoot().toPath().resolve("magpiehub-router_1.operators");
+    void findsTheFileByTheRoutersNameAndChangesIt() throws IOException {
+        Path path = folder.resolve("magpiehub-router_1.operators");
         Files.write(path, recordedFile());
-        MaintenanceStateFile file = new MaintenanceStateFile(folder.getRoot().toPath(), "router/1", failOnFault);
+        MaintenanceStateFile file = new MaintenanceStateFile(folder, "router/1", failOnFault);
         assertEquals(RECORDED, file.read());
         file.change(MaintenanceState.INITIAL, stored -> stored.withServing(8, List.of(30430L)));
         String expected = new String(recordedFile(), StandardCharsets.UTF_8)
--- a/src/test/java/magpiehub/admin/MaintenanceStateTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateTest.java
@@ -1,11 +1,11 @@
 package magpiehub.admin;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNotNull;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertSame;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,14 +17,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import magpiehub.telemetry.EventLog;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The meaning of the commands, and the file that keeps the state. */
-public class MaintenanceStateTest {
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+class MaintenanceStateTest {
+    @TempDir
+    Path folder;
 
     private final List<String> logged = new ArrayList<>();
     private final EventLog log = new EventLog() {
@@ -51,7 +50,7 @@
     }
 
     @Test
-    public void repeatedCommandsChangeNothingAndOneReturnEndsTheOutage() {
+    void repeatedCommandsChangeNothingAndOneReturnEndsTheOutage() {
         MaintenanceState out = execute(twoListed, "maint-on a").state();
         assertEquals(Set.of("a"), out.outOfService());
         CommandResult again = execute(out, "maint-on a");
@@ -62,12 +61,12 @@
         assertEquals(Map.of("a", 1000L), back.returnedAtUnixMillis());
         assertSame(back, execute(back, "maint-off a").state());
         assertTrue(
-                "a ban ends what was known of the call back before it",
-                execute(back, "maint-on a").state().returnedAtUnixMillis().isEmpty());
+                execute(back, "maint-on a").state().returnedAtUnixMillis().isEmpty(),
+                "a ban ends what was known of the call back before it");
     }
 
     @Test
-    public void invalidCommandsAreRejectedAndChangeNothing() {
+    void invalidCommandsAreRejectedAndChangeNothing() {
         for (String line : List.of(
                 "",
                 "maint-on",
@@ -80,15 +79,15 @@
                 "reboot",
                 "MAINT-ON a")) {
             CommandResult result = execute(twoListed, line);
-            assertNotNull(line, result.rejection());
-            assertSame(line, twoListed, result.state());
+            assertNotNull(result.rejection(), line);
+            assertSame(twoListed, result.state(), line);
         }
         assertNotNull(execute(twoListed, "status", false).rejection());
         assertNull(execute(twoListed, "standby", false).rejection());
     }
 
     @Test
-    public void commandsForAnIdThatWasEverListedAreAccepted() {
+    void commandsForAnIdThatWasEverListedAreAccepted() {
         MaintenanceState later = twoListed.withListed(List.of("c"));
         assertNull(execute(later, "maint-on a").rejection());
         assertTrue(execute(execute(twoListed, "standby").state(), "standby")
@@ -100,7 +99,7 @@
     }
 
     @Test
-    public void theEarliestIdsAreForgottenFirstButNeverThoseOutOfService() {
+    void theEarliestIdsAreForgottenFirstButNeverThoseOutOfService() {
         MaintenanceState out = execute(twoListed, "maint-on a").state();
         List<String> many = new ArrayList<>();
         for (int i = 0; i < MaintenanceState.MAX_LISTED_IDS; i++) {
@@ -113,11 +112,9 @@
     }
 
     @Test
-    public void twoProcessesShareOneFile() throws Exception {
-        MaintenanceStateFile oldProcess =
-                new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", log);
-        MaintenanceStateFile newProcess =
-                new MaintenanceStateFile(folder.getRoot().toPath(), "n/1", log);
+    void twoProcessesShareOneFile() throws Exception {
+        MaintenanceStateFile oldProcess = new MaintenanceStateFile(folder, "n/1", log);
+        MaintenanceStateFile newProcess = new MaintenanceStateFile(folder, "n/1", log);
         assertNull(oldProcess.read());
         MaintenanceState stored =
                 oldProcess.change(twoListed, state -> execute(state.withServing(7, List.of()), "maint-on a")
@@ -133,8 +130,8 @@
     }
 
     @Test
-    public void aTruncatedOrForeignFileIsLoggedAndTreatedAsAbsent() throws Exception {
-        Path root = folder.getRoot().toPath();
+    void aTruncatedOrForeignFileIsLoggedAndTreatedAsAbsent() throws Exception {
+        Path root = folder;
         MaintenanceStateFile file = new MaintenanceStateFile(root, "n", log);
         file.change(twoListed, state -> execute(state, "maint-on a").state());
         Path path = root.resolve("magpiehub-n.operators");
@@ -150,19 +147,19 @@
             logged.clear();
             assertNull(file.read());
             assertNull(file.read());
-            assertEquals("named once", List.of("operators-file-unreadable"), logged);
+            assertEquals(List.of("operators-file-unreadable"), logged, "named once");
         }
         assertEquals(
-                "the next change writes it anew",
                 Set.of("b"),
                 file.change(twoListed, state -> execute(state, "maint-on b").state())
-                        .outOfService());
+                        .outOfService(),
+                "the next change writes it anew");
         assertEquals(
                 Set.of("b"), new MaintenanceStateFile(root, "n", log).read().outOfService());
     }
 
     @Test
-    public void sitesAreWithdrawnAndReturnedButNeverAllOfThem() throws Exception {
+    void sitesAreWithdrawnAndReturnedButNeverAllOfThem() throws Exception {
         Map<String, String> sites = new TreeMap<>(Map.of("a", "whole", "b", "lost share=0% cause=list"));
         assertTrue(execute(twoListed, "site-out a", true).rejection().startsWith("unknown call; status, m"));
         MaintenanceState out = execute(twoListed, "site-out a", sites).state();
@@ -181,7 +178,7 @@
         assertEquals(
                 "b lost share=0% cause=list",
                 execute(out, "site-status b", sites).answer());
-        assertEquals("kept over a restart", out, MaintenanceStateCodec.parse(MaintenanceStateCodec.format(out)));
+        assertEquals(out, MaintenanceStateCodec.parse(MaintenanceStateCodec.format(out)), "kept over a restart");
         assertEquals(Set.of(), execute(out, "site-in a", sites).state().withdrawnSites());
         assertTrue(execute(out, "nothing", sites).rejection().contains("site-out NAME"));
     }
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -1,10 +1,10 @@
 package magpiehub.config;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,21 +16,20 @@
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Reading a router's configuration: a fault is reported in one line that names its place. */
-public class ConfigTest {
+class ConfigTest {
     private static final String GOOD = "{'name':'n','listen':'127.0.0.1:1','discovery':'127.0.0.1:2',"
             + "'seed':'8f','limits':{'sockets':9},'settings':{'classes':[{'name':'c',"
             + "'deadlineMs':9}],'limits':{'mostTries':2}}}";
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private RouterConfiguration read(String json) throws IOException {
-        Path file = folder.newFile().toPath();
+        Path file = Files.createTempFile(folder, "junit", ".tmp");
         Files.writeString(file, json.replace('\'', '"'));
         return RouterConfigurationReader.read(Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_NAME", "from-variable"));
     }
@@ -42,7 +41,7 @@
     }
 
     @Test
-    public void variablesOverrideTheFile() throws IOException {
+    void variablesOverrideTheFile() throws IOException {
         RouterConfiguration r = read(GOOD);
         assertEquals(
                 "from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " " + r.maxSockets());
@@ -50,7 +49,7 @@
     }
 
     @Test
-    public void faultsNameTheirPlace() {
+    void faultsNameTheirPlace() {
         bad(GOOD.replace("'classes'", "'clauses'"), "config.settings.classes is missing");
         bad(GOOD.replace("[{'name':'c','deadlineMs':9}]", "[7]"), "config.settings.classes must hold objects");
         bad(GOOD.replace("'127.0.0.1:1'", "'127.0.0.1'"), "is no address:port: 127.0.0.1");
@@ -72,7 +71,7 @@
     }
 
     @Test
-    public void faultsCarryPathAndReason() {
+    void faultsCarryPathAndReason() {
         ConfigurationException fault =
                 assertThrows(ConfigurationException.class, () -> read(GOOD.replace("'sockets':9}", "'sockets':'9'}")));
         assertEquals("config.limits.sockets", fault.path());
@@ -81,7 +80,7 @@
 
     /** A later file must have every key of the one in force, in each class too, but for the list and the seed. */
     @Test
-    public void aLaterFileMustHaveEveryKey() throws IOException {
+    void aLaterFileMustHaveEveryKey() throws IOException {
         RouterConfiguration now = read(GOOD);
         Map<String, Object> later =
                 read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).members();
@@ -96,7 +95,7 @@
     }
 
     @Test
-    public void classesKeepTheirPlacesOverFiles() {
+    void classesKeepTheirPlacesOverFiles() {
         SiteSettings one = site("{'name':'a','deadlineMs':1},{'name':'b','deadlineMs':2}");
         SiteSettings two = one.updatedTo(
                 site("{'name':'b','deadlineMs':2},{'name':'c','deadlineMs':3}," + "{'name':'a','deadlineMs':9}"));
@@ -105,15 +104,15 @@
         assertEquals(9000, two.routing().classes().get(3).deadline());
         SiteSettings three = two.updatedTo(site("{'name':'a','deadlineMs':1}"));
         assertEquals(
-                "as at first: its first place again, no fifth",
                 "0 -1 4",
                 three.classIndex("a") + " " + three.classIndex("b") + " "
-                        + three.routing().classes().size());
+                        + three.routing().classes().size(),
+                "as at first: its first place again, no fifth");
     }
 
     /** Names of classes, tenants and models come from the settings only: the program has none of the examples'. */
     @Test
-    public void namesOfTheExamplesAreNotInTheProgram() throws IOException {
+    void namesOfTheExamplesAreNotInTheProgram() throws IOException {
         Set<String> names = new TreeSet<>();
         for (Path example : list(Path.of("deploy"), ".json")) {
             Matcher value = Pattern.compile(":\\s*\"([a-z]+(-[a-z]+)+)\"").matcher(Files.readString(example));
@@ -121,12 +120,12 @@
                 names.add(value.group(1));
             }
         }
-        assertTrue("a class, a tenant and another class: " + names, names.size() >= 3);
+        assertTrue(names.size() >= 3, "a class, a tenant and another class: " + names);
         List<Path> program = list(Path.of("src/main"), "");
         program.add(Path.of("deploy/balancer.toml"));
         for (Path file : program) {
             String text = Files.readString(file);
-            names.forEach(n -> assertFalse(file + " has " + n, text.contains(n)));
+            names.forEach(n -> assertFalse(text.contains(n), file + " has " + n));
         }
     }
 
--- a/src/test/java/magpiehub/discovery/DiscoverySettingsTest.java
+++ b/src/test/java/magpiehub/discovery/DiscoverySettingsTest.java
@@ -1,32 +1,31 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.PosixFilePermissions;
 import magpiehub.config.ConfigurationException;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The faults of a settings file. */
-public class DiscoverySettingsTest {
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+class DiscoverySettingsTest {
+    @TempDir
+    Path folder;
 
     private String errorOf(String json) throws Exception {
-        Path file = folder.getRoot().toPath().resolve("registry.json");
+        Path file = folder.resolve("registry.json");
         Files.writeString(file, json);
         return assertThrows(ConfigurationException.class, () -> DiscoverySettings.read(file))
                 .getMessage();
     }
 
     @Test
-    public void errorsNameFileAndField() throws Exception {
+    void errorsNameFileAndField() throws Exception {
         String ok = "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:2379\"],\"prefix\":\"/e/\"";
         for (String[] example : new String[][] {
             {"{}", "registry.json.kind must be etcd, consul-health or consul-kv"},
@@ -47,14 +46,14 @@
             {"{" + ok, "registry.json: Unexpected end-of-input"},
         }) {
             String error = errorOf(example[0]);
-            assertTrue(error, error.startsWith(example[1]));
+            assertTrue(error.startsWith(example[1]), error);
         }
-        Path secret = folder.newFile("secret").toPath();
+        Path secret = Files.createFile(folder.resolve("secret"));
         Files.writeString(secret, "x");
         Files.setPosixFilePermissions(secret, PosixFilePermissions.fromString("rw-r--r--"));
         assertTrue(errorOf("{" + ok + ",\"user\":\"u\",\"password_file\":\"secret\"}")
                 .contains("chmod 600"));
-        assertNull(DiscoverySettings.read(folder.getRoot().toPath().resolve("none.json")));
+        assertNull(DiscoverySettings.read(folder.resolve("none.json")));
         assertEquals(
                 "etcd",
                 DiscoverySettings.read(Path.of("deploy/registry.example.json")).kind());
--- a/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
@@ -1,11 +1,11 @@
 package magpiehub.discovery;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertArrayEquals;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,20 +16,19 @@
 import magpiehub.config.EndpointEntry;
 import magpiehub.config.SiteSettings;
 import magpiehub.config.SiteSettingsParser;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The endpoint list in a file. */
-public class EndpointListCacheTest {
+class EndpointListCacheTest {
     private static final long S = 1_000_000;
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     @Test
-    public void listIsReadCompletelyOrNotAtAll() throws Exception {
-        Path file = folder.getRoot().toPath().resolve("last");
+    void listIsReadCompletelyOrNotAtAll() throws Exception {
+        Path file = folder.resolve("last");
         EndpointEntryParser parser = EndpointEntryParser.strict(RegistryFixtures.site(), 0);
         EndpointListCache cache = new EndpointListCache(file, parser);
         assertNull(cache.read(0, S));
@@ -51,17 +50,17 @@
             int at = i;
             if (i < 15 || i > 22) { // The time alone may change and still be one.
                 assertThrows(
-                        "byte " + at, EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S));
+                        EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S), "byte " + at);
             }
             Files.write(file, Arrays.copyOf(whole, i));
             assertThrows(
-                    "cut at " + at, EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S));
+                    EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S), "cut at " + at);
         }
     }
 
     /** A file that an earlier version of the program wrote is read, and written again byte for byte. */
     @Test
-    public void fileFormatIsUnchanged() throws Exception {
+    void fileFormatIsUnchanged() throws Exception {
         byte[] recorded = Files.readAllBytes(Path.of("src/test/resources/endpoint-list-1"));
         SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 "{\"zones\":[\"a\",\"b\"],\"machineTypes\":[\"m\",\"台\"]}".getBytes(UTF_8), "settings"));
@@ -76,7 +75,7 @@
             entries.add(parser.read(json.getBytes(UTF_8), "s-" + (entries.size() + 1)));
         }
         ListPosition position = new ListPosition("cafe01", 7, 4711);
-        Path file = folder.getRoot().toPath().resolve("last");
+        Path file = folder.resolve("last");
         EndpointListCache cache = new EndpointListCache(file, parser);
 
         cache.write(entries, position, 1_764_633_600_000L);
@@ -90,8 +89,8 @@
     }
 
     @Test
-    public void startWithoutARegistryUsesTheCachedList() throws Exception {
-        Path file = folder.getRoot().toPath().resolve("last");
+    void startWithoutARegistryUsesTheCachedList() throws Exception {
+        Path file = folder.resolve("last");
         String more = ",\"list_file\":\"" + file + "\",\"list_every_ms\":100";
         try (FakeRegistry registry = new FakeRegistry(1)) {
             registry.put("e1", RegistryFixtures.entryJson(1, "Ready"));
@@ -114,7 +113,7 @@
             Files.writeString(file, "magpiehub-list 1 0 2 0\n{}");
             try (RecordingRegistryClient client =
                     new RecordingRegistryClient(RegistryFixtures.settings("etcd", registry.addresses(), more))) {
-                assertTrue(client.log.toString(), client.log.contains("registry-list-refused"));
+                assertTrue(client.log.contains("registry-list-refused"), client.log.toString());
                 client.awaitEqualTo(registry);
             }
         }
--- a/src/test/java/magpiehub/discovery/EndpointListStateTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListStateTest.java
@@ -1,9 +1,9 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,10 +14,10 @@
 import magpiehub.discovery.ListUpdateResult.Verdict;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The list state, driven directly. */
-public class EndpointListStateTest {
+class EndpointListStateTest {
     static EndpointEntry entry(String id, String address, double size) {
         return new EndpointEntry(new Endpoint(id, 0, 0, 0, EndpointState.LIVE, size, 0), address);
     }
@@ -44,7 +44,7 @@
     }
 
     @Test
-    public void repeatedChangeIsAppliedOnce() {
+    void repeatedChangeIsAppliedOnce() {
         EndpointListState list = listAt(5, item("a", 3), item("b", 5));
         ListUpdateResult result = list.applyChanges(at(7), List.of(item("b", 5), item("a", 7)));
         assertEquals(1, result.delta().put().size());
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void supersededListDoesNotUndoAChange() {
+    void supersededListDoesNotUndoAChange() {
         EndpointListState list = listAt(5, item("a", 3));
         ListPosition asked = list.position();
         list.applyChanges(at(8), List.of(item("b", 8)));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void olderDataIsAppliedOnceTwoReadsAgree() {
+    void olderDataIsAppliedOnceTwoReadsAgree() {
         EndpointListState list = listAt(50, item("a", 40), item("b", 50));
         assertEquals(Verdict.RELIST_REQUIRED, verdict(list.checkPosition(at(20))));
         assertEquals(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    public void laggingListsAreNotAppliedBetweenCurrentOnes() {
+    void laggingListsAreNotAppliedBetweenCurrentOnes() {
         EndpointListState list = listAt(50, item("a", 40));
         for (int i = 0; i < 5; i++) {
             assertEquals(Verdict.LAGGING, verdict(list.applyCompleteList(at(30), list.position(), List.of(), false)));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void changesOfAnotherHistoryAreNotApplied() {
+    void changesOfAnotherHistoryAreNotApplied() {
         EndpointListState list = listAt(50, item("a", 40));
         ListPosition other = new ListPosition("c2", 2, 90);
         assertEquals(Verdict.RELIST_REQUIRED, verdict(list.applyChanges(other, List.of(item("x", 90)))));
@@ -104,30 +104,30 @@
     }
 
     @Test
-    public void anotherHistoryIsRecognizedByItsLastChanges() {
+    void anotherHistoryIsRecognizedByItsLastChanges() {
         EndpointListState list = listAt(9, item("a", 3), item("b", 8), ListItem.unreadable("odd", 9, "no address"));
         ListItem odd = ListItem.unreadable("odd", 9, "no address");
         assertEquals(Verdict.STALE, verdict(list.checkResume(at(12), at(9), List.of(odd, item("b", 8)), 3)));
         assertEquals(
-                "the last key is the same, the one before it is not",
                 Verdict.RELIST_REQUIRED,
-                verdict(list.checkResume(at(12), at(9), List.of(odd, item("a", 8)), 3)));
+                verdict(list.checkResume(at(12), at(9), List.of(odd, item("a", 8)), 3)),
+                "the last key is the same, the one before it is not");
         EndpointListState other = listAt(9, item("a", 3), item("b", 9));
         assertEquals(
-                "what was changed here was not changed there",
                 Verdict.RELIST_REQUIRED,
-                verdict(other.checkResume(at(12), at(9), List.of(item("a", 3)), 2)));
+                verdict(other.checkResume(at(12), at(9), List.of(item("a", 3)), 2)),
+                "what was changed here was not changed there");
         assertEquals(
-                "a new leader's answer is compared, too",
                 Verdict.RELIST_REQUIRED,
                 verdict(other.checkResume(
-                        new ListPosition("c1", 3, 12), at(9), List.of(item("a", 9), item("b", 3)), 2)));
+                        new ListPosition("c1", 3, 12), at(9), List.of(item("a", 9), item("b", 3)), 2)),
+                "a new leader's answer is compared, too");
         EndpointListState empty = listAt(9);
         assertEquals(Verdict.STALE, verdict(empty.checkResume(at(12), at(9), List.of(), 0)));
     }
 
     @Test
-    public void endpointThatMovesWithinOneBurstIsListed() {
+    void endpointThatMovesWithinOneBurstIsListed() {
         EndpointListState list = listAt(5, item("k1", 5));
         ListUpdateResult result = list.applyChanges(
                 at(9),
@@ -147,7 +147,7 @@
     }
 
     @Test
-    public void onlyTheUnreadableEntryIsSkipped() {
+    void onlyTheUnreadableEntryIsSkipped() {
         List<ListItem> items = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
             items.add(i == 5000 ? ListItem.unreadable("k5000", i, "no address") : item("k" + i, i));
@@ -161,7 +161,7 @@
     }
 
     @Test
-    public void silentWatchIsFoundByTwoChecks() {
+    void silentWatchIsFoundByTwoChecks() {
         EndpointListState list = listAt(5, item("a", 3), item("b", 5));
         assertEquals(Verdict.STALE, verdict(list.checkWatch(at(9), list.position(), 9, 2)));
         list.applyChanges(at(9), List.of(item("a", 9)));
@@ -171,13 +171,13 @@
         EndpointListState other = listAt(5, item("a", 3), item("b", 5));
         assertEquals(Verdict.STALE, verdict(other.checkWatch(at(9), other.position(), 3, 1)));
         assertEquals(
-                "a removal that never came",
                 Verdict.RELIST_REQUIRED,
-                verdict(other.checkWatch(at(9), other.position(), 3, 1)));
+                verdict(other.checkWatch(at(9), other.position(), 3, 1)),
+                "a removal that never came");
     }
 
     @Test
-    public void compactionRequiresACompleteList() {
+    void compactionRequiresACompleteList() {
         EndpointListState list = listAt(5, item("a", 3));
         list.markCompacted();
         assertTrue(list.requiresRelist());
@@ -189,7 +189,7 @@
 
     /** A million random changes and lists against a plain map; the deltas alone must rebuild it. */
     @Test
-    public void deltasAddUpToTheList() {
+    void deltasAddUpToTheList() {
         SplittableRandom random = new SplittableRandom(11);
         Map<String, EndpointEntry> expected = new HashMap<>();
         Map<String, EndpointEntry> rebuilt = new HashMap<>();
@@ -219,9 +219,7 @@
             }
             if (result != null) {
                 for (EndpointEntry entry : result.delta().put()) {
-                    assertFalse(
-                            "repeated",
-                            entry.equals(rebuilt.put(entry.endpoint().id(), entry)));
+                    assertFalse(entry.equals(rebuilt.put(entry.endpoint().id(), entry)), "repeated");
                 }
                 result.delta().removed().forEach(id -> assertTrue(rebuilt.remove(id) != null));
                 if (step % 1000 == 0) {
--- a/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
+++ b/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
@@ -1,7 +1,7 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,10 +11,10 @@
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Maintenance and list changes in any order: the maintenance holds, whatever the source reports. */
-public class MaintenanceOverlayTest {
+class MaintenanceOverlayTest {
     private final MaintenanceOverlay overlay = new MaintenanceOverlay();
 
     private static EndpointEntry entry(String id, EndpointState state, long since) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void endpointOutOfServiceStaysDrainingWhateverTheSourceReports() {
+    void endpointOutOfServiceStaysDrainingWhateverTheSourceReports() {
         overlay.applyFromSource(
                 EndpointListKind.COMPLETE,
                 List.of(entry("a", EndpointState.LIVE, 0), entry("b", EndpointState.LIVE, 0)));
@@ -46,9 +46,7 @@
         assertEquals(2, all.size());
         assertEquals(EndpointState.DRAINING, state(all, "a"));
         assertEquals(EndpointState.LIVE, state(all, "b"));
-        assertTrue(
-                "the same word again tells nothing",
-                overlay.applyMaintenance(Set.of("a"), Map.of()).isEmpty());
+        assertTrue(overlay.applyMaintenance(Set.of("a"), Map.of()).isEmpty(), "the same word again tells nothing");
         assertEquals(
                 EndpointState.DRAINING,
                 state(
@@ -69,7 +67,7 @@
     }
 
     @Test
-    public void endpointBackInServiceHasStartedNoEarlier() {
+    void endpointBackInServiceHasStartedNoEarlier() {
         overlay.applyFromSource(EndpointListKind.COMPLETE, List.of(entry("a", EndpointState.LIVE, 0)));
         overlay.applyMaintenance(Set.of("a"), Map.of());
         List<EndpointEntry> back = overlay.applyMaintenance(Set.of(), Map.of("a", 900L));
@@ -90,7 +88,7 @@
     }
 
     @Test
-    public void unlistedEndpointsAreNotReportedAndListedIdsAre() {
+    void unlistedEndpointsAreNotReportedAndListedIdsAre() {
         List<String> ids = new ArrayList<>();
         overlay.onListed(ids::addAll);
         overlay.applyFromSource(
--- a/src/test/java/magpiehub/discovery/MembershipDampingTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipDampingTest.java
@@ -1,8 +1,8 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,10 +12,10 @@
 import magpiehub.config.EndpointEntry;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Doubted removals and flap damping, driven directly. */
-public class MembershipDampingTest {
+class MembershipDampingTest {
     private static final long S = 1_000_000;
     private static final MembershipDamping.Settings GUARDED =
             new MembershipDamping.Settings(0.3, 2, 1_500_000, 10 * S, 3, 1, 60 * S, 0.5);
@@ -56,11 +56,11 @@
     }
 
     @Test
-    public void removalOfHalfTheFleetNeedsASecondRead() {
+    void removalOfHalfTheFleetNeedsASecondRead() {
         MembershipDamping damping = fleetOf(10);
         assertEquals("", states(damping.apply(whole(List.of(), ids(0, 5)), S)));
         assertTrue(damping.takeConfirmationRequest());
-        assertFalse("asked once", damping.takeConfirmationRequest());
+        assertFalse(damping.takeConfirmationRequest(), "asked once");
         assertEquals(10, damping.entries().size());
         // Nothing is read within the set time: a read is requested again, and no endpoint is removed.
         assertEquals(S + 1_500_000, damping.nextTimerMicros());
@@ -68,21 +68,18 @@
         assertTrue(damping.takeConfirmationRequest());
         assertEquals(
                 "e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD", states(damping.applyConfirmation(Set.copyOf(ids(4, 10)), 4 * S)));
-        assertEquals(
-                "e4 is in the second list, the first was wrong",
-                6,
-                damping.entries().size());
+        assertEquals(6, damping.entries().size(), "e4 is in the second list, the first was wrong");
     }
 
     @Test
-    public void removalOfFewIsAppliedAtOnce() {
+    void removalOfFewIsAppliedAtOnce() {
         MembershipDamping damping = fleetOf(10);
         assertEquals("e0 DEAD, e1 DEAD", states(damping.apply(whole(List.of(), ids(0, 2)), S)));
         assertFalse(damping.takeConfirmationRequest());
     }
 
     @Test
-    public void changesAreAppliedAtOnceWhateverTheirSize() {
+    void changesAreAppliedAtOnceWhateverTheirSize() {
         MembershipDamping damping = fleetOf(10);
         assertEquals(10, damping.apply(change(List.of(), ids(0, 10)), S).size());
         MembershipDamping draining = fleetOf(10);
@@ -98,7 +95,7 @@
     }
 
     @Test
-    public void heldEndpointThatIsListedAgainHasItsNewEntry() {
+    void heldEndpointThatIsListedAgainHasItsNewEntry() {
         MembershipDamping damping = fleetOf(10);
         damping.apply(whole(List.of(), ids(0, 5)), S);
         assertEquals(
@@ -108,10 +105,10 @@
     }
 
     @Test
-    public void flappingEndpointIsSuppressedUntilItIsStable() {
+    void flappingEndpointIsSuppressedUntilItIsStable() {
         MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 4; i++) {
-            assertEquals("away at once", "e0 DEAD", states(damping.apply(change(List.of(), ids(0, 1)), i * S)));
+            assertEquals("e0 DEAD", states(damping.apply(change(List.of(), ids(0, 1)), i * S)), "away at once");
             assertEquals(
                     i < 4 ? "e0 LIVE" : "e0 DRAINING",
                     states(damping.apply(change(List.of(engine(0, EndpointState.LIVE)), List.of()), i * S + 1)));
@@ -124,7 +121,7 @@
             reported = states(damping.onTimer(now));
         }
         assertEquals("e0 LIVE", reported);
-        assertEquals("log2(3.4) half-lives of 10 s", 22, now / 1e6, 1.0);
+        assertEquals(22, now / 1e6, 1.0, "log2(3.4) half-lives of 10 s");
         while (damping.nextTimerMicros() != Long.MAX_VALUE) {
             damping.onTimer(damping.nextTimerMicros());
         }
@@ -132,7 +129,7 @@
     }
 
     @Test
-    public void flappingFleetIsNotSuppressed() {
+    void flappingFleetIsNotSuppressed() {
         MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 6; i++) {
             damping.apply(change(List.of(), ids(0, 10)), i * S);
--- a/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
@@ -1,6 +1,6 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.util.HashMap;
@@ -81,7 +81,7 @@
                 () -> isEqualTo(registry),
                 () -> "fleet " + brief(fleet) + "\ntruth " + brief(RegistryFixtures.describe(registry)) + "\n"
                         + log.counts() + "\n" + log.tail(TAIL_LENGTH));
-        assertTrue(fault, fault.isEmpty());
+        assertTrue(fault.isEmpty(), fault);
     }
 
     boolean isEqualTo(FakeRegistry registry) {
--- a/src/test/java/magpiehub/discovery/RegistrationStateTest.java
+++ b/src/test/java/magpiehub/discovery/RegistrationStateTest.java
@@ -1,33 +1,33 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The steps of a registration. */
-public class RegistrationStateTest {
+class RegistrationStateTest {
     private static final long S = 1_000_000;
 
     @Test
-    public void registrationIsRenewedRepeatedAndRemoved() {
+    void registrationIsRenewedRepeatedAndRemoved() {
         RegistrationState a = new RegistrationState(9 * S, 0);
         assertEquals(RegistrationState.Step.REGISTER, a.nextStep(0));
         a.onFailed(0, 100);
         assertEquals(RegistrationState.Step.NONE, a.nextStep(99));
         a.onRegistered(100, 6 * S);
-        assertEquals("a third of what was granted", 100 + 2 * S, a.nextStepAtMicros());
+        assertEquals(100 + 2 * S, a.nextStepAtMicros(), "a third of what was granted");
         assertEquals(RegistrationState.Step.KEEP, a.nextStep(a.nextStepAtMicros()));
         a.onLost(3 * S);
         assertEquals(RegistrationState.Step.REGISTER, a.nextStep(3 * S));
         a.onRegistered(3 * S, 9 * S);
         a.onFailed(6 * S, 10 * S);
-        assertEquals("its lease has run out", RegistrationState.Step.REGISTER, a.nextStep(16 * S));
+        assertEquals(RegistrationState.Step.REGISTER, a.nextStep(16 * S), "its lease has run out");
         a.onStop();
-        assertEquals("it may still stand", RegistrationState.Step.DEREGISTER, a.nextStep(16 * S));
+        assertEquals(RegistrationState.Step.DEREGISTER, a.nextStep(16 * S), "it may still stand");
         a.onDeregistered();
         assertEquals(RegistrationState.Step.DONE, a.nextStep(17 * S));
         RegistrationState none = new RegistrationState(S, 0);
         none.onStop();
-        assertEquals("never made", RegistrationState.Step.DONE, none.nextStep(0));
+        assertEquals(RegistrationState.Step.DONE, none.nextStep(0), "never made");
     }
 }
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -1,52 +1,46 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
-import static org.junit.Assume.assumeTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assumptions.assumeTrue;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import magpiehub.discovery.FakeRegistry.Fault;
 import magpiehub.routing.EndpointState;
-import org.junit.After;
-import org.junit.Before;
-import org.junit.Test;
-import org.junit.runner.RunWith;
-import org.junit.runners.Parameterized;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /** Clients of a fake registry, with each protocol, through connection losses, compactions and restores. */
-@RunWith(Parameterized.class)
-public class RegistryClientTest {
-    @Parameterized.Parameters(name = "{0}")
+class RegistryClientTest {
     public static List<String> kinds() {
         return List.of("etcd", "consul-health", "consul-kv");
     }
 
-    @Parameterized.Parameter
-    public String kind;
-
     private FakeRegistry registry;
     private RecordingRegistryClient client;
 
-    @Before
-    public void start() throws Exception {
+    @BeforeEach
+    void start() throws Exception {
         registry = new FakeRegistry(2);
         for (int i = 0; i < 40; i++) {
             registry.put("e" + i, RegistryFixtures.entryJson(i, "Ready"));
         }
     }
 
-    @After
-    public void stop() {
+    @AfterEach
+    void stop() {
         if (client != null) {
             client.close();
         }
         registry.close();
     }
 
-    private void connect(String more) throws Exception {
+    private void connect(String kind, String more) throws Exception {
         client = new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), more));
         client.awaitEqualTo(registry);
     }
@@ -65,19 +59,21 @@
         }
     }
 
-    @Test
-    public void changesAreReportedOnce() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void changesAreReportedOnce(String kind) throws Exception {
+        connect(kind, "");
         burst(100, 500);
         client.awaitEqualTo(registry);
-        assertTrue("one whole list in etcd", !kind.equals("etcd") || client.counted("registry_lists") == 1);
+        assertTrue(!kind.equals("etcd") || client.counted("registry_lists") == 1, "one whole list in etcd");
     }
 
     /** Chunks, lines and the letters beyond ASCII in them are cut at many places, in the middle of bursts. */
-    @Test
-    public void partialDataIsNeverApplied() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void partialDataIsNeverApplied(String kind) throws Exception {
         only(0);
-        connect("");
+        connect(kind, "");
         for (int cut = 0; cut < 700; cut += 13) {
             registry.endpoints.get(0).cutAfterBytes = cut;
             registry.putAll(Map.of(
@@ -91,9 +87,10 @@
         }
     }
 
-    @Test
-    public void connectionLossDuringChangesLosesAndRepeatsNone() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void connectionLossDuringChangesLosesAndRepeatsNone(String kind) throws Exception {
+        connect(kind, "");
         for (int i = 0; i < 10; i++) {
             burst(i * 100, 50);
             registry.cutAll();
@@ -103,10 +100,11 @@
         assertEquals("", client.fault);
     }
 
-    @Test
-    public void fragmentedRevisionIsAppliedAtOnce() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void fragmentedRevisionIsAppliedAtOnce(String kind) throws Exception {
         registry.etcd.eventsPerFragment = 7;
-        connect("");
+        connect(kind, "");
         for (int round = 0; round < 20; round++) {
             Map<String, String> all = new HashMap<>();
             for (int i = 0; i < 40; i++) {
@@ -121,9 +119,10 @@
         client.awaitEqualTo(registry);
     }
 
-    @Test
-    public void restoredOlderDataIsRelisted() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void restoredOlderDataIsRelisted(String kind) throws Exception {
+        connect(kind, "");
         long old = registry.revision;
         burst(100, 200);
         client.awaitEqualTo(registry);
@@ -135,9 +134,10 @@
     }
 
     /** The revisions go on as if nothing had been: only what the registry has at the client's position differs. */
-    @Test
-    public void restoredRegistryBeyondTheClientsPositionIsRelisted() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void restoredRegistryBeyondTheClientsPositionIsRelisted(String kind) throws Exception {
+        connect(kind, "");
         long old = registry.revision;
         burst(100, 20);
         client.awaitEqualTo(registry);
@@ -146,12 +146,13 @@
         burst(317, 60);
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
-        assertTrue(client.log.toString(), !kind.equals("etcd") || client.log.contains("another past at position"));
+        assertTrue(!kind.equals("etcd") || client.log.contains("another past at position"), client.log.toString());
     }
 
-    @Test
-    public void anotherHistoryWithHigherRevisionsIsRelisted() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void anotherHistoryWithHigherRevisionsIsRelisted(String kind) throws Exception {
+        connect(kind, "");
         burst(100, 200);
         client.awaitEqualTo(registry);
         registry.restore(20, "99", registry.revision + 1000);
@@ -161,9 +162,10 @@
         client.awaitEqualTo(registry);
     }
 
-    @Test
-    public void laggingEndpointDoesNotRevertTheList() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void laggingEndpointDoesNotRevertTheList(String kind) throws Exception {
+        connect(kind, "");
         burst(100, 300);
         client.awaitEqualTo(registry);
         registry.endpoints.get(1).revisionsBehind = 200;
@@ -175,9 +177,10 @@
         assertEquals(0, client.counted("registry_histories"));
     }
 
-    @Test
-    public void silentWatchIsReplaced() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void silentWatchIsReplaced(String kind) throws Exception {
+        connect(kind, "");
         int watched = client.counted("registry_watch_calls");
         registry.endpoints.forEach(e -> e.fault = Fault.MUTE);
         burst(100, 20);
@@ -186,10 +189,11 @@
         assertTrue(client.counted("registry_watch_calls") >= watched);
     }
 
-    @Test
-    public void silentEndpointIsReplaced() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void silentEndpointIsReplaced(String kind) throws Exception {
         registry.endpoints.get(0).fault = Fault.SILENT;
-        connect("");
+        connect(kind, "");
         registry.endpoints.get(0).fault(Fault.NONE);
         registry.endpoints.get(1).fault(Fault.SILENT);
         burst(100, 20);
@@ -198,8 +202,9 @@
     }
 
     /** An endpoint whose responses come byte by byte is never silent; another delivers the list within 6 s. */
-    @Test
-    public void slowListIsReplacedInTime() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void slowListIsReplacedInTime(String kind) throws Exception {
         burst(100, 20);
         registry.endpoints.get(0).fault(Fault.DRIPS);
         registry.endpoints.get(1).fault(Fault.DOWN);
@@ -208,14 +213,15 @@
         registry.endpoints.get(1).fault(Fault.NONE);
         long back = System.nanoTime();
         client.awaitEqualTo(registry);
-        assertTrue("in time", System.nanoTime() - back < 6_000_000_000L);
+        assertTrue(System.nanoTime() - back < 6_000_000_000L, "in time");
         registry.endpoints.get(0).fault(Fault.NONE);
     }
 
-    @Test
-    public void unreadableEntryIsLoggedAndSkipped() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void unreadableEntryIsLoggedAndSkipped(String kind) throws Exception {
         registry.put("bad", "{\"host_port\":");
-        connect("");
+        connect(kind, "");
         RegistryFixtures.await(
                 () -> client.log.contains("registry-entry-unreadable key "), () -> client.log.toString());
         registry.put("e3", "{\"host_port\":\"nowhere\"}");
@@ -227,20 +233,22 @@
         assertEquals(41, client.fleet.size());
     }
 
-    @Test
-    public void tenThousandEntriesFitIntoOneList() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void tenThousandEntriesFitIntoOneList(String kind) throws Exception {
         for (int i = 0; i < 10_000; i++) {
             registry.put("x" + i, i == 5000 ? "?" : RegistryFixtures.entryJson(i, "Ready"));
         }
-        connect("");
+        connect(kind, "");
         assertEquals(10_039, client.fleet.size());
         burst(100, 20);
         client.awaitEqualTo(registry);
     }
 
-    @Test
-    public void endpointThatMovesWithinOneBurstIsListed() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void endpointThatMovesWithinOneBurstIsListed(String kind) throws Exception {
+        connect(kind, "");
         registry.delete("e1");
         registry.put("new-key", "{\"id\":\"e1\",\"host_port\":\"127.0.0.1:5\"}");
         registry.put("other", "{\"id\":\"e2\",\"host_port\":\"127.0.0.1:6\"}");
@@ -249,9 +257,10 @@
         assertEquals("127.0.0.1:6", client.fleet.get("e2").address());
     }
 
-    @Test
-    public void registryIsReplacedDuringChanges() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void registryIsReplacedDuringChanges(String kind) throws Exception {
+        connect(kind, "");
         try (FakeRegistry second = new FakeRegistry(1)) {
             second.put("only", RegistryFixtures.entryJson(1, "Ready"));
             second.put("e5", RegistryFixtures.entryJson(2, "Ready"));
@@ -269,9 +278,10 @@
         }
     }
 
-    @Test
-    public void listWithoutMostEndpointsIsReadTwice() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void listWithoutMostEndpointsIsReadTwice(String kind) throws Exception {
+        connect(kind, "");
         int lists = registry.requestCount("/v3/kv/range");
         registry.restore(5, registry.cluster, 5);
         client.awaitEqualTo(registry);
@@ -279,21 +289,23 @@
         assertTrue(registry.requestCount("/v3/kv/range") > lists || !kind.equals("etcd"));
     }
 
-    @Test
-    public void listSurvivesARegistryOutage() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void listSurvivesARegistryOutage(String kind) throws Exception {
+        connect(kind, "");
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
         burst(100, 50);
         RegistryFixtures.await(() -> client.counted("registry_failures") > 3, () -> client.log.toString());
-        assertFalse("kept, not emptied", client.fleet.isEmpty());
+        assertFalse(client.fleet.isEmpty(), "kept, not emptied");
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
         RegistryFixtures.await(() -> client.log.contains("registry-up"), () -> client.log.toString());
     }
 
-    @Test
-    public void rejectedRequestsAndLostLeadersAreRetried() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void rejectedRequestsAndLostLeadersAreRetried(String kind) throws Exception {
+        connect(kind, "");
         registry.endpoints.get(0).fault(Fault.REFUSING);
         registry.endpoints.get(1).fault(kind.equals("etcd") ? Fault.UNAUTHORISED : Fault.NO_LEADER);
         burst(100, 20);
@@ -302,10 +314,11 @@
         client.awaitEqualTo(registry);
     }
 
-    @Test
-    public void compactionBetweenListAndWatchCausesARelist() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void compactionBetweenListAndWatchCausesARelist(String kind) throws Exception {
         assumeTrue(kind.equals("etcd"));
-        connect("");
+        connect(kind, "");
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
         burst(100, 50);
         registry.compact();
@@ -314,26 +327,28 @@
         assertEquals(1, client.counted("registry_compactions"));
     }
 
-    @Test
-    public void compactionBetweenPagesRestartsTheList() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void compactionBetweenPagesRestartsTheList(String kind) throws Exception {
         assumeTrue(kind.equals("etcd"));
         registry.etcd.betweenPages = () -> {
             registry.etcd.betweenPages = () -> {};
             registry.put("e7", RegistryFixtures.entryJson(4711, "Ready"));
             registry.compact();
         };
-        connect(",\"page\":10");
+        connect(kind, ",\"page\":10");
         assertEquals(4711, client.fleet.get("e7").endpoint().cell());
         assertEquals(40, client.fleet.size());
     }
 
-    @Test
-    public void expiredTokenIsRenewed() throws Exception {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void expiredTokenIsRenewed(String kind) throws Exception {
         assumeTrue(kind.equals("etcd"));
         registry.password = "secret";
         java.nio.file.Path file = java.nio.file.Files.createTempFile("password", "");
         java.nio.file.Files.writeString(file, "secret\n");
-        connect(",\"user\":\"router\",\"password_file\":\"" + file + "\"");
+        connect(kind, ",\"user\":\"router\",\"password_file\":\"" + file + "\"");
         FakeRegistry locked = registry;
         synchronized (locked) {
             locked.etcd.tokens.clear();
@@ -344,9 +359,10 @@
         assertTrue(registry.etcd.logins >= 2);
     }
 
-    @Test
-    public void drainingIsReportedAtOnce() throws Exception {
-        connect("");
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("kinds")
+    void drainingIsReportedAtOnce(String kind) throws Exception {
+        connect(kind, "");
         for (int i = 0; i < 40; i++) {
             registry.put("e" + i, RegistryFixtures.entryJson(i, "Terminating"));
         }
--- a/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
@@ -1,17 +1,17 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.TreeSet;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The selection of endpoints and their backoff. */
-public class RegistryEndpointsTest {
+class RegistryEndpointsTest {
     private static final long S = 1_000_000;
 
     @Test
-    public void routersThatLoseARegistryReconnectSpread() {
+    void routersThatLoseARegistryReconnectSpread() {
         TreeSet<Long> first = new TreeSet<>();
         for (int i = 0; i < 300; i++) {
             RegistryEndpoints endpoints =
@@ -19,45 +19,45 @@
             int at = endpoints.select(0);
             endpoints.recordSuccess(at);
             endpoints.recordFailure(at, S, EndpointFailure.CONNECTION_LOST, 0);
-            assertEquals("none of them at once", -1, endpoints.select(S - 1));
+            assertEquals(-1, endpoints.select(S - 1), "none of them at once");
             first.add(endpoints.nextReadyAtMicros());
         }
         long[] times = first.stream().mapToLong(t -> t).toArray();
         assertTrue(
-                "the middle nine tenths take over a second",
-                times[times.length * 95 / 100] - times[times.length * 5 / 100] > S);
+                times[times.length * 95 / 100] - times[times.length * 5 / 100] > S,
+                "the middle nine tenths take over a second");
     }
 
     @Test
-    public void backoffGrowsToTheCapAndOtherEndpointsAreUsedMeanwhile() {
+    void backoffGrowsToTheCapAndOtherEndpointsAreUsedMeanwhile() {
         RegistryEndpoints one = new RegistryEndpoints(1, new BackoffSettings(100_000, 1_500_000, 0), 3);
         long now = 0;
         long longest = 0;
         for (int i = 0; i < 50; i++) {
             one.recordFailure(0, now, EndpointFailure.CONNECTION_LOST, 0);
             long wait = one.nextReadyAtMicros() - now;
-            assertTrue("" + wait, wait >= 100_000 && wait <= 1_500_000);
-            assertTrue("at most three times the one before", wait <= Math.max(300_000, 3 * longest));
+            assertTrue(wait >= 100_000 && wait <= 1_500_000, "" + wait);
+            assertTrue(wait <= Math.max(300_000, 3 * longest), "at most three times the one before");
             longest = Math.max(longest, wait);
             now += wait;
         }
         assertTrue(longest > S);
         one.recordFailure(0, now, EndpointFailure.ERROR_RESPONSE, 5 * S);
-        assertEquals("it said itself when to return", -1, one.select(now + 5 * S - 1));
+        assertEquals(-1, one.select(now + 5 * S - 1), "it said itself when to return");
         RegistryEndpoints two = new RegistryEndpoints(2, new BackoffSettings(100_000, 1_500_000, S), 3);
         int first = two.select(0);
         two.recordSuccess(first);
         two.recordFailure(first, 0, EndpointFailure.TIMEOUT, 0);
-        assertEquals("a silent one is left at once", 1 - first, two.select(0));
+        assertEquals(1 - first, two.select(0), "a silent one is left at once");
         two.recordSuccess(first);
         two.recordFailure(first, 0, EndpointFailure.ERROR_RESPONSE, 0);
         assertEquals(
-                "one that answers with an error is no restart: another is asked at once", 1 - first, two.select(0));
+                1 - first, two.select(0), "one that answers with an error is no restart: another is asked at once");
         two.recordSuccess(1 - first);
-        assertEquals("the one in use stays in use", 1 - first, two.select(10 * S));
+        assertEquals(1 - first, two.select(10 * S), "the one in use stays in use");
         two.recordSuccess(first);
         two.recordStaleAnswer(1 - first, 10 * S, S);
         two.recordFailure(first, 10 * S - 1, EndpointFailure.TIMEOUT, 0);
-        assertEquals("not even after another failed once", first, two.select(11 * S));
+        assertEquals(first, two.select(11 * S), "not even after another failed once");
     }
 }
--- a/src/test/java/magpiehub/discovery/RegistryFaultTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryFaultTest.java
@@ -1,18 +1,18 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The randomized fault test at a small scale. */
-public class RegistryFaultTest {
+class RegistryFaultTest {
     private static final long S = 1_000_000;
 
     /** Nothing is missed, repeated or taken back. The times measured are no part of the test. */
     @Test
-    public void noFaultMakesAClientMissRepeatOrTakeBackAChange() throws Exception {
+    void noFaultMakesAClientMissRepeatOrTakeBackAChange() throws Exception {
         RegistryFaultInjection.Scale scale = new RegistryFaultInjection.Scale(60, 400, 6, 2, 60 * S);
         RegistryFaultInjection.Outcome outcome = RegistryFaultInjection.run(1, scale);
-        assertEquals(outcome.line(), 0, outcome.wrong());
+        assertEquals(0, outcome.wrong(), outcome.line());
     }
 }
--- a/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
@@ -1,7 +1,7 @@
 package magpiehub.discovery;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -15,12 +15,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import magpiehub.concurrent.DaemonThreads;
 import magpiehub.concurrent.MonotonicClock;
-import org.junit.After;
-import org.junit.Before;
-import org.junit.Test;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
 
 /** The requests that the registry client sends, byte for byte. */
-public class RegistryRequestsTest {
+class RegistryRequestsTest {
     private static final String POST_HEADERS =
             "Host: HOST\r\nContent-Type: application/json\r\nContent-Length: LENGTH\r\n\r\n";
     private static final String POST_HEADERS_WITH_TOKEN =
@@ -30,13 +30,13 @@
 
     private RecordingServer server;
 
-    @Before
-    public void start() throws IOException {
+    @BeforeEach
+    void start() throws IOException {
         server = new RecordingServer();
     }
 
-    @After
-    public void stop() throws IOException {
+    @AfterEach
+    void stop() throws IOException {
         server.close();
     }
 
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void etcdListInTwoPagesAfterAuthentication() throws Exception {
+    void etcdListInTwoPagesAfterAuthentication() throws Exception {
         EtcdProtocol etcd = new EtcdProtocol(
                 "a/b/", 1, "router", "s3\"cret", EndpointEntryParser.strict(RegistryFixtures.site(), 0));
         String header = "{\"header\":{\"cluster_id\":\"7\",\"revision\":\"9\",\"raft_term\":\"2\"},";
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void etcdCheckAndWatch() throws Exception {
+    void etcdCheckAndWatch() throws Exception {
         EtcdProtocol etcd =
                 new EtcdProtocol("a/b/", 1000, null, null, EndpointEntryParser.strict(RegistryFixtures.site(), 0));
         String response = "{\"header\":{\"cluster_id\":\"7\",\"revision\":\"9\",\"raft_term\":\"2\"}}";
@@ -131,7 +131,7 @@
     }
 
     @Test
-    public void consulHealth() throws Exception {
+    void consulHealth() throws Exception {
         ConsulProtocol consul = ConsulProtocol.forHealth(
                 "a b/ü", 30_000_000, "s3cret", EndpointEntryParser.strict(RegistryFixtures.site(), 0));
         assertEquals(
@@ -144,7 +144,7 @@
     }
 
     @Test
-    public void consulKeyValues() throws Exception {
+    void consulKeyValues() throws Exception {
         ConsulProtocol consul = ConsulProtocol.forKeyValues(
                 "a b/c/", 30_000_000, "s3cret", EndpointEntryParser.strict(RegistryFixtures.site(), 0));
         assertEquals(
@@ -169,7 +169,7 @@
     }
 
     @Test
-    public void etcdRegistration() throws Exception {
+    void etcdRegistration() throws Exception {
         server.respond("{\"ID\":\"77\",\"TTL\":\"1\"}");
         server.respond("{}");
         server.respond("{\"result\":{\"ID\":\"77\",\"TTL\":\"10\"}}\n");
@@ -190,7 +190,7 @@
     }
 
     @Test
-    public void consulRegistration() throws Exception {
+    void consulRegistration() throws Exception {
         server.respond("");
         server.respond("");
         server.respond("");
--- a/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
+++ b/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
@@ -1,16 +1,16 @@
 package magpiehub.discovery;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import magpiehub.concurrent.MonotonicClock;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The registration of a router at the fake registry. */
-public class RouterRegistrationTest {
+class RouterRegistrationTest {
     @Test
-    public void lostRegistrationIsRepeatedAndRemovedAtStop() throws Exception {
+    void lostRegistrationIsRepeatedAndRemovedAtStop() throws Exception {
         for (String kind : List.of("etcd", "consul-kv")) {
             try (FakeRegistry registry = new FakeRegistry(1);
                     RecordingRegistryClient bystander =
@@ -35,8 +35,8 @@
                 assertEquals(1, bystander.counted("registry_announcement_lost"));
                 a.stop(20_000);
                 assertTrue(
-                        bystander.log.toString(),
-                        !announced(registry) && bystander.log.contains("registry-deregistered id n1"));
+                        !announced(registry) && bystander.log.contains("registry-deregistered id n1"),
+                        bystander.log.toString());
             }
         }
     }
--- a/src/test/java/magpiehub/discovery/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -3,9 +3,9 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static magpiehub.ServeTest.hangUp;
 import static magpiehub.ServeTest.until;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
 import java.io.File;
@@ -18,12 +18,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The whole program with a registry: started, moved to another registry by SIGHUP, and stopped. */
-public class ServeRegistryTest {
+class ServeRegistryTest {
     private static final int TIMEOUT_MILLIS = 30_000;
     private static final String REQUEST = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
             + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
@@ -36,12 +35,12 @@
         loopback = InetAddress.getByName("127.0.0.1");
     }
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     /** Writes the settings of the registry; {@code more} are further members. */
     private void writeRegistrySettings(FakeRegistry registry, String more) throws Exception {
-        Path deploy = folder.getRoot().toPath().resolve("deploy");
+        Path deploy = folder.resolve("deploy");
         Files.createDirectories(deploy);
         Files.writeString(
                 deploy.resolve("registry.json"),
@@ -50,7 +49,7 @@
     }
 
     private Process startRouter() throws Exception {
-        Path config = folder.getRoot().toPath().resolve("config.json");
+        Path config = folder.resolve("config.json");
         Files.writeString(
                 config,
                 "{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"seed\":\"7\",\"settings\":"
@@ -61,7 +60,7 @@
                         absoluteClassPath(),
                         "magpiehub.Main",
                         "serve")
-                .directory(folder.getRoot());
+                .directory(folder.toFile());
         builder.environment().put("ROUTER_CONFIG", config.toString());
         builder.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY"));
         return builder.redirectErrorStream(true).start();
@@ -104,7 +103,7 @@
     }
 
     @Test
-    public void servesMovesAndDeregisters() throws Exception {
+    void servesMovesAndDeregisters() throws Exception {
         try (ServerSocket engine = new ServerSocket(0, 8, loopback);
                 FakeRegistry first = new FakeRegistry(1);
                 FakeRegistry second = new FakeRegistry(1)) {
--- a/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -1,7 +1,7 @@
 package magpiehub.discovery.platform;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -20,16 +20,16 @@
 import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.telemetry.SyslogEventLog;
 import magpiehub.upstream.UpstreamPool;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The platform's discovery where the process itself is short of something. */
-public class PlatformDiscoveryTest {
+class PlatformDiscoveryTest {
     /** A watch is requested again up to 0.95 s after one has failed, and 5 s after one that was never ended. */
     private static final int ASKED_AGAIN_MS = 4_000;
 
     /** A call without a thread to read it has failed like any other: the next one begins in time. */
     @Test
-    public void callWithoutAThreadIsFollowedByAnother() throws Exception {
+    void callWithoutAThreadIsFollowedByAnother() throws Exception {
         SiteSettings site = SiteSettingsParser.parse(
                 ConfigurationObject.parse(Files.readAllBytes(Path.of("src/test/resources/site.json")), "settings"));
         SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
@@ -59,7 +59,7 @@
             thread.start();
             try (Socket second = server.accept()) {
                 assertEquals(2, calls.get());
-                assertTrue(log.counters(), log.counters().contains("discovery_failures 1\n"));
+                assertTrue(log.counters().contains("discovery_failures 1\n"), log.counters());
             } finally {
                 thread.interrupt();
             }
--- a/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
@@ -2,9 +2,9 @@
 
 import static magpiehub.discovery.platform.WatchSimulation.MILLIS;
 import static magpiehub.discovery.platform.WatchSimulation.SECONDS;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.SplittableRandom;
@@ -14,19 +14,19 @@
 import magpiehub.discovery.platform.WatchSimulation.SimulatedCall;
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.RoutingRequest;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /**
  * Watches, and the routing policy that requests them, against a simulated discovery: whatever went wrong
  * before, what it has and could deliver is in force 6 s later.
  */
-public class WatchSchedulerTest {
+class WatchSchedulerTest {
     private static final long MAX_DELAY = 6 * SECONDS;
 
     /** An outage of each kind and of drawn length, with a second one soon after, a watch that is lost right
      *  after it opened, or a move; a change at a drawn moment from discovery's return on. */
     @Test
-    public void listIsCurrentInTimeAfterAnOutage() throws Exception {
+    void listIsCurrentInTimeAfterAnOutage() throws Exception {
         for (int seed = 1; seed <= 20; seed++) {
             for (Outage outage : Outage.values()) {
                 SplittableRandom random = new SplittableRandom(seed * 31L + outage.number);
@@ -38,10 +38,10 @@
                 simulation.runUntil(change + MAX_DELAY);
                 for (Router router : simulation.routers) {
                     assertTrue(
+                            router.currentAt >= change,
                             outage + ", seed " + seed + ": told " + (router.currentAt - change) / MILLIS
-                                    + " ms after the change",
-                            router.currentAt >= change);
-                    assertTrue("calls of one router at once: " + router.maxOpenCalls, router.maxOpenCalls <= 3);
+                                    + " ms after the change");
+                    assertTrue(router.maxOpenCalls <= 3, "calls of one router at once: " + router.maxOpenCalls);
                 }
             }
         }
@@ -76,7 +76,7 @@
 
     /** The longest time to a list, from the moment in which discovery can be reached. */
     @Test
-    public void queuedCallIsAnsweredInTimeAfterAnOutage() throws Exception {
+    void queuedCallIsAnsweredInTimeAfterAnOutage() throws Exception {
         for (Outage outage : Outage.values()) {
             for (int seed = 1; seed <= 20; seed++) {
                 WatchSimulation simulation = WatchSimulation.start(30, 10 * MILLIS, seed);
@@ -85,8 +85,8 @@
                 simulation.runUntil(back + MAX_DELAY - WatchSimulation.MAX_QUEUED);
                 for (Router router : simulation.routers) {
                     assertTrue(
-                            outage + ", seed " + seed + ": no room left for an answer that waits",
-                            router.currentAt >= back);
+                            router.currentAt >= back,
+                            outage + ", seed " + seed + ": no room left for an answer that waits");
                 }
             }
         }
@@ -95,7 +95,7 @@
     /** All open watches fall silent in one moment, while discovery serves calls as before: whenever the last
      *  heartbeat was, what they miss is in force 6 s after that moment. */
     @Test
-    public void listIsCurrentInTimeAfterWatchesFallSilent() throws Exception {
+    void listIsCurrentInTimeAfterWatchesFallSilent() throws Exception {
         for (int seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             int routers = new int[] {3, 6, 12, 30, 100}[seed % 5];
@@ -110,24 +110,24 @@
             simulation.runUntil(silent + MAX_DELAY);
             for (Router router : simulation.routers) {
                 assertTrue(
+                        router.currentAt > silent,
                         "seed " + seed + ": last told " + (silent - router.currentAt) / MILLIS
-                                + " ms before the silence",
-                        router.currentAt > silent);
+                                + " ms before the silence");
             }
         }
     }
 
     /** The calls of a fleet to a discovery that is down, and to one that has just come back. */
     @Test
-    public void fleetDoesNotReconnectAtOnce() throws Exception {
+    void fleetDoesNotReconnectAtOnce() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(100, 20 * MILLIS, 3);
         Discovery discovery = simulation.discoveries.get(0);
         simulation.beginOutage(discovery, Outage.REFUSES, simulation.now + 10 * SECONDS);
         int callsBefore = discovery.calls;
         simulation.runUntil(discovery.outageUntil);
         assertTrue(
-                "calls to a discovery that is down, a router and second: " + (discovery.calls - callsBefore) / 1000.0,
-                discovery.calls - callsBefore <= 100 * 10 * 0.8);
+                discovery.calls - callsBefore <= 100 * 10 * 0.8,
+                "calls to a discovery that is down, a router and second: " + (discovery.calls - callsBefore) / 1000.0);
         int most = 0;
         for (int i = 0; i < 60; i++) {
             int from = discovery.calls;
@@ -136,12 +136,12 @@
             }
             most = Math.max(most, discovery.calls - from);
         }
-        assertTrue("calls in 0.1 s after its return: " + most, most <= 20);
+        assertTrue(most <= 20, "calls in 0.1 s after its return: " + most);
     }
 
     /** Nobody can vouch for the list then; sending nothing would make its outage one of service. */
     @Test
-    public void lastListIsUsedDuringAnOutage() throws Exception {
+    void lastListIsUsedDuringAnOutage() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, 5);
         Router router = simulation.routers.get(0);
         simulation.beginOutage(simulation.discoveries.get(0), Outage.NEVER_ANSWERS, Long.MAX_VALUE);
@@ -151,13 +151,13 @@
                     simulation.now,
                     new RoutingRequest(
                             "r" + i, 0, 0, i, 0, simulation.now + 4 * SECONDS, 0, 10, 0, 10, false, false, false));
-            assertEquals("after " + (i + 1) + " s", i + 1, router.sentTo.size());
+            assertEquals(i + 1, router.sentTo.size(), "after " + (i + 1) + " s");
         }
     }
 
     /** A watch that had fallen silent is no reason to stop calling when it delivers again, nor to call later. */
     @Test
-    public void dataOfASilentWatchDelaysNoCall() throws Exception {
+    void dataOfASilentWatchDelaysNoCall() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, 5);
         Discovery discovery = simulation.discoveries.get(0);
         Router router = simulation.routers.get(0);
@@ -183,9 +183,9 @@
                 lastCall = simulation.now;
             }
             assertTrue(
-                    "no call for " + (simulation.now - lastCall) / MILLIS + " ms",
-                    simulation.now - lastCall <= 2_600 * MILLIS);
+                    simulation.now - lastCall <= 2_600 * MILLIS,
+                    "no call for " + (simulation.now - lastCall) / MILLIS + " ms");
         }
-        assertFalse("the silent one counts still", old.closed);
+        assertFalse(old.closed, "the silent one counts still");
     }
 }
--- a/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
@@ -1,6 +1,6 @@
 package magpiehub.discovery.platform;
 
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -107,7 +107,7 @@
             simulation.routers.add(new Router(simulation, settings, seed * 1000 + i));
         }
         simulation.runUntil(START + WARM_UP);
-        simulation.routers.forEach(router -> assertTrue("told before anything fails", router.watch != null));
+        simulation.routers.forEach(router -> assertTrue(router.watch != null, "told before anything fails"));
         return simulation;
     }
 
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -1,6 +1,6 @@
 package magpiehub.dispatch;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,10 +15,10 @@
 import magpiehub.routing.RoutingRequest;
 import magpiehub.routing.RoutingSettings;
 import magpiehub.telemetry.EventLog;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The dispatcher, on a clock that the test sets, with ports that record the order of calls. */
-public class RequestDispatcherTest {
+class RequestDispatcherTest {
     private final List<String> calls = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
     private boolean fleetFails;
@@ -146,7 +146,7 @@
     }
 
     @Test
-    public void aRequestThatThePolicyFailsOnIsAnsweredShortlyAfterItsDeadline() throws InterruptedException {
+    void aRequestThatThePolicyFailsOnIsAnsweredShortlyAfterItsDeadline() throws InterruptedException {
         policyFails = true;
         submitWithEndpoints("a");
         now += 400_000;
@@ -158,24 +158,24 @@
     }
 
     @Test
-    public void aFaultOfTheFleetIsAnAttemptThatNeverRan() throws InterruptedException {
+    void aFaultOfTheFleetIsAnAttemptThatNeverRan() throws InterruptedException {
         fleetFails = true;
         submitWithEndpoints("a");
         assertEquals(List.of("refuse at 1000000"), calls);
     }
 
     @Test
-    public void atTheDeadlineTheConnectionIsClosedBeforeTheAnswer() throws InterruptedException {
+    void atTheDeadlineTheConnectionIsClosedBeforeTheAnswer() throws InterruptedException {
         submitWithEndpoints("a", "b");
         now += 400_000;
         runTurns();
         String first = attempts.get(0).endpointId();
         assertEquals(List.of("start " + first, "abort " + first, "refuse at 1400000"), calls);
-        assertEquals("the body is let go", null, attempts.get(0).payload());
+        assertEquals(null, attempts.get(0).payload(), "the body is let go");
     }
 
     @Test
-    public void noRetryAfterIsNamedWhereTheSiteForbidsIt() throws InterruptedException {
+    void noRetryAfterIsNamedWhereTheSiteForbidsIt() throws InterruptedException {
         dispatcher.updateSettings(
                 settings(true, new RoutingLimits(true, true, false, false, false, 6, 1000, 0, 250_000)));
         fleetFails = true;
@@ -185,7 +185,7 @@
 
     /** The watch is opened at the start, and again a while after each failure. */
     @Test
-    public void aWatchIsKeptOpenWhereEndpointListsArePushed() throws InterruptedException {
+    void aWatchIsKeptOpenWhereEndpointListsArePushed() throws InterruptedException {
         dispatcher.updateSettings(
                 settings(false, RoutingPolicyFixture.settings(1).limits()));
         runTurns();
@@ -201,7 +201,7 @@
     }
 
     @Test
-    public void eventsAfterTheAnswerChangeNothing() throws InterruptedException {
+    void eventsAfterTheAnswerChangeNothing() throws InterruptedException {
         submitWithEndpoints("a");
         now += 400_000;
         runTurns();
@@ -214,31 +214,28 @@
 
     /** The message that says so is still in a mailbox: nothing is started, and what is in progress is closed once. */
     @Test
-    public void nothingBeginsForAClientThatHasGone() throws InterruptedException {
+    void nothingBeginsForAClientThatHasGone() throws InterruptedException {
         clientGone = true;
         submitWithEndpoints("a", "b");
-        assertEquals("before it was taken", List.of(), calls);
+        assertEquals(List.of(), calls, "before it was taken");
         clientGone = false;
         submitWithEndpoints("a", "b");
         String first = attempts.get(0).endpointId();
         clientGone = true;
-        assertEquals(
-                "a connection that comes up now is for nobody",
-                null,
-                attempts.get(0).payload());
+        assertEquals(null, attempts.get(0).payload(), "a connection that comes up now is for nobody");
         dispatcher.attemptEnded(attempts.get(0), AttemptOutcome.ERROR, -1, null);
         runTurns();
         dispatcher.clientGone("r");
         runTurns();
-        assertEquals("no second attempt, and no answer", List.of("start " + first), calls);
+        assertEquals(List.of("start " + first), calls, "no second attempt, and no answer");
         clientGone = false;
         submitWithEndpoints("a", "b");
-        assertEquals("the id is free again", 2, attempts.size());
+        assertEquals(2, attempts.size(), "the id is free again");
     }
 
     /** The client leaves while the policy decides: the decision is not carried out, and no attempt stays open. */
     @Test
-    public void whatIsDecidedWhileAClientLeavesIsNotCarriedOut() throws InterruptedException {
+    void whatIsDecidedWhileAClientLeavesIsNotCarriedOut() throws InterruptedException {
         clientLeavesDuringTurn = true;
         submitWithEndpoints("a");
         assertEquals(List.of(), calls);
@@ -251,7 +248,7 @@
 
     /** A request that was half read at SIGTERM may be complete only then; the process is killed soon after. */
     @Test
-    public void aRequestThatComesAfterTheShutdownIsRefusedAndNotSent() throws InterruptedException {
+    void aRequestThatComesAfterTheShutdownIsRefusedAndNotSent() throws InterruptedException {
         dispatcher.shutDown(true);
         submitWithEndpoints("a");
         assertEquals(List.of("refuse at 1000000"), calls);
@@ -260,7 +257,7 @@
 
     /** What may have had effects is not rejected as if it had none. */
     @Test
-    public void atTheShutdownOnlyWhatMayBeRepeatedIsRefused() throws InterruptedException {
+    void atTheShutdownOnlyWhatMayBeRepeatedIsRefused() throws InterruptedException {
         for (Idempotency effect : Idempotency.values()) {
             for (DeduplicationScope group : DeduplicationScope.values()) {
                 calls.clear();
@@ -272,15 +269,15 @@
                 boolean retryIsSafe = effect == Idempotency.IDEMPOTENT
                         || (effect == Idempotency.IDEMPOTENT_WITH_KEY && group == DeduplicationScope.ALL);
                 assertEquals(
-                        effect + " " + group,
                         List.of("start a", "abort a", (retryIsSafe ? "refuse" : "fail") + " at 1000000"),
-                        calls);
+                        calls,
+                        effect + " " + group);
             }
         }
     }
 
     @Test
-    public void aStartedStreamHasNoDeadlineAndIsMigratedAtTheShutdown() throws InterruptedException {
+    void aStartedStreamHasNoDeadlineAndIsMigratedAtTheShutdown() throws InterruptedException {
         submitWithEndpoints("a");
         dispatcher.streamStarted(attempts.get(0));
         runTurns();
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -1,6 +1,6 @@
 package magpiehub.routing;
 
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Routers in virtual time and replicas that warm up: what all routers together send to one of them. */
-public class ColdFleetTest {
+class ColdFleetTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
     private static final long WARM_UP = 9 * SECOND;
@@ -222,16 +222,16 @@
                     * OVERLOAD_WINDOW
                     / SECOND;
             assertTrue(
+                    to - from <= n + 2 * Math.sqrt(n) + 2,
                     what + ": " + (to - from) + " in a window that allows " + n + ", " + (at.get(from) - since) / 1000
-                            + " ms after the start",
-                    to - from <= n + 2 * Math.sqrt(n) + 2);
+                            + " ms after the start");
         }
         long last = since;
         for (long t : at) {
             // Of chance alone, one in three thousand times of this length has none.
             assertTrue(
-                    what + ": unused for " + (t - last) / 1000 + " ms",
-                    t - last <= 8 * SECOND / (INITIAL_CAPACITY * fleet.requestsPerReplica()));
+                    t - last <= 8 * SECOND / (INITIAL_CAPACITY * fleet.requestsPerReplica()),
+                    what + ": unused for " + (t - last) / 1000 + " ms");
             last = t;
         }
     }
@@ -241,7 +241,7 @@
     }
 
     @Test
-    public void theSumOfAllRoutersStaysWithinTheBudget() {
+    void theSumOfAllRoutersStaysWithinTheBudget() {
         for (int routers : new int[] {3, 12, 30, 100}) {
             double got = 0;
             double due = 0;
@@ -261,13 +261,13 @@
                     due += fairShare(fleet);
                 }
             }
-            assertTrue(routers + " routers send cold servers " + got / due + " of their due", got >= 0.6 * due);
+            assertTrue(got >= 0.6 * due, routers + " routers send cold servers " + got / due + " of their due");
         }
     }
 
     /** Little and uneven traffic: no router sends any one replica a request in ten seconds. */
     @Test
-    public void routersThatSendLittleUseAColdServerTogether() {
+    void routersThatSendLittleUseAColdServerTogether() {
         double got = 0;
         double due = 0;
         for (int seed = 1; seed <= 20; seed++) {
@@ -285,13 +285,13 @@
                 due += fairShare(fleet);
             }
         }
-        assertTrue("of their due: " + got / due, got >= 0.6 * due);
+        assertTrue(got >= 0.6 * due, "of their due: " + got / due);
     }
 
     /** The hard case: thirty routers that send one warming replica their first requests in one moment,
      *  since no other is left, or since all of them have the first requests of one new prefix. */
     @Test
-    public void firstRequestsOfThirtyRoutersInOneWindow() {
+    void firstRequestsOfThirtyRoutersInOneWindow() {
         for (int seed = 1; seed <= 20; seed++) {
             for (long after : new long[] {100_000, 2 * SECOND, 5 * SECOND, 8 * SECOND}) {
                 for (boolean prefix : new boolean[] {false, true}) {
@@ -329,9 +329,9 @@
                             * OVERLOAD_WINDOW
                             / SECOND;
                     assertTrue(
+                            n <= may + 2 * Math.sqrt(may) + 2,
                             n + " at once, " + may + " allowed " + (fleet.now - since) / 1000
-                                    + " ms after the start, seed " + seed + ", prefix " + prefix,
-                            n <= may + 2 * Math.sqrt(may) + 2);
+                                    + " ms after the start, seed " + seed + ", prefix " + prefix);
                 }
             }
         }
--- a/src/test/java/magpiehub/routing/ZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -1,18 +1,18 @@
 package magpiehub.routing;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNotEquals;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** How the policy serves a ZoneHealth that plans for the loss of a zone. */
-public class ZoneHealthTest {
+class ZoneHealthTest {
     /** Zones that stand as the test says. */
     private static final class ScriptedZones implements ZoneHealth {
         final double[] share = {1, 1};
@@ -125,39 +125,39 @@
     }
 
     @Test
-    public void whatWaitsAtALostZoneIsGivenUpAndGoesElsewhereAtOnce() {
+    void whatWaitsAtALostZoneIsGivenUpAndGoesElsewhereAtOnce() {
         String id = requestInSecondZone();
         zones.closeSecondZone(router.now + 1);
         router.advance(100_000);
-        assertEquals("given up once", List.of(id + "/0"), router.cancelledAttempts);
+        assertEquals(List.of(id + "/0"), router.cancelledAttempts, "given up once");
         router.endAttempt(id, AttemptOutcome.CANCELLED);
-        assertTrue(router.replicaOf(id), router.replicaOf(id).startsWith("a"));
+        assertTrue(router.replicaOf(id).startsWith("a"), router.replicaOf(id));
         assertNull(router.finalAnswers.get(id));
     }
 
     /** An attempt that is stopped before its first byte since its replica drains tells nothing of its
      *  zone. */
     @Test
-    public void aReplicaThatDrainsUnderAnAttemptIsNoSignOfALostZone() {
+    void aReplicaThatDrainsUnderAnAttemptIsNoSignOfALostZone() {
         String id = requestInSecondZone();
         String at = router.replicaOf(id);
         zones.evidence.clear();
         router.policy.onEndpoints(
                 router.now, EndpointListKind.CHANGES, List.of(new Endpoint(at, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
         router.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
-        assertEquals("only that it is another one now", List.of(at + " fresh"), zones.evidence);
-        assertNotEquals("the request goes elsewhere", at, router.replicaOf(id));
+        assertEquals(List.of(at + " fresh"), zones.evidence, "only that it is another one now");
+        assertNotEquals(at, router.replicaOf(id), "the request goes elsewhere");
     }
 
     @Test
-    public void whatTheHostCancelledByItselfIsNotTriedAgain() {
+    void whatTheHostCancelledByItselfIsNotTriedAgain() {
         String id = requestInSecondZone();
         router.endAttempt(id, AttemptOutcome.CANCELLED);
         assertEquals("refused", router.finalAnswers.get(id));
     }
 
     @Test
-    public void aStreamThatHasBegunAtALostZoneIsLeftAlone() {
+    void aStreamThatHasBegunAtALostZoneIsLeftAlone() {
         String id = requestInSecondZone();
         router.startStream(id, 50_000);
         zones.closeSecondZone(router.now + 1);
@@ -166,7 +166,7 @@
     }
 
     @Test
-    public void silenceIsToldOnceWhileItLasts() {
+    void silenceIsToldOnceWhileItLasts() {
         String id = requestInSecondZone();
         router.advance(3 * RoutingPolicyFixture.SECOND);
         assertEquals(
@@ -177,7 +177,7 @@
     }
 
     @Test
-    public void aZoneTakesTheSamePartOfTheConversationsAtEachStepAndMoreLater() {
+    void aZoneTakesTheSamePartOfTheConversationsAtEachStepAndMoreLater() {
         Set<Long> before = new HashSet<>();
         zones.share[1] = 0.25;
         for (long session = 1; session <= 200; session++) {
@@ -187,9 +187,9 @@
         }
         for (long session = 1; session <= 200; session++) {
             assertEquals(
-                    "its next turn goes where it was",
                     before.contains(session),
-                    router.serve(0, session * 7919).startsWith("b"));
+                    router.serve(0, session * 7919).startsWith("b"),
+                    "its next turn goes where it was");
         }
         zones.share[1] = 1;
         Set<Long> later = new HashSet<>();
@@ -199,12 +199,12 @@
                 later.add(session);
             }
         }
-        assertTrue("those of a smaller step are among them", later.containsAll(before));
+        assertTrue(later.containsAll(before), "those of a smaller step are among them");
         assertNotEquals(before.size(), later.size());
     }
 
     @Test
-    public void healthChecksAreAskedOfTheZoneAndTrialsTooWhereTheyMayBe() {
+    void healthChecksAreAskedOfTheZoneAndTrialsTooWhereTheyMayBe() {
         zones.checks = 3;
         router.advance(50_000);
         router.advance(50_000);
@@ -226,21 +226,21 @@
     }
 
     @Test
-    public void whereThereAreNoHealthChecksOneRequestIsTheTrial() {
+    void whereThereAreNoHealthChecksOneRequestIsTheTrial() {
         router = router(false);
         zones.closeSecondZone(router.now);
         zones.tries = true;
         String trial = router.submit(0, 5);
         assertTrue(router.replicaOf(trial).startsWith("b"));
-        assertTrue("one", router.replicaOf(router.submit(0, 6)).startsWith("a"));
+        assertTrue(router.replicaOf(router.submit(0, 6)).startsWith("a"), "one");
         router.advance(200_000);
-        assertEquals("it has its time", List.of(), router.cancelledAttempts);
+        assertEquals(List.of(), router.cancelledAttempts, "it has its time");
         router.advance(RoutingPolicyFixture.SECOND);
-        assertEquals("silent, it is given up", List.of(trial + "/0"), router.cancelledAttempts);
+        assertEquals(List.of(trial + "/0"), router.cancelledAttempts, "silent, it is given up");
     }
 
     @Test
-    public void aZoneThatIsBackIsMetAsIfNothingHadBeenLearntMeanwhile() {
+    void aZoneThatIsBackIsMetAsIfNothingHadBeenLearntMeanwhile() {
         for (int i = 0; i < 4; i++) {
             String id = requestInSecondZone();
             router.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
--- a/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
+++ b/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
@@ -1,10 +1,10 @@
 package magpiehub.sites;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -14,16 +14,15 @@
 import magpiehub.config.ConfigurationException;
 import magpiehub.routing.ZoneEvidence;
 import magpiehub.telemetry.EventLog;
-import org.junit.Rule;
-import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** The settings file, the answers to the routing decisions, the log and the operators' withdrawals. */
-public class SiteFailoverPlanTest {
+class SiteFailoverPlanTest {
     private static final long SECOND = 1_000_000;
 
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
+    @TempDir
+    Path folder;
 
     private final List<String> logged = new ArrayList<>();
     private final SiteFailoverPlan plan = new SiteFailoverPlan(
@@ -40,23 +39,23 @@
             });
 
     private SiteFailoverSettings readSettings(String json) throws Exception {
-        Path f = folder.newFile().toPath();
+        Path f = Files.createTempFile(folder, "junit", ".tmp");
         Files.writeString(f, json);
         return SiteFailoverSettings.read(f);
     }
 
     @Test
-    public void theFileSetsWhatItNamesAndAMalformedOneIsRejected() throws Exception {
-        assertNull(SiteFailoverSettings.read(folder.getRoot().toPath().resolve("none.json")));
+    void theFileSetsWhatItNamesAndAMalformedOneIsRejected() throws Exception {
+        assertNull(SiteFailoverSettings.read(folder.resolve("none.json")));
         assertEquals(SiteFailoverSettings.DEFAULTS, readSettings("{}"));
         assertEquals(2_500_000, readSettings("{\"trialMs\":2500}").trialIntervalMicros());
         for (String bad : List.of("{\"trial\":1}", "{\"engines\":0}", "{\"slow\":\"x\"}", "{\"stepMs\":-1}", "{")) {
-            assertThrows(bad, ConfigurationException.class, () -> readSettings(bad));
+            assertThrows(ConfigurationException.class, () -> readSettings(bad), bad);
         }
     }
 
     @Test
-    public void aLossIsLoggedWithItsCauseAndSuspendsTheSiteUntilItAnswers() {
+    void aLossIsLoggedWithItsCauseAndSuspendsTheSiteUntilItAnswers() {
         plan.setZoneCount(3);
         for (int i = 0; i < 3; i++) {
             plan.setReplicaCount(0, i, 8);
@@ -67,32 +66,34 @@
         }
         assertEquals(0, plan.siteNames().indexOf("north"));
         assertTrue(
-                logged.toString(),
                 logged.contains("site name south from doubted to lost cause no_connection")
-                        && logged.contains("site_lost"));
+                        && logged.contains("site_lost"),
+                logged.toString());
         assertFalse(plan.accepts(2 * SECOND, 1, 0));
         assertTrue(plan.accepts(2 * SECOND, 2, 0.99));
-        assertTrue("since it was seen", plan.closedSince(1) <= SECOND + 60_000);
+        assertTrue(plan.closedSince(1) <= SECOND + 60_000, "since it was seen");
         plan.advance(2 * SECOND);
         assertEquals("lost share=0% cause=no_connection", plan.siteStatus().get("south"));
         assertTrue(plan.metrics().contains("site_south lost share=0% cause=no_connection\n"));
         plan.recordEvidence(4 * SECOND, 1, "s1", ZoneEvidence.ANSWERED, 1_000, 1);
         assertEquals(Long.MAX_VALUE, plan.closedSince(1));
-        assertTrue("a tenth first", plan.accepts(4 * SECOND, 1, 0.09) && !plan.accepts(4 * SECOND, 1, 0.11));
+        assertTrue(plan.accepts(4 * SECOND, 1, 0.09) && !plan.accepts(4 * SECOND, 1, 0.11), "a tenth first");
     }
 
     @Test
-    public void aWithdrawalEmptiesASiteGraduallyAndItsReturnGoesInSteps() {
+    void aWithdrawalEmptiesASiteGraduallyAndItsReturnGoesInSteps() {
         plan.setZoneCount(3);
         plan.advance(SECOND);
         plan.setWithdrawnSites(Set.of("west"));
         plan.advance(2 * SECOND);
-        assertTrue("at first nearly all", plan.accepts(2 * SECOND + 100_000, 2, 0.9));
-        assertFalse("then none", plan.accepts(6 * SECOND, 2, 0));
+        assertTrue(plan.accepts(2 * SECOND + 100_000, 2, 0.9), "at first nearly all");
+        assertFalse(plan.accepts(6 * SECOND, 2, 0), "then none");
         assertTrue(plan.accepts(6 * SECOND, 1, 0.99));
         plan.setWithdrawnSites(Set.of());
         plan.advance(7 * SECOND);
-        assertTrue(plan.siteStatus().get("west"), plan.siteStatus().get("west").startsWith("returning share=10%"));
-        assertTrue("a zone that the file did not name is the module's", plan.accepts(7 * SECOND, 9, 1));
+        assertTrue(
+                plan.siteStatus().get("west").startsWith("returning share=10%"),
+                plan.siteStatus().get("west"));
+        assertTrue(plan.accepts(7 * SECOND, 9, 1), "a zone that the file did not name is the module's");
     }
 }
--- a/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -1,14 +1,14 @@
 package magpiehub.sites;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import magpiehub.routing.ZoneEvidence;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Drives the tracker directly: three sites, the router's own is 0. */
-public class SiteHealthTrackerTest {
+class SiteHealthTrackerTest {
     private static final SiteFailoverSettings SETTINGS = SiteFailoverSettings.DEFAULTS;
     private static final long MILLIS = 1_000;
     private final SiteHealthTracker tracker = new SiteHealthTracker(SETTINGS, 3, 0, 7);
@@ -42,22 +42,22 @@
     }
 
     @Test
-    public void aSiteIsLostOnceEnoughEnginesFailAndAnotherSiteAnswers() {
+    void aSiteIsLostOnceEnoughEnginesFailAndAnotherSiteAnswers() {
         fail(1, 2, ZoneEvidence.NO_CONNECTION);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
-        assertEquals(0.5, tracker.share(1, now), 0);
+        assertEquals(0.5, tracker.share(1, now));
         assertEquals(
-                "the rest of the evidence is asked for",
                 SETTINGS.failedReplicasForLoss() + 1,
-                tracker.takeHealthChecks(1));
+                tracker.takeHealthChecks(1),
+                "the rest of the evidence is asked for");
         assertEquals(0, tracker.takeHealthChecks(1));
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.NO_CONNECTION);
-        assertEquals("nobody has told a loss from a cut yet", SiteState.SUSPECT, tracker.state(1));
-        assertEquals(0, tracker.share(1, now), 0);
-        assertEquals("so the third site is asked", 1, tracker.takeHealthChecks(2));
+        assertEquals(SiteState.SUSPECT, tracker.state(1), "nobody has told a loss from a cut yet");
+        assertEquals(0, tracker.share(1, now));
+        assertEquals(1, tracker.takeHealthChecks(2), "so the third site is asked");
         answer(2);
-        assertEquals("the paths may have come back meanwhile", SiteState.SUSPECT, tracker.state(1));
-        assertEquals("so it is asked once more", 1, tracker.takeHealthChecks(1));
+        assertEquals(SiteState.SUSPECT, tracker.state(1), "the paths may have come back meanwhile");
+        assertEquals(1, tracker.takeHealthChecks(1), "so it is asked once more");
         assertEquals(0, tracker.takeHealthChecks(1));
         fail(1, 1, ZoneEvidence.NO_CONNECTION);
         answer(2);
@@ -68,7 +68,7 @@
 
     /** When an isolation of the router ends, the first site that answers does not prove that the others are lost. */
     @Test
-    public void noSiteIsLostWhenAnIsolationEnds() {
+    void noSiteIsLostWhenAnIsolationEnds() {
         for (int i = 0; i < SETTINGS.failedReplicasForLoss(); i++) {
             fail(1, i + 1, ZoneEvidence.NO_CONNECTION);
             fail(2, i + 1, ZoneEvidence.NO_CONNECTION);
@@ -85,16 +85,16 @@
     }
 
     @Test
-    public void theOwnSitesAnswersDoNotConfirmALoss() {
+    void theOwnSitesAnswersDoNotConfirmALoss() {
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.NO_CONNECTION);
         answer(0);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
-        assertEquals(0, tracker.share(1, now), 0);
+        assertEquals(0, tracker.share(1, now));
     }
 
     /** The router's site is cut off from the others, and its own engines answer: no site is lost. */
     @Test
-    public void anIsolatedRouterCallsNoSiteLost() {
+    void anIsolatedRouterCallsNoSiteLost() {
         for (int i = 0; i < SETTINGS.failedReplicasForLoss(); i++) {
             fail(1, i + 1, ZoneEvidence.NO_CONNECTION);
             fail(2, i + 1, ZoneEvidence.NO_CONNECTION);
@@ -104,20 +104,20 @@
         assertTrue(tracker.isRouterIsolated());
         for (int other = 1; other < 3; other++) {
             assertEquals(SiteState.SUSPECT, tracker.state(other));
-            assertEquals(0, tracker.share(other, now), 0);
+            assertEquals(0, tracker.share(other, now));
         }
-        assertEquals(1, tracker.share(0, now), 0);
+        assertEquals(1, tracker.share(0, now));
         answer(1);
-        assertEquals("by steps, after so long", SiteState.RECOVERING, tracker.state(1));
+        assertEquals(SiteState.RECOVERING, tracker.state(1), "by steps, after so long");
     }
 
     @Test
-    public void twoOfThreeSitesAreLostOnceTheEndpointListNamesNoneOfTheirReplicas() {
+    void twoOfThreeSitesAreLostOnceTheEndpointListNamesNoneOfTheirReplicas() {
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.SILENCE);
         fail(2, SETTINGS.failedReplicasForLoss(), ZoneEvidence.SILENCE);
         answer(0);
         tracker.onListed(now, 1, 0, 20_000_000);
-        assertEquals("an old list says nothing", SiteState.SUSPECT, tracker.state(1));
+        assertEquals(SiteState.SUSPECT, tracker.state(1), "an old list says nothing");
         tracker.onListed(now, 1, 0, 1_000_000);
         tracker.onListed(now, 2, 0, 1_000_000);
         pass(SETTINGS.evidenceWindowMicros());
@@ -127,7 +127,7 @@
     }
 
     @Test
-    public void theOwnSiteCanBeLost() {
+    void theOwnSiteCanBeLost() {
         fail(0, SETTINGS.failedReplicasForLoss(), ZoneEvidence.NO_CONNECTION);
         answer(1);
         fail(0, 1, ZoneEvidence.NO_CONNECTION);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    public void slownessOfAllSitesIsNoLoss() {
+    void slownessOfAllSitesIsNoLoss() {
         for (int i = 0; i < 40; i++) {
             for (int site = 0; site < 3; site++) {
                 now += 20 * MILLIS;
@@ -164,7 +164,7 @@
     }
 
     @Test
-    public void oneSlowSiteIsSuspectAndNeverLost() {
+    void oneSlowSiteIsSuspectAndNeverLost() {
         for (int i = 0; i < 60; i++) {
             answer(2);
             now += 20 * MILLIS;
@@ -178,7 +178,7 @@
 
     /** Faulty replicas are no faulty site, however many requests they get. */
     @Test
-    public void aFewFaultyReplicasAreNoLoss() {
+    void aFewFaultyReplicasAreNoLoss() {
         for (int i = 0; i < 50; i++) {
             fail(1, 3, ZoneEvidence.ERROR);
             answer(2);
@@ -189,7 +189,7 @@
     }
 
     @Test
-    public void oldEvidenceExpires() {
+    void oldEvidenceExpires() {
         fail(1, 2, ZoneEvidence.NO_CONNECTION);
         pass(SETTINGS.evidenceWindowMicros() + 100 * MILLIS);
         assertEquals(SiteState.HEALTHY, tracker.state(1));
@@ -197,7 +197,7 @@
     }
 
     @Test
-    public void anEndpointListWithoutTheSiteIsNoLossWhileTheSiteAnswers() {
+    void anEndpointListWithoutTheSiteIsNoLossWhileTheSiteAnswers() {
         answer(1);
         tracker.onListed(now, 1, 0, 0);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
@@ -207,19 +207,19 @@
             assertTrue(tracker.state(1) != SiteState.LOST);
         }
         pass(SETTINGS.evidenceWindowMicros() + 100 * MILLIS);
-        assertEquals("nothing has come for a while", SiteState.LOST, tracker.state(1));
+        assertEquals(SiteState.LOST, tracker.state(1), "nothing has come for a while");
     }
 
     @Test
-    public void recoveryGoesInStepsAndBackWhenItGoesBadly() {
+    void recoveryGoesInStepsAndBackWhenItGoesBadly() {
         lose(1);
         answer(1);
         assertEquals(SiteState.RECOVERING, tracker.state(1));
-        assertEquals(0.1, tracker.share(1, now), 0);
+        assertEquals(0.1, tracker.share(1, now));
         for (double share : new double[] {0.25, 0.5}) {
             answer(1);
             pass(SETTINGS.rampStepMicros() + 50 * MILLIS);
-            assertEquals(share, tracker.share(1, now), 0);
+            assertEquals(share, tracker.share(1, now));
         }
         for (int i = 0; i < 4; i++) {
             answer(2);
@@ -227,18 +227,18 @@
             tracker.onEvidence(now, 1, "1." + i, ZoneEvidence.ANSWERED, 5 * MILLIS, 9);
         }
         tracker.onTick(now);
-        assertEquals(0.25, tracker.share(1, now), 0);
+        assertEquals(0.25, tracker.share(1, now));
         for (int i = 0; i < 3; i++) {
             answer(1);
             pass(SETTINGS.rampStepMicros() + 50 * MILLIS);
         }
         assertEquals(SiteState.HEALTHY, tracker.state(1));
-        assertEquals("four changes an event", 4, tracker.takeTransitions().size());
+        assertEquals(4, tracker.takeTransitions().size(), "four changes an event");
     }
 
     /** Lost again at half of its ramp: each loss waits longer, up to the bound. */
     @Test
-    public void aSiteThatFlapsWaitsLongerEachTime() {
+    void aSiteThatFlapsWaitsLongerEachTime() {
         long before = 0;
         for (int flap = 0; flap < 8; flap++) {
             lose(1);
@@ -254,16 +254,16 @@
                                     SETTINGS.maxTrialIntervalMicros(), SETTINGS.trialIntervalMicros() << (2 * flap)));
             assertTrue(flap > 3 || waited > before);
             before = waited;
-            assertFalse("one trial at a time", tracker.takeTrial(1, now));
+            assertFalse(tracker.takeTrial(1, now), "one trial at a time");
             answer(1);
             assertEquals(SiteState.RECOVERING, tracker.state(1));
         }
     }
 
     @Test
-    public void aWithdrawalEmptiesASiteGraduallyAndOutlastsALoss() {
+    void aWithdrawalEmptiesASiteGraduallyAndOutlastsALoss() {
         tracker.withdraw(now, 1);
-        assertEquals(1, tracker.share(1, now), 0);
+        assertEquals(1, tracker.share(1, now));
         now += SETTINGS.withdrawalMicros() / 2;
         assertEquals(0.5, tracker.share(1, now), 0.01);
         fail(2, SETTINGS.failedReplicasForLoss(), ZoneEvidence.NO_CONNECTION);
@@ -271,12 +271,12 @@
         answer(1);
         fail(2, 1, ZoneEvidence.NO_CONNECTION);
         answer(1);
-        assertEquals("another site is lost meanwhile", SiteState.LOST, tracker.state(2));
+        assertEquals(SiteState.LOST, tracker.state(2), "another site is lost meanwhile");
         pass(SETTINGS.withdrawalMicros());
         assertEquals(SiteState.WITHDRAWN, tracker.state(1));
-        assertEquals(0, tracker.share(1, now), 0);
-        assertFalse("no trials go there", tracker.takeTrial(1, now));
+        assertEquals(0, tracker.share(1, now));
+        assertFalse(tracker.takeTrial(1, now), "no trials go there");
         tracker.reinstate(now, 1);
-        assertEquals(0.1, tracker.share(1, now), 0);
+        assertEquals(0.1, tracker.share(1, now));
     }
 }
--- a/src/test/java/magpiehub/sites/SiteLabelsTest.java
+++ b/src/test/java/magpiehub/sites/SiteLabelsTest.java
@@ -1,22 +1,22 @@
 package magpiehub.sites;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Arrays;
 import java.util.List;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The names in log events, counters and answers to operators, which must stay as tools know them. */
-public class SiteLabelsTest {
+class SiteLabelsTest {
     @Test
-    public void labelsOfStates() {
+    void labelsOfStates() {
         assertEquals(
                 List.of("whole", "doubted", "lost", "returning", "out"),
                 Arrays.stream(SiteState.values()).map(SiteState::label).toList());
     }
 
     @Test
-    public void labelsOfCauses() {
+    void labelsOfCauses() {
         assertEquals(
                 List.of(
                         "no_connection",
--- a/src/test/java/magpiehub/store/KeyValueStoreTest.java
+++ b/src/test/java/magpiehub/store/KeyValueStoreTest.java
@@ -1,8 +1,8 @@
 package magpiehub.store;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,11 +16,11 @@
 import java.util.function.BooleanSupplier;
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.telemetry.SyslogEventLog;
-import org.junit.After;
-import org.junit.Test;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
 
 /** Replicas on loopback: replication and conflict resolution. */
-public class KeyValueStoreTest {
+class KeyValueStoreTest {
     private final List<LastWriteWinsStore> replicas = new ArrayList<>();
     private final SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
 
@@ -37,7 +37,7 @@
 
     private static void await(BooleanSupplier condition) {
         for (int i = 0; !condition.getAsBoolean(); i++) {
-            assertTrue("never came", i < 40_000);
+            assertTrue(i < 40_000, "never came");
             LockSupport.parkNanos(500_000);
         }
     }
@@ -48,13 +48,13 @@
         }
     }
 
-    @After
-    public void end() {
+    @AfterEach
+    void end() {
         replicas.forEach(LastWriteWinsStore::close);
     }
 
     @Test
-    public void writesReachReplicasThroughOthers() throws IOException {
+    void writesReachReplicasThroughOthers() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
         LastWriteWinsStore c = replica("c", 0);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    public void concurrentWritesConvergeToTheSameValue() throws IOException {
+    void concurrentWritesConvergeToTheSameValue() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
         a.put("k", "from a");
@@ -78,11 +78,11 @@
         link(a, b);
         link(b, a);
         await(() -> "from b".equals(a.get("k")));
-        assertEquals("the higher name wins a tie", "from b", b.get("k"));
+        assertEquals("from b", b.get("k"), "the higher name wins a tie");
     }
 
     @Test
-    public void anOlderWriteDoesNotRestoreARemovedKey() throws IOException {
+    void anOlderWriteDoesNotRestoreARemovedKey() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         a.put("k", "1");
         a.put("k", null);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void aReplicaThatRestartsEmptyReceivesAllEntries() throws IOException {
+    void aReplicaThatRestartsEmptyReceivesAllEntries() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
         link(a, b);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void anOperatorsWriteGetsItsTimestampFromTheReplica() throws IOException {
+    void anOperatorsWriteGetsItsTimestampFromTheReplica() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         a.put("k", "1");
         send(a, "{\"key\":\"k\",\"value\":\"2\"}");
@@ -116,7 +116,7 @@
     }
 
     @Test
-    public void aMalformedLineEndsItsOwnConnectionOnly() throws IOException {
+    void aMalformedLineEndsItsOwnConnectionOnly() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         send(a, "{\"key\":");
         send(a, "{\"key\":\"k\",\"count\":\"x\",\"by\":\"z\"}");
--- a/src/test/java/magpiehub/store/StoreMessageCodecTest.java
+++ b/src/test/java/magpiehub/store/StoreMessageCodecTest.java
@@ -1,14 +1,14 @@
 package magpiehub.store;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.io.IOException;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The wire form: lines that the program of 2 December 2026 sent, before its classes were rearranged. */
-public class StoreMessageCodecTest {
+class StoreMessageCodecTest {
     private static final String RECORDED_WRITE =
             "{\"key\":\"messages/model/a\",\"value\":\"\\\"quoted\\\" \u00fc\",\"count\":\"1\",\"by\":\"router-1\"}";
     private static final String RECORDED_REMOVAL = "{\"key\":\"router/1\",\"count\":\"3\",\"by\":\"router-1\"}";
@@ -22,25 +22,25 @@
     }
 
     @Test
-    public void encodesTheRecordedLines() {
+    void encodesTheRecordedLines() {
         assertEquals(RECORDED_WRITE + "\n", new String(StoreMessageCodec.encode("messages/model/a", WRITE), UTF_8));
         assertEquals(RECORDED_REMOVAL + "\n", new String(StoreMessageCodec.encode("router/1", REMOVAL), UTF_8));
     }
 
     @Test
-    public void decodesTheRecordedLines() throws IOException {
+    void decodesTheRecordedLines() throws IOException {
         assertEquals(new StoreMessage.ReplicatedWrite("messages/model/a", WRITE), decode(RECORDED_WRITE));
         assertEquals(new StoreMessage.ReplicatedWrite("router/1", REMOVAL), decode(RECORDED_REMOVAL));
     }
 
     @Test
-    public void aLineWithoutAReplicaIsAnOperatorsWrite() throws IOException {
+    void aLineWithoutAReplicaIsAnOperatorsWrite() throws IOException {
         assertEquals(new StoreMessage.OperatorWrite("k", "v"), decode("{\"key\":\"k\",\"value\":\"v\"}"));
         assertEquals(new StoreMessage.OperatorWrite("k", null), decode("{\"key\":\"k\"}"));
     }
 
     @Test
-    public void malformedLinesAreRejected() {
+    void malformedLinesAreRejected() {
         assertThrows(IOException.class, () -> decode("{\"value\":\"v\"}"));
         assertThrows(RuntimeException.class, () -> decode("{\"key\":\"k\",\"count\":\"x\",\"by\":\"z\"}"));
     }
