--- a/src/test/java/magpiehub/streaming/BufferBudgetTest.java
+++ b/src/test/java/magpiehub/streaming/BufferBudgetTest.java
@@ -1,30 +1,30 @@
 package magpiehub.streaming;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertNull;
-import static org.junit.Assert.assertSame;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The buffer budget, driven directly. */
-public class BufferBudgetTest {
+class BufferBudgetTest {
     private static final long SECOND = 1_000_000;
 
     @Test
-    public void theStreamThatLagsMostIsTheVictimAndNeverOneThatKeepsUp() {
+    void theStreamThatLagsMostIsTheVictimAndNeverOneThatKeepsUp() {
         BufferBudget<Object> budget = new BufferBudget<>(1 << 20);
         StreamBuffer<Object> stuck = budget.open("stuck", 1 << 20, 0);
         StreamBuffer<Object> slow = budget.open("slow", 1 << 20, 0);
         StreamBuffer<Object> fine = budget.open("fine", 1 << 20, 0);
         budget.receive(stuck, 500_000, 0);
         budget.receive(slow, 540_000, 3 * SECOND);
-        assertNull("nothing is short", budget.selectVictim(3 * SECOND));
+        assertNull(budget.selectVictim(3 * SECOND), "nothing is short");
         budget.receive(fine, 20_000, 4 * SECOND);
         assertSame(stuck, budget.selectVictim(4 * SECOND));
         budget.close(stuck);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    public void newStreamsAreRejectedBeforeTheBudgetIsOverrun() {
+    void newStreamsAreRejectedBeforeTheBudgetIsOverrun() {
         BufferBudget<Object> budget = new BufferBudget<>(10 * BufferBudget.KEEPING_UP_BYTES);
         int streams = 0;
         for (; budget.hasCapacityForStream(0); streams++) {
@@ -51,12 +51,12 @@
         assertEquals(10 * BufferBudget.KEEPING_UP_BYTES / BufferBudget.RESERVED_BYTES, streams);
         BufferBudget<Object> other = new BufferBudget<>(10 * BufferBudget.KEEPING_UP_BYTES);
         other.receive(other.open("large", 1 << 20, 0), 10 * BufferBudget.KEEPING_UP_BYTES - 1, 0);
-        assertFalse("what one in step holds counts as it is", other.hasCapacityForStream(0));
-        assertTrue("for one that stays behind, room is made", other.hasCapacityForStream(SECOND));
+        assertFalse(other.hasCapacityForStream(0), "what one in step holds counts as it is");
+        assertTrue(other.hasCapacityForStream(SECOND), "for one that stays behind, room is made");
     }
 
     @Test
-    public void everyByteIsCountedOnce() {
+    void everyByteIsCountedOnce() {
         SplittableRandom random = new SplittableRandom(8);
         BufferBudget<Object> budget = new BufferBudget<>(4 << 20);
         List<StreamBuffer<Object>> open = new ArrayList<>();
@@ -86,19 +86,19 @@
             long sum =
                     open.stream().mapToLong(StreamBuffer<Object>::bufferedBytes).sum();
             assertEquals(sum, budget.bufferedBytes());
-            assertTrue("overrun", sum <= budget.totalBytes() + open.size() * (BufferBudget.MIN_SHARE_BYTES + 30_000L));
+            assertTrue(sum <= budget.totalBytes() + open.size() * (BufferBudget.MIN_SHARE_BYTES + 30_000L), "overrun");
         }
         StreamBuffer<Object> buffer = budget.open("", 1, 0);
         assertThrows(IllegalStateException.class, () -> budget.deliver(buffer, 1, 0));
     }
 
     @Test
-    public void aClientIsStalledOnceItTakesNothingThoughBytesWait() {
+    void aClientIsStalledOnceItTakesNothingThoughBytesWait() {
         BufferBudget<Object> budget = new BufferBudget<>(1 << 20);
         StreamBuffer<Object> buffer = budget.open("", 1 << 20, 0);
-        assertEquals("nothing waits", 0, buffer.stalledMicros(100 * SECOND));
+        assertEquals(0, buffer.stalledMicros(100 * SECOND), "nothing waits");
         budget.receive(buffer, 100, 100 * SECOND);
-        assertEquals("the time before bytes came is not the reader's", 2 * SECOND, buffer.stalledMicros(102 * SECOND));
+        assertEquals(2 * SECOND, buffer.stalledMicros(102 * SECOND), "the time before bytes came is not the reader's");
         budget.deliver(buffer, 1, 103 * SECOND);
         assertEquals(SECOND, buffer.stalledMicros(104 * SECOND));
         budget.deliver(buffer, 99, 105 * SECOND);
--- a/src/test/java/magpiehub/streaming/FlowControllerTest.java
+++ b/src/test/java/magpiehub/streaming/FlowControllerTest.java
@@ -1,7 +1,7 @@
 package magpiehub.streaming;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -10,10 +10,10 @@
 import magpiehub.config.SiteSettings;
 import magpiehub.config.SiteSettingsParser;
 import magpiehub.telemetry.SyslogEventLog;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Races between the two sides of a stream; a simulated clock forces the moments between two steps under the lock. */
-public class FlowControllerTest {
+class FlowControllerTest {
     private static final long SECOND = 1_000_000;
     private static final long PAUSE = 10 * SECOND;
     private static final int BUFFER = 64 * 1024;
@@ -47,7 +47,7 @@
 
     /** The client pauses, and goes on: at no moment in between is its upstream taken for silent. */
     @Test
-    public void anUpstreamThatIsNotReadFromIsNeverSilent() throws Exception {
+    void anUpstreamThatIsNotReadFromIsNeverSilent() throws Exception {
         RacingClock clock = new RacingClock();
         SiteSettings site = readSite();
         String json = "{\"buffer_kb\":" + BUFFER / 1024 + ",\"pause_ms\":" + 2 * PAUSE / 1000 + "}";
@@ -66,9 +66,9 @@
             checks[0]++;
             long until = controller.silenceDeadline(flow, "e", true, lastByteAt, lastByteAt, clock.now);
             assertTrue(
+                    until > clock.now || clock.now == lastByteAt,
                     "silent " + (clock.now - until) + " us ago, " + (clock.now - lastByteAt) / SECOND
-                            + " s into the pause",
-                    until > clock.now || clock.now == lastByteAt);
+                            + " s into the pause");
         };
         clock.whileWaiting = () -> {
             if (clock.now >= lastByteAt + PAUSE) {
@@ -76,7 +76,7 @@
             }
         };
         controller.reserveCapacity(flow, 1);
-        assertTrue("the pause is over", clock.now >= lastByteAt + PAUSE);
-        assertTrue("looks: " + checks[0], checks[0] > PAUSE / SECOND);
+        assertTrue(clock.now >= lastByteAt + PAUSE, "the pause is over");
+        assertTrue(checks[0] > PAUSE / SECOND, "looks: " + checks[0]);
     }
 }
--- a/src/test/java/magpiehub/streaming/StreamFaultRunTest.java
+++ b/src/test/java/magpiehub/streaming/StreamFaultRunTest.java
@@ -1,15 +1,15 @@
 package magpiehub.streaming;
 
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The randomized fault test at a small scale. */
-public class StreamFaultRunTest {
+class StreamFaultRunTest {
     @Test
-    public void allBoundsHoldAtASmallScale() throws Exception {
+    void allBoundsHoldAtASmallScale() throws Exception {
         StringBuilder line = new StringBuilder();
         boolean holds = StreamFaultRun.run(3, 12, 26, line);
-        assertTrue(line.toString(), holds);
+        assertTrue(holds, line.toString());
     }
 }
--- a/src/test/java/magpiehub/streaming/StreamLimitsReaderTest.java
+++ b/src/test/java/magpiehub/streaming/StreamLimitsReaderTest.java
@@ -1,10 +1,10 @@
 package magpiehub.streaming;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertThrows;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -13,10 +13,10 @@
 import magpiehub.routing.DeduplicationScope;
 import magpiehub.routing.Idempotency;
 import magpiehub.routing.RequestClass;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The settings of streams, with defaults and errors. */
-public class StreamLimitsReaderTest {
+class StreamLimitsReaderTest {
     private static final long SECOND = 1_000_000;
 
     private static final List<RequestClass> CLASSES = List.of(requestClass("chat"), requestClass("bulk"));
@@ -35,13 +35,13 @@
     }
 
     @Test
-    public void errorsNameTheKeyThatIsWrong() throws Exception {
+    void errorsNameTheKeyThatIsWrong() throws Exception {
         StreamLimits limits = parse("{\"pause_ms\":20000,\"classes\":{\"bulk\":{\"buffer_kb\":2048}}}");
         assertEquals(20 * SECOND, limits.classes().get(0).clientStallMicros());
         assertEquals(512 << 10, limits.classes().get(0).bufferBytes());
         assertEquals(2 << 20, limits.classes().get(1).bufferBytes());
-        assertEquals("as for all", 20 * SECOND, limits.classes().get(1).clientStallMicros());
-        assertEquals("an eighth of the heap", 8 << 20, limits.budgetBytes());
+        assertEquals(20 * SECOND, limits.classes().get(1).clientStallMicros(), "as for all");
+        assertEquals(8 << 20, limits.budgetBytes(), "an eighth of the heap");
         assertFalse(limits.stall().isAdaptive());
         assertTrue(parse("{\"silence_ms\":4000,\"stall_least_ms\":800}").stall().isAdaptive());
         StreamLimits example = StreamLimitsReader.read(Path.of("deploy/streams.example.json"), CLASSES, 64 << 20);
--- a/src/test/java/magpiehub/streaming/StreamOutcomeCountsTest.java
+++ b/src/test/java/magpiehub/streaming/StreamOutcomeCountsTest.java
@@ -1,21 +1,21 @@
 package magpiehub.streaming;
 
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** The counts of outcomes, driven directly. */
-public class StreamOutcomeCountsTest {
+class StreamOutcomeCountsTest {
     @Test
-    public void eachStreamHasOneOutcome() {
+    void eachStreamHasOneOutcome() {
         StreamOutcomeCounts outcomes = new StreamOutcomeCounts();
         outcomes.recordStart();
         assertEquals(1, outcomes.open());
         assertTrue(outcomes.recordEnd(null, StreamOutcome.COMPLETE));
         assertFalse(outcomes.recordEnd(StreamOutcome.COMPLETE, StreamOutcome.COMPLETE));
-        assertEquals("the same word from both sides is no fault", 0, outcomes.conflicts());
+        assertEquals(0, outcomes.conflicts(), "the same word from both sides is no fault");
         assertFalse(outcomes.recordEnd(StreamOutcome.COMPLETE, StreamOutcome.CLIENT_DISCONNECTED));
         assertEquals(1, outcomes.conflicts());
         assertEquals(0, outcomes.open());
--- a/src/test/java/magpiehub/telemetry/SyslogEventLogTest.java
+++ b/src/test/java/magpiehub/telemetry/SyslogEventLogTest.java
@@ -1,18 +1,18 @@
 package magpiehub.telemetry;
 
-import static org.junit.Assert.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Instant;
-import org.junit.Test;
+import org.junit.jupiter.api.Test;
 
 /** Log lines follow RFC 5424's grammar: nothing ends a value, a name or the message early. */
-public class SyslogEventLogTest {
+class SyslogEventLogTest {
     private static final Instant AT = Instant.parse("2026-12-01T10:00:00.5Z");
     private final SyslogFormatter formatter = new SyslogFormatter("n 3", 7);
     private final SyslogEventLog log = new SyslogEventLog(System.err, "n 3", 7);
 
     @Test
-    public void valuesAreEscapedAndNamesAreClean() {
+    void valuesAreEscapedAndNamesAreClean() {
         assertEquals(
                 "<134>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 li_st "
                         + "[magpiehub@32473 a_b_=\"q\\\"\\\\\\] \u00e9\" c=\"\"]\n",
@@ -20,14 +20,14 @@
     }
 
     @Test
-    public void failuresAreWarningsAndNoDataIsADash() {
+    void failuresAreWarningsAndNoDataIsADash() {
         assertEquals(
                 "<132>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 engine-error -\n",
                 formatter.format(AT, "engine-error"));
     }
 
     @Test
-    public void countersAreListedByName() {
+    void countersAreListedByName() {
         log.count("taken");
         log.count("answered_served");
         log.count("taken");
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -1,9 +1,9 @@
 package magpiehub.upstream;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static org.junit.Assert.assertEquals;
-import static org.junit.Assert.assertFalse;
-import static org.junit.Assert.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -38,11 +38,11 @@
 import magpiehub.streaming.StreamLimitsReader;
 import magpiehub.streaming.StreamOutcome;
 import magpiehub.telemetry.SyslogEventLog;
-import org.junit.After;
-import org.junit.Test;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
 
 /** Races that recorded exchanges can't time, such as a list that changes between the decision and the write. */
-public class UpstreamPoolTest {
+class UpstreamPoolTest {
     private final SyslogEventLog eventLog = new SyslogEventLog(System.err, "test", 1);
     private volatile CompletableFuture<String> answer = new CompletableFuture<>();
     private volatile boolean clientGone;
@@ -51,21 +51,21 @@
     private FlowController streams;
     private RequestDispatcher dispatcher;
 
-    @After
-    public void stop() {
+    @AfterEach
+    void stop() {
         dispatcherThread.interrupt();
     }
 
     @Test
-    public void anEngineThatDrainsAfterTheDecisionGetsNothing() throws Exception {
+    void anEngineThatDrainsAfterTheDecisionGetsNothing() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             // Service discovery has reported the drain to the pool, but not yet to the dispatcher.
             startRouter(upstream, false);
             submit(null);
             assertEquals("refused", answer.get(60, TimeUnit.SECONDS));
-            assertTrue(eventLog.counters(), eventLog.counters().contains("drained_before_write 1\n"));
+            assertTrue(eventLog.counters().contains("drained_before_write 1\n"), eventLog.counters());
             upstream.setSoTimeout(1);
-            org.junit.Assert.assertThrows(java.net.SocketTimeoutException.class, upstream::accept);
+            org.junit.jupiter.api.Assertions.assertThrows(java.net.SocketTimeoutException.class, upstream::accept);
         }
     }
 
@@ -74,7 +74,7 @@
      * has not heard of it yet.
      */
     @Test
-    public void aConnectionThatComesUpForNobodyIsClosed() throws Exception {
+    void aConnectionThatComesUpForNobodyIsClosed() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 Socket first = new Socket();
                 Socket second = new Socket()) {
@@ -88,7 +88,7 @@
             upstream.accept().close();
             upstream.accept().close();
             try (Socket late = upstream.accept()) {
-                assertEquals("a request for nobody", -1, late.getInputStream().read());
+                assertEquals(-1, late.getInputStream().read(), "a request for nobody");
             }
             awaitCounter("answered_abandoned 1\n");
         }
@@ -97,7 +97,7 @@
     private void awaitCounter(String line) throws InterruptedException {
         long end = System.nanoTime() + 60_000_000_000L;
         while (!eventLog.counters().contains(line)) {
-            assertTrue(line + "was not counted in\n" + eventLog.counters(), System.nanoTime() < end);
+            assertTrue(System.nanoTime() < end, line + "was not counted in\n" + eventLog.counters());
             Thread.sleep(1);
         }
     }
@@ -107,7 +107,7 @@
      * the end, under the same id, finds its request over.
      */
     @Test
-    public void aClientThatHasReadTheEndFindsItsRequestOver() throws Exception {
+    void aClientThatHasReadTheEndFindsItsRequestOver() throws Exception {
         for (String lastChunk : List.of("0\r\n\r\n", "")) {
             answer = new CompletableFuture<>();
             try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
@@ -115,10 +115,10 @@
                 CompletableFuture<Boolean> submittedAgain = new CompletableFuture<>();
                 submit(new SubmitAgain(() -> submittedAgain.complete(submit(new SubmitAgain(() -> {})))));
                 respond(upstream, lastChunk);
-                assertTrue("there was no room", submittedAgain.get(60, TimeUnit.SECONDS));
+                assertTrue(submittedAgain.get(60, TimeUnit.SECONDS), "there was no room");
                 respond(upstream, "0\r\n\r\n");
-                assertFalse(eventLog.counters(), eventLog.counters().contains("ids_in_use"));
-                assertFalse("answered by the module: " + answer, answer.isDone());
+                assertFalse(eventLog.counters().contains("ids_in_use"), eventLog.counters());
+                assertFalse(answer.isDone(), "answered by the module: " + answer);
             }
             dispatcherThread.interrupt();
         }
