--- a/src/test/java/magpiehub/KnownRedTest.java
+++ b/src/test/java/magpiehub/KnownRedTest.java
@@ -16,6 +16,7 @@
             + "<testcase name=\"good\" classname=\"a.ATest\" time=\"1\"/>"
             + "<testcase classname=\"a.ATest\" name=\"bad\" time=\"1\"><failure message=\"name=&quot;x\">at"
             + "</failure></testcase><testcase name=\"each[two.txt]\" classname=\"a.ATest\"><error>x</error>"
+            + "</testcase><testcase name=\"every(Path, int) three.txt\" classname=\"a.ATest\"><error>x</error>"
             + "</testcase><testcase name=\"last\" classname=\"a.ATest\"><system-out>&lt;failure</system-out>"
             + "</testcase></testsuite>";
 
@@ -69,11 +70,15 @@
 
     @Test
     void onlyListedFailuresArePassedOver() throws Exception {
-        assertEquals(0, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[two.txt]; cause; 1\n"), said);
+        String every = "a.ATest#every[three.txt]; cause; 1\n";
+        assertEquals(0, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[two.txt]; cause; 1\n" + every), said);
         assertTrue(said.contains("passed over: a.ATest#bad\n"), said);
+        assertTrue(said.contains("passed over: a.ATest#every[three.txt]\n"), said);
         assertEquals(1, run("judge", "a.ATest#bad; cause; 1\n"));
         assertTrue(said.contains("not listed: a.ATest#each[two.txt]\n"), said);
-        assertEquals(1, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[one.txt]; cause; 1\n"));
+        assertTrue(said.contains("not listed: a.ATest#every[three.txt]\n"), said);
+        assertEquals(1, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[one.txt]; cause; 1\n" + every));
+        assertEquals(1, run("judge", "a.ATest#bad; cause; 1\na.ATest#each[two.txt]; cause; 1\na.ATest#every; x; 1\n"));
     }
 
     @Test
