--- a/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
@@ -62,7 +62,7 @@
     public void onProbeCompleted(DispatcherMessage.ProbeCompleted message) {
         long nowMicros = clock.nowMicros();
         long roundTripMicros = nowMicros - message.sentAtMicros();
-        policy.onProbeResult(nowMicros, message.endpointId(), message.outcome(), roundTripMicros, message.load());
+        policy.onHealthCheckEnded(nowMicros, message.endpointId(), message.outcome(), roundTripMicros, message.load());
     }
 
     @Override
--- a/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
+++ b/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void probe(String endpointId) {
+    public void sendHealthCheck(String endpointId) {
         eventLog.count("probes");
         fleet.probe(endpointId);
     }
--- a/src/main/java/magpiehub/routing/HealthChecker.java
+++ b/src/main/java/magpiehub/routing/HealthChecker.java
@@ -37,7 +37,7 @@
             Replica replica = nextReplica();
             if (replica.isReady() && !outliers.isEjected(replica) && now - replica.lastHeardAt() > PERIOD_MICROS) {
                 replica.heardAt(now);
-                actions.probe(replica.id());
+                actions.sendHealthCheck(replica.id());
                 return;
             }
         }
@@ -56,7 +56,7 @@
         for (int step = 0; left > 0 && step < fleet.size() && fleet.isValid(now); step++) {
             Replica replica = nextReplica();
             if (replica.isReady() && fleet.zoneOf(replica) == zone) {
-                actions.probe(replica.id());
+                actions.sendHealthCheck(replica.id());
                 left--;
             }
         }
--- a/src/main/java/magpiehub/routing/RoutingActions.java
+++ b/src/main/java/magpiehub/routing/RoutingActions.java
@@ -24,7 +24,7 @@
     void setTimer(long at, long token);
 
     /** Sends a health check to a replica. */
-    void probe(String replica);
+    void sendHealthCheck(String replica);
 
     /** Ends a running stream in order, so that its client resumes it elsewhere. */
     void migrateStream(String id);
--- a/src/main/java/magpiehub/routing/RoutingEvents.java
+++ b/src/main/java/magpiehub/routing/RoutingEvents.java
@@ -44,7 +44,7 @@
     void onTimer(long now, long token);
 
     /** A health check has ended; {@code load} is null if it brought no load report. */
-    void onProbeResult(long now, String replica, AttemptOutcome outcome, long took, LoadReport load);
+    void onHealthCheckEnded(long now, String replica, AttemptOutcome outcome, long took, LoadReport load);
 
     /** Other settings hold from now on. Classes and tenants keep their places, new ones follow them. */
     void onSettings(long now, RoutingSettings settings);
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -276,7 +276,7 @@
     }
 
     @Override
-    public void onProbeResult(long time, String id, AttemptOutcome outcome, long took, LoadReport report) {
+    public void onHealthCheckEnded(long time, String id, AttemptOutcome outcome, long took, LoadReport report) {
         advanceClock(time);
         Replica replica = fleet.find(id);
         if (replica != null) {
--- a/src/main/java/magpiehub/simulator/ReplyActions.java
+++ b/src/main/java/magpiehub/simulator/ReplyActions.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void probe(String replicaId) {
+    public void sendHealthCheck(String replicaId) {
         reply.add(new ReplyMessage.Probe(instance, replicaId));
     }
 
--- a/src/main/java/magpiehub/simulator/RouterEvent.java
+++ b/src/main/java/magpiehub/simulator/RouterEvent.java
@@ -73,7 +73,7 @@
             implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
-            policy.onProbeResult(nowMicros, replicaId, outcome, tookMicros, loadReport);
+            policy.onHealthCheckEnded(nowMicros, replicaId, outcome, tookMicros, loadReport);
         }
     }
 
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -457,7 +457,7 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void sendHealthCheck(String server) {
         record("probe", server);
         SimulatedReplica replica = replicas.get(server);
         AttemptOutcome outcome = drawOutcome(replica);
@@ -465,7 +465,7 @@
                 ? outcome
                 : AttemptOutcome.OK;
         long took = 2_000L + random.nextInt(20_000);
-        plan(took, () -> policy.onProbeResult(now, server, seen, took, drawLoad(replica)));
+        plan(took, () -> policy.onHealthCheckEnded(now, server, seen, took, drawLoad(replica)));
     }
 
     @Override
--- a/src/test/java/magpiehub/routing/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -21,7 +21,7 @@
     public void setTimer(long at, long token) {}
 
     @Override
-    public void probe(String server) {}
+    public void sendHealthCheck(String server) {}
 
     @Override
     public void migrateStream(String id) {}
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -159,7 +159,7 @@
         }
 
         @Override
-        public void probe(String server) {
+        public void sendHealthCheck(String server) {
             assertTrue(settings.limits().allowsHealthChecks() && everListed.contains(server));
         }
 
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void sendHealthCheck(String server) {
         probedReplicas.add(server);
     }
 
--- a/src/test/java/magpiehub/routing/RoutingPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -150,7 +150,7 @@
         router.policy.onAttemptEnded(router.now, "x", 0, AttemptOutcome.OK, 1, true, 0, null);
         router.policy.onClientGone(router.now, "x");
         router.policy.onTimer(router.now, 99);
-        router.policy.onProbeResult(router.now, "x", AttemptOutcome.CONNECT_FAILED, 1, null);
+        router.policy.onHealthCheckEnded(router.now, "x", AttemptOutcome.CONNECT_FAILED, 1, null);
         router.policy.onPeerMessage(router.now, 1, new byte[0]);
         String id = router.submit(0, 1);
         router.policy.onAttemptEnded(router.now, id, 5, AttemptOutcome.OK, 1, true, 0, null);
--- a/src/test/java/magpiehub/routing/ZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -219,9 +219,9 @@
         router.probedReplicas.clear();
         router.advance(100_000);
         assertEquals(1, router.probedReplicas.size());
-        router.policy.onProbeResult(router.now, router.probedReplicas.get(0), AttemptOutcome.OK, 1_000, null);
+        router.policy.onHealthCheckEnded(router.now, router.probedReplicas.get(0), AttemptOutcome.OK, 1_000, null);
         assertTrue(zones.evidence.contains(router.probedReplicas.get(0) + " ANSWERED"));
-        router.policy.onProbeResult(router.now, router.probedReplicas.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
+        router.policy.onHealthCheckEnded(router.now, router.probedReplicas.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
         assertTrue(zones.evidence.contains(router.probedReplicas.get(0) + " SILENCE"));
     }
 
