--- a/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
+++ b/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
@@ -126,17 +126,17 @@
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
         watch.open();
     }
 
     @Override
-    public void unwatch() {
+    public void unwatchEndpoints() {
         watch.close();
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpoints() {
         endpointSource.fetch();
     }
 
--- a/src/main/java/magpiehub/routing/EndpointListHandler.java
+++ b/src/main/java/magpiehub/routing/EndpointListHandler.java
@@ -58,7 +58,7 @@
     void pollIfDue(long now) {
         if (settings.get().subscribesToEndpoints()
                 && pollSchedule.acquirePoll(now, settings.get().guarantees().pollWithin())) {
-            actions.watch();
+            actions.watchEndpoints();
         }
     }
 
--- a/src/main/java/magpiehub/routing/RoutingActions.java
+++ b/src/main/java/magpiehub/routing/RoutingActions.java
@@ -18,7 +18,7 @@
     void fail(String id);
 
     /** Opens a watch on the endpoint list. */
-    void watch();
+    void watchEndpoints();
 
     /** Asks for {@link RoutingEvents#onTimer} with this token at a time. */
     void setTimer(long at, long token);
@@ -30,10 +30,10 @@
     void migrateStream(String id);
 
     /** Asks for the complete endpoint list once. */
-    void fetch();
+    void fetchEndpoints();
 
     /** Closes the watch on the endpoint list. */
-    void unwatch();
+    void unwatchEndpoints();
 
     /** Closes the idle connections to a replica. */
     void closeIdleConnections(String replica);
--- a/src/main/java/magpiehub/simulator/ReplyActions.java
+++ b/src/main/java/magpiehub/simulator/ReplyActions.java
@@ -33,17 +33,17 @@
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
         reply.add(new ReplyMessage.SetWatch(instance, true));
     }
 
     @Override
-    public void unwatch() {
+    public void unwatchEndpoints() {
         reply.add(new ReplyMessage.SetWatch(instance, false));
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpoints() {
         reply.add(new ReplyMessage.FetchEndpoints(instance));
     }
 
--- a/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
@@ -325,7 +325,7 @@
         }
 
         @Override
-        public void watch() {
+        public void watchEndpoints() {
             watches.requestWatch(simulation.now);
         }
 
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -438,7 +438,7 @@
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
         record("watch");
         plan(random.nextInt(1_500_000), () -> {
             if (random.nextInt(3) == 0) {
@@ -474,12 +474,12 @@
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpoints() {
         record("fetch");
     }
 
     @Override
-    public void unwatch() {
+    public void unwatchEndpoints() {
         record("unwatch");
     }
 
--- a/src/test/java/magpiehub/routing/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -15,7 +15,7 @@
     public void fail(String id) {}
 
     @Override
-    public void watch() {}
+    public void watchEndpoints() {}
 
     @Override
     public void setTimer(long at, long token) {}
@@ -27,10 +27,10 @@
     public void migrateStream(String id) {}
 
     @Override
-    public void fetch() {}
+    public void fetchEndpoints() {}
 
     @Override
-    public void unwatch() {}
+    public void unwatchEndpoints() {}
 
     @Override
     public void closeIdleConnections(String server) {}
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -164,7 +164,7 @@
         }
 
         @Override
-        public void watch() {
+        public void watchEndpoints() {
             assertTrue(settings.subscribesToEndpoints());
             answers.add(now + random.nextInt(2_000_000));
         }
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
         watchCount++;
     }
 
@@ -203,12 +203,12 @@
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpoints() {
         throw new AssertionError("the module never fetches");
     }
 
     @Override
-    public void unwatch() {
+    public void unwatchEndpoints() {
         throw new AssertionError("the module never gives its subscription up");
     }
 
