--- a/src/main/java/magpiehub/dispatch/RequestLifecycle.java
+++ b/src/main/java/magpiehub/dispatch/RequestLifecycle.java
@@ -127,7 +127,7 @@
             return;
         }
         requests.close(request, RequestResult.ABANDONED);
-        policy.onClientGone(clock.nowMicros(), requestId);
+        policy.onClientDisconnected(clock.nowMicros(), requestId);
         for (Attempt attempt : request.attempts()) {
             if (!attempt.isOver()) {
                 abortAndReport(attempt, AttemptOutcome.CANCELLED);
@@ -154,7 +154,7 @@
         }
         eventLog.count("answered_by_backstop");
         requests.fail(request, "deadline");
-        policy.onClientGone(clock.nowMicros(), request.id());
+        policy.onClientDisconnected(clock.nowMicros(), request.id());
     }
 
     /**
@@ -167,6 +167,6 @@
         } else {
             requests.fail(request, "stopping");
         }
-        policy.onClientGone(clock.nowMicros(), request.id());
+        policy.onClientDisconnected(clock.nowMicros(), request.id());
     }
 }
--- a/src/main/java/magpiehub/routing/RoutingEvents.java
+++ b/src/main/java/magpiehub/routing/RoutingEvents.java
@@ -38,7 +38,7 @@
             LoadReport load);
 
     /** The client has disconnected; no answer is owed any more. */
-    void onClientGone(long now, String id);
+    void onClientDisconnected(long now, String id);
 
     /** A timer set by {@link RoutingActions#setTimer} has fired. */
     void onTimer(long now, long token);
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -187,7 +187,7 @@
     }
 
     @Override
-    public void onClientGone(long time, String id) {
+    public void onClientDisconnected(long time, String id) {
         advanceClock(time);
         RequestInFlight request = requests.get(id);
         if (request != null) {
--- a/src/main/java/magpiehub/simulator/RouterEvent.java
+++ b/src/main/java/magpiehub/simulator/RouterEvent.java
@@ -56,7 +56,7 @@
     record ClientGone(String requestId) implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
-            policy.onClientGone(nowMicros, requestId);
+            policy.onClientDisconnected(nowMicros, requestId);
         }
     }
 
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -311,7 +311,7 @@
             return;
         }
         call.settled = true;
-        policy.onClientGone(now, call.request.id());
+        policy.onClientDisconnected(now, call.request.id());
     }
 
     @Override
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -270,7 +270,7 @@
                     policy.onStreamStarted(now, job.request.id(), i, now - job.sentAt.get(i));
                 } else if (job.streamingAttempt < 0 && !job.over && random.nextInt(10) == 0) {
                     job.over = true;
-                    policy.onClientGone(now, job.request.id());
+                    policy.onClientDisconnected(now, job.request.id());
                 } else {
                     end(
                             job,
--- a/src/test/java/magpiehub/routing/RoutingPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -148,13 +148,13 @@
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(2));
         router.policy.onStreamStarted(router.now, "x", 0, 1);
         router.policy.onAttemptEnded(router.now, "x", 0, AttemptOutcome.OK, 1, true, 0, null);
-        router.policy.onClientGone(router.now, "x");
+        router.policy.onClientDisconnected(router.now, "x");
         router.policy.onTimer(router.now, 99);
         router.policy.onHealthCheckEnded(router.now, "x", AttemptOutcome.CONNECT_FAILED, 1, null);
         router.policy.onPeerMessage(router.now, 1, new byte[0]);
         String id = router.submit(0, 1);
         router.policy.onAttemptEnded(router.now, id, 5, AttemptOutcome.OK, 1, true, 0, null);
-        router.policy.onClientGone(router.now, id);
+        router.policy.onClientDisconnected(router.now, id);
         router.policy.onAttemptEnded(router.now - SECOND, id, 0, AttemptOutcome.CANCELLED, 1, true, 0, null);
         assertTrue(router.finalAnswers.isEmpty());
     }
