--- a/src/main/java/magpiehub/discovery/EndpointEntryParser.java
+++ b/src/main/java/magpiehub/discovery/EndpointEntryParser.java
@@ -143,7 +143,7 @@
         json.writeStringField("id", endpoint.id());
         json.writeStringField("host_port", entry.address());
         writeName(json, "locality", site.get().zones(), endpoint.zone());
-        writeName(json, "flavor", site.get().machineTypes(), endpoint.kind());
+        writeName(json, "flavor", site.get().machineTypes(), endpoint.machineType());
         json.writeNumberField("cell", (double) endpoint.cell());
         json.writeStringField("phase", endpoint.state() == EndpointState.LIVE ? "Ready" : "Terminating");
         json.writeNumberField("size", endpoint.weight());
--- a/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
+++ b/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
@@ -102,7 +102,7 @@
         Endpoint changed = new Endpoint(
                 endpoint.id(),
                 endpoint.zone(),
-                endpoint.kind(),
+                endpoint.machineType(),
                 endpoint.cell(),
                 drains ? EndpointState.DRAINING : endpoint.state(),
                 endpoint.weight(),
--- a/src/main/java/magpiehub/routing/Endpoint.java
+++ b/src/main/java/magpiehub/routing/Endpoint.java
@@ -5,10 +5,10 @@
  *
  * @param id identifies the replica, over restarts too
  * @param zone index of its zone
- * @param kind index of its machine type
+ * @param machineType index of its machine type
  * @param cell number of its cell, a group within a zone
  * @param state whether it takes requests
  * @param weight its size, as {@link WeightMeaning} says
  * @param onlineSince when it started, in microseconds of the host's clock; 0 if that was long ago
  */
-public record Endpoint(String id, int zone, int kind, int cell, EndpointState state, double weight, long onlineSince) {}
+public record Endpoint(String id, int zone, int machineType, int cell, EndpointState state, double weight, long onlineSince) {}
