--- a/src/main/java/magpiehub/discovery/EndpointEntryParser.java
+++ b/src/main/java/magpiehub/discovery/EndpointEntryParser.java
@@ -147,7 +147,7 @@
         json.writeNumberField("cell", (double) endpoint.cell());
         json.writeStringField("phase", endpoint.state() == EndpointState.LIVE ? "Ready" : "Terminating");
         json.writeNumberField("size", endpoint.weight());
-        json.writeNumberField("up_since_ms", unixMillis(endpoint.onlineSince()));
+        json.writeNumberField("up_since_ms", unixMillis(endpoint.startedAt()));
         json.writeEndObject();
     }
 
--- a/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
+++ b/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
@@ -106,7 +106,7 @@
                 endpoint.cell(),
                 drains ? EndpointState.DRAINING : endpoint.state(),
                 endpoint.weight(),
-                backSince == null ? endpoint.onlineSince() : Math.max(endpoint.onlineSince(), backSince));
+                backSince == null ? endpoint.startedAt() : Math.max(endpoint.startedAt(), backSince));
         return new EndpointEntry(changed, entry.address());
     }
 }
--- a/src/main/java/magpiehub/discovery/MembershipDamping.java
+++ b/src/main/java/magpiehub/discovery/MembershipDamping.java
@@ -223,7 +223,7 @@
     private static EndpointEntry withState(EndpointEntry entry, EndpointState state) {
         Endpoint old = entry.endpoint();
         Endpoint changed =
-                new Endpoint(old.id(), old.zone(), old.machineType(), old.cell(), state, old.weight(), old.onlineSince());
+                new Endpoint(old.id(), old.zone(), old.machineType(), old.cell(), state, old.weight(), old.startedAt());
         return new EndpointEntry(changed, entry.address());
     }
 }
--- a/src/main/java/magpiehub/routing/Endpoint.java
+++ b/src/main/java/magpiehub/routing/Endpoint.java
@@ -9,6 +9,6 @@
  * @param cell number of its cell, a group within a zone
  * @param state whether it takes requests
  * @param weight its size, as {@link WeightMeaning} says
- * @param onlineSince when it started, in microseconds of the host's clock; 0 if that was long ago
+ * @param startedAt when it started, in microseconds of the host's clock; 0 if that was long ago
  */
-public record Endpoint(String id, int zone, int machineType, int cell, EndpointState state, double weight, long onlineSince) {}
+public record Endpoint(String id, int zone, int machineType, int cell, EndpointState state, double weight, long startedAt) {}
--- a/src/main/java/magpiehub/routing/EndpointListHandler.java
+++ b/src/main/java/magpiehub/routing/EndpointListHandler.java
@@ -73,9 +73,9 @@
     }
 
     @Override
-    public void onReplicaStarted(Replica replica, long onlineSince) {
+    public void onReplicaStarted(Replica replica, long startedAt) {
         outliers.reset(replica);
-        slowStart.start(replica, onlineSince);
+        slowStart.start(replica, startedAt);
         load.resetLimit(replica);
     }
 
--- a/src/main/java/magpiehub/routing/FleetState.java
+++ b/src/main/java/magpiehub/routing/FleetState.java
@@ -18,7 +18,7 @@
     /** Hears what an endpoint list changes for single replicas. */
     interface Listener {
         /** The replica has started at a time. */
-        void onReplicaStarted(Replica replica, long onlineSince);
+        void onReplicaStarted(Replica replica, long startedAt);
 
         /** The replica is draining, gone or no longer listed: it gets nothing new. */
         void onReplicaUnavailable(Replica replica);
@@ -93,8 +93,8 @@
         }
         boolean restarted = replica.isRestartedBy(endpoint);
         boolean changed = replica.update(endpoint, settings.get().weightMeaning());
-        if (restarted && endpoint.onlineSince() > 0) {
-            listener.onReplicaStarted(replica, endpoint.onlineSince());
+        if (restarted && endpoint.startedAt() > 0) {
+            listener.onReplicaStarted(replica, endpoint.startedAt());
         }
         if (endpoint.state() == EndpointState.LIVE) {
             replica.setReady(true);
--- a/src/main/java/magpiehub/routing/Replica.java
+++ b/src/main/java/magpiehub/routing/Replica.java
@@ -63,7 +63,7 @@
 
     /** Whether an entry says that the replica started anew; the first entry counts as a start. */
     boolean isRestartedBy(Endpoint entry) {
-        return endpoint == null || entry.onlineSince() > endpoint.onlineSince();
+        return endpoint == null || entry.startedAt() > endpoint.startedAt();
     }
 
     /** Takes a newer entry of the endpoint list; returns whether the rings depend on what it changed. */
--- a/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
+++ b/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
@@ -26,7 +26,7 @@
     }
 
     private static long since(List<EndpointEntry> list, String id) {
-        return find(list, id).onlineSince();
+        return find(list, id).startedAt();
     }
 
     private static Endpoint find(List<EndpointEntry> list, String id) {
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/ColdFleetTest.java
@@ -310,7 +310,7 @@
                                 s.id().equals(cold)
                                         ? s
                                         : new Endpoint(
-                                                s.id(), s.zone(), 0, 0, EndpointState.DRAINING, 1, s.onlineSince()));
+                                                s.id(), s.zone(), 0, 0, EndpointState.DRAINING, 1, s.startedAt()));
                     }
                     fleet.sent.clear();
                     fleet.agenda.clear();
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -164,7 +164,7 @@
         });
     }
 
-    private void addReplica(long onlineSince) {
+    private void addReplica(long startedAt) {
         int number = replicaCount++;
         SimulatedReplica replica = new SimulatedReplica(
                 "10.0." + number / 200 + "." + number % 200 + ":9000",
@@ -172,7 +172,7 @@
                 random.nextInt(4),
                 0.5 + random.nextInt(4),
                 0.7 + 0.6 * random.nextDouble());
-        replica.onlineSince = onlineSince;
+        replica.startedAt = startedAt;
         replicas.put(replica.id, replica);
         listed.add(replica);
     }
@@ -180,7 +180,7 @@
     private Endpoint entry(SimulatedReplica replica) {
         double load = settings.weightMeaning() == WeightMeaning.LIVE ? random.nextDouble() : 1;
         return new Endpoint(
-                replica.id, replica.zone, 0, replica.cell, replica.state, replica.weight * load, replica.onlineSince);
+                replica.id, replica.zone, 0, replica.cell, replica.state, replica.weight * load, replica.startedAt);
     }
 
     private void listAll(EndpointListKind kind) {
@@ -217,7 +217,7 @@
     private void replaceOne() {
         SimulatedReplica gone = anyListed();
         if (random.nextBoolean()) {
-            gone.onlineSince = now;
+            gone.startedAt = now;
             gone.state = EndpointState.LIVE;
             listOne(gone);
             return;
@@ -235,7 +235,7 @@
         listOne(replica);
         plan(2 * SECOND, () -> {
             replica.state = EndpointState.LIVE;
-            replica.onlineSince = random.nextBoolean() ? now : 0;
+            replica.startedAt = random.nextBoolean() ? now : 0;
             listOne(replica);
         });
     }
@@ -341,7 +341,7 @@
     }
 
     private double slowness(SimulatedReplica replica) {
-        double cold = now - replica.onlineSince < 5 * SECOND ? 2.5 : 1;
+        double cold = now - replica.startedAt < 5 * SECOND ? 2.5 : 1;
         double busy = 1 + replica.inFlight / 8.0;
         return cold
                 * busy
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -108,9 +108,9 @@
                                         && was.cell() == endpoint.cell()),
                         "outside the group");
             }
-            if (endpoint.onlineSince() > 0
-                    && now - endpoint.onlineSince() < settings.guarantees().overloadWindow()) {
-                coldSends.merge(server + "@" + endpoint.onlineSince(), 1, Integer::sum);
+            if (endpoint.startedAt() > 0
+                    && now - endpoint.startedAt() < settings.guarantees().overloadWindow()) {
+                coldSends.merge(server + "@" + endpoint.startedAt(), 1, Integer::sum);
             }
             job.replicas.add(server);
             job.sentAt.add(now);
--- a/src/test/java/magpiehub/routing/SimulatedReplica.java
+++ b/src/test/java/magpiehub/routing/SimulatedReplica.java
@@ -8,7 +8,7 @@
     final double weight;
     final double pace;
     EndpointState state = EndpointState.LIVE;
-    long onlineSince;
+    long startedAt;
     int inFlight;
 
     SimulatedReplica(String id, int zone, int cell, double weight, double pace) {
