--- a/src/main/java/magpiehub/routing/Endpoint.java
+++ b/src/main/java/magpiehub/routing/Endpoint.java
@@ -11,4 +11,5 @@
  * @param weight its size, as {@link WeightMeaning} says
  * @param startedAt when it started, in microseconds of the host's clock; 0 if that was long ago
  */
-public record Endpoint(String id, int zone, int machineType, int cell, EndpointState state, double weight, long startedAt) {}
+public record Endpoint(
+        String id, int zone, int machineType, int cell, EndpointState state, double weight, long startedAt) {}
--- a/src/main/java/magpiehub/routing/OutcomeRecorder.java
+++ b/src/main/java/magpiehub/routing/OutcomeRecorder.java
@@ -137,11 +137,11 @@
         if (report == null) {
             return;
         }
-        if (report.queue() >= QUEUE_LENGTH) {
+        if (report.queueLength() >= QUEUE_LENGTH) {
             load.recordQueueReported(replica, now);
         }
-        if (report.latencyMs() > 0 && !slowStart.isWarmingUp(replica)) {
-            outliers.recordLatency(replica, latencies.recordReported(report.latencyMs()), now);
+        if (report.latencyMillis() > 0 && !slowStart.isWarmingUp(replica)) {
+            outliers.recordLatency(replica, latencies.recordReported(report.latencyMillis()), now);
         }
     }
 
--- a/src/test/java/magpiehub/upstream/LoadReportParserTest.java
+++ b/src/test/java/magpiehub/upstream/LoadReportParserTest.java
@@ -22,9 +22,9 @@
     @Test
     void aReportHasTheFieldsThatTheSettingsName() {
         LoadReport report = parser.parse("{\"inflight\":3,\"queue\":0.5,\"util\":0.9}");
-        assertEquals(3, report.inflight());
-        assertEquals(0.5, report.queue());
-        assertTrue(Double.isNaN(report.util()), "not named by the settings");
+        assertEquals(3, report.inFlight());
+        assertEquals(0.5, report.queueLength());
+        assertTrue(Double.isNaN(report.utilization()), "not named by the settings");
     }
 
     @Test
