--- a/src/main/java/magpiehub/routing/RoutingActions.java
+++ b/src/main/java/magpiehub/routing/RoutingActions.java
@@ -18,22 +18,22 @@
     void fail(String id);
 
     /** Opens a watch on the endpoint list. */
-    void watch();
+    void watchEndpoints();
 
     /** Asks for {@link RoutingEvents#onTimer} with this token at a time. */
     void setTimer(long at, long token);
 
     /** Sends a health check to a replica. */
-    void probe(String replica);
+    void sendHealthCheck(String replica);
 
     /** Ends a running stream in order, so that its client resumes it elsewhere. */
     void migrateStream(String id);
 
     /** Asks for the complete endpoint list once. */
-    void fetch();
+    void fetchEndpoints();
 
     /** Closes the watch on the endpoint list. */
-    void unwatch();
+    void unwatchEndpoints();
 
     /** Closes the idle connections to a replica. */
     void closeIdleConnections(String replica);
--- a/src/main/java/magpiehub/routing/RoutingEvents.java
+++ b/src/main/java/magpiehub/routing/RoutingEvents.java
@@ -38,13 +38,13 @@
             LoadReport load);
 
     /** The client has disconnected; no answer is owed any more. */
-    void onClientGone(long now, String id);
+    void onClientDisconnected(long now, String id);
 
     /** A timer set by {@link RoutingActions#setTimer} has fired. */
     void onTimer(long now, long token);
 
     /** A health check has ended; {@code load} is null if it brought no load report. */
-    void onProbeResult(long now, String replica, AttemptOutcome outcome, long took, LoadReport load);
+    void onHealthCheckEnded(long now, String replica, AttemptOutcome outcome, long took, LoadReport load);
 
     /** Other settings hold from now on. Classes and tenants keep their places, new ones follow them. */
     void onSettings(long now, RoutingSettings settings);
