--- a/src/main/java/magpiehub/discovery/EndpointSource.java
+++ b/src/main/java/magpiehub/discovery/EndpointSource.java
@@ -16,10 +16,10 @@
     void start(RequestDispatcher dispatcher, byte[] saved);
 
     /** Whether a list is known: received since the start, or saved where that is enough. Any thread. */
-    boolean isKnown();
+    boolean hasUsableList();
 
     /** Waits until a list is known, at most for so long. Any thread. */
-    void awaitKnown(long timeoutMillis) throws InterruptedException;
+    void awaitUsableList(long timeoutMillis) throws InterruptedException;
 
     /** Counters for {@code /counters}, one a line, name and value; empty where there are none. Any thread. */
     default String counterLines() {
--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -138,13 +138,13 @@
     }
 
     @Override
-    public boolean isKnown() {
+    public boolean hasUsableList() {
         return tracker.isKnown();
     }
 
     /** Returns at once: the list on disk is enough, or the first one comes when it comes. */
     @Override
-    public void awaitKnown(long timeoutMillis) {}
+    public void awaitUsableList(long timeoutMillis) {}
 
     /** Has the list reported as unchanged: the client keeps watching by itself. */
     @Override
--- a/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -129,12 +129,12 @@
     }
 
     @Override
-    public boolean isKnown() {
+    public boolean hasUsableList() {
         return known && clock.micros() < validUntilMicros;
     }
 
     @Override
-    public void awaitKnown(long timeoutMillis) throws InterruptedException {
+    public void awaitUsableList(long timeoutMillis) throws InterruptedException {
         boolean inTime = firstKnown.await(timeoutMillis, TimeUnit.MILLISECONDS);
         if (!inTime) {
             log.log("list-not-known", "waited_ms", Long.toString(timeoutMillis));
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -194,7 +194,7 @@
             return null;
         }
         RouterMaintenanceActions actions =
-                new RouterMaintenanceActions(discovery::isKnown, discovery, failoverPlan, listeners, clock);
+                new RouterMaintenanceActions(discovery::hasUsableList, discovery, failoverPlan, listeners, clock);
         AdminCommandHandler created =
                 new AdminCommandHandler(temporaryFolder(), configuration.name(), actions, clock, log);
         discovery.maintenanceOverlay().onListed(created::onListed);
@@ -251,7 +251,7 @@
                 dispatcher,
                 clock,
                 log,
-                discovery::isKnown,
+                discovery::hasUsableList,
                 this::counters,
                 maxConnections,
                 threads,
@@ -280,7 +280,7 @@
 
     private void awaitList() {
         try {
-            discovery.awaitKnown(LIST_TIMEOUT_MILLIS);
+            discovery.awaitUsableList(LIST_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/Player.java
@@ -131,7 +131,7 @@
                 actor,
                 clock,
                 log,
-                discovery::isKnown,
+                discovery::hasUsableList,
                 log::counters,
                 most,
                 crew,
--- a/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -65,7 +65,7 @@
             try (Socket second = server.accept()) {
                 assertEquals(2, calls.get());
                 assertTrue(log.counters().contains("discovery_failures 1\n"), log.counters());
-                assertFalse(discovery.isKnown(), "the saved list is held for the best because of this machine's fault");
+                assertFalse(discovery.hasUsableList(), "a local failure must not make the saved list usable");
             } finally {
                 thread.interrupt();
             }
