--- a/src/main/java/magpiehub/discovery/EndpointListState.java
+++ b/src/main/java/magpiehub/discovery/EndpointListState.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import magpiehub.config.EndpointEntry;
-import magpiehub.discovery.ListUpdateResult.Verdict;
+import magpiehub.discovery.ListUpdateResult.Outcome;
 
 /**
  * Builds one endpoint list from the complete lists, changes and positions that a source reports, and decides
@@ -124,21 +124,21 @@
         countDifferedAt = null;
         position = at;
         ListDelta delta = replaceAll(items, historyChanged);
-        return new ListUpdateResult(Verdict.APPLIED, delta, historyChanged ? "another history" : "");
+        return new ListUpdateResult(Outcome.APPLIED, delta, historyChanged ? "another history" : "");
     }
 
     /** Why a complete list older than this one is not applied; null if it is, as another history. */
     private ListUpdateResult rejectOlderList(ListPosition at, ListPosition requestedAt) {
         if (requestedAt == null) {
-            return ListUpdateResult.of(Verdict.STALE, "older than the list");
+            return ListUpdateResult.of(Outcome.STALE, "older than the list");
         }
         if (!requestedAt.history().equals(at.history()) || at.revision() >= requestedAt.revision()) {
             laggingLists = 0;
-            return ListUpdateResult.of(Verdict.SUPERSEDED, "changes came meanwhile");
+            return ListUpdateResult.of(Outcome.SUPERSEDED, "changes came meanwhile");
         }
         // One endpoint that lags is no restart with older data; reads in a row that agree are.
         if (++laggingLists < READS_TO_GO_BACK) {
-            return ListUpdateResult.of(Verdict.LAGGING, "position " + at.revision() + " after " + position.revision());
+            return ListUpdateResult.of(Outcome.LAGGING, "position " + at.revision() + " after " + position.revision());
         }
         return null;
     }
@@ -150,11 +150,11 @@
             return mismatch;
         }
         if (relistRequired) {
-            return ListUpdateResult.of(Verdict.RELIST_REQUIRED, "a whole list is due");
+            return ListUpdateResult.of(Outcome.RELIST_REQUIRED, "a whole list is due");
         }
         if (to.revision() < position.revision()) {
             duplicateChanges += items.size();
-            return ListUpdateResult.of(Verdict.STALE, "older than the list");
+            return ListUpdateResult.of(Outcome.STALE, "older than the list");
         }
         Map<String, EndpointEntry> before = new LinkedHashMap<>();
         for (ListItem item : items) {
@@ -166,7 +166,7 @@
         }
         position = new ListPosition(to.history(), Math.max(position.term(), to.term()), to.revision());
         laggingLists = 0;
-        return new ListUpdateResult(Verdict.APPLIED, delta(before, false, false), "");
+        return new ListUpdateResult(Outcome.APPLIED, delta(before, false, false), "");
     }
 
     /**
@@ -182,7 +182,7 @@
             // A member that lags, or a registry restarted with older data: a watch would wait for the future.
             return requireRelist("position " + of.revision() + " after " + position.revision());
         }
-        return ListUpdateResult.of(Verdict.STALE, "");
+        return ListUpdateResult.of(Outcome.STALE, "");
     }
 
     /**
@@ -246,7 +246,7 @@
         if (stalled || countStillDiffers) {
             return requireRelist(stalled ? WATCH_STALLED : COUNT_DIFFERS);
         }
-        return ListUpdateResult.of(Verdict.STALE, "");
+        return ListUpdateResult.of(Outcome.STALE, "");
     }
 
     /** Notes that the source no longer has the changes that would follow this list's position. */
@@ -275,7 +275,7 @@
 
     private ListUpdateResult requireRelist(String reason) {
         relistRequired = true;
-        return ListUpdateResult.of(Verdict.RELIST_REQUIRED, reason);
+        return ListUpdateResult.of(Outcome.RELIST_REQUIRED, reason);
     }
 
     private ListDelta replaceAll(List<ListItem> items, boolean historyChanged) {
--- a/src/main/java/magpiehub/discovery/ListUpdateResult.java
+++ b/src/main/java/magpiehub/discovery/ListUpdateResult.java
@@ -3,13 +3,13 @@
 /**
  * The outcome of giving an update from the source to {@link EndpointListState}.
  *
- * @param verdict what became of the update
- * @param delta the changes to the list; null unless the verdict is {@link Verdict#APPLIED}
+ * @param outcome what became of the update
+ * @param delta the changes to the list; null unless the outcome is {@link Outcome#APPLIED}
  * @param reason why, for the event log
  */
-public record ListUpdateResult(Verdict verdict, ListDelta delta, String reason) {
+public record ListUpdateResult(Outcome outcome, ListDelta delta, String reason) {
     /** What became of an update. */
-    public enum Verdict {
+    public enum Outcome {
         /** It is now the list; the delta names the changes, of which there may be none. */
         APPLIED,
         /** It contained nothing new. */
@@ -22,13 +22,13 @@
         RELIST_REQUIRED
     }
 
-    static ListUpdateResult of(Verdict verdict, String reason) {
-        return new ListUpdateResult(verdict, null, reason);
+    static ListUpdateResult of(Outcome outcome, String reason) {
+        return new ListUpdateResult(outcome, null, reason);
     }
 
     /** Whether the next call must read the complete list. */
     boolean requiresRelist() {
-        return verdict == Verdict.RELIST_REQUIRED;
+        return outcome == Outcome.RELIST_REQUIRED;
     }
 
     /** Whether the endpoint that served the watch is not one to read the list from. */
--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -128,7 +128,7 @@
             }
             ListDelta delta = tracker.restore(cached.items(), now);
             observer.updated(
-                    tracker.list(), new ListUpdateResult(ListUpdateResult.Verdict.APPLIED, delta, "saved"), false);
+                    tracker.list(), new ListUpdateResult(ListUpdateResult.Outcome.APPLIED, delta, "saved"), false);
             tracker.publishRestored();
             cacheWriter.markWritten(tracker.list().version());
             log.cacheRestored(cached, tracker.list().size());
--- a/src/main/java/magpiehub/discovery/RegistryEventHandler.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventHandler.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.List;
-import magpiehub.discovery.ListUpdateResult.Verdict;
+import magpiehub.discovery.ListUpdateResult.Outcome;
 
 /**
  * Handles what the calls to a registry report: applies lists and changes, and decides what follows when a list
@@ -74,7 +74,7 @@
         boolean hadPosition = list.position().isKnown();
         ListUpdateResult result = list.applyCompleteList(read.position(), call.requestedAt, read.items(), trusted);
         observer.updated(list, result, false);
-        if (result.verdict() == Verdict.LAGGING) {
+        if (result.outcome() == Outcome.LAGGING) {
             log.listLagging(call, result.reason());
             list.markCompacted();
             call.deliveredLaggingList = true;
@@ -82,7 +82,7 @@
             return;
         }
         recordAnswer(call, nowMicros);
-        if (result.verdict() == Verdict.APPLIED) {
+        if (result.outcome() == Outcome.APPLIED) {
             session.recordList(call, nowMicros);
             if (session == sessions.current()) {
                 sessions.closeFormer();
@@ -106,7 +106,7 @@
             return;
         }
         recordAnswer(call, nowMicros);
-        if (result.verdict() != Verdict.APPLIED) {
+        if (result.outcome() != Outcome.APPLIED) {
             return;
         }
         log.countChanges();
--- a/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -432,7 +432,7 @@
         ListUpdateResult result = update.complete()
                 ? list.applyCompleteList(update.position(), null, update.items(), call.awaitsFirstData)
                 : list.applyChanges(update.position(), update.items());
-        if (result.verdict() != ListUpdateResult.Verdict.APPLIED) {
+        if (result.outcome() != ListUpdateResult.Outcome.APPLIED) {
             log.count("old_revisions");
             return false;
         }
--- a/src/test/java/magpiehub/discovery/EndpointListStateTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListStateTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import magpiehub.config.EndpointEntry;
-import magpiehub.discovery.ListUpdateResult.Verdict;
+import magpiehub.discovery.ListUpdateResult.Outcome;
 import magpiehub.routing.Endpoint;
 import magpiehub.routing.EndpointState;
 import org.junit.jupiter.api.Test;
@@ -33,14 +33,14 @@
     private static EndpointListState listAt(long revision, ListItem... items) {
         EndpointListState list = new EndpointListState();
         assertEquals(
-                Verdict.APPLIED,
+                Outcome.APPLIED,
                 list.applyCompleteList(at(revision), ListPosition.NONE, List.of(items), true)
-                        .verdict());
+                        .outcome());
         return list;
     }
 
-    private static Verdict verdict(ListUpdateResult result) {
-        return result.verdict();
+    private static Outcome outcome(ListUpdateResult result) {
+        return result.outcome();
     }
 
     @Test
@@ -49,7 +49,7 @@
         ListUpdateResult result = list.applyChanges(at(7), List.of(item("b", 5), item("a", 7)));
         assertEquals(1, result.delta().put().size());
         assertEquals(1, list.duplicateChanges());
-        assertEquals(Verdict.STALE, verdict(list.applyChanges(at(6), List.of(item("a", 6)))));
+        assertEquals(Outcome.STALE, outcome(list.applyChanges(at(6), List.of(item("a", 6)))));
         assertEquals("10.0.0.1:1007", list.get("a").address());
     }
 
@@ -58,33 +58,33 @@
         EndpointListState list = listAt(5, item("a", 3));
         ListPosition asked = list.position();
         list.applyChanges(at(8), List.of(item("b", 8)));
-        assertEquals(Verdict.SUPERSEDED, verdict(list.applyCompleteList(at(6), asked, List.of(item("a", 3)), false)));
+        assertEquals(Outcome.SUPERSEDED, outcome(list.applyCompleteList(at(6), asked, List.of(item("a", 3)), false)));
         assertEquals(2, list.size());
     }
 
     @Test
     void olderDataIsAppliedOnceTwoReadsAgree() {
         EndpointListState list = listAt(50, item("a", 40), item("b", 50));
-        assertEquals(Verdict.RELIST_REQUIRED, verdict(list.checkPosition(at(20))));
+        assertEquals(Outcome.RELIST_REQUIRED, outcome(list.checkPosition(at(20))));
         assertEquals(
-                Verdict.LAGGING,
-                verdict(list.applyCompleteList(at(20), list.position(), List.of(item("a", 10)), false)));
+                Outcome.LAGGING,
+                outcome(list.applyCompleteList(at(20), list.position(), List.of(item("a", 10)), false)));
         assertEquals(2, list.size());
         ListUpdateResult result = list.applyCompleteList(at(21), list.position(), List.of(item("a", 10)), false);
         assertTrue(result.delta().historyChanged());
         assertEquals(List.of("b"), result.delta().removed());
         assertEquals("10.0.0.1:1010", list.get("a").address());
-        assertEquals(Verdict.APPLIED, verdict(list.applyChanges(at(22), List.of(item("c", 22)))));
+        assertEquals(Outcome.APPLIED, outcome(list.applyChanges(at(22), List.of(item("c", 22)))));
     }
 
     @Test
     void laggingListsAreNotAppliedBetweenCurrentOnes() {
         EndpointListState list = listAt(50, item("a", 40));
         for (int i = 0; i < 5; i++) {
-            assertEquals(Verdict.LAGGING, verdict(list.applyCompleteList(at(30), list.position(), List.of(), false)));
+            assertEquals(Outcome.LAGGING, outcome(list.applyCompleteList(at(30), list.position(), List.of(), false)));
             assertEquals(
-                    Verdict.APPLIED,
-                    verdict(list.applyCompleteList(at(50 + i), list.position(), List.of(item("a", 40)), false)));
+                    Outcome.APPLIED,
+                    outcome(list.applyCompleteList(at(50 + i), list.position(), List.of(item("a", 40)), false)));
         }
         assertEquals(1, list.size());
     }
@@ -93,37 +93,37 @@
     void changesOfAnotherHistoryAreNotApplied() {
         EndpointListState list = listAt(50, item("a", 40));
         ListPosition other = new ListPosition("c2", 2, 90);
-        assertEquals(Verdict.RELIST_REQUIRED, verdict(list.applyChanges(other, List.of(item("x", 90)))));
-        assertEquals(Verdict.RELIST_REQUIRED, verdict(list.applyChanges(at(51), List.of(item("b", 51)))));
+        assertEquals(Outcome.RELIST_REQUIRED, outcome(list.applyChanges(other, List.of(item("x", 90)))));
+        assertEquals(Outcome.RELIST_REQUIRED, outcome(list.applyChanges(at(51), List.of(item("b", 51)))));
         assertNull(list.get("x"));
         assertTrue(list.applyCompleteList(other, list.position(), List.of(item("x", 90)), false)
                 .delta()
                 .historyChanged());
         assertNull(list.get("a"));
-        assertEquals(Verdict.RELIST_REQUIRED, verdict(list.checkPosition(new ListPosition("c2", 1, 95))));
+        assertEquals(Outcome.RELIST_REQUIRED, outcome(list.checkPosition(new ListPosition("c2", 1, 95))));
     }
 
     @Test
     void anotherHistoryIsRecognizedByItsLastChanges() {
         EndpointListState list = listAt(9, item("a", 3), item("b", 8), ListItem.unreadable("odd", 9, "no address"));
         ListItem odd = ListItem.unreadable("odd", 9, "no address");
-        assertEquals(Verdict.STALE, verdict(list.checkResume(at(12), at(9), List.of(odd, item("b", 8)), 3)));
+        assertEquals(Outcome.STALE, outcome(list.checkResume(at(12), at(9), List.of(odd, item("b", 8)), 3)));
         assertEquals(
-                Verdict.RELIST_REQUIRED,
-                verdict(list.checkResume(at(12), at(9), List.of(odd, item("a", 8)), 3)),
+                Outcome.RELIST_REQUIRED,
+                outcome(list.checkResume(at(12), at(9), List.of(odd, item("a", 8)), 3)),
                 "the last key is the same, the one before it is not");
         EndpointListState other = listAt(9, item("a", 3), item("b", 9));
         assertEquals(
-                Verdict.RELIST_REQUIRED,
-                verdict(other.checkResume(at(12), at(9), List.of(item("a", 3)), 2)),
+                Outcome.RELIST_REQUIRED,
+                outcome(other.checkResume(at(12), at(9), List.of(item("a", 3)), 2)),
                 "what was changed here was not changed there");
         assertEquals(
-                Verdict.RELIST_REQUIRED,
-                verdict(other.checkResume(
+                Outcome.RELIST_REQUIRED,
+                outcome(other.checkResume(
                         new ListPosition("c1", 3, 12), at(9), List.of(item("a", 9), item("b", 3)), 2)),
                 "a new leader's answer is compared, too");
         EndpointListState empty = listAt(9);
-        assertEquals(Verdict.STALE, verdict(empty.checkResume(at(12), at(9), List.of(), 0)));
+        assertEquals(Outcome.STALE, outcome(empty.checkResume(at(12), at(9), List.of(), 0)));
     }
 
     @Test
@@ -163,16 +163,16 @@
     @Test
     void silentWatchIsFoundByTwoChecks() {
         EndpointListState list = listAt(5, item("a", 3), item("b", 5));
-        assertEquals(Verdict.STALE, verdict(list.checkWatch(at(9), list.position(), 9, 2)));
+        assertEquals(Outcome.STALE, outcome(list.checkWatch(at(9), list.position(), 9, 2)));
         list.applyChanges(at(9), List.of(item("a", 9)));
-        assertEquals(Verdict.STALE, verdict(list.checkWatch(at(12), list.position(), 12, 2)));
-        assertEquals(Verdict.RELIST_REQUIRED, verdict(list.checkWatch(at(12), list.position(), 12, 2)));
+        assertEquals(Outcome.STALE, outcome(list.checkWatch(at(12), list.position(), 12, 2)));
+        assertEquals(Outcome.RELIST_REQUIRED, outcome(list.checkWatch(at(12), list.position(), 12, 2)));
         assertTrue(list.requiresRelist());
         EndpointListState other = listAt(5, item("a", 3), item("b", 5));
-        assertEquals(Verdict.STALE, verdict(other.checkWatch(at(9), other.position(), 3, 1)));
+        assertEquals(Outcome.STALE, outcome(other.checkWatch(at(9), other.position(), 3, 1)));
         assertEquals(
-                Verdict.RELIST_REQUIRED,
-                verdict(other.checkWatch(at(9), other.position(), 3, 1)),
+                Outcome.RELIST_REQUIRED,
+                outcome(other.checkWatch(at(9), other.position(), 3, 1)),
                 "a removal that never came");
     }
 
@@ -181,9 +181,9 @@
         EndpointListState list = listAt(5, item("a", 3));
         list.markCompacted();
         assertTrue(list.requiresRelist());
-        assertEquals(Verdict.RELIST_REQUIRED, verdict(list.applyChanges(at(9), List.of(item("b", 9)))));
+        assertEquals(Outcome.RELIST_REQUIRED, outcome(list.applyChanges(at(9), List.of(item("b", 9)))));
         assertEquals(
-                Verdict.APPLIED, verdict(list.applyCompleteList(at(9), list.position(), List.of(item("b", 9)), false)));
+                Outcome.APPLIED, outcome(list.applyCompleteList(at(9), list.position(), List.of(item("b", 9)), false)));
         assertFalse(list.requiresRelist());
     }
 
