--- a/src/main/java/magpiehub/discovery/EndpointListState.java
+++ b/src/main/java/magpiehub/discovery/EndpointListState.java
@@ -82,7 +82,7 @@
     }
 
     /** Whether the last check saw what the watch has not delivered yet. */
-    public boolean isBehindCheck() {
+    public boolean isBehindSource() {
         return expectedRevision > position.revision() || countDifferedAt != null;
     }
 
--- a/src/main/java/magpiehub/discovery/RegistryEventHandler.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventHandler.java
@@ -138,7 +138,7 @@
             return;
         }
         recordAnswer(call, nowMicros);
-        if (list.isBehindCheck()) {
+        if (list.isBehindSource()) {
             call.session.recheckSoon(call);
         }
     }
