--- a/src/main/java/magpiehub/discovery/MembershipDamping.java
+++ b/src/main/java/magpiehub/discovery/MembershipDamping.java
@@ -49,11 +49,11 @@
     /**
      * Counts since the start.
      *
-     * @param doubtedLists complete lists that needed a second read
-     * @param damped endpoints suppressed
-     * @param spared endpoints not suppressed because too much of the fleet was already
+     * @param confirmationsRequired complete lists whose removals needed a second read
+     * @param suppressed endpoints suppressed
+     * @param exempted endpoints not suppressed because too much of the fleet was already
      */
-    public record Statistics(long doubtedLists, long damped, long spared) {}
+    public record Statistics(long confirmationsRequired, long suppressed, long exempted) {}
 
     private final Settings settings;
     /** Each endpoint as the registry listed it last, with those held although a list does not name them. */
--- a/src/main/java/magpiehub/discovery/RegistryStatistics.java
+++ b/src/main/java/magpiehub/discovery/RegistryStatistics.java
@@ -30,8 +30,8 @@
                 + "\nregistry_repeats_dropped " + duplicateChanges
                 + "\nmembership_held " + held
                 + "\nmembership_damped_now " + suppressed
-                + "\nmembership_damped " + membership.damped()
-                + "\nmembership_spared " + membership.spared()
+                + "\nmembership_damped " + membership.suppressed()
+                + "\nmembership_spared " + membership.exempted()
                 + "\n";
     }
 }
--- a/src/test/java/magpiehub/discovery/MembershipDampingTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipDampingTest.java
@@ -142,6 +142,6 @@
                     i * S + 1);
         }
         assertTrue(damping.suppressedCount() <= 5);
-        assertTrue(damping.statistics().spared() > 0);
+        assertTrue(damping.statistics().exempted() > 0);
     }
 }
