--- a/src/main/java/magpiehub/discovery/EndpointListPublisher.java
+++ b/src/main/java/magpiehub/discovery/EndpointListPublisher.java
@@ -26,8 +26,8 @@
     }
 
     /** Sets the dispatcher; to be called once, before anything is published. */
-    public void start(RequestDispatcher to) {
-        dispatcher = to;
+    public void setDispatcher(RequestDispatcher dispatcher) {
+        this.dispatcher = dispatcher;
     }
 
     /** The operators' maintenance, which is applied to all that is published. */
--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -99,7 +99,7 @@
      */
     @Override
     public void start(RequestDispatcher dispatcher, byte[] saved) {
-        publisher.start(dispatcher);
+        publisher.setDispatcher(dispatcher);
         context = new RegistryClientContext(clock, log, mailbox, bytesRead, observer);
         long now = clock.micros();
         if (settings.cacheFile() != null) {
--- a/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -115,7 +115,7 @@
     /** Publishes the saved list, if there is one, on the caller's thread, and starts the actor. */
     @Override
     public void start(RequestDispatcher dispatcher, byte[] saved) {
-        publisher.start(dispatcher);
+        publisher.setDispatcher(dispatcher);
         publisher.deliverValidity(validUntilMicros);
         if (saved != null) {
             try (JsonParser json = Json.FACTORY.createParser(saved)) {
