--- a/src/main/java/magpiehub/discovery/EndpointListState.java
+++ b/src/main/java/magpiehub/discovery/EndpointListState.java
@@ -206,7 +206,7 @@
         }
         return hadSameChanges(lastChanged, count)
                 ? result
-                : requireRelist("another past at position " + resumeAt.revision());
+                : requireRelist("different history at revision " + resumeAt.revision());
     }
 
     private boolean hadSameChanges(List<ListItem> lastChanged, long count) {
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -146,7 +146,7 @@
         burst(317, 60);
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
-        assertTrue(!kind.equals("etcd") || client.log.contains("another past at position"), client.log.toString());
+        assertTrue(!kind.equals("etcd") || client.log.contains("different history at revision"), client.log.toString());
     }
 
     @ParameterizedTest(name = "{0}")
