--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -123,7 +123,7 @@
      * Cuts connections whose clients have read nothing of their stream for the given time, or for their class's where
      * that is shorter: the process is about to end.
      */
-    public void cutStalledConnections(long leastMicros) {
+    public void disconnectStalledClients(long leastMicros) {
         long nowMicros = clock.micros();
         for (ClientConnection connection : connections.all()) {
             connection.cutIfStalled(nowMicros, leastMicros, StreamOutcome.SHUTDOWN);
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -115,7 +115,7 @@
                 dispatcher.shutDown(site.get().routing().resumesStreams());
             }
             if (!awaitingRequests) {
-                listeners.forEach(listener -> listener.cutStalledConnections(STUCK_CLIENT_MICROS));
+                listeners.forEach(listener -> listener.disconnectStalledClients(STUCK_CLIENT_MICROS));
             }
         }
     }
