--- a/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
+++ b/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
@@ -102,11 +102,11 @@
         Endpoint changed = new Endpoint(
                 endpoint.id(),
                 endpoint.zone(),
-                endpoint.kind(),
+                endpoint.machineType(),
                 endpoint.cell(),
                 drains ? EndpointState.DRAINING : endpoint.state(),
                 endpoint.weight(),
-                backSince == null ? endpoint.onlineSince() : Math.max(endpoint.onlineSince(), backSince));
+                backSince == null ? endpoint.startedAt() : Math.max(endpoint.startedAt(), backSince));
         return new EndpointEntry(changed, entry.address());
     }
 }
--- a/src/main/java/magpiehub/discovery/MembershipDamping.java
+++ b/src/main/java/magpiehub/discovery/MembershipDamping.java
@@ -49,11 +49,11 @@
     /**
      * Counts since the start.
      *
-     * @param doubtedLists complete lists that needed a second read
-     * @param damped endpoints suppressed
-     * @param spared endpoints not suppressed because too much of the fleet was already
+     * @param confirmationsRequired complete lists whose removals needed a second read
+     * @param suppressed endpoints suppressed
+     * @param exempted endpoints not suppressed because too much of the fleet was already
      */
-    public record Statistics(long doubtedLists, long damped, long spared) {}
+    public record Statistics(long confirmationsRequired, long suppressed, long exempted) {}
 
     private final Settings settings;
     /** Each endpoint as the registry listed it last, with those held although a list does not name them. */
@@ -223,7 +223,7 @@
     private static EndpointEntry withState(EndpointEntry entry, EndpointState state) {
         Endpoint old = entry.endpoint();
         Endpoint changed =
-                new Endpoint(old.id(), old.zone(), old.kind(), old.cell(), state, old.weight(), old.onlineSince());
+                new Endpoint(old.id(), old.zone(), old.machineType(), old.cell(), state, old.weight(), old.startedAt());
         return new EndpointEntry(changed, entry.address());
     }
 }
--- a/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -115,7 +115,7 @@
     /** Publishes the saved list, if there is one, on the caller's thread, and starts the actor. */
     @Override
     public void start(RequestDispatcher dispatcher, byte[] saved) {
-        publisher.start(dispatcher);
+        publisher.setDispatcher(dispatcher);
         publisher.deliverValidity(validUntilMicros);
         if (saved != null) {
             try (JsonParser json = Json.FACTORY.createParser(saved)) {
@@ -129,12 +129,12 @@
     }
 
     @Override
-    public boolean isKnown() {
+    public boolean hasUsableList() {
         return known && clock.micros() < validUntilMicros;
     }
 
     @Override
-    public void awaitKnown(long timeoutMillis) throws InterruptedException {
+    public void awaitUsableList(long timeoutMillis) throws InterruptedException {
         boolean inTime = firstKnown.await(timeoutMillis, TimeUnit.MILLISECONDS);
         if (!inTime) {
             log.log("list-not-known", "waited_ms", Long.toString(timeoutMillis));
@@ -432,7 +432,7 @@
         ListUpdateResult result = update.complete()
                 ? list.applyCompleteList(update.position(), null, update.items(), call.awaitsFirstData)
                 : list.applyChanges(update.position(), update.items());
-        if (result.verdict() != ListUpdateResult.Verdict.APPLIED) {
+        if (result.outcome() != ListUpdateResult.Outcome.APPLIED) {
             log.count("old_revisions");
             return false;
         }
--- a/src/main/java/magpiehub/routing/EndpointListHandler.java
+++ b/src/main/java/magpiehub/routing/EndpointListHandler.java
@@ -58,7 +58,7 @@
     void pollIfDue(long now) {
         if (settings.get().subscribesToEndpoints()
                 && pollSchedule.acquirePoll(now, settings.get().guarantees().pollWithin())) {
-            actions.watch();
+            actions.watchEndpoints();
         }
     }
 
@@ -73,9 +73,9 @@
     }
 
     @Override
-    public void onReplicaStarted(Replica replica, long onlineSince) {
+    public void onReplicaStarted(Replica replica, long startedAt) {
         outliers.reset(replica);
-        slowStart.start(replica, onlineSince);
+        slowStart.start(replica, startedAt);
         load.resetLimit(replica);
     }
 
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -108,9 +108,9 @@
                                         && was.cell() == endpoint.cell()),
                         "outside the group");
             }
-            if (endpoint.onlineSince() > 0
-                    && now - endpoint.onlineSince() < settings.guarantees().overloadWindow()) {
-                coldSends.merge(server + "@" + endpoint.onlineSince(), 1, Integer::sum);
+            if (endpoint.startedAt() > 0
+                    && now - endpoint.startedAt() < settings.guarantees().overloadWindow()) {
+                coldSends.merge(server + "@" + endpoint.startedAt(), 1, Integer::sum);
             }
             job.replicas.add(server);
             job.sentAt.add(now);
@@ -159,12 +159,12 @@
         }
 
         @Override
-        public void probe(String server) {
+        public void sendHealthCheck(String server) {
             assertTrue(settings.limits().allowsHealthChecks() && everListed.contains(server));
         }
 
         @Override
-        public void watch() {
+        public void watchEndpoints() {
             assertTrue(settings.subscribesToEndpoints());
             answers.add(now + random.nextInt(2_000_000));
         }
@@ -270,7 +270,7 @@
                     policy.onStreamStarted(now, job.request.id(), i, now - job.sentAt.get(i));
                 } else if (job.streamingAttempt < 0 && !job.over && random.nextInt(10) == 0) {
                     job.over = true;
-                    policy.onClientGone(now, job.request.id());
+                    policy.onClientDisconnected(now, job.request.id());
                 } else {
                     end(
                             job,
