--- a/src/main/java/magpiehub/downstream/AcceptBackoff.java
+++ b/src/main/java/magpiehub/downstream/AcceptBackoff.java
@@ -1,14 +1,14 @@
 package magpiehub.downstream;
 
 /**
- * How long accepting pauses after failures in a row, and which of them are logged. A state machine without I/O and
- * without a clock; an instance belongs to one thread.
+ * Computes the pause after consecutive accept failures, and limits the rate of their log lines. A state machine without
+ * I/O or a clock; an instance is confined to one thread.
  */
 final class AcceptBackoff {
-    /** A failure that has passed by then, such as one client's reset, delays the next client by no more. */
+    /** Short, so that a transient failure, such as one client's reset, hardly delays the next client. */
     private static final long FIRST_PAUSE_MILLIS = 5;
 
-    /** Clients wait in the socket's queue meanwhile. */
+    /** New connections wait in the socket's accept queue meanwhile. */
     private static final long MAX_PAUSE_MILLIS = 100;
 
     private static final long LOG_PERIOD_MICROS = 1_000_000;
@@ -17,12 +17,12 @@
     private long nextLogMicros = Long.MIN_VALUE;
     private long failuresSinceLog;
 
-    /** A connection was accepted. */
+    /** Resets the pause after a connection was accepted. */
     void recordAccepted() {
         nextPauseMillis = FIRST_PAUSE_MILLIS;
     }
 
-    /** Accepting has failed; returns how long to pause before it is tried again. */
+    /** Records a failure and returns how long to pause before accepting again. */
     long recordFailure() {
         failuresSinceLog++;
         long pauseMillis = nextPauseMillis;
@@ -30,7 +30,10 @@
         return pauseMillis;
     }
 
-    /** The failures that a log line is due for, the last one among them; 0 if none is due yet. */
+    /**
+     * Returns how many failures since the last log line a new line has to report, the latest included; 0 if none is due
+     * yet.
+     */
     long acquireLogLine(long nowMicros) {
         if (nowMicros < nextLogMicros) {
             return 0;
--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -10,19 +10,19 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * One client's connection, as all threads see it: its socket, its mailbox, and the state that the accepting thread and
- * the monitor read to choose which connections to close. All else is known to the {@link ClientConnectionActor} alone.
+ * One client's connection as all threads see it: its socket, its mailbox, and the state that the accepting thread and
+ * the monitor read to select connections to close. All other state is private to the {@link ClientConnectionActor}.
  *
  * <p><b>Threads.</b> All methods may be called from any thread, except the setters, whose comments name their callers.
- * No lock is held anywhere; what one thread writes and others read is volatile.
+ * No lock is held; fields that one thread writes and others read are volatile.
  *
- * <p>The connection is closed orderly by its actor alone. {@link #cut} closes the socket under the actor, which ends
- * in its next turn; this is for clients that do not read, on whom the actor may be blocked in a write.
+ * <p>Only the actor closes the connection gracefully. {@link #disconnect} closes the socket without the actor, which
+ * ends in its next turn; this is for clients that do not read, in a write to which the actor may be blocked.
  */
 final class ClientConnection implements StreamClient, EvictionCandidate {
     /**
-     * When a client that has connected must have sent its first request completely, whether it sends nothing, a head
-     * without end or half a request: it is owed an error within 3 s.
+     * The time limit for the complete first request after the connection was accepted, whether the client sends
+     * nothing, an endless head or half a request: it must get an error response within 3 s.
      */
     private static final long FIRST_REQUEST_TIMEOUT_MICROS = 2_500_000;
 
@@ -37,17 +37,17 @@
     private volatile boolean receiving;
     private volatile boolean toldToClose;
     /**
-     * The client's end was read, or the connection is closed: nothing more may begin for it. Set by whoever learns it
-     * first, ahead of the message that goes through mailboxes.
+     * The end of the client's input was read, or the connection is closed: no new work may start for it. Set by the
+     * first thread to detect it, ahead of the message that goes through mailboxes.
      */
     private volatile boolean clientGone;
-    /** When the monitor posts a {@link ClientMessage.TimerExpired}. */
+    /** When the monitor is to post a {@link ClientMessage.TimerExpired}. */
     private volatile long timerMicros;
 
     /**
-     * A connection that does nothing until {@link #start}.
+     * Creates a connection that does nothing until {@link #start}.
      *
-     * @param overCapacity whether it is only answered that it is rejected
+     * @param overCapacity whether requests on it are only answered with a rejection
      */
     ClientConnection(Socket socket, boolean overCapacity, ListenerServices services) {
         this.socket = socket;
@@ -59,13 +59,19 @@
         this.reader = new ClientRequestReader(this, socket, services);
     }
 
-    /** Adds this to the open connections and gives its actor turns; to be called once, by the accepting thread. */
+    /**
+     * Adds this to the open connections and attaches the actor to its thread pool. Called once, by the accepting
+     * thread.
+     */
     void start() {
         services.connections().add(this);
         mailbox.attach(services.actorThreads(), actor::runTurn);
     }
 
-    /** Starts the reader; to be called once. Without memory for its thread the connection ends, and this throws. */
+    /**
+     * Starts the reader. Called once. If there is no memory for its thread, the connection ends and the error is
+     * rethrown.
+     */
     void startReader() {
         try {
             services.readerThreads().execute(reader::run);
@@ -76,9 +82,9 @@
     }
 
     /**
-     * Starts the reader if the first byte is here.
+     * Starts the reader if the first byte has arrived.
      *
-     * @return false if it has to be awaited; true also if the connection has ended meanwhile
+     * @return false if the first byte is still awaited; true also if the connection has ended meanwhile
      */
     boolean startReaderIfReadable() {
         try {
@@ -96,24 +102,26 @@
 
     // ---- Messages to the actor ------------------------------------------------------------------------
 
-    /** Posts a message; one that does not fit ends this client: it does not read, and no event may be left out. */
+    /**
+     * Posts a message. If it does not fit, the client is disconnected: it does not read, and no event may be skipped.
+     */
     void post(ClientMessage message, int bytes) {
         if (!mailbox.post(message, bytes)) {
             cutAfterOverflow();
         }
     }
 
-    /** Posts a message without payload, which fits as long as the connection has not ended. */
+    /** Posts a message without payload, which always fits unless the connection has ended. */
     void postAlways(ClientMessage message) {
         mailbox.post(message);
     }
 
-    /** Posts a request; false if it does not fit, or the connection has ended. */
+    /** Posts a request; returns false if it does not fit or the connection has ended. */
     boolean postRequest(ClientMessage.RequestReceived request) {
         return mailbox.post(request, request.body().length);
     }
 
-    /** Posts that the timer has expired, if it has. */
+    /** Posts a {@link ClientMessage.TimerExpired} if the timer has expired. */
     void checkTimer(long nowMicros) {
         if (timerMicros <= nowMicros) {
             mailbox.post(new ClientMessage.TimerExpired());
@@ -132,30 +140,38 @@
         mailbox.post(new ClientMessage.CloseIfIdle());
     }
 
-    // ---- Closing under the actor ----------------------------------------------------------------------
+    // ---- Closing without the actor ---------------------------------------------------------------------
 
-    /** Closes the socket at once: the stream's budget is exceeded, or its client has not read for too long. */
+    /** Closes the socket at once: the stream's buffer budget is exceeded, or its client has not read for too long. */
     @Override
     public void disconnect() {
         cutOnce();
     }
 
-    /** Cuts the connection if its client has read nothing of a stream for longer than its request's class allows. */
-    void cutIfStalled(long nowMicros, long leastMicros, StreamOutcome ending) {
+    /**
+     * Disconnects the client if it has read nothing of its stream for longer than allowed.
+     *
+     * @param maxStallMicros the longest stall allowed, where it is shorter than that of the request's class
+     * @param cause the outcome of the stream in that case
+     */
+    void cutIfStalled(long nowMicros, long maxStallMicros, StreamOutcome cause) {
         StreamFlow flow = actor.responseFlow();
-        if (flow != null && services.streams().isClientStalled(flow, nowMicros, leastMicros, ending)) {
+        if (flow != null && services.streams().isClientStalled(flow, nowMicros, maxStallMicros, cause)) {
             disconnect();
         }
     }
 
-    /** Cuts and counts, unless the connection has ended by itself: then what is posted to it is no overflow. */
+    /**
+     * Disconnects the client and counts the overflow, unless the connection has already ended: a message that is
+     * refused after that is no overflow.
+     */
     void cutAfterOverflow() {
         if (!socket.isClosed() && cutOnce()) {
             services.eventLog().count("client_overflows");
         }
     }
 
-    /** A thread that is blocked in a write is woken by the close; false if this has been done before. */
+    /** Closes the socket, which wakes a thread blocked in a write; returns false if this was done before. */
     private boolean cutOnce() {
         boolean first = cut.compareAndSet(false, true);
         if (first) {
@@ -166,7 +182,9 @@
         return first;
     }
 
-    /** For the reader: the client has gone. Counted unless the connection was closed from this side. */
+    /**
+     * Called by the reader when the client has disconnected. Counted unless the connection was closed from this side.
+     */
     void inputEnded() {
         if (!clientGone) {
             clientGone = true;
@@ -175,7 +193,7 @@
         mailbox.post(new ClientMessage.Disconnected());
     }
 
-    // ---- State that several threads read --------------------------------------------------------------
+    // ---- State shared between threads ------------------------------------------------------------------
 
     boolean isClientGone() {
         return clientGone;
@@ -201,37 +219,37 @@
         return toldToClose;
     }
 
-    /** For the reader: whether a request is arriving. */
+    /** Called by the reader: whether a request is being received. */
     void setReceiving(boolean value) {
         receiving = value;
     }
 
-    /** For the actor: since when no request is in progress, or {@link #BUSY}. */
+    /** Called by the actor: since when no request has been in progress, or {@link #BUSY}. */
     void setIdleSinceMicros(long micros) {
         idleSinceMicros = micros;
     }
 
-    /** For the actor: a complete request has arrived. */
+    /** Called by the actor when a complete request has arrived. */
     void markRequestReceived() {
         receivedRequest = true;
     }
 
-    /** For the actor: it has decided on an {@link ClientMessage.EvictIfIdle}. */
+    /** Called by the actor once it has handled an {@link ClientMessage.EvictIfIdle}. */
     void clearToldToClose() {
         toldToClose = false;
     }
 
-    /** For the actor, when it ends. */
+    /** Called by the actor when it closes the connection. */
     void markClientGone() {
         clientGone = true;
     }
 
-    /** For the actor: when the timer expires. */
+    /** Called by the actor: when the timer expires. */
     long timerMicros() {
         return timerMicros;
     }
 
-    /** For the actor: sets the timer. */
+    /** Called by the actor: sets the timer. */
     void setTimerMicros(long micros) {
         timerMicros = micros;
     }
--- a/src/main/java/magpiehub/downstream/ClientConnectionActor.java
+++ b/src/main/java/magpiehub/downstream/ClientConnectionActor.java
@@ -9,11 +9,11 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * The actor of one connection: it takes the messages from the mailbox, has the {@link ClientMessageHandler} handle them
- * one at a time, and alone writes to the socket and closes it in order.
+ * The actor of one connection: takes messages from the mailbox, has the {@link ClientMessageHandler} handle them one at
+ * a time, and is the only one that writes to the socket and closes it gracefully.
  *
- * <p><b>Threads.</b> {@link #runTurn} is called on the actors' threads, never on two at once; a turn may block while
- * the client does not read. {@link #responseFlow} may be called from any thread.
+ * <p><b>Threads.</b> {@link #runTurn} is called on the actors' threads, never on two concurrently; a turn may block
+ * while the client does not read. {@link #responseFlow} may be called from any thread.
  */
 final class ClientConnectionActor {
     private final ClientConnection connection;
@@ -23,7 +23,7 @@
     private final ResponseWriter writer;
     private final ConnectionCloseState close;
     private final ClientMessageHandler handler;
-    /** A handler has failed. */
+    /** A message handler has thrown. */
     private boolean failed;
     /** The connection is closed; further messages are dropped. */
     private boolean closed;
@@ -43,18 +43,18 @@
         this.handler = new ClientMessageHandler(connection, socket, services, writer, close);
     }
 
-    /** The stream whose bytes are being written, or null. */
+    /** Returns the stream whose bytes are being written, or null. */
     StreamFlow responseFlow() {
         return writer.flow();
     }
 
-    /** Handles the messages in the mailbox and writes the answers. */
+    /** Handles the messages in the mailbox and writes the responses. */
     void runTurn() {
         if (!closed) {
             try {
                 handleMessages(socket.getOutputStream());
             } catch (IOException e) {
-                close.endNow(); // The client has gone while it was written to.
+                close.endNow(); // The client disconnected during the write.
             } catch (RuntimeException | StackOverflowError | OutOfMemoryError e) {
                 onFailure(e);
             }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Handles messages, from the given one on, until the mailbox is empty or what is buffered has to be written. */
+    /** Handles messages, starting with the given one, until the mailbox is empty or the buffer has to be flushed. */
     private void handleUntilFlush(ClientMessage first) {
         ClientMessage message = first;
         while (message != null && !close.isEnded()) {
@@ -84,7 +84,9 @@
         }
     }
 
-    /** Ends the connection after a handler has thrown; a request that was not begun to be answered gets an error. */
+    /**
+     * Ends the connection after a handler has thrown. A request whose response has not begun gets an error response.
+     */
     private void onFailure(Throwable failure) {
         services.eventLog().count("client_exceptions");
         services.eventLog().log("client-exception", "error", failure.toString());
@@ -94,12 +96,12 @@
                 writer.flushUnreported(socket.getOutputStream());
             }
         } catch (IOException e) {
-            // Nobody is left to answer.
+            // The client has disconnected; the error response can't be delivered.
         }
         close.endNow();
     }
 
-    /** Closes the socket, and releases what the connection holds, once; later messages are dropped. */
+    /** Closes the socket and releases the connection's resources, once; messages that arrive later are dropped. */
     private void closeConnection() {
         connection.markClientGone();
         Sockets.closeQuietly(socket);
--- a/src/main/java/magpiehub/downstream/ClientExchange.java
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -12,7 +12,7 @@
  * ({@link StreamListener}) see it.
  *
  * <p><b>Threads.</b> The methods of these two interfaces may be called from any thread; they post a message to the
- * connection's actor and return at once. All others are for the actor's turns.
+ * connection's actor and return at once. All others are called by the actor only.
  */
 final class ClientExchange implements ClientCallback, StreamListener {
     private final ClientConnection connection;
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void onFailure(byte[] error, StreamOutcome why) {
-        connection.post(new ClientMessage.StreamBroken(this, error, why), 0);
+    public void onFailure(byte[] errorEvent, StreamOutcome outcome) {
+        connection.post(new ClientMessage.StreamBroken(this, errorEvent, outcome), 0);
     }
 
     @Override
@@ -68,7 +68,7 @@
         return connection.isClientGone();
     }
 
-    // ---- The actor's turns ----------------------------------------------------------------------------
+    // ---- Called by the actor ----------------------------------------------------------------------------
 
     String requestId() {
         return call.request().id();
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Writes the head of a response stream. The state changes first: if writing fails half-way, no error response may
-     * follow.
+     * Writes the head of a response stream. The state changes first, so that no error response can follow a write that
+     * fails half-way.
      */
     void writeHead(HttpWriter out, boolean lastAnswer) {
         state = state.started();
@@ -103,15 +103,19 @@
     }
 
     /**
-     * Ends a broken stream in order, if all that matters of it has been written and the dialect can say so.
+     * Writes the regular end of a stream that broke, if all of its essential content has been written and the protocol
+     * allows for that.
      *
-     * @return false, with nothing written, if that is not so
+     * @return false, with nothing written, if this is not possible
      */
     boolean writeIncompleteEnd(HttpWriter out, boolean lastAnswer) {
         return isResponding() && call.tryWriteIncompleteEnd(out, lastAnswer);
     }
 
-    /** Writes what says that the stream broke, never its end; the connection has to be closed afterwards. */
+    /**
+     * Writes an error for a stream that broke, never the stream's regular end. The connection must be closed
+     * afterwards.
+     */
     void writeBroken(HttpWriter out, byte[] error) {
         if (isResponding()) {
             call.writeStreamError(out, error);
@@ -120,24 +124,23 @@
         }
     }
 
-    /** Writes the answer to a rejected request. */
+    /** Writes the response to a rejected request. */
     void writeRejection(HttpWriter out, long retryAfterMicros, boolean lastAnswer) {
         call.writeRejection(out, retryAfterMicros, lastAnswer);
     }
 
-    /** Writes the answer to a failed request. */
+    /** Writes the response to a failed request. */
     void writeFailure(HttpWriter out, String reason, boolean lastAnswer) {
         call.writeFailure(out, reason, lastAnswer);
     }
 
-    /** Writes a sign of life, where the dialect has one and the response has begun. */
+    /** Writes a keep-alive, if the protocol has one and the response has begun. */
     void writeKeepAlive(HttpWriter out) {
         if (isResponding()) {
             call.writeKeepAlive(out);
         }
     }
 
-    /** Marks the exchange as ended. */
     void markEnded() {
         state = state.ended();
     }
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -14,13 +14,15 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * A listening socket with its protocol, and the connections that it accepts. It has three threads of its own: the
- * {@link ConnectionAcceptor}'s, the {@link FirstByteWatcher}'s and the {@link ConnectionMonitor}'s.
+ * A listening socket with its protocol, and the connections accepted on it. Runs three threads: the {@link
+ * ConnectionAcceptor}, the {@link FirstByteWatcher} and the {@link ConnectionMonitor}.
  *
- * <p><b>Threads.</b> All methods may be called from any thread, {@link #start} once. None blocks on a client.
+ * <p><b>Threads.</b> All methods may be called from any thread, {@link #start} once. None of them blocks on a client.
  */
 public final class ClientListener {
-    /** What may wait for one client, beside the part of its stream that it may leave unread. */
+    /**
+     * The capacity of a connection's mailbox, in addition to the part of a stream that the client may leave unread.
+     */
     private static final int MAILBOX_BYTES = 512 * 1024;
 
     private final ListenerSocket listenerSocket;
@@ -32,12 +34,12 @@
     private final FirstByteWatcher firstByteWatcher = new FirstByteWatcher();
 
     /**
-     * A listener whose socket is bound, but that accepts nothing until {@link #start}.
+     * Creates a listener on a bound socket, which accepts nothing until {@link #start}.
      *
-     * @param ready the answer to {@code /up}, unless in standby
-     * @param counters the answer to {@code /counters}
-     * @param maxConnections how many connections are served; some more are accepted and rejected with an answer
-     * @param actorThreads runs the turns of the connections' actors
+     * @param ready the state that {@code /up} reports, unless in standby
+     * @param counters the response to {@code /counters}
+     * @param maxConnections how many connections are served; some more are accepted and answered with a rejection
+     * @param actorThreads runs the connections' actors
      */
     public ClientListener(
             ListenerSocket listenerSocket,
@@ -78,7 +80,7 @@
         return listenerSocket.port();
     }
 
-    /** Begins to accept connections. */
+    /** Starts accepting connections. */
     public void start() {
         DaemonThreads.newThread("accept", acceptor::run).start();
         DaemonThreads.newThread("client-times", monitor::run).start();
@@ -86,32 +88,33 @@
     }
 
     /**
-     * Sends clients away, or takes them again: {@code /up} answers that the router is not ready, idle connections are
-     * closed gradually, and each answer is its connection's last. Connections are accepted and answered all the same.
+     * Enters or leaves standby. In standby, {@code /up} reports that the router is not ready, idle connections are
+     * closed gradually, and each response is the last on its connection. New connections are still accepted and their
+     * requests answered.
      */
     public void setStandby(boolean standby) {
         drain.setStandby(standby);
     }
 
-    /** Whether another process accepts the connections that this one leaves on the socket. */
+    /** Whether another process accepts the connections that this one leaves in the socket's accept queue. */
     public boolean hasSharedSocket() {
         return listenerSocket.isShared();
     }
 
     /**
-     * Closes idle connections gradually, the longest idle first and the last by the given time; from now on each answer
-     * is its connection's last.
+     * Closes idle connections gradually, the longest idle first and the last by the given time. From now on, each
+     * response is the last on its connection.
      */
     public void drainIdleConnections(long byMicros) {
         drain.closeIdleBy(byMicros);
     }
 
-    /** Accepts no more; the connections that are open are served on. */
+    /** Stops accepting; open connections continue to be served. */
     public void stopAccepting() throws IOException {
         listenerSocket.close();
     }
 
-    /** Closes idle connections at once, and the others after their answer; requests in progress go on. */
+    /** Closes idle connections at once, and the others after their response; requests in progress continue. */
     public void closeIdleConnections() {
         drain.close();
         for (ClientConnection connection : connections.all()) {
@@ -120,17 +123,17 @@
     }
 
     /**
-     * Cuts connections whose clients have read nothing of their stream for the given time, or for their class's where
-     * that is shorter: the process is about to end.
+     * Disconnects clients that have read nothing of their stream for the given time, or for that of the request's class
+     * if it is shorter. Used when the process is about to exit.
      */
-    public void disconnectStalledClients(long leastMicros) {
+    public void disconnectStalledClients(long maxStallMicros) {
         long nowMicros = clock.micros();
         for (ClientConnection connection : connections.all()) {
-            connection.cutIfStalled(nowMicros, leastMicros, StreamOutcome.SHUTDOWN);
+            connection.cutIfStalled(nowMicros, maxStallMicros, StreamOutcome.SHUTDOWN);
         }
     }
 
-    /** The number of connections that are not closed yet. */
+    /** The number of connections that have not been closed. */
     public int openConnections() {
         return connections.size();
     }
--- a/src/main/java/magpiehub/downstream/ClientMessage.java
+++ b/src/main/java/magpiehub/downstream/ClientMessage.java
@@ -8,7 +8,7 @@
     /** Calls the handler's method for this kind of message. */
     void deliverTo(Handler handler);
 
-    /** Handles each kind of message, in the connection actor's turn. */
+    /** Handles each kind of message. Called by the connection's actor. */
     interface Handler {
         void onRequestReceived(RequestReceived message);
 
@@ -38,10 +38,11 @@
     // ---- From the reader ------------------------------------------------------------------------------
 
     /**
-     * A request was read completely.
+     * A complete request was read.
      *
      * @param firstByteMicros when its first byte arrived
-     * @param reservedBytes what it has reserved of the {@link RequestBodyBudget}; whoever drops the message releases it
+     * @param reservedBytes the bytes reserved for it in the {@link RequestBodyBudget}; whoever drops the message
+     *     releases them
      */
     record RequestReceived(HttpHead head, byte[] body, long firstByteMicros, int reservedBytes)
             implements ClientMessage {
@@ -51,7 +52,10 @@
         }
     }
 
-    /** What the client has sent is no request, or none that can be accepted; {@code status} answers it. */
+    /**
+     * The client has sent something other than a request, or a request that can't be accepted; the response has {@code
+     * status}.
+     */
     record MalformedRequest(int status, String reason) implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -59,7 +63,7 @@
         }
     }
 
-    /** The client has gone, or the connection was cut: nothing more can be written to it. */
+    /** The client has disconnected or was disconnected; nothing more can be written to it. */
     record Disconnected() implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -67,7 +71,7 @@
         }
     }
 
-    /** The client has closed its sending side, and may still be reading. */
+    /** The client has closed its sending side (half-close) and may still be reading. */
     record InputHalfClosed() implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -77,7 +81,7 @@
 
     // ---- From the listener ----------------------------------------------------------------------------
 
-    /** The time that the connection had set its timer to has come. */
+    /** The connection's timer has expired. */
     record TimerExpired() implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -93,7 +97,7 @@
         }
     }
 
-    /** Clients are being sent away: the connection is to be closed if it is idle. */
+    /** The listener is draining: the connection is to be closed if it is idle. */
     record CloseIfIdle() implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -119,7 +123,7 @@
         }
     }
 
-    /** The exchange's response stream has ended early; {@code error} is the upstream's error event, or null. */
+    /** The exchange's response stream has broken; {@code error} is the upstream's error event, or null. */
     record StreamBroken(ClientExchange exchange, byte[] error, StreamOutcome ending) implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -8,23 +8,25 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * What a connection's actor does for each message: it starts and answers the exchanges of the connection, one at a time
- * and in the order of the requests, and decides how the connection is closed (see {@link ConnectionCloseState}). A
- * request is answered at most once, and the end of a stream is written only if the stream is complete.
+ * Handles the messages of a connection's actor: starts and answers the connection's exchanges, one at a time and in the
+ * order of the requests, and decides how the connection is closed (see {@link ConnectionCloseState}). A request gets at
+ * most one response, and the end of a stream is written only if the stream is complete.
  *
- * <p>Nothing is written to the socket here; answers are added to the {@link ResponseWriter}'s buffer, which the actor
- * flushes. All methods are for the actor's turns and do not block.
+ * <p>Nothing is written to the socket here; responses are appended to the buffer of the {@link ResponseWriter}, which
+ * the actor flushes. All methods are called by the actor only and do not block.
  */
 final class ClientMessageHandler implements ClientMessage.Handler {
-    /** How long a connection that is being closed waits for its client's end, so that no reset destroys the answer. */
+    /**
+     * How long a closing connection waits for the end of the client's input, so that no reset destroys the response.
+     */
     private static final long LINGER_MICROS = 1_000_000;
 
     private static final long LINGER_WHEN_CROWDED_MICROS = 200_000;
-    /** What a client that is rejected for capacity is told to wait before it retries. */
+    /** The {@code Retry-After} of requests rejected for lack of capacity. */
     private static final long REJECTION_RETRY_AFTER_MICROS = 500_000;
     /**
-     * When a client that has closed its sending side is first sent a sign of life, which the system answers with a
-     * reset if the client has gone: soon, since only the write after that meets the reset.
+     * The delay of the first keep-alive after the client has closed its sending side. The operating system of a client
+     * that has gone answers it with a reset, which only the write after that detects; hence the short delay.
      */
     private static final long FIRST_KEEP_ALIVE_MICROS = 20_000;
 
@@ -62,14 +64,14 @@
 
     // ---- Called by the actor --------------------------------------------------------------------------
 
-    /** The stream of the request in progress, or null. */
+    /** Returns the stream of the request in progress, or null. */
     StreamFlow currentFlow() {
         return current == null ? null : current.flow();
     }
 
     /**
-     * To be called when the socket has taken the whole buffer: begins to linger if the last answer was in it, and else
-     * stops the timer, unless signs of life are due.
+     * Called when the socket has taken the whole buffer: starts to linger if the last response was in it, and otherwise
+     * stops the timer unless keep-alives are due.
      */
     void onBufferWritten() throws IOException {
         if (close.isLingering() && !socket.isOutputShutdown()) {
@@ -81,8 +83,8 @@
     }
 
     /**
-     * After a handler has failed, buffers an error answer in place of all else if the request in progress was not begun
-     * to be answered.
+     * Called after a handler has thrown: replaces the buffer with an error response if the response to the request in
+     * progress has not begun.
      *
      * @return whether there is anything to write
      */
@@ -95,7 +97,7 @@
         return true;
     }
 
-    /** Releases what the connection holds, and ends its streams; to be called once, when it is closed. */
+    /** Releases the connection's resources and ends its streams. Called once, when the connection is closed. */
     void release(StreamOutcome ending) {
         requests.releaseAll();
         endStreams(ending);
@@ -104,7 +106,7 @@
         }
     }
 
-    /** Ends the stream that was being written, whose own ending was not, and the one of the request in progress. */
+    /** Ends the stream whose bytes or end have not been written completely, and that of the request in progress. */
     private void endStreams(StreamOutcome ending) {
         StreamFlow written = writer.flow();
         if (written != null) {
@@ -123,7 +125,7 @@
         if (current == null && !close.isLingering()) {
             begin(message);
         } else if (!requests.offer(message)) {
-            // No ordinary client sends so many ahead: the one in progress is answered, then the connection ends.
+            // No ordinary client pipelines so many requests: the one in progress is answered, then the connection ends.
             close.closeAfterAnswer();
             requests.drop(message);
         }
@@ -149,7 +151,7 @@
         }
     }
 
-    /** Hands a request to the dispatcher; one that is malformed or finds no capacity is answered at once. */
+    /** Submits a request to the dispatcher; one that is malformed or exceeds the capacity is answered at once. */
     private void submit(ClientMessage.RequestReceived request, boolean lastAnswer) {
         ProtocolExchange call;
         try {
@@ -187,12 +189,14 @@
         completeAnswer(lastAnswer);
     }
 
-    /** Writes an answer that is not an exchange's; it announces the close. */
+    /** Writes an error response outside of an exchange; it announces that the connection is closed. */
     private void writeError(int status, String reason, long retryAfterMicros) {
         services.protocol().writeError(writer.output(), status, reason, retryAfterMicros, true);
     }
 
-    /** An answer is buffered completely: closes the connection orderly, or goes on with the next request. */
+    /**
+     * Called once a response is completely in the buffer: starts to close the connection, or begins the next request.
+     */
     private void completeAnswer(boolean lastAnswer) {
         endExchange();
         connection.setIdleSinceMicros(services.clock().micros());
@@ -219,13 +223,13 @@
             writeError(status, message.reason(), status == UNAVAILABLE ? REJECTION_RETRY_AFTER_MICROS : 0);
             close.linger();
         } else {
-            // Behind a request in progress: that one is answered, then the connection ends.
+            // Pipelined after a request in progress: that one is answered, then the connection ends.
             close.closeAfterAnswer();
         }
     }
 
     // ---- The response ---------------------------------------------------------------------------------
-    // Messages of an exchange that is not the one in progress are ignored: it has been answered already.
+    // Messages of an exchange that is no longer in progress are ignored: its response is already complete.
 
     @Override
     public void onStreamEvent(ClientMessage.StreamEvent message) {
@@ -264,7 +268,7 @@
             completeAnswer(close.isLastAnswer());
             return;
         }
-        // The end of the connection without the stream's end tells the client that the stream is not complete.
+        // The end of the connection without the stream's end tells the client that the stream is incomplete.
         current.writeBroken(writer.output(), message.error());
         endExchange();
         close.endNow();
@@ -286,7 +290,10 @@
         }
     }
 
-    /** If the request has become a stream all the same, it ends by a fault; one that has not has no ending. */
+    /**
+     * Completes a response other than a stream. If the request has become a stream nevertheless, the stream ends with
+     * an internal error; one that has not become a stream has no outcome.
+     */
     private void completeWithoutStream() {
         writer.endStream(StreamOutcome.INTERNAL_ERROR);
         completeAnswer(close.isLastAnswer());
@@ -294,15 +301,16 @@
 
     // ---- Closing --------------------------------------------------------------------------------------
 
-    /** Ends at once: nothing that is written would arrive. */
+    /** Ends the connection at once: nothing written now would arrive. */
     @Override
     public void onDisconnected(ClientMessage.Disconnected message) {
         close.endNow();
     }
 
     /**
-     * With a request in progress, answers it last, and sends signs of life meanwhile, which find out whether the client
-     * still reads. Without one, ends at once: the client can neither ask nor be owed anything.
+     * With a request in progress, makes its response the last, and sends keep-alives meanwhile to detect whether the
+     * client still reads. Without one, ends the connection at once: the client can neither send a request nor expect a
+     * response.
      */
     @Override
     public void onInputHalfClosed(ClientMessage.InputHalfClosed message) {
@@ -315,13 +323,13 @@
     }
 
     /**
-     * After lingering for long enough, ends; after a half-close, asks for another sign that the client reads; and if no
-     * request has come in time, answers that.
+     * Ends the connection if it has lingered for long enough; after a half-close, sends the next keep-alive; if no
+     * complete request has arrived in time, answers with an error.
      */
     @Override
     public void onTimerExpired(ClientMessage.TimerExpired message) {
         if (services.clock().micros() < connection.timerMicros()) {
-            return; // Set to a later time since the message was posted.
+            return; // The timer was set to a later time after the message was posted.
         }
         connection.setTimerMicros(NO_TIMER);
         if (close.isLingering()) {
@@ -338,7 +346,7 @@
         connection.setTimerMicros(services.clock().micros() + delayMicros);
     }
 
-    /** Writes what a client that has gone answers with a reset, and sets the timer for the next time. */
+    /** Writes a keep-alive, which a client that has gone answers with a reset, and sets the timer for the next one. */
     private void sendKeepAlive(long nextMicros) {
         if (current != null) {
             current.writeKeepAlive(writer.output());
@@ -347,8 +355,8 @@
     }
 
     /**
-     * Closes an idle connection since capacity is needed. A request that has begun to arrive meanwhile keeps it, unless
-     * the client has never sent a complete one: that connection ends at once.
+     * Closes an idle connection because capacity is needed. A request that has begun to arrive meanwhile keeps the
+     * connection open, unless the client has never sent a complete one: that connection ends at once.
      */
     @Override
     public void onEvictIfIdle(ClientMessage.EvictIfIdle message) {
@@ -367,7 +375,7 @@
         }
     }
 
-    /** Closes an idle connection since clients are sent away. */
+    /** Closes an idle connection because the listener is draining. */
     @Override
     public void onCloseIfIdle(ClientMessage.CloseIfIdle message) {
         if (isIdle()) {
@@ -380,8 +388,8 @@
     }
 
     /**
-     * Lingers, unless a request has begun to arrive: that one gets its answer, which is the last. A close over bytes
-     * that nobody has read would reset the connection.
+     * Lingers, unless a request has begun to arrive: that one is answered, and its response is the last. Closing a
+     * socket with unread input would reset the connection.
      */
     private void closeIdle() {
         boolean arriving = connection.isReceiving();
--- a/src/main/java/magpiehub/downstream/ClientRequestReader.java
+++ b/src/main/java/magpiehub/downstream/ClientRequestReader.java
@@ -10,12 +10,12 @@
 
 /**
  * The reading side of one connection: parses requests and posts them to the connection's actor. {@link #run} occupies a
- * thread of its own from the connection's first byte, or its start, until the client's input ends.
+ * thread from the connection's first byte, or its start, until the client's input ends.
  */
 final class ClientRequestReader {
-    /** How long a request may take from its first byte. */
+    /** The time limit for a request, counted from its first byte. */
     private static final long REQUEST_TIMEOUT_MICROS = 6_000_000;
-    /** How long a request may pause between two reads. */
+    /** The longest pause between two reads of a request. */
     private static final int READ_TIMEOUT_MILLIS = 3_000;
 
     private static final int NO_TIMEOUT = 0;
@@ -23,7 +23,7 @@
     private static final int REQUEST_TIMED_OUT = 408;
 
     private static final int DISCARD_BUFFER_BYTES = 16 * 1024;
-    /** Input of so many bytes that is only discarded is read slowly from then on. */
+    /** Beyond this size, input that is only discarded is read slowly. */
     private static final int FAST_DISCARD_BYTES = 1 << 20;
 
     private static final long SLOW_DISCARD_PAUSE_MILLIS = 1;
@@ -38,7 +38,7 @@
         this.services = services;
     }
 
-    /** Reads until the client's input ends or the connection is closed, and reports which it was. */
+    /** Reads until the client's input ends or the connection is closed, and posts which of the two happened. */
     void run() {
         boolean halfClosed = false;
         try {
@@ -50,7 +50,7 @@
             connection.post(new ClientMessage.MalformedRequest(REQUEST_TIMED_OUT, "request incomplete"), 0);
             discardInput();
         } catch (IOException e) {
-            // The client has gone; nothing more to say to it.
+            // The client has disconnected; it can't be answered.
         } catch (RuntimeException | OutOfMemoryError e) {
             services.eventLog().count("reader_exceptions");
             services.eventLog().log("reader-exception", "error", e.toString());
@@ -63,12 +63,15 @@
         }
     }
 
-    /** Whether a client that has closed its sending side is taken to be still reading. */
+    /** Whether a client that has closed its sending side is assumed to be still reading. */
     private boolean mayKeepReading() {
         return services.streams().limits().halfClose() && services.protocol().hasKeepAlive();
     }
 
-    /** Returns true at the end of the input, and false if the connection was cut since its mailbox was full. */
+    /**
+     * Reads requests and posts them. Returns true at the end of the input, false if the client was disconnected because
+     * the mailbox was full.
+     */
     private boolean readRequests() throws IOException {
         HttpReader in = new HttpReader(socket.getInputStream(), services.clock());
         in.setMessageTimeoutMicros(REQUEST_TIMEOUT_MICROS);
@@ -83,7 +86,7 @@
         return true;
     }
 
-    /** Reads a request and posts it; false if the mailbox did not take it. */
+    /** Reads a request and posts it; returns false if the mailbox did not accept it. */
     private boolean readRequest(HttpReader in) throws IOException {
         HttpHead head = in.readRequestHead();
         int bodyBytes = BodyFraming.maxBodyBytes(head);
@@ -107,9 +110,9 @@
     }
 
     /**
-     * Reads what a malformed request still brings, until the client's end or the actor's: a close over unread bytes
-     * would reset the connection, and the answer would not arrive. Guards against a client that never stops: beyond a
-     * limit it is read slowly.
+     * Discards the input after a malformed request until the client or the actor closes the connection: closing a
+     * socket with unread input would reset the connection, and the response would not arrive. Above a limit the input
+     * is read slowly, as a guard against clients that never stop sending.
      */
     private void discardInput() {
         try {
@@ -125,7 +128,7 @@
                 count = socket.getInputStream().read(buffer);
             }
         } catch (IOException | InterruptedException e) {
-            // It is being closed anyway.
+            // The connection is being closed anyway.
         }
     }
 }
--- a/src/main/java/magpiehub/downstream/ConnectionAcceptor.java
+++ b/src/main/java/magpiehub/downstream/ConnectionAcceptor.java
@@ -5,11 +5,11 @@
 import magpiehub.http.Sockets;
 
 /**
- * Accepts connections until the listening socket is closed, and evicts idle ones when capacity runs short. {@link #run}
+ * Accepts connections until the listening socket is closed, and evicts idle ones when capacity is short. {@link #run}
  * occupies a thread of its own.
  */
 final class ConnectionAcceptor {
-    /** How long accepting pauses before it looks again whether a connection was closed. */
+    /** How often a paused acceptor checks whether a connection was closed. */
     private static final long EXHAUSTED_POLL_MILLIS = 50;
 
     private final ListenerSocket listenerSocket;
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Accepts until the socket is closed. While it fails, as without descriptors or threads, the connections that are
-     * open go on, and accepting is tried again after a pause.
+     * Accepts until the socket is closed. If accepting fails, for example for lack of descriptors or threads, open
+     * connections continue, and accepting is retried after a pause.
      */
     void run() {
         while (!listenerSocket.isClosed()) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Starts a connection. Over capacity, a client still gets an answer that says so. */
+    /** Starts a connection. Over capacity, the client still gets a response that says so. */
     private void startConnection(Socket accepted) {
         boolean overCapacity = !services.connections().hasRoom();
         if (overCapacity) {
@@ -98,7 +98,7 @@
         pause(pauseMillis);
     }
 
-    /** A connection that ends meanwhile may have freed what was short. */
+    /** Pauses, but at most until a connection ends, which may have released the missing resource. */
     private void pause(long millis) {
         try {
             services.connections().awaitRemoval(millis);
--- a/src/main/java/magpiehub/downstream/ConnectionCloseState.java
+++ b/src/main/java/magpiehub/downstream/ConnectionCloseState.java
@@ -1,25 +1,26 @@
 package magpiehub.downstream;
 
 /**
- * How far a connection is from its end. There are three ways to close one, from the gentlest to the hardest; each is
- * chosen in the {@link ClientMessageHandler}:
+ * The progress of closing a connection. There are three ways to close one, from the most graceful to the most abrupt;
+ * the {@link ClientMessageHandler} selects one:
  *
  * <ol>
  *   <li>{@link #closeAfterAnswer}: the request in progress is answered, with a head that announces the close, and then
- *       the connection lingers. Chosen where a request is in progress or arriving, which is owed its answer: the client
- *       asked for it or has closed its sending side; the listener is crowded; the client has sent a malformed request
- *       or too many requests ahead. For a connection over capacity and while clients are sent away, each answer is the
- *       last as well.
- *   <li>{@link #linger}: the sending side is shut down once all is written, and the connection is closed at the
- *       client's end or after a time. Chosen after the last answer, a closing error answer included, and for idle
- *       connections: a close over bytes that nobody has read would make the system reset the connection and destroy the
- *       answer.
- *   <li>{@link #endNow}: the socket is closed in this turn. Chosen where nothing can or may follow: the client has gone
- *       or was cut; a write failed; a stream broke, which the client must not take for complete; a handler failed; the
- *       time for lingering is over; or capacity is needed and the client has never sent a request.
+ *       the connection lingers. Used if a request is in progress or arriving, which must be answered: the client has
+ *       asked for the close or has closed its sending side; the soft limit of connections is exceeded; the client has
+ *       sent a malformed request or pipelined too many requests. For a connection over capacity and while draining,
+ *       each response is the last as well.
+ *   <li>{@link #linger}: the sending side is shut down once everything is written, and the connection is closed at the
+ *       end of the client's input or after a time limit. Used after the last response, including an error response that
+ *       announces the close, and for idle connections: closing a socket with unread input would make the operating
+ *       system reset the connection and destroy the response.
+ *   <li>{@link #endNow}: the socket is closed in this turn. Used if nothing can or may follow: the client has
+ *       disconnected or was disconnected; a write failed; a stream broke, which the client must not take for complete;
+ *       a handler failed; the time limit for lingering has expired; or capacity is needed and the client has never sent
+ *       a request.
  * </ol>
  *
- * <p>For the actor's turns alone.
+ * <p>Used by the actor only.
  */
 final class ConnectionCloseState {
     private final boolean overCapacity;
@@ -28,33 +29,33 @@
     private boolean lingering;
     private boolean ended;
 
-    /** An open connection's; one that is over capacity is closed after its first answer. */
+    /** Creates the state of an open connection; one that is over capacity is closed after its first response. */
     ConnectionCloseState(boolean overCapacity, DrainState drain) {
         this.overCapacity = overCapacity;
         this.drain = drain;
     }
 
-    /** Makes the answer in progress, or else the next one, the last. */
+    /** Makes the response in progress, or else the next one, the last. */
     void closeAfterAnswer() {
         closesAfterAnswer = true;
     }
 
-    /** Nothing more is written than what is buffered; only the client's end is awaited. */
+    /** Writes nothing beyond what is in the buffer, and waits only for the end of the client's input. */
     void linger() {
         lingering = true;
     }
 
-    /** The connection is closed at the end of this turn. */
+    /** Closes the connection at the end of this turn. */
     void endNow() {
         ended = true;
     }
 
-    /** Whether an answer that is written now is the last. */
+    /** Whether a response that is written now is the last. */
     boolean isLastAnswer() {
         return overCapacity || lingering || closesAfterAnswer || drain.closesConnections();
     }
 
-    /** Whether requests are only answered that there is no capacity for them. */
+    /** Whether requests are only answered with a rejection for lack of capacity. */
     boolean isOverCapacity() {
         return overCapacity;
     }
--- a/src/main/java/magpiehub/downstream/ConnectionMonitor.java
+++ b/src/main/java/magpiehub/downstream/ConnectionMonitor.java
@@ -4,12 +4,12 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * Looks at all connections periodically: expires their timers, cuts those whose clients do not read, and closes idle
- * ones while clients are sent away. {@link #run} occupies a thread of its own.
+ * Checks all connections periodically: expires their timers, disconnects clients that do not read, and closes idle
+ * connections while draining. {@link #run} occupies a thread of its own.
  */
 final class ConnectionMonitor {
     private static final long PERIOD_MICROS = 50_000;
-    /** No limit on a client's pause beside that of its request's class. */
+    /** No limit on a client's stall besides that of the request's class. */
     private static final long NO_LIMIT = Long.MAX_VALUE;
 
     private final ListenerSocket listenerSocket;
@@ -24,7 +24,7 @@
 
     /** Runs until the listening socket and the last connection are closed. */
     void run() {
-        // Stays empty: taking from it waits by the clock, which need not be the system's.
+        // Stays empty: taking from it waits on the given clock, which need not be the system clock.
         Mailbox<ClientMessage> empty = new Mailbox<>(services.clock(), 0);
         try {
             long nowMicros = services.clock().micros();
--- a/src/main/java/magpiehub/downstream/DrainState.java
+++ b/src/main/java/magpiehub/downstream/DrainState.java
@@ -3,20 +3,20 @@
 import magpiehub.concurrent.MonotonicClock;
 
 /**
- * Whether a listener sends its clients away: in standby, which can be revoked, or because the process ends. Both close
- * idle connections gradually, since their clients connect somewhere else at once.
+ * Whether a listener is draining: in standby, which can be revoked, or because the process is shutting down. In both
+ * cases idle connections are closed gradually, because their clients reconnect elsewhere at once.
  *
  * <p><b>Threads.</b> Any thread may read; changes come from one thread at a time.
  */
 final class DrainState {
     /**
-     * In standby, those who send clients learn of it within 0.2 s, and until then a client whose connection is closed
-     * may come back here; from this time on each answer is its connection's last.
+     * In standby, the time from which each response is the last on its connection. Load balancers learn of the standby
+     * within 0.2 s; until then, a client whose connection is closed may reconnect to this router.
      */
     private static final long CLOSE_AFTER_MICROS = 250_000;
     /**
-     * In standby, when the last idle connection is closed. Requests that come in then have two seconds until the
-     * operators look whether all clients are gone.
+     * In standby, the time by which the last idle connection is closed. Requests that arrive at that time still have
+     * two seconds until the operators check that all clients have gone.
      */
     private static final long IDLE_CLOSED_AFTER_MICROS = 1_600_000;
 
@@ -24,14 +24,14 @@
     private volatile boolean closing;
     /** 0 while not in standby. */
     private volatile long standbySinceMicros;
-    /** When the last idle connection is to be closed; 0 while none need be. */
+    /** The deadline for closing the last idle connection; 0 if there is none. */
     private volatile long idleClosedByMicros;
 
     DrainState(MonotonicClock clock) {
         this.clock = clock;
     }
 
-    /** Enters or leaves standby; no effect if that is the state already. */
+    /** Enters or leaves standby; no effect if that is already the state. */
     void setStandby(boolean standby) {
         long nowMicros = clock.micros();
         if (standby == isStandby()) {
@@ -41,13 +41,13 @@
         idleClosedByMicros = standby ? nowMicros + IDLE_CLOSED_AFTER_MICROS : 0;
     }
 
-    /** Begins to close idle connections, the last by the given time; each answer is its connection's last. */
+    /** Starts to close idle connections, the last by the given time; each response is the last on its connection. */
     void closeIdleBy(long micros) {
         closing = true;
         idleClosedByMicros = micros;
     }
 
-    /** Makes each answer its connection's last. */
+    /** Makes each response the last on its connection. */
     void close() {
         closing = true;
     }
@@ -56,7 +56,10 @@
         return standbySinceMicros != 0;
     }
 
-    /** Whether each answer is its connection's last, because the process ends or standby has lasted long enough. */
+    /**
+     * Whether each response is the last on its connection, because the process is shutting down or standby has lasted
+     * long enough.
+     */
     boolean closesConnections() {
         return closing || closesInStandby();
     }
@@ -66,14 +69,14 @@
         return sinceMicros != 0 && clock.micros() - sinceMicros >= CLOSE_AFTER_MICROS;
     }
 
-    /** When the last idle connection is to be closed; 0 while none is to be closed now. */
+    /** The deadline for closing the last idle connection; 0 while none is to be closed yet. */
     long idleDeadlineMicros() {
         long byMicros = idleClosedByMicros;
         return isStandby() && !closesInStandby() ? 0 : byMicros;
     }
 
     /**
-     * How many of the idle connections are to be closed now, for an even pace until all are gone.
+     * How many of the idle connections to close now, so that they are closed at an even rate until the deadline.
      *
      * @param periodMicros the time until the next call
      */
--- a/src/main/java/magpiehub/downstream/ExchangeState.java
+++ b/src/main/java/magpiehub/downstream/ExchangeState.java
@@ -1,12 +1,12 @@
 package magpiehub.downstream;
 
-/** How far an exchange is: PENDING, then RESPONDING if it is answered by a stream, then ENDED. */
+/** The state of an exchange: PENDING, then RESPONDING if the response is a stream, then ENDED. */
 enum ExchangeState {
     /** The request was read; no byte of the response has been written. An error response is still possible. */
     PENDING,
-    /** The head of a response stream was written; only the stream's own end can follow. */
+    /** The head of a response stream was written; only the end of that stream can follow. */
     RESPONDING,
-    /** The last byte of the response was written to the connection's output; what is reported later is ignored. */
+    /** The last byte of the response was written to the connection's output; later messages are ignored. */
     ENDED;
 
     /** The state once the stream's head is written. */
--- a/src/main/java/magpiehub/downstream/FirstByteWatcher.java
+++ b/src/main/java/magpiehub/downstream/FirstByteWatcher.java
@@ -5,21 +5,23 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * Starts connections' readers once their first byte has arrived; used when there are many connections, so that clients
- * that send nothing do not occupy a thread each.
+ * Starts the readers of connections once their first byte has arrived. Used above the soft limit of connections, so
+ * that clients that send nothing do not occupy a thread each.
  */
 final class FirstByteWatcher {
     private static final int POLL_PERIOD_MILLIS = 5;
 
-    /** Connections without a reader that {@link #run} does not know yet; they are among the open ones too. */
+    /**
+     * Connections without a reader that {@link #run} has not taken over yet; they are in {@link OpenConnections} too.
+     */
     private final LinkedBlockingQueue<ClientConnection> added = new LinkedBlockingQueue<>();
 
-    /** Watches a connection until its first byte or its end. Any thread. */
+    /** Watches a connection until its first byte or its end. May be called from any thread. */
     void watch(ClientConnection connection) {
         added.add(connection);
     }
 
-    /** Watches until the thread is interrupted. For one thread. */
+    /** Watches connections until interrupted. Called by one thread. */
     void run() {
         List<ClientConnection> silent = new ArrayList<>();
         try {
--- a/src/main/java/magpiehub/downstream/IdleEviction.java
+++ b/src/main/java/magpiehub/downstream/IdleEviction.java
@@ -8,27 +8,27 @@
 import magpiehub.concurrent.MonotonicClock;
 
 /**
- * Decides which idle connections are closed, longest idle first: when capacity runs short, and when clients are sent
- * away. A connection that is chosen decides in its own turn whether it still is idle.
+ * Selects the idle connections to close, longest idle first: when capacity is short, and while draining. A selected
+ * connection's actor decides whether the connection is still idle.
  *
- * <p>Called from the accepting thread ({@link #makeRoom}) and the monitor's ({@link #closeDrained}).
+ * <p>Called by the accepting thread ({@link #makeRoom}) and the monitor ({@link #closeDrained}).
  */
 final class IdleEviction {
-    /** A client may keep a connection without a request for so long, whatever the number of connections. */
+    /** A connection is not evicted before it has been idle for this long, however many connections there are. */
     private static final long IDLE_MICROS = 2_000_000;
-    /** When the listener is crowded, how long a client may take to send its first byte. */
+    /** Above the soft limit, the time limit for a client's first byte. */
     private static final long SILENT_MICROS = 1_000_000;
-    /** When it is nearly full, how long a client may take to send its first request completely. */
+    /** When the listener is nearly full, the time limit for a client's complete first request. */
     private static final long SILENT_NEARLY_FULL_MICROS = 300_000;
 
-    /** A connection, and since when it was idle as it was looked at: its actor may change that meanwhile. */
+    /** A connection with a snapshot of its idle time, which the connection's actor may change during the selection. */
     private record IdleConnection(EvictionCandidate connection, long idleSinceMicros) {}
 
     private final Collection<? extends EvictionCandidate> open;
     private final ConnectionCapacity capacity;
     private final MonotonicClock clock;
 
-    /** Chooses among {@code open}, which may change at any time. */
+    /** Selects among {@code open}, which may change at any time. */
     IdleEviction(Collection<? extends EvictionCandidate> open, ConnectionCapacity capacity, MonotonicClock clock) {
         this.open = open;
         this.capacity = capacity;
@@ -36,9 +36,9 @@
     }
 
     /**
-     * If the listener is crowded, evicts as many connections as it has too many: first those that are idle after an
-     * earlier request, then those that have not sent a byte, and if it is nearly full, all whose first request is
-     * outstanding. Guards against clients that send one request and stay, or connect and say nothing.
+     * Above the soft limit, evicts as many connections as exceed it: first those that are idle after an earlier
+     * request, then those that have not sent a byte, and if the listener is nearly full, all whose first request is not
+     * complete. Guards against clients that send one request and stay connected, or connect and send nothing.
      */
     void makeRoom() {
         int excess = capacity.excess(open.size());
@@ -63,7 +63,7 @@
         return !connection.hasReceivedRequest() && !connection.isReceiving();
     }
 
-    /** Evicts at most so many of the connections that match, and returns how many it were. */
+    /** Evicts up to {@code max} of the matching connections, and returns how many were evicted. */
     private int evict(Predicate<IdleConnection> matches, int max) {
         List<IdleConnection> idle = idleLongestFirst(matches);
         int count = Math.min(max, idle.size());
@@ -74,7 +74,7 @@
     }
 
     /**
-     * While clients are sent away, closes the part of the idle connections that is due.
+     * While draining, closes the share of the idle connections that is due.
      *
      * @param periodMicros the time until the next call
      */
--- a/src/main/java/magpiehub/downstream/InheritedListenerSocket.java
+++ b/src/main/java/magpiehub/downstream/InheritedListenerSocket.java
@@ -8,9 +8,9 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A listening socket that this process shares with an older or a newer one. It never blocks in the system's accept:
- * whether that blocks is a property of the one socket that both processes use, and of two processes that wait for one
- * client, the loser would stay inside the call after {@link #close}, and accept one client too many.
+ * A listening socket shared with an older or a newer process. It never blocks in the system's accept call: whether that
+ * call blocks is a property of the one socket that both processes use, and if two processes wait for one client, the
+ * loser would stay in the call after {@link #close}, and accept one client too many.
  */
 final class InheritedListenerSocket extends ListenerSocket {
     private final ServerSocketChannel server;
--- a/src/main/java/magpiehub/downstream/ListenerServices.java
+++ b/src/main/java/magpiehub/downstream/ListenerServices.java
@@ -9,15 +9,15 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * What all connections of a listener share.
+ * The dependencies that all connections of a listener share.
  *
  * @param mailboxBytes the capacity of each connection's mailbox
- * @param actorThreads runs the turns of the connections' actors
+ * @param actorThreads runs the connections' actors
  * @param readerThreads runs the connections' readers, which block on their sockets
- * @param connections those that are open
- * @param bodyBudget for the request bodies of all connections
- * @param drain whether clients are sent away
- * @param statusResources the resources that are answered without the protocol
+ * @param connections the open connections
+ * @param bodyBudget the budget for the request bodies of all connections
+ * @param drain whether the listener is draining
+ * @param statusResources the resources that are served independently of the protocol
  */
 record ListenerServices(
         ProtocolAdapter protocol,
--- a/src/main/java/magpiehub/downstream/ListenerSocket.java
+++ b/src/main/java/magpiehub/downstream/ListenerSocket.java
@@ -8,32 +8,32 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * A listening socket for clients: one of this process's own, or one that the service manager holds and that an older
- * and a newer process share. A shared socket itself is never closed here: connections that this process has not
- * accepted stay there for the next one.
+ * A listening socket for clients: one that this process has bound, or one that the service manager holds and that an
+ * older and a newer process share. A shared socket is never closed here: connections that this process has not accepted
+ * stay in its queue for the next one.
  *
- * <p><b>Threads.</b> {@link #accept} is for one thread, all else for any.
+ * <p><b>Threads.</b> {@link #accept} is called by one thread, all else by any.
  */
 public abstract class ListenerSocket {
-    /** Connections that wait to be accepted at most. */
+    /** The maximum length of the accept queue. */
     private static final int BACKLOG = 512;
 
-    /** Waits for the next client; throws once this is closed. */
+    /** Waits for the next client; throws an exception once this is closed. */
     abstract Socket accept() throws IOException;
 
     /** Whether {@link #close} has been called. */
     abstract boolean isClosed();
 
-    /** Accepts no more; a thread that waits in {@link #accept} is woken. */
+    /** Stops accepting, and wakes a thread that waits in {@link #accept}. */
     abstract void close() throws IOException;
 
     /** The port that the socket is bound to. */
     abstract int port();
 
-    /** Whether the connections that this process does not accept are left to the next one. */
+    /** Whether connections that this process does not accept are left to the next process. */
     abstract boolean isShared();
 
-    /** A socket of this process's own. */
+    /** Binds a socket of this process's own. */
     public static ListenerSocket bind(InetSocketAddress listen) throws IOException {
         ServerSocket server = new ServerSocket();
         server.setReuseAddress(true);
@@ -41,19 +41,19 @@
         return new OwnListenerSocket(server);
     }
 
-    /** The listening socket that this process was started with as its descriptor 0. */
+    /** Returns the listening socket that this process was started with as descriptor 0. */
     public static ListenerSocket inherited() throws IOException {
         Channel channel;
         try {
             channel = System.inheritedChannel();
         } catch (IOException | RuntimeException e) {
-            throw new IOException("descriptor 0 can't be used: " + e.getMessage());
+            throw new IOException("can't use descriptor 0 as the listening socket: " + e.getMessage());
         }
         if (!(channel instanceof ServerSocketChannel serverChannel)) {
-            throw new IOException("descriptor 0 is no listening socket");
+            throw new IOException("descriptor 0 is not a listening socket");
         }
         if (!(serverChannel.getLocalAddress() instanceof InetSocketAddress)) {
-            throw new IOException("descriptor 0 is no listening TCP socket");
+            throw new IOException("descriptor 0 is not a listening TCP socket");
         }
         return new InheritedListenerSocket(serverChannel);
     }
--- a/src/main/java/magpiehub/downstream/OpenConnections.java
+++ b/src/main/java/magpiehub/downstream/OpenConnections.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The connections of a listener that are not closed yet. Any thread. */
+/** The connections of a listener that have not been closed. Thread-safe. */
 final class OpenConnections {
     private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
     private final ConnectionCapacity capacity;
@@ -32,25 +32,25 @@
         }
     }
 
-    /** Waits until a connection is removed, for the given time at most. */
-    @SuppressWarnings("WaitNotInLoop") // The caller tests its condition again.
+    /** Waits until a connection is removed, but no longer than the timeout. */
+    @SuppressWarnings("WaitNotInLoop") // The caller checks its condition again.
     void awaitRemoval(long timeoutMillis) throws InterruptedException {
         synchronized (connections) {
             connections.wait(timeoutMillis);
         }
     }
 
-    /** Whether one more connection is served. */
+    /** Whether one more connection can be served. */
     boolean hasRoom() {
         return capacity.hasRoom(connections.size());
     }
 
-    /** Whether accepting has to pause until a connection is closed. */
+    /** Whether accepting must pause until a connection is closed. */
     boolean isExhausted() {
         return capacity.isExhausted(connections.size());
     }
 
-    /** Whether there are so many connections that each answer is its connection's last. */
+    /** Whether the soft limit is exceeded, so that each response is the last on its connection. */
     boolean isCrowded() {
         return capacity.isCrowded(connections.size());
     }
--- a/src/main/java/magpiehub/downstream/PipelinedRequests.java
+++ b/src/main/java/magpiehub/downstream/PipelinedRequests.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * The requests that a client has sent ahead of their answers, and what the started one and these have reserved of the
- * {@link RequestBodyBudget}. For the connection's actor.
+ * The requests that a client has pipelined, that is, sent before the response to an earlier one, and what these and the
+ * started request have reserved of the {@link RequestBodyBudget}. Used by the connection's actor only.
  */
 final class PipelinedRequests {
     static final int MAX_WAITING = 4;
@@ -12,29 +12,29 @@
 
     private final RequestBodyBudget bodyBudget;
     private final ArrayDeque<ClientMessage.RequestReceived> waiting = new ArrayDeque<>(INITIAL_CAPACITY);
-    /** What the started request has reserved. */
+    /** The bytes reserved for the started request. */
     private int startedBytes;
 
     PipelinedRequests(RequestBodyBudget bodyBudget) {
         this.bodyBudget = bodyBudget;
     }
 
-    /** Adds a request behind those that wait; false if too many do. */
+    /** Queues a request; returns false if too many are waiting already. */
     boolean offer(ClientMessage.RequestReceived request) {
         return waiting.size() < MAX_WAITING && waiting.add(request);
     }
 
-    /** Whether none waits. */
+    /** Whether no request is waiting. */
     boolean isEmpty() {
         return waiting.isEmpty();
     }
 
-    /** Removes and returns the request that has waited longest, or null. */
+    /** Removes and returns the first waiting request; null if there is none. */
     ClientMessage.RequestReceived poll() {
         return waiting.poll();
     }
 
-    /** A request begins to be processed; its reservation is kept until {@link #finishStarted}. */
+    /** Marks a request as started; its reservation is kept until {@link #finishStarted}. */
     void start(ClientMessage.RequestReceived request) {
         startedBytes = request.reservedBytes();
     }
@@ -45,12 +45,12 @@
         startedBytes = 0;
     }
 
-    /** Releases the reservation of a request that is neither offered nor started. */
+    /** Releases the reservation of a request that was neither queued nor started. */
     void drop(ClientMessage.RequestReceived request) {
         bodyBudget.release(request.reservedBytes());
     }
 
-    /** Releases all reservations; to be called once, when the connection is closed. */
+    /** Releases all reservations. Called once, when the connection is closed. */
     void releaseAll() {
         bodyBudget.release(startedBytes);
         for (ClientMessage.RequestReceived request : waiting) {
--- a/src/main/java/magpiehub/downstream/ResponseWriter.java
+++ b/src/main/java/magpiehub/downstream/ResponseWriter.java
@@ -10,65 +10,66 @@
 
 /**
  * The writing side of one connection: its output buffer, and the accounting of the stream whose bytes are in it. A
- * stream's bytes count as passed, and its ending is reported, only once the socket has taken them.
+ * stream's bytes are reported as delivered, and its outcome is reported, only once the socket has taken them.
  *
- * <p><b>Threads.</b> For the connection's actor; {@link #flow} may be called from any thread.
+ * <p><b>Threads.</b> Used by the connection's actor only, except for {@link #flow}, which may be called from any
+ * thread.
  */
 final class ResponseWriter {
-    /** With so many bytes buffered, they are written before the next message is handled. */
+    /** With this many bytes buffered, the buffer is flushed before the next message is handled. */
     private static final int FLUSH_BYTES = 16 * 1024;
 
     private final FlowController streams;
     private final HttpWriter out = new HttpWriter();
-    /** The stream that {@link #out} holds bytes or the end of, until these are written; null if there is none. */
+    /** The stream whose bytes or end are in {@link #out}, until they are written; null if there is none. */
     private volatile StreamFlow flow;
-    /** The stream's bytes in {@link #out}. */
+    /** The number of the stream's bytes in {@link #out}. */
     private long unwrittenStreamBytes;
-    /** The stream's ending, once its last byte is in {@link #out}. */
+    /** The stream's outcome, once its last byte is in {@link #out}; null before. */
     private StreamOutcome unwrittenEnding;
 
     ResponseWriter(FlowController streams) {
         this.streams = streams;
     }
 
-    /** The buffer, to be written by {@link #flush}. */
+    /** Returns the buffer that {@link #flush} writes. */
     HttpWriter output() {
         return out;
     }
 
-    /** The stream of the response that is being written, or null. */
+    /** Returns the stream of the response that is being written, or null. */
     StreamFlow flow() {
         return flow;
     }
 
-    /** Whether more may be buffered; not so behind a stream's end, which has to be reported first. */
+    /** Whether more may be buffered. Nothing may follow a stream's end until that has been reported. */
     boolean acceptsMore() {
         return out.length() < FLUSH_BYTES && unwrittenEnding == null;
     }
 
-    /** Makes a stream the one that is written, unless the end of the one before it has to be written first. */
+    /** Makes a stream the one that is written, unless the end of the previous one has to be written first. */
     void openStream(StreamFlow opened) {
         if (unwrittenEnding == null) {
             flow = opened;
         }
     }
 
-    /** Takes {@link #openStream} back: the stream has ended before any of its bytes. */
+    /** Reverts {@link #openStream}: the stream has ended before any of its bytes were buffered. */
     void withdrawStream() {
         flow = unwrittenEnding == null ? null : flow;
     }
 
-    /** Counts bytes of the stream that were buffered. */
+    /** Counts bytes of the stream that were added to the buffer. */
     void addStreamBytes(int bytes) {
         unwrittenStreamBytes += bytes;
     }
 
-    /** The last byte of the stream was buffered. */
+    /** Sets the stream's outcome; its last byte was added to the buffer. */
     void endStream(StreamOutcome ending) {
         unwrittenEnding = ending;
     }
 
-    /** Writes the buffer to the socket, and waits for the client to take it. */
+    /** Writes the buffer to the socket. Blocks until the client has taken it. */
     void flush(OutputStream socket) throws IOException {
         ActorThreadPool.enterBlockingCall();
         try {
@@ -79,8 +80,8 @@
     }
 
     /**
-     * To be called once the socket has taken the whole buffer: reports the bytes that it took, and the stream's ending
-     * if it was among them.
+     * Reports the bytes that the socket has taken, and the stream's outcome if its end was among them. Called once the
+     * socket has taken the whole buffer.
      *
      * @param next the stream of the request in progress, or null
      */
@@ -97,12 +98,12 @@
         }
     }
 
-    /** Empties the buffer; for use after a failure. */
+    /** Discards the buffer's contents; used after a failure. */
     void discard() {
         out.take();
     }
 
-    /** Writes the buffer without the accounting of any stream; for use after {@link #discard}. */
+    /** Writes the buffer without reporting bytes of any stream; used after {@link #discard}. */
     void flushUnreported(OutputStream socket) throws IOException {
         out.flushTo(socket);
     }
--- a/src/main/java/magpiehub/downstream/StatusResources.java
+++ b/src/main/java/magpiehub/downstream/StatusResources.java
@@ -6,7 +6,9 @@
 import magpiehub.http.HttpResponses;
 import magpiehub.http.HttpWriter;
 
-/** The resources for load balancers and operators: {@code /up}, the readiness, and {@code /counters}. Any thread. */
+/**
+ * The resources for load balancers and operators: the readiness at {@code /up}, and {@code /counters}. Thread-safe.
+ */
 final class StatusResources {
     private static final String READINESS_PATH = "/up";
     private static final String COUNTERS_PATH = "/counters";
@@ -31,7 +33,7 @@
         return path.equals(READINESS_PATH) || path.equals(COUNTERS_PATH);
     }
 
-    /** Writes the complete answer to a request for one of the resources. */
+    /** Writes the complete response to a request for one of the resources. */
     void answer(HttpWriter out, String method, String path, boolean lastAnswer) {
         boolean bodyWanted = !method.equals("HEAD");
         boolean methodAllowed = method.equals("GET") || !bodyWanted;
