--- a/src/main/java/magpiehub/downstream/AcceptBackoff.java
+++ b/src/main/java/magpiehub/downstream/AcceptBackoff.java
@@ -34,7 +34,7 @@
      * Returns how many failures since the last log line a new line has to report, the latest included; 0 if none is due
      * yet.
      */
-    long acquireLogLine(long nowMicros) {
+    long takeFailuresToLog(long nowMicros) {
         if (nowMicros < nextLogMicros) {
             return 0;
         }
--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -17,7 +17,7 @@
  * No lock is held; fields that one thread writes and others read are volatile.
  *
  * <p>Only the actor closes the connection gracefully. {@link #disconnect} closes the socket without the actor, which
- * ends in its next turn; this is for clients that do not read, in a write to which the actor may be blocked.
+ * ends in its next turn; this is for clients that do not read, because the actor may be blocked in a write to them.
  */
 final class ClientConnection implements StreamClient, EvictionCandidate {
     /**
@@ -31,11 +31,11 @@
     private final Mailbox<ClientMessage> mailbox;
     private final ClientConnectionActor actor;
     private final ClientRequestReader reader;
-    private final AtomicBoolean cut = new AtomicBoolean();
+    private final AtomicBoolean disconnected = new AtomicBoolean();
     private volatile long idleSinceMicros;
     private volatile boolean receivedRequest;
     private volatile boolean receiving;
-    private volatile boolean toldToClose;
+    private volatile boolean closeRequested;
     /**
      * The end of the client's input was read, or the connection is closed: no new work may start for it. Set by the
      * first thread to detect it, ahead of the message that goes through mailboxes.
@@ -107,12 +107,12 @@
      */
     void post(ClientMessage message, int bytes) {
         if (!mailbox.post(message, bytes)) {
-            cutAfterOverflow();
+            disconnectAfterOverflow();
         }
     }
 
     /** Posts a message without payload, which always fits unless the connection has ended. */
-    void postAlways(ClientMessage message) {
+    void postControl(ClientMessage message) {
         mailbox.post(message);
     }
 
@@ -130,13 +130,13 @@
 
     @Override
     public void evictIfIdle() {
-        toldToClose = true;
+        closeRequested = true;
         mailbox.post(new ClientMessage.EvictIfIdle());
     }
 
     @Override
     public void closeIfIdle() {
-        toldToClose = true;
+        closeRequested = true;
         mailbox.post(new ClientMessage.CloseIfIdle());
     }
 
@@ -145,7 +145,7 @@
     /** Closes the socket at once: the stream's buffer budget is exceeded, or its client has not read for too long. */
     @Override
     public void disconnect() {
-        cutOnce();
+        closeSocketOnce();
     }
 
     /**
@@ -154,7 +154,7 @@
      * @param maxStallMicros the longest stall allowed, where it is shorter than that of the request's class
      * @param cause the outcome of the stream in that case
      */
-    void cutIfStalled(long nowMicros, long maxStallMicros, StreamOutcome cause) {
+    void disconnectIfStalled(long nowMicros, long maxStallMicros, StreamOutcome cause) {
         StreamFlow flow = actor.responseFlow();
         if (flow != null && services.streams().isClientStalled(flow, nowMicros, maxStallMicros, cause)) {
             disconnect();
@@ -165,15 +165,15 @@
      * Disconnects the client and counts the overflow, unless the connection has already ended: a message that is
      * refused after that is no overflow.
      */
-    void cutAfterOverflow() {
-        if (!socket.isClosed() && cutOnce()) {
+    void disconnectAfterOverflow() {
+        if (!socket.isClosed() && closeSocketOnce()) {
             services.eventLog().count("client_overflows");
         }
     }
 
     /** Closes the socket, which wakes a thread blocked in a write; returns false if this was done before. */
-    private boolean cutOnce() {
-        boolean first = cut.compareAndSet(false, true);
+    private boolean closeSocketOnce() {
+        boolean first = disconnected.compareAndSet(false, true);
         if (first) {
             clientGone = true;
             Sockets.closeQuietly(socket);
@@ -185,7 +185,7 @@
     /**
      * Called by the reader when the client has disconnected. Counted unless the connection was closed from this side.
      */
-    void inputEnded() {
+    void onInputEnded() {
         if (!clientGone) {
             clientGone = true;
             services.eventLog().count("clients_left");
@@ -215,8 +215,8 @@
     }
 
     @Override
-    public boolean isToldToClose() {
-        return toldToClose;
+    public boolean isCloseRequested() {
+        return closeRequested;
     }
 
     /** Called by the reader: whether a request is being received. */
@@ -234,9 +234,9 @@
         receivedRequest = true;
     }
 
-    /** Called by the actor once it has handled an {@link ClientMessage.EvictIfIdle}. */
-    void clearToldToClose() {
-        toldToClose = false;
+    /** Called by the actor when it handles an {@link ClientMessage.EvictIfIdle}. */
+    void clearCloseRequest() {
+        closeRequested = false;
     }
 
     /** Called by the actor when it closes the connection. */
--- a/src/main/java/magpiehub/downstream/ClientConnectionActor.java
+++ b/src/main/java/magpiehub/downstream/ClientConnectionActor.java
@@ -21,7 +21,7 @@
     private final Mailbox<ClientMessage> mailbox;
     private final ListenerServices services;
     private final ResponseWriter writer;
-    private final ConnectionCloseState close;
+    private final ConnectionCloseState closeState;
     private final ClientMessageHandler handler;
     /** A message handler has thrown. */
     private boolean failed;
@@ -39,8 +39,8 @@
         this.mailbox = mailbox;
         this.services = services;
         this.writer = new ResponseWriter(services.streams());
-        this.close = new ConnectionCloseState(overCapacity, services.drain());
-        this.handler = new ClientMessageHandler(connection, socket, services, writer, close);
+        this.closeState = new ConnectionCloseState(overCapacity, services.drain());
+        this.handler = new ClientMessageHandler(connection, socket, services, writer, closeState);
     }
 
     /** Returns the stream whose bytes are being written, or null. */
@@ -54,19 +54,19 @@
             try {
                 handleMessages(socket.getOutputStream());
             } catch (IOException e) {
-                close.endNow(); // The client disconnected during the write.
+                closeState.endNow(); // The client disconnected during the write.
             } catch (RuntimeException | StackOverflowError | OutOfMemoryError e) {
                 onFailure(e);
             }
         }
-        if (close.isEnded()) {
+        if (closeState.isEnded()) {
             closeConnection();
         }
     }
 
     private void handleMessages(OutputStream out) throws IOException {
         ClientMessage message = mailbox.poll();
-        while (message != null && !close.isEnded()) {
+        while (message != null && !closeState.isEnded()) {
             handleUntilFlush(message);
             writer.flush(out);
             writer.reportWritten(handler.currentFlow());
@@ -78,9 +78,9 @@
     /** Handles messages, starting with the given one, until the mailbox is empty or the buffer has to be flushed. */
     private void handleUntilFlush(ClientMessage first) {
         ClientMessage message = first;
-        while (message != null && !close.isEnded()) {
+        while (message != null && !closeState.isEnded()) {
             message.deliverTo(handler);
-            message = writer.acceptsMore() ? mailbox.poll() : null;
+            message = writer.canBufferMore() ? mailbox.poll() : null;
         }
     }
 
@@ -92,13 +92,13 @@
         services.eventLog().log("client-exception", "error", failure.toString());
         failed = true;
         try {
-            if (handler.answerAfterFailure()) {
-                writer.flushUnreported(socket.getOutputStream());
+            if (handler.respondAfterFailure()) {
+                writer.flushWithoutAccounting(socket.getOutputStream());
             }
         } catch (IOException e) {
             // The client has disconnected; the error response can't be delivered.
         }
-        close.endNow();
+        closeState.endNow();
     }
 
     /** Closes the socket and releases the connection's resources, once; messages that arrive later are dropped. */
--- a/src/main/java/magpiehub/downstream/ClientExchange.java
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -16,13 +16,13 @@
  */
 final class ClientExchange implements ClientCallback, StreamListener {
     private final ClientConnection connection;
-    private final ProtocolExchange call;
+    private final ProtocolExchange protocolExchange;
     private final StreamFlow flow;
     private ExchangeState state = ExchangeState.PENDING;
 
-    ClientExchange(ClientConnection connection, ProtocolExchange call, StreamFlow flow) {
+    ClientExchange(ClientConnection connection, ProtocolExchange protocolExchange, StreamFlow flow) {
         this.connection = connection;
-        this.call = call;
+        this.protocolExchange = protocolExchange;
         this.flow = flow;
     }
 
@@ -45,7 +45,7 @@
 
     @Override
     public void onFailure(byte[] errorEvent, StreamOutcome outcome) {
-        connection.post(new ClientMessage.StreamBroken(this, errorEvent, outcome), 0);
+        connection.post(new ClientMessage.StreamFailed(this, errorEvent, outcome), 0);
     }
 
     @Override
@@ -60,7 +60,7 @@
 
     @Override
     public void migrate() {
-        connection.post(new ClientMessage.StreamBroken(this, null, StreamOutcome.MIGRATED), 0);
+        connection.post(new ClientMessage.StreamFailed(this, null, StreamOutcome.MIGRATED), 0);
     }
 
     @Override
@@ -71,7 +71,7 @@
     // ---- Called by the actor ----------------------------------------------------------------------------
 
     String requestId() {
-        return call.request().id();
+        return protocolExchange.request().id();
     }
 
     /** Whether no byte of the response has been written, so that an error response is still possible. */
@@ -87,19 +87,19 @@
      * Writes the head of a response stream. The state changes first, so that no error response can follow a write that
      * fails half-way.
      */
-    void writeHead(HttpWriter out, boolean lastAnswer) {
+    void writeHead(HttpWriter out, boolean lastResponse) {
         state = state.started();
-        call.writeStart(out, lastAnswer);
+        protocolExchange.writeStart(out, lastResponse);
     }
 
     /** Writes an event of the stream. */
     void writeEvent(HttpWriter out, byte[] event) {
-        call.writeEvent(out, event);
+        protocolExchange.writeEvent(out, event);
     }
 
     /** Writes the end of a complete stream. */
-    void writeEnd(HttpWriter out, boolean lastAnswer) {
-        call.writeEnd(out, lastAnswer);
+    void writeEnd(HttpWriter out, boolean lastResponse) {
+        protocolExchange.writeEnd(out, lastResponse);
     }
 
     /**
@@ -108,36 +108,36 @@
      *
      * @return false, with nothing written, if this is not possible
      */
-    boolean writeIncompleteEnd(HttpWriter out, boolean lastAnswer) {
-        return isResponding() && call.tryWriteIncompleteEnd(out, lastAnswer);
+    boolean writeIncompleteEnd(HttpWriter out, boolean lastResponse) {
+        return isResponding() && protocolExchange.tryWriteIncompleteEnd(out, lastResponse);
     }
 
     /**
      * Writes an error for a stream that broke, never the stream's regular end. The connection must be closed
      * afterwards.
      */
-    void writeBroken(HttpWriter out, byte[] error) {
+    void writeStreamFailure(HttpWriter out, byte[] errorEvent) {
         if (isResponding()) {
-            call.writeStreamError(out, error);
+            protocolExchange.writeStreamError(out, errorEvent);
         } else {
-            call.writeFailure(out, "stream broke", true);
+            protocolExchange.writeFailure(out, "stream broke", true);
         }
     }
 
     /** Writes the response to a rejected request. */
-    void writeRejection(HttpWriter out, long retryAfterMicros, boolean lastAnswer) {
-        call.writeRejection(out, retryAfterMicros, lastAnswer);
+    void writeRejection(HttpWriter out, long retryAfterMicros, boolean lastResponse) {
+        protocolExchange.writeRejection(out, retryAfterMicros, lastResponse);
     }
 
     /** Writes the response to a failed request. */
-    void writeFailure(HttpWriter out, String reason, boolean lastAnswer) {
-        call.writeFailure(out, reason, lastAnswer);
+    void writeFailure(HttpWriter out, String reason, boolean lastResponse) {
+        protocolExchange.writeFailure(out, reason, lastResponse);
     }
 
     /** Writes a keep-alive, if the protocol has one and the response has begun. */
     void writeKeepAlive(HttpWriter out) {
         if (isResponding()) {
-            call.writeKeepAlive(out);
+            protocolExchange.writeKeepAlive(out);
         }
     }
 
--- a/src/main/java/magpiehub/downstream/ClientListener.java
+++ b/src/main/java/magpiehub/downstream/ClientListener.java
@@ -83,8 +83,8 @@
     /** Starts accepting connections. */
     public void start() {
         DaemonThreads.newThread("accept", acceptor::run).start();
-        DaemonThreads.newThread("client-times", monitor::run).start();
-        DaemonThreads.newThread("greeter", firstByteWatcher::run).start();
+        DaemonThreads.newThread("connection-monitor", monitor::run).start();
+        DaemonThreads.newThread("first-byte-watcher", firstByteWatcher::run).start();
     }
 
     /**
@@ -105,8 +105,8 @@
      * Closes idle connections gradually, the longest idle first and the last by the given time. From now on, each
      * response is the last on its connection.
      */
-    public void drainIdleConnections(long byMicros) {
-        drain.closeIdleBy(byMicros);
+    public void drainIdleConnections(long deadlineMicros) {
+        drain.closeIdleBy(deadlineMicros);
     }
 
     /** Stops accepting; open connections continue to be served. */
@@ -118,7 +118,7 @@
     public void closeIdleConnections() {
         drain.close();
         for (ClientConnection connection : connections.all()) {
-            connection.postAlways(new ClientMessage.CloseIfIdle());
+            connection.postControl(new ClientMessage.CloseIfIdle());
         }
     }
 
@@ -129,7 +129,7 @@
     public void disconnectStalledClients(long maxStallMicros) {
         long nowMicros = clock.micros();
         for (ClientConnection connection : connections.all()) {
-            connection.cutIfStalled(nowMicros, maxStallMicros, StreamOutcome.SHUTDOWN);
+            connection.disconnectIfStalled(nowMicros, maxStallMicros, StreamOutcome.SHUTDOWN);
         }
     }
 
--- a/src/main/java/magpiehub/downstream/ClientMessage.java
+++ b/src/main/java/magpiehub/downstream/ClientMessage.java
@@ -28,7 +28,7 @@
 
         void onStreamCompleted(StreamCompleted message);
 
-        void onStreamBroken(StreamBroken message);
+        void onStreamFailed(StreamFailed message);
 
         void onRequestRejected(RequestRejected message);
 
@@ -123,11 +123,11 @@
         }
     }
 
-    /** The exchange's response stream has broken; {@code error} is the upstream's error event, or null. */
-    record StreamBroken(ClientExchange exchange, byte[] error, StreamOutcome ending) implements ClientMessage {
+    /** The exchange's response stream has failed; {@code errorEvent} is the upstream's error event, or null. */
+    record StreamFailed(ClientExchange exchange, byte[] errorEvent, StreamOutcome outcome) implements ClientMessage {
         @Override
         public void deliverTo(Handler handler) {
-            handler.onStreamBroken(this);
+            handler.onStreamFailed(this);
         }
     }
 
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -21,7 +21,7 @@
      */
     private static final long LINGER_MICROS = 1_000_000;
 
-    private static final long LINGER_WHEN_CROWDED_MICROS = 200_000;
+    private static final long LINGER_ABOVE_SOFT_LIMIT_MICROS = 200_000;
     /** The {@code Retry-After} of requests rejected for lack of capacity. */
     private static final long REJECTION_RETRY_AFTER_MICROS = 500_000;
     /**
@@ -41,7 +41,7 @@
     private final Socket socket;
     private final ListenerServices services;
     private final ResponseWriter writer;
-    private final ConnectionCloseState close;
+    private final ConnectionCloseState closeState;
     private final PipelinedRequests requests;
     /** The exchange in progress, or null. */
     private ClientExchange current;
@@ -53,12 +53,12 @@
             Socket socket,
             ListenerServices services,
             ResponseWriter writer,
-            ConnectionCloseState close) {
+            ConnectionCloseState closeState) {
         this.connection = connection;
         this.socket = socket;
         this.services = services;
         this.writer = writer;
-        this.close = close;
+        this.closeState = closeState;
         this.requests = new PipelinedRequests(services.bodyBudget());
     }
 
@@ -74,10 +74,10 @@
      * stops the timer unless keep-alives are due.
      */
     void onBufferWritten() throws IOException {
-        if (close.isLingering() && !socket.isOutputShutdown()) {
+        if (closeState.isLingering() && !socket.isOutputShutdown()) {
             socket.shutdownOutput();
-            setTimer(services.connections().isCrowded() ? LINGER_WHEN_CROWDED_MICROS : LINGER_MICROS);
-        } else if (connection.hasReceivedRequest() && !close.isLingering() && !halfClosed) {
+            setTimer(services.connections().exceedsSoftLimit() ? LINGER_ABOVE_SOFT_LIMIT_MICROS : LINGER_MICROS);
+        } else if (connection.hasReceivedRequest() && !closeState.isLingering() && !halfClosed) {
             connection.setTimerMicros(NO_TIMER);
         }
     }
@@ -88,7 +88,7 @@
      *
      * @return whether there is anything to write
      */
-    boolean answerAfterFailure() {
+    boolean respondAfterFailure() {
         if (current == null || !current.isPending()) {
             return false;
         }
@@ -98,22 +98,22 @@
     }
 
     /** Releases the connection's resources and ends its streams. Called once, when the connection is closed. */
-    void release(StreamOutcome ending) {
+    void release(StreamOutcome outcome) {
         requests.releaseAll();
-        endStreams(ending);
+        endStreams(outcome);
         if (current != null) {
             services.dispatcher().clientGone(current.requestId());
         }
     }
 
     /** Ends the stream whose bytes or end have not been written completely, and that of the request in progress. */
-    private void endStreams(StreamOutcome ending) {
+    private void endStreams(StreamOutcome outcome) {
         StreamFlow written = writer.flow();
         if (written != null) {
-            services.streams().endStream(written, ending);
+            services.streams().endStream(written, outcome);
         }
         if (current != null && current.flow() != written) {
-            services.streams().endStream(current.flow(), ending);
+            services.streams().endStream(current.flow(), outcome);
         }
     }
 
@@ -122,11 +122,11 @@
     @Override
     public void onRequestReceived(ClientMessage.RequestReceived message) {
         connection.markRequestReceived();
-        if (current == null && !close.isLingering()) {
+        if (current == null && !closeState.isLingering()) {
             begin(message);
         } else if (!requests.offer(message)) {
             // No ordinary client pipelines so many requests: the one in progress is answered, then the connection ends.
-            close.closeAfterAnswer();
+            closeState.closeAfterResponse();
             requests.drop(message);
         }
     }
@@ -134,59 +134,61 @@
     private void begin(ClientMessage.RequestReceived request) {
         requests.start(request);
         connection.setIdleSinceMicros(EvictionCandidate.BUSY);
-        if (request.head().closesConnection() || services.connections().isCrowded()) {
-            close.closeAfterAnswer();
+        if (request.head().closesConnection() || services.connections().exceedsSoftLimit()) {
+            closeState.closeAfterResponse();
         }
-        boolean lastAnswer = close.isLastAnswer();
+        boolean lastResponse = closeState.isLastResponse();
         String method = request.head().method();
         String path = request.head().target();
         if (StatusResources.handles(path)) {
-            services.statusResources().answer(writer.output(), method, path, lastAnswer);
-            completeAnswer(lastAnswer);
-        } else if (close.isOverCapacity()) {
+            services.statusResources().writeResponse(writer.output(), method, path, lastResponse);
+            completeResponse(lastResponse);
+        } else if (closeState.isOverCapacity()) {
             writeError(UNAVAILABLE, "no room", REJECTION_RETRY_AFTER_MICROS);
-            completeAnswer(true);
+            completeResponse(true);
         } else {
-            submit(request, lastAnswer);
+            submit(request, lastResponse);
         }
     }
 
     /** Submits a request to the dispatcher; one that is malformed or exceeds the capacity is answered at once. */
-    private void submit(ClientMessage.RequestReceived request, boolean lastAnswer) {
-        ProtocolExchange call;
+    private void submit(ClientMessage.RequestReceived request, boolean lastResponse) {
+        ProtocolExchange protocolExchange;
         try {
-            call = services.protocol().readRequest(request.head(), request.body(), request.firstByteMicros());
+            protocolExchange =
+                    services.protocol().readRequest(request.head(), request.body(), request.firstByteMicros());
         } catch (HttpException e) {
             services.eventLog().count("malformed_requests");
             writeError(e.status(), e.getMessage(), 0);
-            completeAnswer(true);
+            completeResponse(true);
             return;
         }
         StreamFlow flow = services.streams()
                 .openStream(
-                        call.request().classIndex(),
-                        call.request().tenantIndex(),
-                        call.request().id(),
+                        protocolExchange.request().classIndex(),
+                        protocolExchange.request().tenantIndex(),
+                        protocolExchange.request().id(),
                         connection);
         if (flow == null) {
-            reject(call, lastAnswer);
+            reject(protocolExchange, lastResponse);
             return;
         }
-        current = new ClientExchange(connection, call, flow);
+        current = new ClientExchange(connection, protocolExchange, flow);
         writer.openStream(flow);
-        call.setStreamListener(current);
-        if (!services.dispatcher().submit(call.request(), current, call, request.body().length)) {
+        protocolExchange.setStreamListener(current);
+        if (!services.dispatcher()
+                .submit(protocolExchange.request(), current, protocolExchange, request.body().length)) {
             services.streams().endStream(flow, StreamOutcome.INTERNAL_ERROR);
-            writer.withdrawStream();
-            reject(call, lastAnswer);
+            writer.cancelStream();
+            reject(protocolExchange, lastResponse);
         }
     }
 
-    private void reject(ProtocolExchange call, boolean lastAnswer) {
+    private void reject(ProtocolExchange protocolExchange, boolean lastResponse) {
         services.eventLog().count("answered_refused");
         services.eventLog().count("requests_shed");
-        call.writeRejection(writer.output(), REJECTION_RETRY_AFTER_MICROS, lastAnswer);
-        completeAnswer(lastAnswer);
+        protocolExchange.writeRejection(writer.output(), REJECTION_RETRY_AFTER_MICROS, lastResponse);
+        completeResponse(lastResponse);
     }
 
     /** Writes an error response outside of an exchange; it announces that the connection is closed. */
@@ -197,12 +199,12 @@
     /**
      * Called once a response is completely in the buffer: starts to close the connection, or begins the next request.
      */
-    private void completeAnswer(boolean lastAnswer) {
+    private void completeResponse(boolean lastResponse) {
         endExchange();
         connection.setIdleSinceMicros(services.clock().micros());
         requests.finishStarted();
-        if (lastAnswer) {
-            close.linger();
+        if (lastResponse) {
+            closeState.linger();
         } else if (!requests.isEmpty()) {
             begin(requests.poll());
         }
@@ -218,13 +220,13 @@
     @Override
     public void onMalformedRequest(ClientMessage.MalformedRequest message) {
         services.eventLog().count("malformed_requests");
-        if (current == null && !close.isLingering()) {
+        if (current == null && !closeState.isLingering()) {
             int status = message.status();
             writeError(status, message.reason(), status == UNAVAILABLE ? REJECTION_RETRY_AFTER_MICROS : 0);
-            close.linger();
+            closeState.linger();
         } else {
             // Pipelined after a request in progress: that one is answered, then the connection ends.
-            close.closeAfterAnswer();
+            closeState.closeAfterResponse();
         }
     }
 
@@ -244,40 +246,40 @@
     public void onStreamCompleted(ClientMessage.StreamCompleted message) {
         if (message.exchange() == current) {
             ensureHeadWritten();
-            current.writeEnd(writer.output(), close.isLastAnswer());
+            current.writeEnd(writer.output(), closeState.isLastResponse());
             writer.endStream(StreamOutcome.COMPLETE);
-            completeAnswer(close.isLastAnswer());
+            completeResponse(closeState.isLastResponse());
         }
     }
 
     private void ensureHeadWritten() {
         if (current.isPending()) {
-            current.writeHead(writer.output(), close.isLastAnswer());
+            current.writeHead(writer.output(), closeState.isLastResponse());
         }
     }
 
     @Override
-    public void onStreamBroken(ClientMessage.StreamBroken message) {
+    public void onStreamFailed(ClientMessage.StreamFailed message) {
         if (message.exchange() != current) {
             return;
         }
-        writer.endStream(message.ending());
-        boolean mayEndInOrder = message.ending() != StreamOutcome.MIGRATED && message.error() == null;
-        if (mayEndInOrder && current.writeIncompleteEnd(writer.output(), close.isLastAnswer())) {
+        writer.endStream(message.outcome());
+        boolean canEndNormally = message.outcome() != StreamOutcome.MIGRATED && message.errorEvent() == null;
+        if (canEndNormally && current.writeIncompleteEnd(writer.output(), closeState.isLastResponse())) {
             writer.endStream(StreamOutcome.INCOMPLETE);
-            completeAnswer(close.isLastAnswer());
+            completeResponse(closeState.isLastResponse());
             return;
         }
         // The end of the connection without the stream's end tells the client that the stream is incomplete.
-        current.writeBroken(writer.output(), message.error());
+        current.writeStreamFailure(writer.output(), message.errorEvent());
         endExchange();
-        close.endNow();
+        closeState.endNow();
     }
 
     @Override
     public void onRequestRejected(ClientMessage.RequestRejected message) {
         if (message.exchange() == current) {
-            current.writeRejection(writer.output(), message.retryAfterMicros(), close.isLastAnswer());
+            current.writeRejection(writer.output(), message.retryAfterMicros(), closeState.isLastResponse());
             completeWithoutStream();
         }
     }
@@ -285,7 +287,7 @@
     @Override
     public void onRequestFailed(ClientMessage.RequestFailed message) {
         if (message.exchange() == current) {
-            current.writeFailure(writer.output(), message.reason(), close.isLastAnswer());
+            current.writeFailure(writer.output(), message.reason(), closeState.isLastResponse());
             completeWithoutStream();
         }
     }
@@ -296,7 +298,7 @@
      */
     private void completeWithoutStream() {
         writer.endStream(StreamOutcome.INTERNAL_ERROR);
-        completeAnswer(close.isLastAnswer());
+        completeResponse(closeState.isLastResponse());
     }
 
     // ---- Closing --------------------------------------------------------------------------------------
@@ -304,7 +306,7 @@
     /** Ends the connection at once: nothing written now would arrive. */
     @Override
     public void onDisconnected(ClientMessage.Disconnected message) {
-        close.endNow();
+        closeState.endNow();
     }
 
     /**
@@ -314,11 +316,11 @@
      */
     @Override
     public void onInputHalfClosed(ClientMessage.InputHalfClosed message) {
-        halfClosed = current != null && !close.isLingering();
+        halfClosed = current != null && !closeState.isLingering();
         if (!halfClosed) {
-            close.endNow();
+            closeState.endNow();
         }
-        close.closeAfterAnswer();
+        closeState.closeAfterResponse();
         sendKeepAlive(FIRST_KEEP_ALIVE_MICROS);
     }
 
@@ -332,8 +334,8 @@
             return; // The timer was set to a later time after the message was posted.
         }
         connection.setTimerMicros(NO_TIMER);
-        if (close.isLingering()) {
-            close.endNow();
+        if (closeState.isLingering()) {
+            closeState.endNow();
         } else if (halfClosed) {
             sendKeepAlive(KEEP_ALIVE_PERIOD_MICROS);
         } else if (!connection.hasReceivedRequest()) {
@@ -360,17 +362,17 @@
      */
     @Override
     public void onEvictIfIdle(ClientMessage.EvictIfIdle message) {
-        connection.clearToldToClose();
+        connection.clearCloseRequest();
         if (!isIdle()) {
             return;
         }
         if (!connection.hasReceivedRequest()) {
             services.eventLog().count("clients_silent_closed");
-            close.endNow();
+            closeState.endNow();
             return;
         }
         closeIdle();
-        if (close.isLingering()) {
+        if (closeState.isLingering()) {
             services.eventLog().count("clients_idle_closed");
         }
     }
@@ -384,7 +386,7 @@
     }
 
     private boolean isIdle() {
-        return current == null && requests.isEmpty() && !close.isLingering();
+        return current == null && requests.isEmpty() && !closeState.isLingering();
     }
 
     /**
@@ -396,13 +398,13 @@
         try {
             arriving |= socket.getInputStream().available() > 0;
         } catch (IOException e) {
-            close.endNow();
+            closeState.endNow();
             return;
         }
         if (arriving) {
-            close.closeAfterAnswer();
+            closeState.closeAfterResponse();
         } else {
-            close.linger();
+            closeState.linger();
         }
     }
 }
--- a/src/main/java/magpiehub/downstream/ClientRequestReader.java
+++ b/src/main/java/magpiehub/downstream/ClientRequestReader.java
@@ -42,7 +42,7 @@
     void run() {
         boolean halfClosed = false;
         try {
-            halfClosed = readRequests() && mayKeepReading();
+            halfClosed = readRequests() && supportsHalfClose();
         } catch (HttpException e) {
             connection.post(new ClientMessage.MalformedRequest(e.status(), e.getMessage()), 0);
             discardInput();
@@ -56,15 +56,15 @@
             services.eventLog().log("reader-exception", "error", e.toString());
         } finally {
             if (halfClosed) {
-                connection.postAlways(new ClientMessage.InputHalfClosed());
+                connection.postControl(new ClientMessage.InputHalfClosed());
             } else {
-                connection.inputEnded();
+                connection.onInputEnded();
             }
         }
     }
 
     /** Whether a client that has closed its sending side is assumed to be still reading. */
-    private boolean mayKeepReading() {
+    private boolean supportsHalfClose() {
         return services.streams().limits().halfClose() && services.protocol().hasKeepAlive();
     }
 
@@ -79,7 +79,7 @@
             connection.setReceiving(true);
             socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             if (!readRequest(in)) {
-                connection.cutAfterOverflow();
+                connection.disconnectAfterOverflow();
                 return false;
             }
         }
--- a/src/main/java/magpiehub/downstream/ConnectionAcceptor.java
+++ b/src/main/java/magpiehub/downstream/ConnectionAcceptor.java
@@ -40,10 +40,10 @@
                 accepted = listenerSocket.accept();
                 backoff.recordAccepted();
                 configure(accepted);
-                eviction.makeRoom();
+                eviction.evictExcess();
                 startConnection(accepted);
                 services.eventLog().count("clients_accepted");
-                awaitRoom();
+                awaitCapacity();
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 handleFailure(accepted, e);
             } catch (InterruptedException e) {
@@ -62,23 +62,23 @@
 
     /** Starts a connection. Over capacity, the client still gets a response that says so. */
     private void startConnection(Socket accepted) {
-        boolean overCapacity = !services.connections().hasRoom();
+        boolean overCapacity = !services.connections().hasFreeCapacity();
         if (overCapacity) {
             services.eventLog().count("clients_shed");
         }
         ClientConnection connection = new ClientConnection(accepted, overCapacity, services);
         connection.start();
-        if (!services.connections().isCrowded()) {
+        if (!services.connections().exceedsSoftLimit()) {
             connection.startReader();
         } else if (!connection.startReaderIfReadable()) {
             firstByteWatcher.watch(connection);
         }
     }
 
-    private void awaitRoom() throws InterruptedException {
+    private void awaitCapacity() throws InterruptedException {
         while (services.connections().isExhausted() && !listenerSocket.isClosed()) {
             services.connections().awaitRemoval(EXHAUSTED_POLL_MILLIS);
-            eviction.makeRoom();
+            eviction.evictExcess();
         }
     }
 
@@ -88,7 +88,7 @@
         }
         services.eventLog().count("accept_failures");
         long pauseMillis = backoff.recordFailure();
-        long failures = backoff.acquireLogLine(services.clock().micros());
+        long failures = backoff.takeFailuresToLog(services.clock().micros());
         if (failures > 0) {
             services.eventLog().log("accept-failure", "error", failure.toString(), "failures", Long.toString(failures));
         }
--- a/src/main/java/magpiehub/downstream/ConnectionCapacity.java
+++ b/src/main/java/magpiehub/downstream/ConnectionCapacity.java
@@ -6,25 +6,25 @@
      * Determines the soft limit, above which idle connections are evicted: each connection costs a thread, and each
      * thread costs CPU time while the process is throttled to its share of a core.
      */
-    private static final int CROWDED_DIVISOR = 3;
+    private static final int SOFT_LIMIT_DIVISOR = 3;
     /** With this fraction of the maximum or less free, clients that have not sent a request are evicted early. */
     private static final int NEARLY_FULL_DIVISOR = 10;
     /**
      * Connections above the maximum are accepted only to be rejected with a response; a few descriptors are reserved
      * for them.
      */
-    private static final int REJECTION_DIVISOR = 16;
+    private static final int REJECTION_RESERVE_DIVISOR = 16;
 
-    private static final int MIN_REJECTIONS = 4;
+    private static final int MIN_REJECTION_RESERVE = 4;
 
     /** By how many connections the soft limit is exceeded; 0 or less if it is not. */
-    int excess(int open) {
-        return open - maxConnections / CROWDED_DIVISOR;
+    int excessOverSoftLimit(int open) {
+        return open - maxConnections / SOFT_LIMIT_DIVISOR;
     }
 
     /** Whether the soft limit is exceeded, so that each response is the last on its connection. */
-    boolean isCrowded(int open) {
-        return excess(open) > 0;
+    boolean exceedsSoftLimit(int open) {
+        return excessOverSoftLimit(open) > 0;
     }
 
     /** Whether hardly any capacity is left. */
@@ -33,17 +33,17 @@
     }
 
     /** How many connections without a complete request are evicted at once when the listener is nearly full. */
-    int earlyEvictions() {
+    int maxEarlyEvictions() {
         return maxConnections / NEARLY_FULL_DIVISOR + 1;
     }
 
     /** Whether one more connection can be served; if not, it only gets a response that rejects it. */
-    boolean hasRoom(int open) {
+    boolean hasFreeCapacity(int open) {
         return open < maxConnections;
     }
 
     /** Whether no descriptor is left even for rejecting a connection, so that accepting must pause. */
     boolean isExhausted(int open) {
-        return open >= maxConnections + maxConnections / REJECTION_DIVISOR + MIN_REJECTIONS;
+        return open >= maxConnections + maxConnections / REJECTION_RESERVE_DIVISOR + MIN_REJECTION_RESERVE;
     }
 }
--- a/src/main/java/magpiehub/downstream/ConnectionCloseState.java
+++ b/src/main/java/magpiehub/downstream/ConnectionCloseState.java
@@ -5,10 +5,10 @@
  * the {@link ClientMessageHandler} selects one:
  *
  * <ol>
- *   <li>{@link #closeAfterAnswer}: the request in progress is answered, with a head that announces the close, and then
- *       the connection lingers. Used if a request is in progress or arriving, which must be answered: the client has
- *       asked for the close or has closed its sending side; the soft limit of connections is exceeded; the client has
- *       sent a malformed request or pipelined too many requests. For a connection over capacity and while draining,
+ *   <li>{@link #closeAfterResponse}: the request in progress is answered, with a head that announces the close, and
+ *       then the connection lingers. Used if a request is in progress or arriving, which must be answered: the client
+ *       has asked for the close or has closed its sending side; the soft limit of connections is exceeded; the client
+ *       has sent a malformed request or pipelined too many requests. For a connection over capacity and while draining,
  *       each response is the last as well.
  *   <li>{@link #linger}: the sending side is shut down once everything is written, and the connection is closed at the
  *       end of the client's input or after a time limit. Used after the last response, including an error response that
@@ -25,7 +25,7 @@
 final class ConnectionCloseState {
     private final boolean overCapacity;
     private final DrainState drain;
-    private boolean closesAfterAnswer;
+    private boolean closesAfterResponse;
     private boolean lingering;
     private boolean ended;
 
@@ -36,8 +36,8 @@
     }
 
     /** Makes the response in progress, or else the next one, the last. */
-    void closeAfterAnswer() {
-        closesAfterAnswer = true;
+    void closeAfterResponse() {
+        closesAfterResponse = true;
     }
 
     /** Writes nothing beyond what is in the buffer, and waits only for the end of the client's input. */
@@ -51,8 +51,8 @@
     }
 
     /** Whether a response that is written now is the last. */
-    boolean isLastAnswer() {
-        return overCapacity || lingering || closesAfterAnswer || drain.closesConnections();
+    boolean isLastResponse() {
+        return overCapacity || lingering || closesAfterResponse || drain.closesAfterResponse();
     }
 
     /** Whether requests are only answered with a rejection for lack of capacity. */
--- a/src/main/java/magpiehub/downstream/ConnectionMonitor.java
+++ b/src/main/java/magpiehub/downstream/ConnectionMonitor.java
@@ -10,7 +10,7 @@
 final class ConnectionMonitor {
     private static final long PERIOD_MICROS = 50_000;
     /** No limit on a client's stall besides that of the request's class. */
-    private static final long NO_LIMIT = Long.MAX_VALUE;
+    private static final long NO_STALL_LIMIT = Long.MAX_VALUE;
 
     private final ListenerSocket listenerSocket;
     private final ListenerServices services;
@@ -41,9 +41,9 @@
     private void checkConnections(long nowMicros) {
         for (ClientConnection connection : services.connections().all()) {
             connection.checkTimer(nowMicros);
-            connection.cutIfStalled(nowMicros, NO_LIMIT, StreamOutcome.CLIENT_STALLED);
+            connection.disconnectIfStalled(nowMicros, NO_STALL_LIMIT, StreamOutcome.CLIENT_STALLED);
         }
-        eviction.closeDrained(services.drain(), nowMicros, PERIOD_MICROS);
+        eviction.drainIdle(services.drain(), nowMicros, PERIOD_MICROS);
         services.actorThreads().checkForStall();
     }
 }
--- a/src/main/java/magpiehub/downstream/DrainState.java
+++ b/src/main/java/magpiehub/downstream/DrainState.java
@@ -25,7 +25,7 @@
     /** 0 while not in standby. */
     private volatile long standbySinceMicros;
     /** The deadline for closing the last idle connection; 0 if there is none. */
-    private volatile long idleClosedByMicros;
+    private volatile long idleDeadlineMicros;
 
     DrainState(MonotonicClock clock) {
         this.clock = clock;
@@ -38,13 +38,13 @@
             return;
         }
         standbySinceMicros = standby ? nowMicros : 0;
-        idleClosedByMicros = standby ? nowMicros + IDLE_CLOSED_AFTER_MICROS : 0;
+        idleDeadlineMicros = standby ? nowMicros + IDLE_CLOSED_AFTER_MICROS : 0;
     }
 
     /** Starts to close idle connections, the last by the given time; each response is the last on its connection. */
     void closeIdleBy(long micros) {
         closing = true;
-        idleClosedByMicros = micros;
+        idleDeadlineMicros = micros;
     }
 
     /** Makes each response the last on its connection. */
@@ -60,7 +60,7 @@
      * Whether each response is the last on its connection, because the process is shutting down or standby has lasted
      * long enough.
      */
-    boolean closesConnections() {
+    boolean closesAfterResponse() {
         return closing || closesInStandby();
     }
 
@@ -71,8 +71,8 @@
 
     /** The deadline for closing the last idle connection; 0 while none is to be closed yet. */
     long idleDeadlineMicros() {
-        long byMicros = idleClosedByMicros;
-        return isStandby() && !closesInStandby() ? 0 : byMicros;
+        long deadlineMicros = idleDeadlineMicros;
+        return isStandby() && !closesInStandby() ? 0 : deadlineMicros;
     }
 
     /**
--- a/src/main/java/magpiehub/downstream/EvictionCandidate.java
+++ b/src/main/java/magpiehub/downstream/EvictionCandidate.java
@@ -15,7 +15,7 @@
     boolean isReceiving();
 
     /** Whether the connection was asked to close and has not decided yet. */
-    boolean isToldToClose();
+    boolean isCloseRequested();
 
     /** Asks the connection to close if it is idle, because capacity is needed. */
     void evictIfIdle();
--- a/src/main/java/magpiehub/downstream/FirstByteWatcher.java
+++ b/src/main/java/magpiehub/downstream/FirstByteWatcher.java
@@ -23,14 +23,14 @@
 
     /** Watches connections until interrupted. Called by one thread. */
     void run() {
-        List<ClientConnection> silent = new ArrayList<>();
+        List<ClientConnection> waiting = new ArrayList<>();
         try {
             while (true) {
-                if (silent.isEmpty()) {
-                    silent.add(added.take());
+                if (waiting.isEmpty()) {
+                    waiting.add(added.take());
                 }
-                added.drainTo(silent);
-                silent.removeIf(ClientConnection::startReaderIfReadable);
+                added.drainTo(waiting);
+                waiting.removeIf(ClientConnection::startReaderIfReadable);
                 Thread.sleep(POLL_PERIOD_MILLIS);
             }
         } catch (InterruptedException e) {
--- a/src/main/java/magpiehub/downstream/IdleEviction.java
+++ b/src/main/java/magpiehub/downstream/IdleEviction.java
@@ -11,15 +11,15 @@
  * Selects the idle connections to close, longest idle first: when capacity is short, and while draining. A selected
  * connection's actor decides whether the connection is still idle.
  *
- * <p>Called by the accepting thread ({@link #makeRoom}) and the monitor ({@link #closeDrained}).
+ * <p>Called by the accepting thread ({@link #evictExcess}) and the monitor ({@link #drainIdle}).
  */
 final class IdleEviction {
     /** A connection is not evicted before it has been idle for this long, however many connections there are. */
-    private static final long IDLE_MICROS = 2_000_000;
+    private static final long MIN_IDLE_MICROS = 2_000_000;
     /** Above the soft limit, the time limit for a client's first byte. */
-    private static final long SILENT_MICROS = 1_000_000;
+    private static final long FIRST_BYTE_TIMEOUT_MICROS = 1_000_000;
     /** When the listener is nearly full, the time limit for a client's complete first request. */
-    private static final long SILENT_NEARLY_FULL_MICROS = 300_000;
+    private static final long FIRST_REQUEST_TIMEOUT_NEARLY_FULL_MICROS = 300_000;
 
     /** A connection with a snapshot of its idle time, which the connection's actor may change during the selection. */
     private record IdleConnection(EvictionCandidate connection, long idleSinceMicros) {}
@@ -40,32 +40,34 @@
      * request, then those that have not sent a byte, and if the listener is nearly full, all whose first request is not
      * complete. Guards against clients that send one request and stay connected, or connect and send nothing.
      */
-    void makeRoom() {
-        int excess = capacity.excess(open.size());
+    void evictExcess() {
+        int excess = capacity.excessOverSoftLimit(open.size());
         if (excess <= 0) {
             return;
         }
         long nowMicros = clock.micros();
         excess -= evict(
-                idle -> idle.connection().hasReceivedRequest() && nowMicros - idle.idleSinceMicros() >= IDLE_MICROS,
+                idle -> idle.connection().hasReceivedRequest() && nowMicros - idle.idleSinceMicros() >= MIN_IDLE_MICROS,
                 excess);
         excess -= evict(
-                idle -> isSilent(idle.connection()) && nowMicros - idle.idleSinceMicros() >= SILENT_MICROS, excess);
+                idle -> hasSentNothing(idle.connection())
+                        && nowMicros - idle.idleSinceMicros() >= FIRST_BYTE_TIMEOUT_MICROS,
+                excess);
         if (excess > 0 && capacity.isNearlyFull(open.size())) {
             evict(
                     idle -> !idle.connection().hasReceivedRequest()
-                            && nowMicros - idle.idleSinceMicros() >= SILENT_NEARLY_FULL_MICROS,
-                    Math.min(excess, capacity.earlyEvictions()));
+                            && nowMicros - idle.idleSinceMicros() >= FIRST_REQUEST_TIMEOUT_NEARLY_FULL_MICROS,
+                    Math.min(excess, capacity.maxEarlyEvictions()));
         }
     }
 
-    private static boolean isSilent(EvictionCandidate connection) {
+    private static boolean hasSentNothing(EvictionCandidate connection) {
         return !connection.hasReceivedRequest() && !connection.isReceiving();
     }
 
     /** Evicts up to {@code max} of the matching connections, and returns how many were evicted. */
     private int evict(Predicate<IdleConnection> matches, int max) {
-        List<IdleConnection> idle = idleLongestFirst(matches);
+        List<IdleConnection> idle = longestIdleFirst(matches);
         int count = Math.min(max, idle.size());
         for (IdleConnection chosen : idle.subList(0, count)) {
             chosen.connection().evictIfIdle();
@@ -78,25 +80,25 @@
      *
      * @param periodMicros the time until the next call
      */
-    void closeDrained(DrainState drain, long nowMicros, long periodMicros) {
+    void drainIdle(DrainState drain, long nowMicros, long periodMicros) {
         long deadlineMicros = drain.idleDeadlineMicros();
         if (deadlineMicros == 0) {
             return;
         }
         List<IdleConnection> idle =
-                idleLongestFirst(candidate -> candidate.connection().hasReceivedRequest());
+                longestIdleFirst(candidate -> candidate.connection().hasReceivedRequest());
         int count = DrainState.idleConnectionsToClose(idle.size(), deadlineMicros, nowMicros, periodMicros);
         for (IdleConnection chosen : idle.subList(0, count)) {
             chosen.connection().closeIfIdle();
         }
     }
 
-    private List<IdleConnection> idleLongestFirst(Predicate<IdleConnection> matches) {
+    private List<IdleConnection> longestIdleFirst(Predicate<IdleConnection> matches) {
         List<IdleConnection> idle = new ArrayList<>();
         for (EvictionCandidate connection : open) {
             IdleConnection candidate = new IdleConnection(connection, connection.idleSinceMicros());
             boolean isIdle = candidate.idleSinceMicros() != EvictionCandidate.BUSY;
-            if (isIdle && !connection.isToldToClose() && matches.test(candidate)) {
+            if (isIdle && !connection.isCloseRequested() && matches.test(candidate)) {
                 idle.add(candidate);
             }
         }
--- a/src/main/java/magpiehub/downstream/OpenConnections.java
+++ b/src/main/java/magpiehub/downstream/OpenConnections.java
@@ -41,8 +41,8 @@
     }
 
     /** Whether one more connection can be served. */
-    boolean hasRoom() {
-        return capacity.hasRoom(connections.size());
+    boolean hasFreeCapacity() {
+        return capacity.hasFreeCapacity(connections.size());
     }
 
     /** Whether accepting must pause until a connection is closed. */
@@ -51,7 +51,7 @@
     }
 
     /** Whether the soft limit is exceeded, so that each response is the last on its connection. */
-    boolean isCrowded() {
-        return capacity.isCrowded(connections.size());
+    boolean exceedsSoftLimit() {
+        return capacity.exceedsSoftLimit(connections.size());
     }
 }
--- a/src/main/java/magpiehub/downstream/ResponseWriter.java
+++ b/src/main/java/magpiehub/downstream/ResponseWriter.java
@@ -26,7 +26,7 @@
     /** The number of the stream's bytes in {@link #out}. */
     private long unwrittenStreamBytes;
     /** The stream's outcome, once its last byte is in {@link #out}; null before. */
-    private StreamOutcome unwrittenEnding;
+    private StreamOutcome unwrittenOutcome;
 
     ResponseWriter(FlowController streams) {
         this.streams = streams;
@@ -43,20 +43,20 @@
     }
 
     /** Whether more may be buffered. Nothing may follow a stream's end until that has been reported. */
-    boolean acceptsMore() {
-        return out.length() < FLUSH_BYTES && unwrittenEnding == null;
+    boolean canBufferMore() {
+        return out.length() < FLUSH_BYTES && unwrittenOutcome == null;
     }
 
     /** Makes a stream the one that is written, unless the end of the previous one has to be written first. */
     void openStream(StreamFlow opened) {
-        if (unwrittenEnding == null) {
+        if (unwrittenOutcome == null) {
             flow = opened;
         }
     }
 
     /** Reverts {@link #openStream}: the stream has ended before any of its bytes were buffered. */
-    void withdrawStream() {
-        flow = unwrittenEnding == null ? null : flow;
+    void cancelStream() {
+        flow = unwrittenOutcome == null ? null : flow;
     }
 
     /** Counts bytes of the stream that were added to the buffer. */
@@ -65,8 +65,8 @@
     }
 
     /** Sets the stream's outcome; its last byte was added to the buffer. */
-    void endStream(StreamOutcome ending) {
-        unwrittenEnding = ending;
+    void endStream(StreamOutcome outcome) {
+        unwrittenOutcome = outcome;
     }
 
     /** Writes the buffer to the socket. Blocks until the client has taken it. */
@@ -90,11 +90,11 @@
             streams.recordDelivered(flow, unwrittenStreamBytes);
             unwrittenStreamBytes = 0;
         }
-        if (unwrittenEnding != null) {
+        if (unwrittenOutcome != null) {
             StreamFlow written = flow;
             flow = next;
-            streams.endStream(written, unwrittenEnding);
-            unwrittenEnding = null;
+            streams.endStream(written, unwrittenOutcome);
+            unwrittenOutcome = null;
         }
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** Writes the buffer without reporting bytes of any stream; used after {@link #discard}. */
-    void flushUnreported(OutputStream socket) throws IOException {
+    void flushWithoutAccounting(OutputStream socket) throws IOException {
         out.flushTo(socket);
     }
 }
--- a/src/main/java/magpiehub/downstream/StatusResources.java
+++ b/src/main/java/magpiehub/downstream/StatusResources.java
@@ -34,13 +34,13 @@
     }
 
     /** Writes the complete response to a request for one of the resources. */
-    void answer(HttpWriter out, String method, String path, boolean lastAnswer) {
+    void writeResponse(HttpWriter out, String method, String path, boolean lastResponse) {
         boolean bodyWanted = !method.equals("HEAD");
         boolean methodAllowed = method.equals("GET") || !bodyWanted;
         int status = methodAllowed ? status(path) : METHOD_NOT_ALLOWED;
         String text = path.equals(COUNTERS_PATH) ? counters.get() : status == OK ? "up\n" : "not ready\n";
         byte[] body = bodyWanted ? text.getBytes(StandardCharsets.UTF_8) : new byte[0];
-        HttpResponses.append(out, status, CONTENT_TYPE, body, lastAnswer);
+        HttpResponses.append(out, status, CONTENT_TYPE, body, lastResponse);
     }
 
     private int status(String path) {
--- a/src/test/java/magpiehub/downstream/ConnectionAcceptorTest.java
+++ b/src/test/java/magpiehub/downstream/ConnectionAcceptorTest.java
@@ -16,19 +16,19 @@
 import magpiehub.telemetry.SyslogEventLog;
 import org.junit.jupiter.api.Test;
 
-/** Accepting while the system call fails, as without a free descriptor on the whole machine. */
+/** Accepting while the system call fails, for example because the machine has no free descriptor. */
 class ConnectionAcceptorTest {
     private static final int FAILING_MS = 1_500;
-    /** A try each 100 ms once it has failed for a while, and some shorter pauses before. */
+    /** Once accepting has failed for a while, one call each 100 ms; a few shorter pauses before. */
     private static final int MAX_CALLS = 25;
-    /** One line at the first failure, and one a second. */
+    /** One line at the first failure, then one per second. */
     private static final int MAX_LINES = 3;
 
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final SyslogEventLog eventLog =
             new SyslogEventLog(new PrintStream(logged, true, StandardCharsets.UTF_8), "test", 1);
 
-    /** A socket whose system call fails. */
+    /** A socket whose accept call fails. */
     private static final class FailingSocket extends ListenerSocket {
         private final AtomicInteger calls = new AtomicInteger();
         private volatile boolean closed;
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void acceptingPausesWhileItFails() throws Exception {
+    void acceptingPausesAfterFailures() throws Exception {
         FailingSocket socket = new FailingSocket();
         OpenConnections connections = new OpenConnections(new ConnectionCapacity(8));
         ListenerServices services = new ListenerServices(
--- a/src/test/java/magpiehub/downstream/ConnectionCapacityTest.java
+++ b/src/test/java/magpiehub/downstream/ConnectionCapacityTest.java
@@ -6,29 +6,29 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The numbers of connections from which on a listener behaves differently. */
+/** The thresholds of a listener's connections. */
 class ConnectionCapacityTest {
     private final ConnectionCapacity capacity = new ConnectionCapacity(90);
 
     @Test
-    void isCrowdedBeyondAThirdOfTheMaximum() {
-        assertFalse(capacity.isCrowded(30));
-        assertTrue(capacity.isCrowded(31));
-        assertEquals(-30, capacity.excess(0));
-        assertEquals(60, capacity.excess(90));
+    void softLimitIsAThirdOfTheMaximum() {
+        assertFalse(capacity.exceedsSoftLimit(30));
+        assertTrue(capacity.exceedsSoftLimit(31));
+        assertEquals(-30, capacity.excessOverSoftLimit(0));
+        assertEquals(60, capacity.excessOverSoftLimit(90));
     }
 
     @Test
     void isNearlyFullFromNineTenthsOn() {
         assertFalse(capacity.isNearlyFull(80));
         assertTrue(capacity.isNearlyFull(81));
-        assertEquals(10, capacity.earlyEvictions());
+        assertEquals(10, capacity.maxEarlyEvictions());
     }
 
     @Test
     void servesUpToTheMaximumAndRejectsSomeMore() {
-        assertTrue(capacity.hasRoom(89));
-        assertFalse(capacity.hasRoom(90));
+        assertTrue(capacity.hasFreeCapacity(89));
+        assertFalse(capacity.hasFreeCapacity(90));
         assertFalse(capacity.isExhausted(98));
         assertTrue(capacity.isExhausted(99), "90 served, and 90 / 16 + 4 rejected");
     }
--- a/src/test/java/magpiehub/downstream/ConnectionCloseStateTest.java
+++ b/src/test/java/magpiehub/downstream/ConnectionCloseStateTest.java
@@ -5,40 +5,40 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which answers are their connection's last. */
+/** Which responses are the last on their connection. */
 class ConnectionCloseStateTest {
     private final DrainState drain = new DrainState(() -> 0);
     private final ConnectionCloseState close = new ConnectionCloseState(false, drain);
 
     @Test
     void anOrdinaryConnectionStaysOpen() {
-        assertFalse(close.isLastAnswer());
+        assertFalse(close.isLastResponse());
         assertFalse(close.isLingering());
         assertFalse(close.isEnded());
     }
 
     @Test
-    void theAnswerIsTheLastOnceThatIsDecided() {
-        close.closeAfterAnswer();
-        assertTrue(close.isLastAnswer());
+    void theResponseIsTheLastOnceThatIsDecided() {
+        close.closeAfterResponse();
+        assertTrue(close.isLastResponse());
         assertFalse(close.isLingering());
     }
 
     @Test
-    void nothingIsLeftToAnswerWhileLingering() {
+    void theResponseIsTheLastWhileLingering() {
         close.linger();
-        assertTrue(close.isLastAnswer());
+        assertTrue(close.isLastResponse());
         assertFalse(close.isEnded());
     }
 
     @Test
-    void theAnswerIsTheLastWhileClientsAreSentAway() {
+    void theResponseIsTheLastWhileDraining() {
         drain.close();
-        assertTrue(close.isLastAnswer());
+        assertTrue(close.isLastResponse());
     }
 
     @Test
-    void theAnswerIsTheLastOverCapacity() {
-        assertTrue(new ConnectionCloseState(true, drain).isLastAnswer());
+    void theResponseIsTheLastOverCapacity() {
+        assertTrue(new ConnectionCloseState(true, drain).isLastResponse());
     }
 }
--- a/src/test/java/magpiehub/downstream/DrainStateTest.java
+++ b/src/test/java/magpiehub/downstream/DrainStateTest.java
@@ -7,7 +7,7 @@
 import magpiehub.concurrent.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** When a listener sends its clients away. */
+/** When a listener closes connections in standby and at shutdown. */
 class DrainStateTest {
     private static final long START = 1_000_000;
 
@@ -16,9 +16,9 @@
     private final DrainState drain = new DrainState(clock);
 
     @Test
-    void closesNothingAtFirst() {
+    void closesNothingInitially() {
         assertFalse(drain.isStandby());
-        assertFalse(drain.closesConnections());
+        assertFalse(drain.closesAfterResponse());
         assertEquals(0, drain.idleDeadlineMicros());
     }
 
@@ -27,19 +27,19 @@
         drain.setStandby(true);
         assertTrue(drain.isStandby());
         nowMicros = START + 249_999;
-        assertFalse(drain.closesConnections());
+        assertFalse(drain.closesAfterResponse());
         assertEquals(0, drain.idleDeadlineMicros());
         nowMicros = START + 250_000;
-        assertTrue(drain.closesConnections());
+        assertTrue(drain.closesAfterResponse());
         assertEquals(START + 1_600_000, drain.idleDeadlineMicros());
     }
 
     @Test
-    void standbyThatIsRepeatedDoesNotBeginAnew() {
+    void repeatedStandbyKeepsItsStartTime() {
         drain.setStandby(true);
         nowMicros = START + 250_000;
         drain.setStandby(true);
-        assertTrue(drain.closesConnections());
+        assertTrue(drain.closesAfterResponse());
     }
 
     @Test
@@ -48,14 +48,14 @@
         nowMicros = START + 1_000_000;
         drain.setStandby(false);
         assertFalse(drain.isStandby());
-        assertFalse(drain.closesConnections());
+        assertFalse(drain.closesAfterResponse());
         assertEquals(0, drain.idleDeadlineMicros());
     }
 
     @Test
-    void theEndOfTheProcessClosesConnectionsAtOnce() {
+    void shutdownClosesConnectionsAtOnce() {
         drain.closeIdleBy(START + 500_000);
-        assertTrue(drain.closesConnections());
+        assertTrue(drain.closesAfterResponse());
         assertFalse(drain.isStandby());
         assertEquals(START + 500_000, drain.idleDeadlineMicros());
     }
@@ -63,7 +63,7 @@
     @Test
     void closingWithoutDeadlineLeavesIdleConnectionsToTheCaller() {
         drain.close();
-        assertTrue(drain.closesConnections());
+        assertTrue(drain.closesAfterResponse());
         assertEquals(0, drain.idleDeadlineMicros());
     }
 
@@ -76,7 +76,7 @@
             most = Math.max(most, closed);
             open -= closed;
         }
-        assertTrue(most <= 6, "at once: " + most);
+        assertTrue(most <= 6, "closed at once: " + most);
         assertEquals(0, open);
         assertEquals(7, DrainState.idleConnectionsToClose(7, 1_000_000, 1_000_000, 50_000), "all at the deadline");
         assertEquals(0, DrainState.idleConnectionsToClose(0, 1_000_000, 0, 50_000));
--- a/src/test/java/magpiehub/downstream/ExchangeStateTest.java
+++ b/src/test/java/magpiehub/downstream/ExchangeStateTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The transitions of an exchange. */
+/** The state transitions of an exchange. */
 class ExchangeStateTest {
     @Test
     void aPendingExchangeIsStartedAndEnds() {
--- a/src/test/java/magpiehub/downstream/IdleEvictionTest.java
+++ b/src/test/java/magpiehub/downstream/IdleEvictionTest.java
@@ -12,7 +12,7 @@
 class IdleEvictionTest {
     private static final long SECOND = 1_000_000;
     private static final int MAX_CONNECTIONS = 30;
-    private static final int CROWDED = MAX_CONNECTIONS / 3;
+    private static final int SOFT_LIMIT = MAX_CONNECTIONS / 3;
 
     private final List<Candidate> open = new ArrayList<>();
     private final List<String> evicted = new ArrayList<>();
@@ -26,7 +26,7 @@
         private final long idleSinceMicros;
         private final boolean receivedRequest;
         private boolean receiving;
-        private boolean toldToClose;
+        private boolean closeRequested;
 
         Candidate(String name, long idleSinceMicros, boolean receivedRequest) {
             this.name = name;
@@ -50,19 +50,19 @@
         }
 
         @Override
-        public boolean isToldToClose() {
-            return toldToClose;
+        public boolean isCloseRequested() {
+            return closeRequested;
         }
 
         @Override
         public void evictIfIdle() {
-            toldToClose = true;
+            closeRequested = true;
             evicted.add(name);
         }
 
         @Override
         public void closeIfIdle() {
-            toldToClose = true;
+            closeRequested = true;
             drained.add(name);
         }
     }
@@ -71,7 +71,7 @@
         return add(new Candidate(name, nowMicros - micros, true));
     }
 
-    private Candidate silentFor(String name, long micros) {
+    private Candidate withoutRequestFor(String name, long micros) {
         return add(new Candidate(name, nowMicros - micros, false));
     }
 
@@ -87,10 +87,10 @@
     }
 
     @Test
-    void evictsNothingBelowTheLimit() {
+    void evictsNothingUpToTheSoftLimit() {
         idleFor("idle", 60 * SECOND);
-        addBusy(CROWDED - 1);
-        eviction.makeRoom();
+        addBusy(SOFT_LIMIT - 1);
+        eviction.evictExcess();
         assertEquals(List.of(), evicted);
     }
 
@@ -99,12 +99,15 @@
         idleFor("b", 4 * SECOND);
         idleFor("c", 3 * SECOND);
         idleFor("a", 5 * SECOND);
-        addBusy(CROWDED - 1);
-        eviction.makeRoom();
+        addBusy(SOFT_LIMIT - 1);
+        eviction.evictExcess();
         assertEquals(List.of("a", "b"), evicted);
     }
 
-    /** Connections turn busy and idle again while they are ordered; no order may fail by that. */
+    /**
+     * Guards against an inconsistent sort order: connections become busy and idle again while they are sorted, which
+     * must not make the sort fail.
+     */
     @Test
     void evictsWhileConnectionsTurnIdle() {
         SplittableRandom random = new SplittableRandom(7);
@@ -112,68 +115,71 @@
             add(new Candidate("changing", 0, true) {
                 @Override
                 public long idleSinceMicros() {
-                    // By steps, so that there are runs for the order to rely on.
+                    // Few distinct values, so that the sort finds presorted runs and relies on them.
                     return random.nextLong(4) * SECOND;
                 }
             });
         }
         for (int round = 0; round < 100; round++) {
             evicted.clear();
-            eviction.makeRoom();
+            eviction.evictExcess();
             assertFalse(evicted.isEmpty());
-            open.forEach(candidate -> candidate.toldToClose = false);
+            open.forEach(candidate -> candidate.closeRequested = false);
         }
     }
 
     @Test
-    void neverEvictsWhatIsBusyOrHardlyIdleOrToldAlready() {
-        idleFor("hardly idle", 2 * SECOND - 1);
-        idleFor("told", 9 * SECOND).toldToClose = true;
+    void neverEvictsBusyOrRecentlyIdleOrAlreadyAskedConnections() {
+        idleFor("recently idle", 2 * SECOND - 1);
+        idleFor("asked to close", 9 * SECOND).closeRequested = true;
         idleFor("idle", 2 * SECOND);
-        addBusy(CROWDED);
-        eviction.makeRoom();
+        addBusy(SOFT_LIMIT);
+        eviction.evictExcess();
         assertEquals(List.of("idle"), evicted);
     }
 
     @Test
     void evictsSilentClientsAfterIdleOnes() {
-        silentFor("silent", 9 * SECOND);
-        silentFor("just connected", SECOND - 1);
-        silentFor("sending", 9 * SECOND).receiving = true;
+        withoutRequestFor("silent", 9 * SECOND);
+        withoutRequestFor("just connected", SECOND - 1);
+        withoutRequestFor("sending", 9 * SECOND).receiving = true;
         idleFor("idle", 2 * SECOND);
-        addBusy(CROWDED);
-        eviction.makeRoom();
+        addBusy(SOFT_LIMIT);
+        eviction.evictExcess();
         assertEquals(List.of("idle", "silent"), evicted);
     }
 
     @Test
     void nearlyFullEvictsSlowFirstRequestsToo() {
         for (int i = 0; i < 5; i++) {
-            silentFor("sending " + i, SECOND - i).receiving = true;
+            withoutRequestFor("sending " + i, SECOND - i).receiving = true;
         }
-        silentFor("just connected", 299_999);
+        withoutRequestFor("just connected", 299_999);
         addBusy(20);
-        eviction.makeRoom();
+        eviction.evictExcess();
         assertEquals(List.of(), evicted, "with 26 of 30 connections");
         addBusy(1);
-        eviction.makeRoom();
-        assertEquals(List.of("sending 0", "sending 1", "sending 2", "sending 3"), evicted, "a tenth and one at once");
+        eviction.evictExcess();
+        assertEquals(
+                List.of("sending 0", "sending 1", "sending 2", "sending 3"),
+                evicted,
+                "a tenth of the maximum plus one");
     }
 
     @Test
     void drainClosesIdleConnectionsLongestIdleFirst() {
         idleFor("b", SECOND);
         idleFor("a", 2 * SECOND);
-        silentFor("silent", 9 * SECOND);
+        withoutRequestFor("silent", 9 * SECOND);
         addBusy(1);
         DrainState drain = new DrainState(() -> nowMicros);
-        eviction.closeDrained(drain, nowMicros, 50_000);
+        eviction.drainIdle(drain, nowMicros, 50_000);
         assertEquals(List.of(), drained);
         drain.closeIdleBy(nowMicros + SECOND);
-        eviction.closeDrained(drain, nowMicros, 50_000);
+        eviction.drainIdle(drain, nowMicros, 50_000);
         assertEquals(List.of("a"), drained);
         nowMicros += SECOND;
-        eviction.closeDrained(drain, nowMicros, 50_000);
+        eviction.drainIdle(drain, nowMicros, 50_000);
         assertEquals(List.of("a", "b"), drained);
     }
 }
--- a/src/test/java/magpiehub/downstream/PipelinedRequestsTest.java
+++ b/src/test/java/magpiehub/downstream/PipelinedRequestsTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Requests that are sent ahead, and what they reserve of the budget for bodies. */
+/** Pipelined requests, and what they reserve of the budget for request bodies. */
 class PipelinedRequestsTest {
     private static final int HALF = (int) (RequestBodyBudget.MAX_BYTES / 2);
 
@@ -24,7 +24,7 @@
         assertTrue(budget.tryReserve(HALF));
         assertFalse(budget.tryReserve(1));
         budget.release(1);
-        assertTrue(budget.tryReserve(1), "what was refused has reserved nothing");
+        assertTrue(budget.tryReserve(1), "a failed reservation reserves nothing");
     }
 
     @Test
