--- a/src/main/java/magpiehub/http/BodyFraming.java
+++ b/src/main/java/magpiehub/http/BodyFraming.java
@@ -1,26 +1,28 @@
 package magpiehub.http;
 
 /**
- * Where a message's body ends, by its head (RFC 9112, section 6). A head that two implementations could interpret
- * differently is rejected.
+ * Determines from a message's head where its body ends (RFC 9112, section 6). A head that two implementations could
+ * interpret differently is rejected.
  */
 public final class BodyFraming {
-    /** In place of a length: the body is sent in chunks. */
+    /** The length of a chunked body, which its head does not tell. */
     static final int CHUNKED = -1;
 
-    /** Longer numbers are malformed, and these fit into a long. */
+    /** Longer numbers are malformed; numbers of this length fit into a long. */
     private static final int MAX_LENGTH_DIGITS = 15;
 
     private BodyFraming() {}
 
-    /** The most bytes that a message's body may have: as many as its head says, or the limit if it doesn't say. */
+    /**
+     * The maximum size of a message's body: the length given in its head, or the limit if the head does not give one.
+     */
     public static int maxBodyBytes(HttpHead head) throws HttpException {
         int length = contentLength(head, HttpLimits.MAX_BODY_BYTES);
         return length == CHUNKED ? HttpLimits.MAX_BODY_BYTES : length;
     }
 
     /**
-     * The length of a message's body, {@link #CHUNKED}, or 0 if the head doesn't say.
+     * The length of a message's body, {@link #CHUNKED}, or 0 if the head specifies neither.
      *
      * @param maxBytes a longer body is answered with status 413
      */
--- a/src/main/java/magpiehub/http/BodyInputStream.java
+++ b/src/main/java/magpiehub/http/BodyInputStream.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** A message's body as a stream, which ends where the body ends. */
+/** A message's body as a stream that ends at the end of the body. */
 final class BodyInputStream extends InputStream {
     private final ReadBuffer buffer;
     private final ChunkedDecoder chunks;
     private final boolean isChunked;
     private final int maxBytes;
 
-    /** Bytes that are left of the current chunk, or of the body if it is not chunked. */
+    /** The unread bytes of the current chunk, or of the body if it is not chunked. */
     private int remainingBytes;
 
     private boolean isFirstChunkRead;
@@ -20,8 +20,8 @@
     /**
      * Creates a stream.
      *
-     * @param contentLength as {@link BodyFraming#contentLength} returns it
-     * @param maxBytes a longer body in chunks is answered with status 413
+     * @param contentLength the result of {@link BodyFraming#contentLength}
+     * @param maxBytes a longer chunked body is answered with status 413
      */
     BodyInputStream(ReadBuffer buffer, ChunkedDecoder chunks, int contentLength, int maxBytes) {
         this.buffer = buffer;
--- a/src/main/java/magpiehub/http/ByteAccumulator.java
+++ b/src/main/java/magpiehub/http/ByteAccumulator.java
@@ -4,7 +4,7 @@
 import java.io.OutputStream;
 import java.util.Arrays;
 
-/** A growing array of bytes. */
+/** A growable byte array. */
 final class ByteAccumulator {
     private static final int INITIAL_BYTES = 512;
 
@@ -32,13 +32,13 @@
         }
     }
 
-    /** Whether the last line end, LF or CR LF, follows another. */
+    /** Whether the last line end, LF or CR LF, directly follows another one. */
     boolean endsWithBlankLine() {
         return (length >= 2 && bytes[length - 2] == '\n')
                 || (length >= 4 && bytes[length - 2] == '\r' && bytes[length - 3] == '\n');
     }
 
-    /** Returns the bytes and removes them. */
+    /** Returns the bytes and clears the array. */
     byte[] take() {
         byte[] taken = Arrays.copyOf(bytes, length);
         length = 0;
--- a/src/main/java/magpiehub/http/ChunkedDecoder.java
+++ b/src/main/java/magpiehub/http/ChunkedDecoder.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * Reads the framing of chunked bodies (RFC 9112, section 7.1): the size of each chunk and what follows its data. The
- * data itself is read by the caller, between the two calls.
+ * Reads the framing of chunked bodies (RFC 9112, section 7.1): the size line of each chunk and the line end after its
+ * data. The caller reads the data itself, between the two calls.
  */
 final class ChunkedDecoder {
     private static final int HEXADECIMAL = 16;
@@ -23,7 +23,7 @@
         maxChunkBytes = maxBytes;
     }
 
-    /** Reads the size of the next chunk; 0 at the end of the body, once the trailers have been read, too. */
+    /** Reads the size of the next chunk; 0 at the end of the body, after reading the trailers. */
     int readChunkSize() throws IOException {
         String line = buffer.readLine(HttpLimits.MAX_CHUNK_LINE_BYTES, 400, "chunk size");
         int semicolon = line.indexOf(';');
@@ -48,7 +48,7 @@
             }
             size = size * HEXADECIMAL + digit;
             if (size > maxChunkBytes) {
-                // Checked for each digit, so that the number can't overflow.
+                // Checked after each digit, so that the number can't overflow.
                 throw new HttpException(413, "chunk too large");
             }
         }
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Reads the line end behind a chunk's data. */
+    /** Reads the line end after a chunk's data. */
     void readChunkEnd() throws IOException {
         if (!buffer.readLine(MAX_LINE_END_BYTES, 400, "chunk end").isEmpty()) {
             throw new HttpException(400, "chunk longer than its size");
--- a/src/main/java/magpiehub/http/EventHandler.java
+++ b/src/main/java/magpiehub/http/EventHandler.java
@@ -6,7 +6,7 @@
 @FunctionalInterface
 public interface EventHandler {
     /**
-     * Handles one event or line. An exception ends the reading of the body.
+     * Handles one event or line. An exception aborts the reading of the body.
      *
      * @param event its bytes, which the handler may keep
      */
--- a/src/main/java/magpiehub/http/EventSplitter.java
+++ b/src/main/java/magpiehub/http/EventSplitter.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Splits a body into server-sent events, each up to and with the blank line that ends it. */
+/** Splits a body into server-sent events, each including the blank line that ends it. */
 final class EventSplitter implements BodyConsumer {
     private final EventHandler handler;
     private final ByteAccumulator event = new ByteAccumulator();
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Handles what is left at the end of the body: an event without its blank line. */
+    /** Handles the remainder at the end of the body: an event without its blank line. */
     void finish() throws IOException, InterruptedException {
         if (event.length() > 0) {
             handler.onEvent(takeEvent());
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Takes the event, whose first line must have a colon. In a chunk whose size is wrong, the framing of the following
-     * chunks would else be forwarded as events.
+     * Takes the event, whose first line must contain a colon. Otherwise, after a chunk with a wrong size, the framing
+     * of the following chunks would be forwarded as events.
      */
     private byte[] takeEvent() throws HttpException {
         byte[] bytes = event.take();
--- a/src/main/java/magpiehub/http/HeadParser.java
+++ b/src/main/java/magpiehub/http/HeadParser.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Parses the heads of the messages of a connection. */
+/** Parses the heads of the messages on a connection. */
 final class HeadParser {
-    /** A peer may send a line end too many behind a body (RFC 9112, section 2.2). */
+    /** A peer may send superfluous line ends after a body (RFC 9112, section 2.2). */
     private static final int MAX_EMPTY_LINES = 2;
 
     private static final int LINE_END_BYTES = 2;
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Reads the head of a response. Its headers may contain control characters: a load report that can't be read is no
-     * fault of the response it came with. No value that {@link BodyFraming} accepts contains one.
+     * Reads the head of a response. Its headers may contain control characters: an unreadable load report must not make
+     * the response it came with fail. No value that {@link BodyFraming} accepts contains one.
      */
     HttpHead readResponseHead() throws IOException {
         String startLine = readStartLine();
--- a/src/main/java/magpiehub/http/HttpHead.java
+++ b/src/main/java/magpiehub/http/HttpHead.java
@@ -10,17 +10,17 @@
         this.headers = headers;
     }
 
-    /** The method of a request; only a request has one. */
+    /** The method of a request. Not for responses. */
     public String method() {
         return ((RequestLine) startLine).method();
     }
 
-    /** The target of a request, as it was sent; only a request has one. */
+    /** The target of a request, exactly as sent. Not for responses. */
     public String target() {
         return ((RequestLine) startLine).target();
     }
 
-    /** The status code of a response; only a response has one. */
+    /** The status code of a response. Not for requests. */
     public int status() {
         return ((StatusLine) startLine).status();
     }
--- a/src/main/java/magpiehub/http/HttpHeaders.java
+++ b/src/main/java/magpiehub/http/HttpHeaders.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The headers of a message, in the order in which they came. Names are matched without regard to case. */
+/** The headers of a message, in the order in which they were received. Names are case-insensitive. */
 public final class HttpHeaders {
     /**
-     * Headers that are not forwarded: they describe one connection or the framing of one message (RFC 9110, section
+     * Headers that are not forwarded: they describe one connection, the framing of one message (RFC 9110, section
      * 7.6.1), or its receiver.
      */
     private static final Set<String> HOP_BY_HOP = Set.of(
@@ -41,7 +41,7 @@
         return names.size();
     }
 
-    /** How many headers have a name. */
+    /** The number of headers with a name. */
     int count(String name) {
         int count = 0;
         for (int i = 0; i < names.size(); i++) {
@@ -52,7 +52,7 @@
         return count;
     }
 
-    /** A header's value, the first if there are several of the name; null if there is none. */
+    /** The value of the first header with a name; null if there is none. */
     public String get(String name) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name)) {
@@ -63,8 +63,8 @@
     }
 
     /**
-     * The value of a header that may occur once only; null if there is none. Implementations could take the value of a
-     * repeated header from different places, so it is answered with status 400.
+     * The value of a header that may occur only once; null if there is none. A repeated header is answered with status
+     * 400, because implementations differ in which of the values they use.
      */
     public String getSingle(String name) throws HttpException {
         if (count(name) > 1) {
@@ -73,7 +73,7 @@
         return get(name);
     }
 
-    /** Whether one of the headers of a name, each a comma-separated list, contains a token. */
+    /** Whether one of the headers with a name, each a comma-separated list, contains a token. */
     public boolean containsToken(String name, String token) {
         for (int i = 0; i < names.size(); i++) {
             if (names.get(i).equalsIgnoreCase(name) && listContains(values.get(i), token)) {
@@ -93,10 +93,10 @@
     }
 
     /**
-     * The lines, as they came, of the headers that a proxy forwards: those that a filter accepts, without the ones that
-     * concern the connection alone.
+     * The lines, as received, of the headers that a proxy forwards: those that a filter accepts, without hop-by-hop
+     * headers.
      *
-     * @param filter is asked with names in lower case
+     * @param filter is called with names in lower case
      */
     public byte[] endToEndLines(Predicate<String> filter) {
         StringBuilder lines = new StringBuilder();
--- a/src/main/java/magpiehub/http/HttpReader.java
+++ b/src/main/java/magpiehub/http/HttpReader.java
@@ -6,8 +6,8 @@
 
 /**
  * Reads the messages of one connection, one after another: {@link #awaitMessage}, one of the methods that read a head,
- * then one of those that read a body. A message that can't be read is an {@link HttpException}; the reader, and the
- * connection, can't be used afterwards. Used by one thread.
+ * then one of those that read a body. A message that can't be read causes an {@link HttpException}; after that, neither
+ * the reader nor the connection can be used. Used by one thread.
  */
 public final class HttpReader {
     private final ReadBuffer buffer;
@@ -17,8 +17,8 @@
     /**
      * Creates a reader.
      *
-     * @param in the connection's bytes, with its timeouts
-     * @param clock measures how long a message takes; is read after each wait for bytes
+     * @param in the connection's input, which applies its own read timeouts
+     * @param clock measures how long a message takes; read after each wait for bytes
      */
     public HttpReader(InputStream in, MonotonicClock clock) {
         buffer = new ReadBuffer(in, clock);
@@ -27,14 +27,14 @@
     }
 
     /**
-     * Sets how long a message may take from its first byte on, so that one sent byte by byte ends, too. A slower one
-     * ends with a {@link java.net.SocketTimeoutException}. There is no limit at first.
+     * Sets the time limit for a message, counted from its first byte, which also ends a message that is sent byte by
+     * byte. A slower one fails with a {@link java.net.SocketTimeoutException}. Initially there is no limit.
      */
     public void setMessageTimeoutMicros(long timeoutMicros) {
         buffer.setMessageTimeoutMicros(timeoutMicros);
     }
 
-    /** Sets the largest chunk that is read, for a peer that may send larger ones than a replica. */
+    /** Sets the largest chunk that is accepted, for a peer that may send larger ones than an engine. */
     public void setMaxChunkBytes(int maxBytes) {
         chunks.setMaxChunkBytes(maxBytes);
     }
@@ -44,12 +44,12 @@
         return buffer.messageStartMicros();
     }
 
-    /** Whether no bytes have been received that follow the message read last. */
+    /** Whether no bytes after the last message read have been received. */
     public boolean isBufferEmpty() {
         return buffer.isEmpty();
     }
 
-    /** Waits for the first byte of the next message; false if the peer has closed the connection. */
+    /** Waits for the first byte of the next message; returns false if the peer has closed the connection. */
     public boolean awaitMessage() throws IOException {
         return buffer.awaitMessage();
     }
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Returns a body as a stream, for one that is read piece by piece and may be large. It is to be read to its end
+     * Returns a body as a stream, for one that is read piece by piece and may be large. It must be read to its end
      * before the next message.
      *
      * @param maxBytes a longer body is answered with status 413
@@ -98,7 +98,7 @@
         return new BodyInputStream(buffer, chunks, BodyFraming.contentLength(head, maxBytes), maxBytes);
     }
 
-    /** Reads a body of server-sent events, each passed on with the blank line that ends it. */
+    /** Reads a body of server-sent events, each passed to the handler including the blank line that ends it. */
     public void readEvents(HttpHead head, EventHandler handler) throws IOException, InterruptedException {
         int length = BodyFraming.contentLength(head, HttpLimits.MAX_BODY_BYTES);
         if (length == 0) {
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Reads a chunked body by lines, each passed on without its line feed. A line that the end of the body cuts off is
-     * dropped. A body that is not chunked is passed on as a whole.
+     * Reads a chunked body line by line, each passed to the handler without its line feed. An unterminated line at the
+     * end of the body is dropped. A body that is not chunked is passed as a whole.
      *
      * @param maxLineBytes a longer line is answered with status 502
      */
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Passes on a number of bytes as they are received, without copying them. */
+    /** Passes a number of bytes to the consumer as they are received, without copying them. */
     private void readPieces(int count, BodyConsumer consumer) throws IOException, InterruptedException {
         int remainingBytes = count;
         while (remainingBytes > 0) {
--- a/src/main/java/magpiehub/http/HttpResponses.java
+++ b/src/main/java/magpiehub/http/HttpResponses.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Assembles responses. */
+/** Builds responses. */
 public final class HttpResponses {
     private static final int MICROS_PER_MILLISECOND = 1000;
     private static final int MILLISECONDS_PER_SECOND = 1000;
@@ -14,7 +14,7 @@
      * Appends a response with its body.
      *
      * @param close whether the connection is closed after the response
-     * @param headers further headers, each a name followed by its value
+     * @param headers additional headers, alternating names and values
      */
     public static void append(
             HttpWriter out, int status, String contentType, byte[] body, boolean close, String... headers) {
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Appends a response that says why a request failed.
+     * Appends an error response with a JSON body.
      *
-     * @param retryAfterMicros when the client may try again; 0 if that is not known
+     * @param retryAfterMicros when the client may retry; 0 if unknown
      * @param close whether the connection is closed after the response
      */
     public static void appendError(HttpWriter out, int status, String json, long retryAfterMicros, boolean close) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Seconds with three decimals, rounded up and never zero. */
+    /** Formats seconds with three decimals, rounded up and never zero. */
     private static String decimalSeconds(long micros) {
         long milliseconds = Math.max(1, (micros + MICROS_PER_MILLISECOND - 1) / MICROS_PER_MILLISECOND);
         return milliseconds / MILLISECONDS_PER_SECOND
--- a/src/main/java/magpiehub/http/HttpSyntax.java
+++ b/src/main/java/magpiehub/http/HttpSyntax.java
@@ -6,7 +6,7 @@
 
     private HttpSyntax() {}
 
-    /** Whether a text is a token: a method or a header name. The empty text is none. */
+    /** Whether a text is a token, such as a method or a header name. The empty text is not. */
     static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (!isTokenCharacter(text.charAt(i))) {
@@ -20,7 +20,7 @@
         return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || isDigit(c) || TOKEN_PUNCTUATION.indexOf(c) >= 0;
     }
 
-    /** Whether a text consists of ASCII digits alone, and of at least one. */
+    /** Whether a text is a non-empty sequence of ASCII digits. */
     public static boolean isDigits(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (!isDigit(text.charAt(i))) {
@@ -30,7 +30,9 @@
         return !text.isEmpty();
     }
 
-    /** Whether a character is a control character, which no start line or header may hold. The tab is allowed. */
+    /**
+     * Whether a character is a control character, which a start line or header must not contain. The tab is allowed.
+     */
     static boolean isControl(char c) {
         return (c < ' ' && c != '\t') || c == 0x7f;
     }
--- a/src/main/java/magpiehub/http/HttpWriter.java
+++ b/src/main/java/magpiehub/http/HttpWriter.java
@@ -4,19 +4,19 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Assembles the bytes of a message, or of several that are sent with one write. Used by one thread at a time. */
+/** Builds the bytes of a message, or of several that are sent with one write. Used by one thread at a time. */
 public final class HttpWriter {
-    /** A larger output is written in parts of this size, to see whether a slow peer makes progress. */
+    /** Larger output is written in parts of this size, so that the progress of a slow peer can be observed. */
     private static final int MAX_WRITE_BYTES = 32 * 1024;
 
     private final ByteAccumulator buffer = new ByteAccumulator();
 
-    /** How many bytes have been appended and not yet written or taken. */
+    /** The number of bytes that have been appended and not yet written or taken. */
     public int length() {
         return buffer.length();
     }
 
-    /** Appends a part of an array. */
+    /** Appends a range of an array. */
     public HttpWriter append(byte[] source, int offset, int count) {
         buffer.append(source, offset, count);
         return this;
@@ -32,7 +32,9 @@
         return append(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Appends one chunk of a chunked body; nothing if there are no bytes, since an empty chunk would end the body. */
+    /**
+     * Appends one chunk of a chunked body; nothing if there are no bytes, because an empty chunk would end the body.
+     */
     public HttpWriter appendChunk(byte[] data) {
         if (data.length == 0) {
             return this;
@@ -60,10 +62,10 @@
     }
 
     /**
-     * Writes the bytes and removes them; in one call, unless they are many. A peer that takes many bytes slowly is seen
-     * to make progress.
+     * Writes the bytes and removes them; large output is written in several parts, so that the progress of a peer that
+     * reads slowly can be observed.
      *
-     * @param onProgress runs between the parts
+     * @param onProgress called between the parts
      */
     public void flushTo(OutputStream out, Runnable onProgress) throws IOException {
         int length = buffer.length();
--- a/src/main/java/magpiehub/http/LineSplitter.java
+++ b/src/main/java/magpiehub/http/LineSplitter.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Splits a body into lines, without their line feeds. What follows the last line feed is dropped. */
+/** Splits a body into lines, without their line feeds. An unterminated last line is dropped. */
 final class LineSplitter implements BodyConsumer {
     private final EventHandler handler;
     private final int maxLineBytes;
--- a/src/main/java/magpiehub/http/ReadBuffer.java
+++ b/src/main/java/magpiehub/http/ReadBuffer.java
@@ -9,16 +9,19 @@
 import magpiehub.concurrent.MonotonicClock;
 
 /**
- * The bytes of a connection that have been received and not yet consumed. There is one buffer a connection; it grows as
- * needed and is compacted in place. Used by the connection's reading thread alone.
+ * The bytes of a connection that have been received and not yet consumed. Each connection has one buffer; it grows as
+ * needed and is compacted in place. Used by the connection's reading thread only.
  */
 final class ReadBuffer {
     private static final int INITIAL_BYTES = 2048;
 
-    /** A larger buffer is released between messages, so that idle connections don't keep their largest body's size. */
+    /**
+     * A larger buffer is released between messages, so that idle connections do not retain the memory of their largest
+     * body.
+     */
     private static final int MAX_IDLE_BYTES = 8192;
 
-    /** The most bytes that one read asks for, also where a large body leaves more space. */
+    /** The maximum size of one read, even if a large body leaves more space. */
     private static final int MAX_READ_BYTES = 16 * 1024;
 
     private final InputStream in;
@@ -34,7 +37,10 @@
         this.clock = clock;
     }
 
-    /** Sets how long a message may take from its first byte on, so that one sent byte by byte ends, too. */
+    /**
+     * Sets the time limit for a message, counted from its first byte, which also ends a message that is sent byte by
+     * byte.
+     */
     void setMessageTimeoutMicros(long timeoutMicros) {
         messageTimeoutMicros = timeoutMicros;
     }
@@ -44,7 +50,7 @@
         return messageStartMicros;
     }
 
-    /** Waits for the first byte of the next message; false if the peer has closed the connection. */
+    /** Waits for the first byte of the next message; returns false if the peer has closed the connection. */
     boolean awaitMessage() throws IOException {
         if (position < limit) {
             return true;
@@ -65,12 +71,14 @@
         return position == limit;
     }
 
-    /** How many received bytes are not consumed yet. */
+    /** The number of received bytes that have not been consumed. */
     int available() {
         return limit - position;
     }
 
-    /** The array that holds the unconsumed bytes, from {@link #position()} on. Valid until more bytes are received. */
+    /**
+     * The array that holds the unconsumed bytes, starting at {@link #position()}. Valid until more bytes are received.
+     */
     byte[] array() {
         return bytes;
     }
@@ -83,7 +91,7 @@
         position += count;
     }
 
-    /** Receives bytes until there are as many as required. */
+    /** Receives bytes until at least {@code count} are available. */
     void require(int count, String context) throws IOException {
         while (available() < count) {
             receive(context);
@@ -101,7 +109,7 @@
      * Receives at least one byte.
      *
      * @param context what is being read, for the message of the exception
-     * @throws SocketTimeoutException if the message has taken longer than its timeout
+     * @throws SocketTimeoutException if the message has taken longer than its time limit
      * @throws EOFException if the peer has closed the connection
      */
     void receive(String context) throws IOException {
@@ -113,7 +121,7 @@
         }
     }
 
-    /** Receives at least one byte; false at the end of the stream. */
+    /** Receives at least one byte; returns false at the end of the stream. */
     private boolean fill() throws IOException {
         if (limit == bytes.length) {
             makeSpace();
@@ -140,8 +148,8 @@
      * Consumes a line and returns it without its end, which is LF or CR LF. A line with a control character is answered
      * with status 400.
      *
-     * @param maxBytes the longest line that is read
-     * @param status the status that a longer one is answered with
+     * @param maxBytes the maximum length of the line
+     * @param status the status of the response to a longer line
      * @param context what the line is, for the message of the exception
      */
     String readLine(int maxBytes, int status, String context) throws IOException {
@@ -154,7 +162,7 @@
         return line;
     }
 
-    /** The same for a line that may contain control characters. */
+    /** Like {@link #readLine}, for a line that may contain control characters. */
     String readLineWithControls(int maxBytes, int status, String context) throws IOException {
         int scanned = 0;
         while (true) {
--- a/src/main/java/magpiehub/http/RequestLine.java
+++ b/src/main/java/magpiehub/http/RequestLine.java
@@ -4,7 +4,9 @@
 record RequestLine(String method, String target, String version) implements StartLine {
     private static final int PARTS = 3;
 
-    /** Parses a request line; what is none, or is of another protocol version, is answered with status 400. */
+    /**
+     * Parses a request line; a malformed one, or one of an unsupported protocol version, is answered with status 400.
+     */
     static RequestLine parse(String line) throws HttpException {
         String[] parts = line.split(" ", -1);
         if (parts.length != PARTS
--- a/src/main/java/magpiehub/http/Sockets.java
+++ b/src/main/java/magpiehub/http/Sockets.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.net.Socket;
 
-/** Operations on sockets that several packages share. */
+/** Operations on sockets that are used by several packages. */
 public final class Sockets {
     private Sockets() {}
 
-    /** Closes a socket. A failure to close is ignored: nothing is left to be done with the socket. */
+    /** Closes a socket. A failure to close is ignored: nothing more can be done with the socket. */
     public static void closeQuietly(Socket socket) {
         try {
             socket.close();
--- a/src/main/java/magpiehub/http/StatusLine.java
+++ b/src/main/java/magpiehub/http/StatusLine.java
@@ -4,7 +4,7 @@
 record StatusLine(String version, int status) implements StartLine {
     private static final int STATUS_DIGITS = 3;
 
-    /** Parses a status line; what is none is a fault of the replica, and answered with status 502. */
+    /** Parses a status line; a malformed one is an error of the upstream, and is answered with status 502. */
     static StatusLine parse(String line) throws HttpException {
         String[] parts = line.split(" ", 3);
         if (parts.length < 2
--- a/src/test/java/magpiehub/http/ChunkedDecoderTest.java
+++ b/src/test/java/magpiehub/http/ChunkedDecoderTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 class ChunkedDecoderTest {
-    private static final String RECORDED = "5\r\nhello\r\n00A;ext=\"1\"\r\n\r\nworld 10\r\n1\n!\n0\r\nT: v\r\n\r\n";
+    private static final String ENCODED = "5\r\nhello\r\n00A;ext=\"1\"\r\n\r\nworld 10\r\n1\n!\n0\r\nT: v\r\n\r\n";
     private static final String DECODED = "hello\r\nworld 10!";
 
-    private static String decode(String recorded, int... pieceEnds) throws IOException {
-        ReadBuffer buffer = PiecewiseInputStream.buffer(recorded, pieceEnds);
+    private static String decode(String input, int... pieceEnds) throws IOException {
+        ReadBuffer buffer = PiecewiseInputStream.buffer(input, pieceEnds);
         ChunkedDecoder decoder = new ChunkedDecoder(buffer);
         StringBuilder body = new StringBuilder();
         for (int size = decoder.readChunkSize(); size > 0; size = decoder.readChunkSize()) {
@@ -33,17 +33,17 @@
 
     @Test
     void decodesPiecesCutAtAnyTwoPlaces() throws IOException {
-        for (int first = 1; first < RECORDED.length(); first++) {
-            for (int second = first; second < RECORDED.length(); second++) {
-                assertEquals(DECODED, decode(RECORDED, first, second));
+        for (int first = 1; first < ENCODED.length(); first++) {
+            for (int second = first; second < ENCODED.length(); second++) {
+                assertEquals(DECODED, decode(ENCODED, first, second));
             }
         }
     }
 
     @Test
     void aBodyThatEndsEarlyIsTheEndOfTheConnection() {
-        for (int length = 0; length < RECORDED.length(); length++) {
-            String part = RECORDED.substring(0, length);
+        for (int length = 0; length < ENCODED.length(); length++) {
+            String part = ENCODED.substring(0, length);
             assertThrows(EOFException.class, () -> decode(part));
         }
     }
--- a/src/test/java/magpiehub/http/EventSplitterTest.java
+++ b/src/test/java/magpiehub/http/EventSplitterTest.java
@@ -13,7 +13,7 @@
     private final EventSplitter splitter = new EventSplitter(event -> events.add(new String(event, ISO_8859_1)));
 
     private void accept(String piece) throws Exception {
-        // The piece stands in the middle of an array, as in a connection's buffer.
+        // The piece is in the middle of an array, as in a connection's buffer.
         byte[] array = ("before" + piece + "behind").getBytes(ISO_8859_1);
         splitter.accept(array, "before".length(), piece.length());
     }
--- a/src/test/java/magpiehub/http/HeadParserTest.java
+++ b/src/test/java/magpiehub/http/HeadParserTest.java
@@ -14,12 +14,12 @@
     private static final String REQUEST =
             "POST /v1/generate?x=1 HTTP/1.1\r\nHost: router\r\nX-Caller:  alice \r\nx-caller: bob\r\n\r\n";
 
-    private static HttpHead request(String recorded, int... pieceEnds) throws IOException {
-        return new HeadParser(PiecewiseInputStream.buffer(recorded, pieceEnds)).readRequestHead();
+    private static HttpHead request(String input, int... pieceEnds) throws IOException {
+        return new HeadParser(PiecewiseInputStream.buffer(input, pieceEnds)).readRequestHead();
     }
 
-    private static HttpHead response(String recorded) throws IOException {
-        return new HeadParser(PiecewiseInputStream.buffer(recorded)).readResponseHead();
+    private static HttpHead response(String input) throws IOException {
+        return new HeadParser(PiecewiseInputStream.buffer(input)).readResponseHead();
     }
 
     private static HttpHead requestWith(String headers) throws IOException {
--- a/src/test/java/magpiehub/http/HttpErrors.java
+++ b/src/test/java/magpiehub/http/HttpErrors.java
@@ -9,7 +9,7 @@
 final class HttpErrors {
     private HttpErrors() {}
 
-    /** Asserts that an action fails with an {@link HttpException} of a status and a message. */
+    /** Asserts that an action throws an {@link HttpException} with a status and a message. */
     static void assertFails(int status, String message, Executable action) {
         HttpException e = assertThrows(HttpException.class, action);
         assertEquals(status + " " + message, e.status() + " " + e.getMessage());
--- a/src/test/java/magpiehub/http/HttpReaderTest.java
+++ b/src/test/java/magpiehub/http/HttpReaderTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The reader as a whole, on recorded connections. */
+/** The reader as a whole, on the complete input of a connection. */
 class HttpReaderTest {
     private static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** How a test reads a body. */
+    /** Reads a body in one of several ways. */
     private interface BodyReader {
         void read(HttpReader reader, HttpHead head, List<String> parts) throws Exception;
     }
@@ -40,35 +40,35 @@
         reader.readLines(head, line -> parts.add(new String(line, ISO_8859_1)), 100);
     }
 
-    private static void assertReads(List<String> expected, String recorded, BodyReader bodyReader) throws Exception {
-        for (int cut = 1; cut < recorded.length(); cut++) {
-            assertEquals(expected, readResponses(PiecewiseInputStream.reader(recorded, cut), bodyReader));
+    private static void assertReads(List<String> expected, String input, BodyReader bodyReader) throws Exception {
+        for (int cut = 1; cut < input.length(); cut++) {
+            assertEquals(expected, readResponses(PiecewiseInputStream.reader(input, cut), bodyReader));
         }
     }
 
     @Test
     void readsBodiesOneAfterAnother() throws Exception {
-        String recorded = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
+        String input = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
                 + CHUNKED_HEAD + "2\r\nch\r\n5\r\nunked\r\n0\r\n\r\n"
                 + "HTTP/1.1 204 No Content\r\n\r\n";
-        assertReads(List.of("body", "end", "chunked", "end", "", "end"), recorded, HttpReaderTest::readBody);
+        assertReads(List.of("body", "end", "chunked", "end", "", "end"), input, HttpReaderTest::readBody);
     }
 
     @Test
     void readsEventsAcrossChunks() throws Exception {
-        String recorded = CHUNKED_HEAD + "9\r\ndata: 1\n\n\r\n7\r\ndata: 2\r\n2\r\n\n\n\r\n0\r\n\r\n"
+        String input = CHUNKED_HEAD + "9\r\ndata: 1\n\n\r\n7\r\ndata: 2\r\n2\r\n\n\n\r\n0\r\n\r\n"
                 + "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\ndata: 3\n\ndata: 4";
         assertReads(
                 List.of("data: 1\n\n", "data: 2\n\n", "end", "data: 3\n\n", "data: 4", "end"),
-                recorded,
+                input,
                 HttpReaderTest::readEvents);
     }
 
     @Test
     void readsLinesAcrossChunksAndDropsTheLastWithoutItsEnd() throws Exception {
-        String recorded = CHUNKED_HEAD + "3\r\na\nb\r\n4\r\nc\n\nd\r\n0\r\n\r\n"
+        String input = CHUNKED_HEAD + "3\r\na\nb\r\n4\r\nc\n\nd\r\n0\r\n\r\n"
                 + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nx\ny";
-        assertReads(List.of("a", "bc", "", "end", "x\ny", "end"), recorded, HttpReaderTest::readLines);
+        assertReads(List.of("a", "bc", "", "end", "x\ny", "end"), input, HttpReaderTest::readLines);
     }
 
     @Test
--- a/src/test/java/magpiehub/http/PiecewiseInputStream.java
+++ b/src/test/java/magpiehub/http/PiecewiseInputStream.java
@@ -4,7 +4,7 @@
 
 import java.io.InputStream;
 
-/** Recorded bytes of a connection that arrive in pieces: each read returns one piece at most. */
+/** The input of a connection, which arrives in pieces: each read returns at most one piece. */
 final class PiecewiseInputStream extends InputStream {
     private final byte[] bytes;
     private final int[] pieceEnds;
@@ -14,11 +14,11 @@
     /**
      * Creates a stream.
      *
-     * @param recorded the bytes, each a character
-     * @param pieceEnds where the pieces but the last end, in ascending order
+     * @param input the bytes, one per character
+     * @param pieceEnds the end positions of all pieces but the last, in ascending order
      */
-    PiecewiseInputStream(String recorded, int... pieceEnds) {
-        bytes = recorded.getBytes(ISO_8859_1);
+    PiecewiseInputStream(String input, int... pieceEnds) {
+        bytes = input.getBytes(ISO_8859_1);
         this.pieceEnds = pieceEnds;
     }
 
@@ -43,13 +43,13 @@
         return length;
     }
 
-    /** A buffer over bytes that arrive in pieces, with a clock that stands still. */
-    static ReadBuffer buffer(String recorded, int... pieceEnds) {
-        return new ReadBuffer(new PiecewiseInputStream(recorded, pieceEnds), () -> 0);
+    /** A buffer over input that arrives in pieces, with a clock that always returns 0. */
+    static ReadBuffer buffer(String input, int... pieceEnds) {
+        return new ReadBuffer(new PiecewiseInputStream(input, pieceEnds), () -> 0);
     }
 
-    /** A reader over bytes that arrive in pieces, with a clock that stands still. */
-    static HttpReader reader(String recorded, int... pieceEnds) {
-        return new HttpReader(new PiecewiseInputStream(recorded, pieceEnds), () -> 0);
+    /** A reader over input that arrives in pieces, with a clock that always returns 0. */
+    static HttpReader reader(String input, int... pieceEnds) {
+        return new HttpReader(new PiecewiseInputStream(input, pieceEnds), () -> 0);
     }
 }
--- a/src/test/java/magpiehub/http/ReadBufferTest.java
+++ b/src/test/java/magpiehub/http/ReadBufferTest.java
@@ -17,8 +17,8 @@
 
     private long nowMicros = 100;
 
-    private ReadBuffer buffer(String recorded, int... pieceEnds) {
-        return new ReadBuffer(new PiecewiseInputStream(recorded, pieceEnds), () -> nowMicros);
+    private ReadBuffer buffer(String input, int... pieceEnds) {
+        return new ReadBuffer(new PiecewiseInputStream(input, pieceEnds), () -> nowMicros);
     }
 
     @Test
@@ -53,13 +53,13 @@
 
     @Test
     void growsAndKeepsTheBytesInOrder() throws IOException {
-        String recorded = "first\n" + "x".repeat(LARGE_BYTES) + "last";
-        ReadBuffer buffer = buffer(recorded, 3, 4000, 4001);
+        String input = "first\n" + "x".repeat(LARGE_BYTES) + "last";
+        ReadBuffer buffer = buffer(input, 3, 4000, 4001);
         buffer.awaitMessage();
         assertEquals("first", buffer.readLine(10, 400, "line"));
         buffer.require(LARGE_BYTES + 4, "body");
         String rest = new String(buffer.take(LARGE_BYTES + 4), ISO_8859_1);
-        assertEquals(recorded.substring("first\n".length()), rest);
+        assertEquals(input.substring("first\n".length()), rest);
     }
 
     @Test
