--- a/src/main/java/magpiehub/http/BodyInputStream.java
+++ b/src/main/java/magpiehub/http/BodyInputStream.java
@@ -13,7 +13,7 @@
     /** The unread bytes of the current chunk, or of the body if it is not chunked. */
     private int remainingBytes;
 
-    private boolean isFirstChunkRead;
+    private boolean isFirstChunkSizeRead;
     private boolean isAtEnd;
     private long totalBytes;
 
@@ -49,7 +49,7 @@
         if (count == 0) {
             return 0;
         }
-        buffer.require(1, "body");
+        buffer.ensureAvailable(1, "body");
         int length = Math.min(Math.min(count, remainingBytes), buffer.available());
         System.arraycopy(buffer.array(), buffer.position(), target, offset, length);
         buffer.skip(length);
@@ -59,10 +59,10 @@
     }
 
     private void beginChunk() throws IOException {
-        if (isFirstChunkRead) {
+        if (isFirstChunkSizeRead) {
             chunks.readChunkEnd();
         }
-        isFirstChunkRead = true;
+        isFirstChunkSizeRead = true;
         remainingBytes = chunks.readChunkSize();
         isAtEnd = remainingBytes == 0;
         totalBytes += remainingBytes;
--- a/src/main/java/magpiehub/http/HeadParser.java
+++ b/src/main/java/magpiehub/http/HeadParser.java
@@ -40,11 +40,11 @@
         return line;
     }
 
-    private HttpHeaders readHeaders(int startLineBytes, boolean allowControls) throws IOException {
+    private HttpHeaders readHeaders(int startLineBytes, boolean allowControlCharacters) throws IOException {
         HttpHeaders headers = new HttpHeaders();
         int remainingBytes = HttpLimits.MAX_HEAD_BYTES - startLineBytes;
         while (true) {
-            String line = readHeaderLine(remainingBytes, allowControls);
+            String line = readHeaderLine(remainingBytes, allowControlCharacters);
             if (line.isEmpty()) {
                 return headers;
             }
@@ -53,9 +53,9 @@
         }
     }
 
-    private String readHeaderLine(int maxBytes, boolean allowControls) throws IOException {
-        return allowControls
-                ? buffer.readLineWithControls(maxBytes, 431, "header")
+    private String readHeaderLine(int maxBytes, boolean allowControlCharacters) throws IOException {
+        return allowControlCharacters
+                ? buffer.readLineAllowingControlCharacters(maxBytes, 431, "header")
                 : buffer.readLine(maxBytes, 431, "header");
     }
 
--- a/src/main/java/magpiehub/http/HttpReader.java
+++ b/src/main/java/magpiehub/http/HttpReader.java
@@ -70,7 +70,7 @@
         if (length == BodyFraming.CHUNKED) {
             return readChunkedBody();
         }
-        buffer.require(length, "body");
+        buffer.ensureAvailable(length, "body");
         return buffer.take(length);
     }
 
@@ -80,7 +80,7 @@
             if (body.length() + size > HttpLimits.MAX_BODY_BYTES) {
                 throw new HttpException(413, "body too large");
             }
-            buffer.require(size, "chunk");
+            buffer.ensureAvailable(size, "chunk");
             body.append(buffer.array(), buffer.position(), size);
             buffer.skip(size);
             chunks.readChunkEnd();
@@ -139,7 +139,7 @@
     private void readPieces(int count, BodyConsumer consumer) throws IOException, InterruptedException {
         int remainingBytes = count;
         while (remainingBytes > 0) {
-            buffer.require(1, "chunk");
+            buffer.ensureAvailable(1, "chunk");
             int length = Math.min(remainingBytes, buffer.available());
             int offset = buffer.position();
             buffer.skip(length);
--- a/src/main/java/magpiehub/http/ReadBuffer.java
+++ b/src/main/java/magpiehub/http/ReadBuffer.java
@@ -92,7 +92,7 @@
     }
 
     /** Receives bytes until at least {@code count} are available. */
-    void require(int count, String context) throws IOException {
+    void ensureAvailable(int count, String context) throws IOException {
         while (available() < count) {
             receive(context);
         }
@@ -124,7 +124,7 @@
     /** Receives at least one byte; returns false at the end of the stream. */
     private boolean fill() throws IOException {
         if (limit == bytes.length) {
-            makeSpace();
+            ensureSpace();
         }
         int count = in.read(bytes, limit, Math.min(bytes.length - limit, MAX_READ_BYTES));
         if (count <= 0) {
@@ -134,7 +134,7 @@
         return true;
     }
 
-    private void makeSpace() {
+    private void ensureSpace() {
         if (position > 0) {
             System.arraycopy(bytes, position, bytes, 0, limit - position);
             limit -= position;
@@ -153,7 +153,7 @@
      * @param context what the line is, for the message of the exception
      */
     String readLine(int maxBytes, int status, String context) throws IOException {
-        String line = readLineWithControls(maxBytes, status, context);
+        String line = readLineAllowingControlCharacters(maxBytes, status, context);
         for (int i = 0; i < line.length(); i++) {
             if (HttpSyntax.isControl(line.charAt(i))) {
                 throw new HttpException(400, "control character in " + context);
@@ -163,7 +163,7 @@
     }
 
     /** Like {@link #readLine}, for a line that may contain control characters. */
-    String readLineWithControls(int maxBytes, int status, String context) throws IOException {
+    String readLineAllowingControlCharacters(int maxBytes, int status, String context) throws IOException {
         int scanned = 0;
         while (true) {
             for (; position + scanned < limit; scanned++) {
--- a/src/test/java/magpiehub/http/BodyFramingTest.java
+++ b/src/test/java/magpiehub/http/BodyFramingTest.java
@@ -1,6 +1,6 @@
 package magpiehub.http;
 
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void theHeadSaysWhereTheBodyEnds() throws HttpException {
+    void readsTheBodyLengthFromTheHead() throws HttpException {
         assertEquals(0, length());
         assertEquals(0, length("Content-Length", "0"));
         assertEquals(12, length("content-length", "0012"));
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void rejectsFramingThatCanBeReadInTwoWays() {
+    void rejectsAmbiguousFraming() {
         String message = "ambiguous framing";
         assertFails(400, message, () -> length("Transfer-Encoding", "chunked", "Content-Length", "5"));
         assertFails(400, message, () -> length("Transfer-Encoding", "chunked", "transfer-encoding", "chunked"));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aChunkedBodyMayTakeTheLimit() throws HttpException {
+    void theMaximumOfAChunkedBodyIsTheLimit() throws HttpException {
         assertEquals(7, BodyFraming.maxBodyBytes(head("Content-Length", "7")));
         assertEquals(HttpLimits.MAX_BODY_BYTES, BodyFraming.maxBodyBytes(head("Transfer-Encoding", "chunked")));
         assertEquals(0, BodyFraming.maxBodyBytes(head()));
--- a/src/test/java/magpiehub/http/BodyInputStreamTest.java
+++ b/src/test/java/magpiehub/http/BodyInputStreamTest.java
@@ -1,7 +1,7 @@
 package magpiehub.http;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.io.IOException;
@@ -20,11 +20,11 @@
     }
 
     @Test
-    void readsChunksCutAtAnyPlace() throws IOException {
-        for (int cut = 1; cut < CHUNKED.length(); cut++) {
-            ReadBuffer buffer = PiecewiseInputStream.buffer(CHUNKED + "next", cut);
+    void readsChunksSplitAtAnyPosition() throws IOException {
+        for (int split = 1; split < CHUNKED.length(); split++) {
+            ReadBuffer buffer = PiecewiseInputStream.buffer(CHUNKED + "next", split);
             assertEquals("hello world", readAll(open(buffer, BodyFraming.CHUNKED, 11)));
-            buffer.require(4, "next message");
+            buffer.ensureAvailable(4, "next message");
             assertEquals("next", new String(buffer.take(4), ISO_8859_1));
         }
     }
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void endsWhereTheLengthSays() throws IOException {
+    void endsAtTheContentLength() throws IOException {
         ReadBuffer buffer = PiecewiseInputStream.buffer("bodynext");
         assertEquals("body", readAll(open(buffer, 4, 10)));
         assertEquals(4, buffer.available());
--- a/src/test/java/magpiehub/http/ChunkedDecoderTest.java
+++ b/src/test/java/magpiehub/http/ChunkedDecoderTest.java
@@ -1,7 +1,7 @@
 package magpiehub.http;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,7 +19,7 @@
         ChunkedDecoder decoder = new ChunkedDecoder(buffer);
         StringBuilder body = new StringBuilder();
         for (int size = decoder.readChunkSize(); size > 0; size = decoder.readChunkSize()) {
-            buffer.require(size, "chunk");
+            buffer.ensureAvailable(size, "chunk");
             body.append(new String(buffer.take(size), ISO_8859_1));
             decoder.readChunkEnd();
         }
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void decodesPiecesCutAtAnyTwoPlaces() throws IOException {
+    void decodesInputSplitAtAnyTwoPositions() throws IOException {
         for (int first = 1; first < ENCODED.length(); first++) {
             for (int second = first; second < ENCODED.length(); second++) {
                 assertEquals(DECODED, decode(ENCODED, first, second));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void aBodyThatEndsEarlyIsTheEndOfTheConnection() {
+    void aTruncatedBodyThrowsEofException() {
         for (int length = 0; length < ENCODED.length(); length++) {
             String part = ENCODED.substring(0, length);
             assertThrows(EOFException.class, () -> decode(part));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void acceptsAHundredTrailersAndNoMore() throws IOException {
+    void acceptsUpToAHundredTrailers() throws IOException {
         assertEquals("", decode("0\r\n" + "T: v\r\n".repeat(100) + "\r\n"));
         assertFails(431, "trailers too large", () -> decode("0\r\n" + "T: v\r\n".repeat(101) + "\r\n"));
     }
--- a/src/test/java/magpiehub/http/EventSplitterTest.java
+++ b/src/test/java/magpiehub/http/EventSplitterTest.java
@@ -1,7 +1,7 @@
 package magpiehub.http;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void splitsAtBlankLinesWhereverThePiecesEnd() throws Exception {
+    void splitsAtBlankLinesRegardlessOfPieceBoundaries() throws Exception {
         List<String> expected = List.of("data: 1\n\n", "event: x\r\ndata: 2\r\n\r\n", ": comment\n\n");
         String body = String.join("", expected);
         for (int first = 0; first <= body.length(); first++) {
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void anEventIsHandledWithItsLastByte() throws Exception {
+    void anEventIsHandledAsSoonAsItsLastByteArrives() throws Exception {
         accept("data: 1\n");
         assertEquals(List.of(), takeEvents());
         accept("\n");
--- a/src/test/java/magpiehub/http/HeadParserTest.java
+++ b/src/test/java/magpiehub/http/HeadParserTest.java
@@ -1,6 +1,6 @@
 package magpiehub.http;
 
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -27,9 +27,9 @@
     }
 
     @Test
-    void readsARequestCutAtAnyPlace() throws IOException {
-        for (int cut = 1; cut < REQUEST.length(); cut++) {
-            HttpHead head = request(REQUEST, cut);
+    void readsARequestSplitAtAnyPosition() throws IOException {
+        for (int split = 1; split < REQUEST.length(); split++) {
+            HttpHead head = request(REQUEST, split);
             assertEquals("POST", head.method());
             assertEquals("/v1/generate?x=1", head.target());
             assertEquals("router", head.headers().get("host"));
@@ -40,11 +40,11 @@
 
     @Test
     void readsARequestByteByByte() throws IOException {
-        int[] everyPlace = new int[REQUEST.length()];
-        for (int i = 0; i < everyPlace.length; i++) {
-            everyPlace[i] = i + 1;
+        int[] everyPosition = new int[REQUEST.length()];
+        for (int i = 0; i < everyPosition.length; i++) {
+            everyPosition[i] = i + 1;
         }
-        assertEquals("alice", request(REQUEST, everyPlace).headers().get("X-Caller"));
+        assertEquals("alice", request(REQUEST, everyPosition).headers().get("X-Caller"));
     }
 
     @Test
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void readsResponsesWithAndWithoutAReason() throws IOException {
+    void readsResponsesWithAndWithoutAReasonPhrase() throws IOException {
         assertEquals(503, response("HTTP/1.1 503 Not right now\r\n\r\n").status());
         assertEquals(204, response("HTTP/1.0 204\r\n\r\n").status());
     }
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void rejectsHeadersWithoutAProperName() {
+    void rejectsMalformedHeaderNames() {
         for (String header : new String[] {"a : b", ": b", "no colon", "a\u00e9: b", "a@b: c"}) {
             assertFails(400, "malformed header", () -> requestWith(header + "\r\n"));
         }
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void acceptsAHundredHeadersAndNoMore() throws IOException {
+    void acceptsUpToAHundredHeaders() throws IOException {
         String header = "a: b\r\n";
         assertEquals(100, requestWith(header.repeat(100)).headers().count("a"));
         assertFails(431, "headers too large", () -> requestWith(header.repeat(101)));
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void aHeadThatEndsEarlyIsTheEndOfTheConnection() {
+    void aTruncatedHeadThrowsEofException() {
         for (int length = 1; length < REQUEST.length(); length++) {
             String part = REQUEST.substring(0, length);
             assertThrows(EOFException.class, () -> request(part));
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void theVersionAndTheConnectionHeaderSayWhetherTheSenderCloses() throws IOException {
+    void closesConnectionDependsOnVersionAndConnectionHeader() throws IOException {
         assertFalse(request("GET / HTTP/1.1\r\n\r\n").closesConnection());
         assertTrue(request("GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n").closesConnection());
         assertTrue(request("GET / HTTP/1.0\r\n\r\n").closesConnection());
--- a/src/test/java/magpiehub/http/HttpErrors.java
+++ b/src/test/java/magpiehub/http/HttpAssertions.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.function.Executable;
 
 /** Assertions on failures to read a message. */
-final class HttpErrors {
-    private HttpErrors() {}
+final class HttpAssertions {
+    private HttpAssertions() {}
 
     /** Asserts that an action throws an {@link HttpException} with a status and a message. */
     static void assertFails(int status, String message, Executable action) {
--- a/src/test/java/magpiehub/http/HttpHeadersTest.java
+++ b/src/test/java/magpiehub/http/HttpHeadersTest.java
@@ -1,7 +1,7 @@
 package magpiehub.http;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void containsTokenLooksIntoEachListOfTheName() {
+    void containsTokenSearchesEveryHeaderOfTheName() {
         headers.add("Connection", "a ,b");
         headers.add("connection", " Close");
         assertTrue(headers.containsToken("CONNECTION", "B"));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void endToEndLinesLeaveOutWhatConcernsTheConnection() {
+    void endToEndLinesOmitHopByHopHeaders() {
         headers.add("Host", "router");
         headers.add("Content-Length", "5");
         headers.add("Transfer-Encoding", "chunked");
@@ -51,12 +51,12 @@
         headers.add("X-Name", "v\u00e9");
         headers.add("x-name", "");
         headers.add("X-Filtered", "dropped");
-        List<String> asked = new ArrayList<>();
+        List<String> testedNames = new ArrayList<>();
         byte[] lines = headers.endToEndLines(name -> {
-            asked.add(name);
+            testedNames.add(name);
             return !name.equals("x-filtered");
         });
         assertEquals("X-Name: v\u00e9\r\nx-name: \r\n", new String(lines, ISO_8859_1));
-        assertEquals(List.of("x-name", "x-name", "x-filtered"), asked);
+        assertEquals(List.of("x-name", "x-name", "x-filtered"), testedNames);
     }
 }
--- a/src/test/java/magpiehub/http/HttpReaderTest.java
+++ b/src/test/java/magpiehub/http/HttpReaderTest.java
@@ -1,7 +1,7 @@
 package magpiehub.http;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -41,13 +41,13 @@
     }
 
     private static void assertReads(List<String> expected, String input, BodyReader bodyReader) throws Exception {
-        for (int cut = 1; cut < input.length(); cut++) {
-            assertEquals(expected, readResponses(PiecewiseInputStream.reader(input, cut), bodyReader));
+        for (int split = 1; split < input.length(); split++) {
+            assertEquals(expected, readResponses(PiecewiseInputStream.reader(input, split), bodyReader));
         }
     }
 
     @Test
-    void readsBodiesOneAfterAnother() throws Exception {
+    void readsConsecutiveBodies() throws Exception {
         String input = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody"
                 + CHUNKED_HEAD + "2\r\nch\r\n5\r\nunked\r\n0\r\n\r\n"
                 + "HTTP/1.1 204 No Content\r\n\r\n";
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void readsLinesAcrossChunksAndDropsTheLastWithoutItsEnd() throws Exception {
+    void readsLinesAcrossChunksAndDropsAnUnterminatedLastLine() throws Exception {
         String input = CHUNKED_HEAD + "3\r\na\nb\r\n4\r\nc\n\nd\r\n0\r\n\r\n"
                 + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nx\ny";
         assertReads(List.of("a", "bc", "", "end", "x\ny", "end"), input, HttpReaderTest::readLines);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void knowsWhetherBytesFollowTheMessage() throws Exception {
+    void reportsWhetherBytesFollowTheMessage() throws Exception {
         String message = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
         HttpReader reader = PiecewiseInputStream.reader(message + message);
         reader.awaitMessage();
--- a/src/test/java/magpiehub/http/HttpResponsesTest.java
+++ b/src/test/java/magpiehub/http/HttpResponsesTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void theLastResponseOfAConnectionSaysSo() {
+    void theLastResponseAnnouncesTheClose() {
         HttpResponses.append(writer, 529, "text/plain", new byte[0], true);
         assertEquals(
                 "HTTP/1.1 529 Overloaded\r\nContent-Type: text/plain\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
@@ -28,13 +28,13 @@
     }
 
     @Test
-    void anUnknownStatusHasAReasonAllTheSame() {
+    void anUnknownStatusHasAGenericReasonPhrase() {
         HttpResponses.append(writer, 418, "text/plain", new byte[0], false);
         assertEquals("HTTP/1.1 418 Status\r\nContent-Type: text/plain\r\nContent-Length: 0\r\n\r\n", take());
     }
 
     @Test
-    void anErrorSaysWhenToRetryIfThatIsKnown() {
+    void anErrorHasRetryAfterIfTheTimeIsKnown() {
         String head = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\n";
         HttpResponses.appendError(writer, 503, "{}", 0, false);
         assertEquals(head + "\r\n{}", take());
--- a/src/test/java/magpiehub/http/HttpWriterTest.java
+++ b/src/test/java/magpiehub/http/HttpWriterTest.java
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void flushWithProgressWritesFewBytesOnceAndNoneNever() throws IOException {
+    void flushWithProgressWritesFewBytesOnceAndSkipsAnEmptyBuffer() throws IOException {
         RecordingOutputStream out = new RecordingOutputStream();
         writer.flushTo(out, () -> {});
         writer.append(new byte[32768]).flushTo(out, () -> {});
--- a/src/test/java/magpiehub/http/LineSplitterTest.java
+++ b/src/test/java/magpiehub/http/LineSplitterTest.java
@@ -1,7 +1,7 @@
 package magpiehub.http;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
--- a/src/test/java/magpiehub/http/ReadBufferTest.java
+++ b/src/test/java/magpiehub/http/ReadBufferTest.java
@@ -1,7 +1,7 @@
 package magpiehub.http;
 
 import static java.nio.charset.StandardCharsets.ISO_8859_1;
-import static magpiehub.http.HttpErrors.assertFails;
+import static magpiehub.http.HttpAssertions.assertFails;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -27,14 +27,14 @@
         assertTrue(buffer.awaitMessage());
         assertEquals(100, buffer.messageStartMicros());
         nowMicros = 200;
-        buffer.require(2, "body");
+        buffer.ensureAvailable(2, "body");
         assertEquals(100, buffer.messageStartMicros());
         buffer.take(2);
         assertFalse(buffer.awaitMessage());
     }
 
     @Test
-    void aMessageThatTakesLongerThanItsTimeoutEnds() throws IOException {
+    void aMessageThatExceedsItsTimeoutFails() throws IOException {
         ReadBuffer buffer = buffer("abc", 1, 2);
         buffer.setMessageTimeoutMicros(50);
         buffer.awaitMessage();
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void theEndOfTheConnectionSaysWhatWasBeingRead() {
-        EOFException e = assertThrows(EOFException.class, () -> buffer("a").require(2, "chunk"));
+    void endOfStreamErrorNamesWhatWasBeingRead() {
+        EOFException e = assertThrows(EOFException.class, () -> buffer("a").ensureAvailable(2, "chunk"));
         assertEquals("connection ended in chunk", e.getMessage());
     }
 
@@ -57,7 +57,7 @@
         ReadBuffer buffer = buffer(input, 3, 4000, 4001);
         buffer.awaitMessage();
         assertEquals("first", buffer.readLine(10, 400, "line"));
-        buffer.require(LARGE_BYTES + 4, "body");
+        buffer.ensureAvailable(LARGE_BYTES + 4, "body");
         String rest = new String(buffer.take(LARGE_BYTES + 4), ISO_8859_1);
         assertEquals(input.substring("first\n".length()), rest);
     }
@@ -66,7 +66,7 @@
     void aLargeBufferIsReleasedBetweenMessages() throws IOException {
         ReadBuffer buffer = buffer("x".repeat(LARGE_BYTES) + "next", LARGE_BYTES);
         buffer.awaitMessage();
-        buffer.require(LARGE_BYTES, "body");
+        buffer.ensureAvailable(LARGE_BYTES, "body");
         buffer.take(LARGE_BYTES);
         assertTrue(buffer.array().length >= LARGE_BYTES);
         assertTrue(buffer.awaitMessage());
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aLineMayHaveTheLimitButNotMore() throws IOException {
+    void acceptsALineUpToTheLimit() throws IOException {
         assertEquals("12345", buffer("12345\n").readLine(5, 431, "line"));
         assertEquals("1234", buffer("1234\r\n").readLine(5, 431, "line"));
         assertFails(431, "line too long", () -> buffer("123456\n").readLine(5, 431, "line"));
