--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -38,7 +38,7 @@
     private volatile boolean closeRequested;
     /**
      * The end of the client's input was read, or the connection is closed: no new work may start for it. Set by the
-     * first thread to detect it, ahead of the message that goes through mailboxes.
+     * first thread to detect it, before the corresponding message passes through the mailboxes.
      */
     private volatile boolean clientGone;
     /** When the monitor is to post a {@link ClientMessage.TimerExpired}. */
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Called when the socket has taken the whole buffer: starts to linger if the last response was in it, and otherwise
-     * stops the timer unless keep-alives are due.
+     * Called when the whole buffer has been written to the socket: starts to linger if the last response was in it, and
+     * otherwise stops the timer unless keep-alives are due.
      */
     void onBufferWritten() throws IOException {
         if (closeState.isLingering() && !socket.isOutputShutdown()) {
--- a/src/main/java/magpiehub/downstream/ConnectionCapacity.java
+++ b/src/main/java/magpiehub/downstream/ConnectionCapacity.java
@@ -27,7 +27,7 @@
         return excessOverSoftLimit(open) > 0;
     }
 
-    /** Whether hardly any capacity is left. */
+    /** Whether nearly all capacity is in use. */
     boolean isNearlyFull(int open) {
         return open >= maxConnections - maxConnections / NEARLY_FULL_DIVISOR;
     }
--- a/src/main/java/magpiehub/downstream/DrainState.java
+++ b/src/main/java/magpiehub/downstream/DrainState.java
@@ -13,12 +13,12 @@
      * In standby, the time from which each response is the last on its connection. Load balancers learn of the standby
      * within 0.2 s; until then, a client whose connection is closed may reconnect to this router.
      */
-    private static final long CLOSE_AFTER_MICROS = 250_000;
+    private static final long STANDBY_GRACE_PERIOD_MICROS = 250_000;
     /**
      * In standby, the time by which the last idle connection is closed. Requests that arrive at that time still have
      * two seconds until the operators check that all clients have gone.
      */
-    private static final long IDLE_CLOSED_AFTER_MICROS = 1_600_000;
+    private static final long STANDBY_IDLE_TIMEOUT_MICROS = 1_600_000;
 
     private final MonotonicClock clock;
     private volatile boolean closing;
@@ -38,7 +38,7 @@
             return;
         }
         standbySinceMicros = standby ? nowMicros : 0;
-        idleDeadlineMicros = standby ? nowMicros + IDLE_CLOSED_AFTER_MICROS : 0;
+        idleDeadlineMicros = standby ? nowMicros + STANDBY_IDLE_TIMEOUT_MICROS : 0;
     }
 
     /** Starts to close idle connections, the last by the given time; each response is the last on its connection. */
@@ -66,7 +66,7 @@
 
     private boolean closesInStandby() {
         long sinceMicros = standbySinceMicros;
-        return sinceMicros != 0 && clock.micros() - sinceMicros >= CLOSE_AFTER_MICROS;
+        return sinceMicros != 0 && clock.micros() - sinceMicros >= STANDBY_GRACE_PERIOD_MICROS;
     }
 
     /** The deadline for closing the last idle connection; 0 while none is to be closed yet. */
--- a/src/main/java/magpiehub/downstream/ListenerSocket.java
+++ b/src/main/java/magpiehub/downstream/ListenerSocket.java
@@ -9,10 +9,10 @@
 
 /**
  * A listening socket for clients: one that this process has bound, or one that the service manager holds and that an
- * older and a newer process share. A shared socket is never closed here: connections that this process has not accepted
- * stay in its queue for the next one.
+ * older and a newer process share. A shared socket itself is never closed by this process: connections that this
+ * process has not accepted stay in its queue for the next one.
  *
- * <p><b>Threads.</b> {@link #accept} is called by one thread, all else by any.
+ * <p><b>Threads.</b> {@link #accept} is called by one thread, all other methods by any.
  */
 public abstract class ListenerSocket {
     /** The maximum length of the accept queue. */
--- a/src/main/java/magpiehub/downstream/ResponseWriter.java
+++ b/src/main/java/magpiehub/downstream/ResponseWriter.java
@@ -10,7 +10,8 @@
 
 /**
  * The writing side of one connection: its output buffer, and the accounting of the stream whose bytes are in it. A
- * stream's bytes are reported as delivered, and its outcome is reported, only once the socket has taken them.
+ * stream's bytes are reported as delivered, and its outcome is reported, only once they have been written to the
+ * socket.
  *
  * <p><b>Threads.</b> Used by the connection's actor only, except for {@link #flow}, which may be called from any
  * thread.
@@ -69,7 +70,7 @@
         unwrittenOutcome = outcome;
     }
 
-    /** Writes the buffer to the socket. Blocks until the client has taken it. */
+    /** Writes the buffer to the socket. Blocks until the client has read enough for the socket to accept it. */
     void flush(OutputStream socket) throws IOException {
         ActorThreadPool.enterBlockingCall();
         try {
@@ -80,8 +81,8 @@
     }
 
     /**
-     * Reports the bytes that the socket has taken, and the stream's outcome if its end was among them. Called once the
-     * socket has taken the whole buffer.
+     * Reports the bytes that were written, and the stream's outcome if its end was among them. Called once the whole
+     * buffer has been written to the socket.
      *
      * @param next the stream of the request in progress, or null
      */
--- a/src/main/java/magpiehub/http/BodyFraming.java
+++ b/src/main/java/magpiehub/http/BodyFraming.java
@@ -5,7 +5,7 @@
  * interpret differently is rejected.
  */
 public final class BodyFraming {
-    /** The length of a chunked body, which its head does not tell. */
+    /** Returned in place of a length: the body is chunked. */
     static final int CHUNKED = -1;
 
     /** Longer numbers are malformed; numbers of this length fit into a long. */
