--- a/src/main/java/magpiehub/sites/CrossSiteEvidence.java
+++ b/src/main/java/magpiehub/sites/CrossSiteEvidence.java
@@ -1,13 +1,14 @@
 package magpiehub.sites;
 
 /**
- * What the sites together tell about one of them: whether a site is lost, or this router is isolated, or all sites are
- * slow.
+ * Compares the evidence of all sites, to tell the loss of one site from an isolation of this router and from slowness
+ * that all sites share.
  *
- * <p>A site is lost only if another site, other than the router's own, proves that the network out of here works. The
- * proof takes four steps, all within the evidence window: the site fails, another site answers, the site fails again,
- * and another site answers again. Fewer would not do: when an isolation of this router ends, all sites answer one after
- * the other, and the first answer must not count against the others; nor may an answer from before the next isolation.
+ * <p>A site counts as lost only if another remote site proves that this router's outbound network works. The proof
+ * takes four steps, all within the evidence window: the site fails, another site answers, the site fails again, and
+ * another site answers again. Fewer steps would give false losses: when an isolation of this router ends, the sites
+ * answer one after the other, and the first answer must not count against those that follow. Neither may an answer from
+ * before the next isolation.
  */
 final class CrossSiteEvidence {
     private static final long NEVER = SiteEvidence.NEVER;
@@ -40,7 +41,7 @@
         return latest;
     }
 
-    /** Whether all four steps of the proof are there. Remembers the third one, the repeated failure. */
+    /** Whether all four steps of the proof have been observed. Records the third one, the repeated failure. */
     boolean isLossConfirmed(Site site) {
         long answeredAt = otherSiteAnsweredAt(site);
         if (answeredAt == NEVER) {
@@ -57,7 +58,7 @@
             return true;
         }
         if (answeredAt - site.repeatedFailureSentAt() > settings.evidenceWindowMicros()) {
-            // The second answer came too late for the repeated failure: start over.
+            // The second answer came outside the window of the repeated failure: the third step has to be repeated.
             site.setRepeatedFailureSentAt(NEVER);
         }
         return false;
@@ -77,17 +78,20 @@
         return false;
     }
 
-    /** Silence may be slowness that all sites share, so only a prompt answer of another site tells a loss from it. */
+    /**
+     * Whether only prompt answers of other sites count. Unless connections fail, the failures may be slowness that all
+     * sites share, which slow answers of other sites don't rule out.
+     */
     private static boolean requiresPromptAnswer(Site site) {
         return site.evidence().dominantFailure() != TransitionCause.NO_CONNECTION;
     }
 
-    /** The router's own site answers even while the router is isolated, so its answers prove nothing. */
+    /** Whether a site's answers prove that the router is not isolated: its own site answers even if it is. */
     private boolean isIndependent(Site other, Site site) {
         return other != site && other.index() != ownSite;
     }
 
-    /** Whether another site, not the router's own, fails as well: the router itself may be isolated. */
+    /** Whether another remote site fails as well, so that this router may be isolated. */
     boolean isAnotherSiteFailing(Site site) {
         for (Site other : sites) {
             if (isIndependent(other, site)
@@ -99,7 +103,7 @@
         return false;
     }
 
-    /** Whether no other site has answered promptly of late: slowness is then no fault of this site. */
+    /** Whether no other site has answered promptly within the evidence window, so the site is not slow by itself. */
     boolean isSlownessShared(Site site, long now) {
         for (Site other : sites) {
             if (other != site && other.evidence().isPrompt(now, settings.evidenceWindowMicros())) {
@@ -109,7 +113,9 @@
         return true;
     }
 
-    /** Whether a suspended site waits for this one's answer, to tell its loss from an isolation of this router. */
+    /**
+     * Whether an answer of this site is needed to tell the loss of a suspended site from an isolation of this router.
+     */
     boolean isAnswerAwaitedFrom(Site site) {
         for (Site other : sites) {
             if (other != site
--- a/src/main/java/magpiehub/sites/RecoveryRamp.java
+++ b/src/main/java/magpiehub/sites/RecoveryRamp.java
@@ -1,23 +1,23 @@
 package magpiehub.sites;
 
 /**
- * The steps by which a recovering site gets its traffic back: one step forward after each that went well, and one back
- * as soon as a step goes badly.
+ * Restores the traffic of a recovering site in steps: one step up after each successful step, one step down as soon as
+ * a step fails.
  */
 final class RecoveryRamp {
-    /** The part of its usual traffic that the site gets in each step. */
+    /** The fraction of its usual traffic that the site receives in each step. */
     private static final double[] STEP_SHARES = {0.1, 0.25, 0.5, 0.75};
 
-    /** A step goes badly if more than this part of its answers are slow or failed. */
+    /** A step fails if more than this fraction of its attempts are slow or failed. */
     private static final double MAX_BAD_PART = 0.25;
 
-    /** Fewer answers than this don't show whether a step goes badly. */
+    /** The fewest attempts by which a step may be judged to fail. */
     private static final int MIN_ANSWERS = 4;
 
-    /** A step without any good answer shows nothing; it is taken as good once it lasted so many times as long. */
+    /** A step without any prompt answer lasts this many times as long before the next step begins. */
     private static final int UNPROVEN_STEP_FACTOR = 3;
 
-    /** Bounds the doubling of the step's length with each loss; far above what the longest step allows. */
+    /** Most doublings of the step duration: prevents overflow. The longest step is reached with far fewer. */
     private static final int MAX_DOUBLINGS = 10;
 
     private final SiteFailoverSettings settings;
@@ -30,7 +30,7 @@
         this.settings = settings;
     }
 
-    /** Begins with the first step. */
+    /** Starts again at the first step. */
     void restart(long now) {
         step = 0;
         startStep(now);
@@ -42,7 +42,11 @@
         badAnswers = 0;
     }
 
-    /** An answer came that was prompt, or an attempt was slow or failed. */
+    /**
+     * Counts an attempt of the current step.
+     *
+     * @param isGood whether it was answered promptly; false if it was slow or failed
+     */
     void onAnswer(boolean isGood) {
         if (isGood) {
             goodAnswers++;
@@ -51,7 +55,7 @@
         }
     }
 
-    /** The part of its usual traffic that the site gets now. */
+    /** The fraction of its usual traffic that the site receives in the current step. */
     double share() {
         return STEP_SHARES[step];
     }
@@ -66,14 +70,18 @@
         startStep(now);
     }
 
-    /** Whether the step has lasted long enough. A site that was lost several times takes longer steps. */
+    /**
+     * Whether the current step has lasted long enough.
+     *
+     * @param losses recent losses of the site; each one after the first doubles the duration of a step
+     */
     boolean isStepOver(long now, int losses) {
         int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, losses - 1));
         long duration = Math.min(settings.maxTrialIntervalMicros(), settings.rampStepMicros() << doublings);
         return now - stepStartedAt >= (goodAnswers > 0 ? duration : UNPROVEN_STEP_FACTOR * duration);
     }
 
-    /** Begins the next step. Returns whether the last one is over, and the site recovered. */
+    /** Starts the next step. Returns true if the step before was the last one: the site has then recovered. */
     boolean stepForward(long now) {
         startStep(now);
         if (step == STEP_SHARES.length - 1) {
--- a/src/main/java/magpiehub/sites/Site.java
+++ b/src/main/java/magpiehub/sites/Site.java
@@ -3,17 +3,14 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/**
- * The state of one site, and every transition that it can make. When a transition is due is decided by
- * {@link SiteHealthTracker}.
- */
+/** The state of one site and its transitions. {@link SiteHealthTracker} decides when a transition is made. */
 final class Site {
-    /** The part of its usual traffic that a suspect site gets until the evidence for a loss is complete. */
+    /** The fraction of its usual traffic that a suspect site receives until it is suspended. */
     private static final double SUSPECT_SHARE = 0.5;
 
     private final int index;
     private final SiteFailoverSettings settings;
-    /** Where transitions are reported to; shared by all sites. */
+    /** Receives each transition; shared by all sites. */
     private final List<SiteTransition> transitions;
 
     private final SiteEvidence evidence = new SiteEvidence();
@@ -22,17 +19,17 @@
 
     private SiteState state = SiteState.HEALTHY;
     private TransitionCause cause = TransitionCause.EVIDENCE_EXPIRED;
-    /** Enough replicas have failed: the site gets nothing but trials. */
+    /** Whether enough replicas have failed that the site receives trials only. */
     private boolean isSuspended;
-    /** When the site was last suspended, lost, or healthy again. */
+    /** When the site was last suspended, lost, or found healthy. */
     private long since = SiteEvidence.NEVER;
-    /** Losses that are not yet forgotten. */
+    /** Losses since the site was last healthy for {@link SiteFailoverSettings#lossMemoryMicros}. */
     private int losses;
-    /** When the withdrawal began; earlier than ordered if the site had less than its usual traffic by then. */
+    /** When the withdrawal began; dated back if the site received less than its usual traffic at that time. */
     private long withdrawnAt;
     /** Health checks requested since the site began to fail. */
     private int requestedHealthChecks;
-    /** The other site's answer for which the failure was checked once more. */
+    /** When the other site's answer came after which this site was last checked again. */
     private long recheckedForAnswerAt = SiteEvidence.NEVER;
     /** When the attempt was sent that failed after another site had answered; see {@link CrossSiteEvidence}. */
     private long repeatedFailureSentAt = SiteEvidence.NEVER;
@@ -47,19 +44,19 @@
 
     // ---- Transitions ----------------------------------------------------------------------------------
 
-    /** Some evidence points to a loss. */
+    /** Records that some evidence points to a loss. */
     void suspect(long now, TransitionCause why) {
         changeState(now, SiteState.SUSPECT, why);
     }
 
-    /** The site's own evidence is complete. It gets only trials while other sites' evidence is awaited. */
+    /** Restricts the site to trials: its own evidence is complete, and only that of other sites is missing. */
     void suspend(long now) {
         isSuspended = true;
         since = now;
         trials.restart(now, losses);
     }
 
-    /** The site has failed. */
+    /** Records the loss of the site. */
     void lose(long now, TransitionCause why) {
         losses++;
         isSuspended = true;
@@ -67,24 +64,24 @@
         changeState(now, SiteState.LOST, why);
     }
 
-    /** The site gets its traffic back in steps. */
+    /** Starts to restore the site's traffic in steps. */
     void startRecovery(long now, TransitionCause why) {
         ramp.restart(now);
         changeState(now, SiteState.RECOVERING, why);
     }
 
-    /** The site gets all of its usual traffic. */
+    /** Gives the site all of its usual traffic. */
     void becomeHealthy(long now, TransitionCause why) {
         changeState(now, SiteState.HEALTHY, why);
     }
 
-    /** An operator takes the site out of service, beginning with the traffic that it has now. */
+    /** Takes the site out of service for an operator; its traffic falls to 0 from its current share. */
     void withdraw(long now) {
         withdrawnAt = now - (long) ((1 - share(now)) * settings.withdrawalMicros());
         changeState(now, SiteState.WITHDRAWN, TransitionCause.OPERATOR);
     }
 
-    /** An operator puts the site back into service. */
+    /** Returns the site to service for an operator. */
     void reinstate(long now) {
         clearFailures();
         startRecovery(now, TransitionCause.OPERATOR);
@@ -99,12 +96,12 @@
         }
     }
 
-    /** A more precise cause of the state that the site is in. */
+    /** Replaces the cause of the current state by a more precise one. */
     void updateCause(TransitionCause why) {
         cause = why;
     }
 
-    /** The site answered, or its failures are too old: they no longer count. */
+    /** Discards the failures, since the site answered or they have expired. */
     void clearFailures() {
         evidence.clearFailures();
         requestedHealthChecks = 0;
@@ -118,7 +115,7 @@
         }
     }
 
-    // ---- Questions ------------------------------------------------------------------------------------
+    // ---- Queries --------------------------------------------------------------------------------------
 
     int index() {
         return index;
@@ -156,7 +153,7 @@
         return losses;
     }
 
-    /** The part of its usual traffic that the site may get, from 0 to 1; at 0 it gets at most trials. */
+    /** The fraction of its usual traffic that the site may receive, from 0 to 1; at 0 it receives at most trials. */
     double share(long now) {
         return switch (state) {
             case HEALTHY -> 1;
@@ -167,7 +164,7 @@
         };
     }
 
-    // ---- Bookkeeping of checks ------------------------------------------------------------------------
+    // ---- Requested health checks ----------------------------------------------------------------------
 
     int requestedHealthChecks() {
         return requestedHealthChecks;
--- a/src/main/java/magpiehub/sites/SiteEvidence.java
+++ b/src/main/java/magpiehub/sites/SiteEvidence.java
@@ -5,42 +5,43 @@
 import magpiehub.routing.ZoneEvidence;
 
 /**
- * What one router has observed of one site: the failures since its last answer, its last answers, and what the endpoint
- * list says. Times are those of the router's clock, in microseconds; {@link #NEVER} means not yet.
+ * What one router has observed of one site: the failures since the last answer, the last answers, and the number of
+ * listed replicas. Times are in microseconds of the router's clock; {@link #NEVER} stands for an event that has not
+ * happened.
  */
 final class SiteEvidence {
-    /** Before any time of the clock, and far enough from the least value that differences don't overflow. */
+    /** Earlier than any time of the clock, yet not so small that differences overflow. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** Replicas that failed since the last answer, by id, each with how it failed last. */
+    /** The replicas that failed since the last answer, by id, with the latest failure of each. */
     private final Map<String, ZoneEvidence> failures = new LinkedHashMap<>();
-    /** When the first and the last of these failures were observed. */
+    /** When the first and the latest of these failures were observed. */
     private long firstFailureAt = NEVER;
 
     private long lastFailureAt = NEVER;
-    /** When the first of the failed attempts, and the latest of them, were sent. */
+    /** When the attempt of the first failure was sent, and the latest time at which a failed attempt was sent. */
     private long firstFailureSentAt = NEVER;
 
     private long lastFailureSentAt = NEVER;
 
-    /** The last answer: when it came, and when its attempt was sent. */
+    /** When the last answer was received, and when its attempt was sent. */
     private long answeredAt = NEVER;
 
     private long answeredSentAt = NEVER;
-    /** The same of the last answer that was not slow. */
+    /** The same for the last answer that was not slow. */
     private long promptAnswerAt = NEVER;
 
     private long promptAnswerSentAt = NEVER;
     private int consecutiveSlowAnswers;
 
-    /** Replicas that the endpoint list names, -1 before the first list, and how old that list is. */
+    /** The site's replicas in the endpoint list, -1 before the first list, and the time of that list. */
     private int listedReplicas = -1;
 
     private long listedAt = NEVER;
 
     // ---- Observations ---------------------------------------------------------------------------------
 
-    /** A replica answered. The failures stand until {@link #clearFailures}. */
+    /** Records an answer. Failures are kept until {@link #clearFailures}. */
     void onAnswer(long now, long sentAt, boolean isSlow) {
         answeredAt = now;
         answeredSentAt = sentAt;
@@ -53,7 +54,7 @@
         }
     }
 
-    /** An attempt failed. */
+    /** Records a failed attempt. */
     void onFailure(long now, long sentAt, String replica, ZoneEvidence failure) {
         if (firstFailureAt == NEVER) {
             firstFailureAt = now;
@@ -65,7 +66,7 @@
         failures.put(replica, failure);
     }
 
-    /** The endpoint list names so many replicas that take work. Returns whether there were none before. */
+    /** Records how many replicas that take requests the endpoint list has. Returns whether it had none before. */
     boolean onListed(int replicas, long atMicros) {
         boolean returned = listedReplicas == 0 && replicas > 0;
         listedReplicas = replicas;
@@ -78,7 +79,7 @@
         firstFailureAt = NEVER;
     }
 
-    // ---- Questions ------------------------------------------------------------------------------------
+    // ---- Queries --------------------------------------------------------------------------------------
 
     boolean hasFailures() {
         return !failures.isEmpty();
@@ -89,8 +90,8 @@
     }
 
     /**
-     * Whether a failure does not fit those so far: a replica that answers with an error can be reached, so errors and
-     * other failures don't add up to one loss.
+     * Whether a failure is of another kind than the recorded ones. A replica that answers with an error is reachable,
+     * so errors and other failures are not counted together.
      */
     boolean contradicts(ZoneEvidence failure) {
         boolean isError = failure == ZoneEvidence.ERROR;
@@ -121,18 +122,18 @@
         return silent >= errors ? TransitionCause.SILENCE : TransitionCause.ERRORS;
     }
 
-    /** How many replicas must have failed before the site may be lost: all of them where it has only a few. */
+    /** How many replicas must have failed before the site may be lost; all of them if it has fewer than configured. */
     int failuresNeeded(SiteFailoverSettings settings) {
         int needed = settings.failedReplicasForLoss();
         return listedReplicas > 0 ? Math.min(needed, listedReplicas) : needed;
     }
 
-    /** Whether the last failure is longer ago than evidence counts. */
+    /** Whether the last failure is older than the evidence window. */
     boolean areFailuresExpired(long now, SiteFailoverSettings settings) {
         return firstFailureAt != NEVER && now - lastFailureAt > settings.evidenceWindowMicros();
     }
 
-    /** Whether an endpoint list that is recent enough names no replica of the site. */
+    /** Whether a recent endpoint list has no replica of the site. */
     boolean isUnlisted(long now, SiteFailoverSettings settings) {
         return listedReplicas == 0 && now - listedAt <= settings.maxListAgeMicros();
     }
@@ -141,7 +142,7 @@
         return now - answeredAt <= durationMicros;
     }
 
-    /** Whether the last answer was prompt and is at most so old. */
+    /** Whether the last answer was prompt and no older than this. */
     boolean isPrompt(long now, long maxAgeMicros) {
         return now - promptAnswerAt <= maxAgeMicros && consecutiveSlowAnswers == 0;
     }
@@ -158,17 +159,17 @@
         return lastFailureSentAt;
     }
 
-    /** Whether no answer has come since the site began to fail. */
+    /** Whether this site has not answered since the other one began to fail. */
     boolean hasNotAnsweredSinceFailureOf(SiteEvidence other) {
         return answeredAt < other.firstFailureAt;
     }
 
-    /** When the last answer came, or the last prompt one. */
+    /** When the last answer, or the last prompt one, was received. */
     long answeredAt(boolean promptOnly) {
         return promptOnly ? promptAnswerAt : answeredAt;
     }
 
-    /** When the attempt of the last answer was sent, or that of the last prompt one. */
+    /** When the attempt of the last answer, or of the last prompt one, was sent. */
     long answerSentAt(boolean promptOnly) {
         return promptOnly ? promptAnswerSentAt : answeredSentAt;
     }
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -11,14 +11,14 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Site failover as the routing decisions see it: each zone is a site of a {@link SiteHealthTracker}. Also
- * logs and counts the sites' transitions, and connects the operators.
+ * Site failover as a {@link ZoneHealth} of the routing policy: each zone is a site of a {@link SiteHealthTracker}. Also
+ * logs and counts the transitions of sites, and carries out withdrawals by operators.
  *
  * <p>The methods of {@link ZoneHealth} are called by the routing thread only. Those for operators and metrics may be
- * called from any thread; a withdrawal takes effect at the next tick.
+ * called from any thread; a withdrawal takes effect at the next {@link #advance}.
  */
 public final class SiteFailoverPlan implements ZoneHealth {
-    /** Stands for "not suspended" in {@link #closedSince}. */
+    /** The result of {@link #closedSince} for a site that receives more than trials. */
     private static final long NOT_SUSPENDED = Long.MAX_VALUE;
 
     private final SiteFailoverSettings settings;
@@ -28,13 +28,13 @@
     private final List<String> siteNames;
     /** Null until the number of zones is known. */
     private SiteHealthTracker tracker;
-    /** Since when each site gets nothing but trials, or {@link #NOT_SUSPENDED}. */
+    /** Since when each site receives trials only, or {@link #NOT_SUSPENDED}. */
     private long[] suspendedSince;
 
-    /** Names of the sites that operators have withdrawn. */
+    /** The names of the sites that operators have withdrawn. */
     private final Set<String> withdrawnSites = ConcurrentHashMap.newKeySet();
 
-    /** The status of each site by its name, as of the last tick. */
+    /** The status of each site by its name, as of the last {@link #advance}. */
     private final Map<String, String> siteStatus = new ConcurrentHashMap<>();
 
     /**
@@ -55,7 +55,7 @@
         this.log = log;
     }
 
-    // ---- The routing thread ---------------------------------------------------------------------------
+    // ---- Routing thread -------------------------------------------------------------------------------
 
     @Override
     public void setZoneCount(int zones) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Whether the zone is a site of the tracker. Zones that a later configuration adds are not, and never lost. */
+    /** Whether the tracker has the zone as a site. Zones that a reload adds are not tracked, and never lost. */
     private boolean isTracked(int zone) {
         return zone < suspendedSince.length;
     }
@@ -168,7 +168,7 @@
 
     // ---- Any thread -----------------------------------------------------------------------------------
 
-    /** Sets which sites are withdrawn from service, by name; all others are put back. */
+    /** Sets which sites are withdrawn from service, by name; all others are returned to service. */
     public void setWithdrawnSites(Set<String> names) {
         withdrawnSites.retainAll(names);
         withdrawnSites.addAll(names);
@@ -179,12 +179,12 @@
         return siteNames;
     }
 
-    /** The status of each site by its name: its state, and unless it is healthy its share of traffic and the cause. */
+    /** The status of each site by its name: its state and, unless it is healthy, its share of traffic and the cause. */
     public Map<String, String> siteStatus() {
         return new TreeMap<>(siteStatus);
     }
 
-    /** The same as lines of the metrics page. */
+    /** The status of all sites as lines of the metrics page. */
     public String metrics() {
         StringBuilder lines = new StringBuilder();
         siteStatus().forEach((name, status) -> lines.append("site_" + name + " " + status + "\n"));
--- a/src/main/java/magpiehub/sites/SiteFailoverSettings.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverSettings.java
@@ -11,16 +11,17 @@
 /**
  * The settings of site failover, from {@code deploy/site.json}.
  *
- * @param evidenceWindowMicros how long evidence counts: a site is lost only if all evidence came within this time
- * @param failedReplicasForLoss how many of a site's replicas must have failed, with none answering, before the site may
- *     be lost; all of them where it has fewer. More than the replicas that may be faulty by themselves
- * @param slowRatio a first token that takes this many times as long as usual counts as slow
- * @param trialIntervalMicros the first interval between two trials of a lost site, which each router sends
- * @param maxTrialIntervalMicros the longest such interval, and the longest step of a site that is lost again and again
- * @param rampStepMicros how long a step of the recovery ramp lasts at least
- * @param withdrawalMicros how long it takes until a withdrawn site gets no traffic
- * @param lossMemoryMicros how long a site must be healthy until its earlier losses are forgotten
- * @param maxListAgeMicros an endpoint list older than this is no evidence of a loss
+ * @param evidenceWindowMicros the time within which all evidence for a loss must have been observed
+ * @param failedReplicasForLoss how many replicas of a site must have failed, with none answering, before the site may
+ *     be lost; all of them if it has fewer. Must exceed the number of replicas that may be faulty while the site is not
+ * @param slowRatio the ratio of the time to the first token to the usual one from which an answer counts as slow
+ * @param trialIntervalMicros the first interval between two trials that a router sends to a lost site
+ * @param maxTrialIntervalMicros the longest such interval, and the longest step of the recovery ramp after repeated
+ *     losses
+ * @param rampStepMicros the shortest duration of a step of the recovery ramp
+ * @param withdrawalMicros how long the traffic of a withdrawn site takes to fall from all to none
+ * @param lossMemoryMicros how long a site must be healthy until its earlier losses no longer count
+ * @param maxListAgeMicros the age from which an endpoint list is no evidence of a loss
  */
 public record SiteFailoverSettings(
         long evidenceWindowMicros,
@@ -33,11 +34,11 @@
         long lossMemoryMicros,
         long maxListAgeMicros) {
 
-    /** The settings that apply where the file names none. They suit networks whose connections fail within 250 ms. */
+    /** Defaults for keys that the file does not have. They suit networks where connecting fails within 250 ms. */
     public static final SiteFailoverSettings DEFAULTS = new SiteFailoverSettings(
             2_000_000, 5, 4, 500_000, 16_000_000, 1_000_000, 3_000_000, 60_000_000, 10_000_000);
 
-    /** The keys that a file may have; each is optional. */
+    /** All keys that the file may have; each is optional. */
     private static final Set<String> KEYS =
             Set.of("windowMs", "engines", "slow", "trialMs", "longestMs", "stepMs", "gentleMs", "memoryMs", "freshMs");
 
@@ -78,7 +79,7 @@
 
     private static double number(ConfigurationObject object, String key, double defaultValue) {
         double value = object.number(key, defaultValue);
-        // Negated, so that NaN is rejected as well.
+        // The negated comparison rejects NaN as well.
         if (!(value >= 1) || value > MAX_VALUE) {
             throw new ConfigurationException(object.path() + "." + key + " must be a number from 1 to 1e9");
         }
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -7,35 +7,35 @@
 import magpiehub.routing.ZoneEvidence;
 
 /**
- * Tracks the health of all sites as one router sees it: decides from the evidence which site is suspect, lost or
- * recovering, and how much of its usual traffic each may get.
+ * Tracks the health of all sites as one router observes it: decides from the evidence which site is suspect, lost or
+ * recovering, and how much of its usual traffic each may receive.
  *
- * <p>A site is never called lost on this router's own evidence alone if the router may be the one that is isolated, nor
- * because all sites are slow. This is a state machine without I/O: the clock (microseconds) and the seed are arguments,
- * and equal events give equal transitions. Not safe for use by several threads.
+ * <p>A site is not declared lost while this router itself may be isolated, nor because all sites are slow. This is a
+ * deterministic state machine without I/O: the time (in microseconds) and the seed are arguments, and equal events give
+ * equal transitions. Not safe for use by several threads.
  */
 public final class SiteHealthTracker {
     /**
-     * Failed replicas, none answering, that make a site suspect. Few, since a router that sends little waits long for
-     * more: health checks then collect the rest of the evidence.
+     * Failed replicas, with none answering, that make a site suspect. Low, since a router with little traffic would
+     * wait long for more failures; health checks collect the remaining evidence.
      */
     private static final int SUSPECT_FAILURES = 2;
 
-    /** The same if they answer with errors. More, since they can be reached and some may be faulty by themselves. */
+    /** The same for replicas that answer with errors. Higher, since some may be faulty although the site is not. */
     private static final int SUSPECT_ERRORS = 4;
 
     private final SiteFailoverSettings settings;
     private final int ownSite;
     private final Site[] sites;
     private final CrossSiteEvidence crossSiteEvidence;
-    /** Transitions that {@link #takeTransitions} has not returned yet. */
+    /** Transitions not yet returned by {@link #takeTransitions}. */
     private final List<SiteTransition> transitions = new ArrayList<>();
 
     /**
      * Creates a tracker of sites that are all healthy.
      *
      * @param ownSite the index of the router's own site, -1 if it has none
-     * @param seed of the random numbers that spread the routers' trials
+     * @param seed the seed of the random numbers that spread the trials of different routers over time
      */
     public SiteHealthTracker(SiteFailoverSettings settings, int siteCount, int ownSite, long seed) {
         this.settings = settings;
@@ -46,7 +46,7 @@
         this.crossSiteEvidence = new CrossSiteEvidence(settings, sites, ownSite);
     }
 
-    // ---- Questions ------------------------------------------------------------------------------------
+    // ---- Queries --------------------------------------------------------------------------------------
 
     /** The state of a site. */
     public SiteState state(int site) {
@@ -58,12 +58,12 @@
         return sites[site].cause();
     }
 
-    /** The part of its usual traffic that a site may get now, from 0 to 1; at 0 it gets at most trials. */
+    /** The fraction of its usual traffic that a site may receive now, from 0 to 1; at 0 it receives at most trials. */
     public double share(int site, long now) {
         return sites[site].share(now);
     }
 
-    /** Whether this router seems to be isolated: what fails it are all other sites. */
+    /** Whether this router may be isolated: a site fails, and another remote site fails as well. */
     public boolean isRouterIsolated() {
         for (Site site : sites) {
             if (site.state() == SiteState.SUSPECT && site.cause() == TransitionCause.ROUTER_ISOLATED) {
@@ -73,14 +73,14 @@
         return false;
     }
 
-    /** Returns the transitions since the last call, in order. */
+    /** Returns the transitions since the last call, the earliest first. */
     public List<SiteTransition> takeTransitions() {
         List<SiteTransition> all = List.copyOf(transitions);
         transitions.clear();
         return all;
     }
 
-    /** Whether one request may be sent now as a trial to a site that gets nothing else. If so, it counts as sent. */
+    /** Whether one request may be sent now as a trial to a site that receives trials only. True counts it as sent. */
     public boolean takeTrial(int index, long now) {
         Site site = sites[index];
         if (site.state() == SiteState.WITHDRAWN
@@ -93,15 +93,15 @@
     }
 
     /**
-     * Returns how many replicas of a site, other than those that failed, need a health check now; they count as
-     * requested. Each result is to be reported to {@link #onEvidence}.
+     * Returns how many replicas of a site, other than those that failed, need a health check now, and counts the checks
+     * as requested. The caller reports each result to {@link #onEvidence}.
      */
     public int takeHealthChecks(int index) {
         Site site = sites[index];
         if (site.state() == SiteState.SUSPECT && site.isSuspended()) {
             long answeredAt = crossSiteEvidence.otherSiteAnsweredAt(site);
             if (answeredAt > site.recheckedForAnswerAt()) {
-                // Another site answers: does this one still fail?
+                // Another site has answered: check whether this one still fails.
                 site.setRecheckedForAnswerAt(answeredAt);
                 return 1;
             }
@@ -111,18 +111,18 @@
         return due;
     }
 
-    /** Health checks that the evidence needs, less those requested already; negative if there were more. */
+    /** Health checks that the evidence needs, less those already requested; negative if more were requested. */
     private int healthChecksDue(Site site) {
         SiteEvidence evidence = site.evidence();
         int requested = site.requestedHealthChecks();
         if (site.state() == SiteState.HEALTHY
                 && evidence.failedReplicas() == 1
                 && evidence.dominantFailure() != TransitionCause.ERRORS) {
-            // Where little is sent, the next request may be seconds away.
+            // With little traffic, the next request may be seconds away.
             return 1 - requested;
         }
         if (site.state() == SiteState.SUSPECT && !site.isSuspended() && evidence.hasFailures()) {
-            // One more than needed: one of them may be a replica that has failed before.
+            // One more than needed, since one check may go to a replica that has failed already.
             return evidence.failuresNeeded(settings) + 1 - requested;
         }
         if (site.state() != SiteState.WITHDRAWN && site.index() != ownSite && !evidence.hasFailures()) {
@@ -134,10 +134,10 @@
     // ---- Events ---------------------------------------------------------------------------------------
 
     /**
-     * An attempt or a health check ended.
+     * Records the result of an attempt or a health check.
      *
-     * @param tookMicros how long ago it was sent
-     * @param latencyRatio the time to its first token in relation to the usual one
+     * @param tookMicros the time since it was sent
+     * @param latencyRatio the ratio of its time to the first token to the usual one
      */
     public void onEvidence(
             long now, int index, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
@@ -145,14 +145,14 @@
         if (evidence == ZoneEvidence.ANSWERED) {
             onAnswer(now, sentAt, sites[index], latencyRatio >= settings.slowRatio());
         } else {
-            // A connection that breaks under a request says that the replica is not there.
+            // A connection that breaks during a request is evidence that the replica can't be reached.
             boolean isBroken = evidence == ZoneEvidence.BROKEN;
             onFailure(now, sentAt, sites[index], replica, isBroken ? ZoneEvidence.NO_CONNECTION : evidence);
         }
         evaluateAll(now);
     }
 
-    /** The endpoint list, which is so old, names so many replicas of a site that take work. */
+    /** Records how many replicas of a site that take requests an endpoint list of this age has. */
     public void onListed(long now, int index, int replicas, long ageMicros) {
         Site site = sites[index];
         boolean returned = site.evidence().onListed(replicas, now - ageMicros);
@@ -162,21 +162,21 @@
         evaluateAll(now);
     }
 
-    /** An operator takes a site out of service. No effect if it is withdrawn already. */
+    /** Takes a site out of service for an operator. No effect if it is already withdrawn. */
     public void withdraw(long now, int index) {
         if (sites[index].state() != SiteState.WITHDRAWN) {
             sites[index].withdraw(now);
         }
     }
 
-    /** An operator puts a site back into service. No effect unless it is withdrawn. */
+    /** Returns a site to service for an operator. No effect unless it is withdrawn. */
     public void reinstate(long now, int index) {
         if (sites[index].state() == SiteState.WITHDRAWN) {
             sites[index].reinstate(now);
         }
     }
 
-    /** Time has passed. */
+    /** Makes the transitions that depend on time; called periodically. */
     public void onTick(long now) {
         evaluateAll(now);
     }
@@ -190,7 +190,7 @@
                 || (site.state() == SiteState.SUSPECT
                         && wasSuspended
                         && now - site.since() > settings.rampStepMicros())) {
-            // It has been without traffic for a while: its caches are cold, and all routers must not come at once.
+            // The site's caches are cold after a time without traffic, and all routers return at the same time.
             site.startRecovery(now, TransitionCause.ANSWERED);
         } else if (site.state() == SiteState.SUSPECT
                 && (site.cause() != TransitionCause.SLOW || !isSlow)
@@ -221,7 +221,8 @@
         SiteEvidence evidence = site.evidence();
         boolean isUnlisted = evidence.isUnlisted(now, settings);
         if (site.state() == SiteState.RECOVERING && isUnlisted) {
-            // A late list reports the loss that is over; nothing can be sent until the list names replicas again.
+            // A delayed list still reports a loss that has ended. Until replicas are listed again, none can be
+            // selected.
             site.ramp().restart(now);
         } else if (site.state() != SiteState.LOST
                 && isUnlisted
@@ -239,7 +240,7 @@
         }
     }
 
-    /** Enough replicas of the site have failed: it is lost, or this router is isolated. */
+    /** Evaluates a site of which enough replicas have failed: it is lost, or this router is isolated. */
     private void evaluateCompleteEvidence(long now, Site site, boolean isUnlisted) {
         if (!site.isSuspended()) {
             site.suspend(now);
--- a/src/main/java/magpiehub/sites/SiteState.java
+++ b/src/main/java/magpiehub/sites/SiteState.java
@@ -1,19 +1,19 @@
 package magpiehub.sites;
 
-/** How a site stands, as one router sees it. */
+/** The health of a site as one router observes it. */
 public enum SiteState {
-    /** The site gets all of its usual traffic. */
+    /** The site receives all of its usual traffic. */
     HEALTHY("whole"),
     /**
-     * The site fails, but it is not certain that the site is the cause. It gets a part of its usual traffic, or, once
-     * enough replicas have failed, nothing but trials.
+     * Replicas of the site fail, but the evidence for a loss of the site is incomplete. It receives a fraction of its
+     * usual traffic, or trials only once enough replicas have failed.
      */
     SUSPECT("doubted"),
-    /** The site has failed. It gets nothing but trials. */
+    /** The site has failed. It receives trials only. */
     LOST("lost"),
-    /** The site answers again after a loss. Its traffic grows in steps. */
+    /** The site answers again after a loss. Its traffic is restored in steps. */
     RECOVERING("returning"),
-    /** An operator withdrew the site. Its traffic is taken away gradually, and no trials are sent. */
+    /** An operator withdrew the site. Its traffic falls gradually to none, and no trials are sent. */
     WITHDRAWN("out");
 
     private final String label;
@@ -22,7 +22,7 @@
         this.label = label;
     }
 
-    /** The name in log events, counters and answers to operators. It must stay as it is: tools read it. */
+    /** The name in log events, counters and responses to operators. Tools parse it, so it must not change. */
     public String label() {
         return label;
     }
--- a/src/main/java/magpiehub/sites/SiteTransition.java
+++ b/src/main/java/magpiehub/sites/SiteTransition.java
@@ -1,9 +1,9 @@
 package magpiehub.sites;
 
 /**
- * One change of a site's state.
+ * A change of a site's state.
  *
- * @param site the site's index
- * @param atMicros when it changed
+ * @param site the index of the site
+ * @param atMicros the time of the change, in microseconds of the router's clock
  */
 public record SiteTransition(int site, SiteState from, SiteState to, TransitionCause cause, long atMicros) {}
--- a/src/main/java/magpiehub/sites/TransitionCause.java
+++ b/src/main/java/magpiehub/sites/TransitionCause.java
@@ -4,23 +4,23 @@
 public enum TransitionCause {
     /** Connections to the site's replicas failed or broke. */
     NO_CONNECTION("no_connection"),
-    /** Replicas did not answer for much longer than usual. */
+    /** Replicas gave no answer for much longer than usual. */
     SILENCE("silence"),
     /** Replicas answered with errors. */
     ERRORS("errors"),
     /** Replicas answered much more slowly than usual, and those of other sites did not. */
     SLOW("slow"),
-    /** The endpoint list names no replica of the site that takes work. */
+    /** The endpoint list has no replica of the site that takes requests. */
     ENDPOINT_LIST("list"),
-    /** Other sites fail as well, so this router itself may be isolated. */
+    /** Other remote sites fail as well, so this router may be isolated. */
     ROUTER_ISOLATED("cut_off"),
-    /** The evidence against the site was too little and became too old. */
+    /** The evidence stayed incomplete until it expired. */
     EVIDENCE_EXPIRED("passed"),
     /** A replica of the site answered. */
     ANSWERED("answered"),
-    /** The last step of the recovery ramp is over. */
+    /** The site completed the last step of the recovery ramp. */
     RECOVERY_COMPLETED("ramped"),
-    /** An operator withdrew the site or put it back. */
+    /** An operator withdrew the site or returned it to service. */
     OPERATOR("operator");
 
     private final String label;
@@ -29,7 +29,7 @@
         this.label = label;
     }
 
-    /** The name in log events and answers to operators. It must stay as it is: tools read it. */
+    /** The name in log events and responses to operators. Tools parse it, so it must not change. */
     public String label() {
         return label;
     }
--- a/src/main/java/magpiehub/sites/TrialSchedule.java
+++ b/src/main/java/magpiehub/sites/TrialSchedule.java
@@ -3,22 +3,22 @@
 import java.util.SplittableRandom;
 
 /**
- * When the next trial, one request to a site that gets nothing else, is due. The interval grows with each trial and
- * each earlier loss up to a bound, and is random so that routers don't try at the same time.
+ * Schedules trials: single requests to a site that receives no other traffic. The interval grows exponentially with
+ * each trial and each earlier loss up to a maximum, and has jitter so that routers don't send trials at the same time.
  */
 final class TrialSchedule {
-    /** Bounds the doublings, so that the shift below can't overflow. */
+    /** Most doublings of the interval; prevents overflow. */
     private static final int MAX_DOUBLINGS = 20;
 
-    /** Each loss but the first lengthens the interval as much as so many trials. */
+    /** Doublings of the interval for each loss after the first. */
     private static final int DOUBLINGS_PER_LOSS = 2;
 
-    /** The interval is drawn from {@code MIN_JITTER} to {@code MIN_JITTER + JITTER_RANGE} times its length. */
+    /** The interval is multiplied by a random factor from {@code MIN_JITTER} to {@code MIN_JITTER + JITTER_RANGE}. */
     private static final double MIN_JITTER = 0.75;
 
     private static final double JITTER_RANGE = 0.5;
 
-    /** A trial is due after this part of the interval once the endpoint list names replicas again. */
+    /** Divides the interval before the first trial after the endpoint list has replicas of the site again. */
     private static final int RELISTED_DIVISOR = 4;
 
     private final SiteFailoverSettings settings;
@@ -26,19 +26,19 @@
     private int trials;
     private long nextTrialAt;
 
-    /** Creates a schedule that draws from a generator that all sites share. */
+    /** Creates a schedule that takes its jitter from a generator shared by all sites. */
     TrialSchedule(SiteFailoverSettings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
     }
 
-    /** Begins anew after a loss, or with the suspicion of one. */
+    /** Starts again with the first interval when the site is suspended or lost. */
     void restart(long now, int losses) {
         trials = 0;
         nextTrialAt = now + drawInterval(losses);
     }
 
-    /** Brings the next trial forward: replicas that are new in the endpoint list are worth an early one. */
+    /** Makes the next trial earlier, since replicas of the site are in the endpoint list again. */
     void bringForward(long now, int losses) {
         nextTrialAt = Math.min(nextTrialAt, now + drawInterval(losses) / RELISTED_DIVISOR);
     }
@@ -47,7 +47,7 @@
         return now >= nextTrialAt;
     }
 
-    /** Records that a trial is sent now. */
+    /** Schedules the next trial after one that is sent now. */
     void onTrialSent(long now, int losses) {
         trials++;
         nextTrialAt = now + drawInterval(losses);
--- a/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
+++ b/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The settings file, the answers to the routing decisions, the log and the operators' withdrawals. */
+/** Tests the settings file, zone health as the routing policy sees it, the log, and withdrawals by operators. */
 class SiteFailoverPlanTest {
     private static final long SECOND = 1_000_000;
 
@@ -39,13 +39,13 @@
             });
 
     private SiteFailoverSettings readSettings(String json) throws Exception {
-        Path f = Files.createTempFile(folder, "junit", ".tmp");
-        Files.writeString(f, json);
-        return SiteFailoverSettings.read(f);
+        Path file = Files.createTempFile(folder, "junit", ".tmp");
+        Files.writeString(file, json);
+        return SiteFailoverSettings.read(file);
     }
 
     @Test
-    void theFileSetsWhatItNamesAndAMalformedOneIsRejected() throws Exception {
+    void readsSettingsAndRejectsMalformedFiles() throws Exception {
         assertNull(SiteFailoverSettings.read(folder.resolve("none.json")));
         assertEquals(SiteFailoverSettings.DEFAULTS, readSettings("{}"));
         assertEquals(2_500_000, readSettings("{\"trialMs\":2500}").trialIntervalMicros());
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLossIsLoggedWithItsCauseAndSuspendsTheSiteUntilItAnswers() {
+    void logsALossWithItsCauseAndSuspendsTheSiteUntilItAnswers() {
         plan.setZoneCount(3);
         for (int i = 0; i < 3; i++) {
             plan.setReplicaCount(0, i, 8);
@@ -71,29 +71,31 @@
                 logged.toString());
         assertFalse(plan.accepts(2 * SECOND, 1, 0));
         assertTrue(plan.accepts(2 * SECOND, 2, 0.99));
-        assertTrue(plan.closedSince(1) <= SECOND + 60_000, "since it was seen");
+        assertTrue(plan.closedSince(1) <= SECOND + 60_000, "suspended since the loss was detected");
         plan.advance(2 * SECOND);
         assertEquals("lost share=0% cause=no_connection", plan.siteStatus().get("south"));
         assertTrue(plan.metrics().contains("site_south lost share=0% cause=no_connection\n"));
         plan.recordEvidence(4 * SECOND, 1, "s1", ZoneEvidence.ANSWERED, 1_000, 1);
         assertEquals(Long.MAX_VALUE, plan.closedSince(1));
-        assertTrue(plan.accepts(4 * SECOND, 1, 0.09) && !plan.accepts(4 * SECOND, 1, 0.11), "a tenth first");
+        assertTrue(
+                plan.accepts(4 * SECOND, 1, 0.09) && !plan.accepts(4 * SECOND, 1, 0.11),
+                "the first step has 10 % of the traffic");
     }
 
     @Test
-    void aWithdrawalEmptiesASiteGraduallyAndItsReturnGoesInSteps() {
+    void withdrawsASiteGraduallyAndReturnsItInSteps() {
         plan.setZoneCount(3);
         plan.advance(SECOND);
         plan.setWithdrawnSites(Set.of("west"));
         plan.advance(2 * SECOND);
-        assertTrue(plan.accepts(2 * SECOND + 100_000, 2, 0.9), "at first nearly all");
-        assertFalse(plan.accepts(6 * SECOND, 2, 0), "then none");
+        assertTrue(plan.accepts(2 * SECOND + 100_000, 2, 0.9), "nearly all traffic at first");
+        assertFalse(plan.accepts(6 * SECOND, 2, 0), "no traffic at the end");
         assertTrue(plan.accepts(6 * SECOND, 1, 0.99));
         plan.setWithdrawnSites(Set.of());
         plan.advance(7 * SECOND);
         assertTrue(
                 plan.siteStatus().get("west").startsWith("returning share=10%"),
                 plan.siteStatus().get("west"));
-        assertTrue(plan.accepts(7 * SECOND, 9, 1), "a zone that the file did not name is the module's");
+        assertTrue(plan.accepts(7 * SECOND, 9, 1), "zones that are not configured are not tracked");
     }
 }
--- a/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -7,15 +7,15 @@
 import magpiehub.routing.ZoneEvidence;
 import org.junit.jupiter.api.Test;
 
-/** Drives the tracker directly: three sites, the router's own is 0. */
+/** Tests the state machine with three sites, of which 0 is the router's own. */
 class SiteHealthTrackerTest {
     private static final SiteFailoverSettings SETTINGS = SiteFailoverSettings.DEFAULTS;
     private static final long MILLIS = 1_000;
     private final SiteHealthTracker tracker = new SiteHealthTracker(SETTINGS, 3, 0, 7);
     private long now = 1_000_000_000;
 
-    private void fail(int site, int engines, ZoneEvidence evidence) {
-        for (int i = 0; i < engines; i++) {
+    private void fail(int site, int replicas, ZoneEvidence evidence) {
+        for (int i = 0; i < replicas; i++) {
             now += 10 * MILLIS;
             tracker.onEvidence(now, site, site + "." + i, evidence, 5 * MILLIS, 0);
         }
@@ -42,22 +42,22 @@
     }
 
     @Test
-    void aSiteIsLostOnceEnoughEnginesFailAndAnotherSiteAnswers() {
+    void aSiteIsLostOnceEnoughReplicasFailAndAnotherSiteAnswers() {
         fail(1, 2, ZoneEvidence.NO_CONNECTION);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
         assertEquals(0.5, tracker.share(1, now));
         assertEquals(
                 SETTINGS.failedReplicasForLoss() + 1,
                 tracker.takeHealthChecks(1),
-                "the rest of the evidence is asked for");
+                "health checks for the remaining evidence");
         assertEquals(0, tracker.takeHealthChecks(1));
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.NO_CONNECTION);
-        assertEquals(SiteState.SUSPECT, tracker.state(1), "nobody has told a loss from a cut yet");
+        assertEquals(SiteState.SUSPECT, tracker.state(1), "the router itself may be isolated");
         assertEquals(0, tracker.share(1, now));
-        assertEquals(1, tracker.takeHealthChecks(2), "so the third site is asked");
+        assertEquals(1, tracker.takeHealthChecks(2), "so another site is checked");
         answer(2);
-        assertEquals(SiteState.SUSPECT, tracker.state(1), "the paths may have come back meanwhile");
-        assertEquals(1, tracker.takeHealthChecks(1), "so it is asked once more");
+        assertEquals(SiteState.SUSPECT, tracker.state(1), "the network may have recovered in the meantime");
+        assertEquals(1, tracker.takeHealthChecks(1), "so the failed site is checked again");
         assertEquals(0, tracker.takeHealthChecks(1));
         fail(1, 1, ZoneEvidence.NO_CONNECTION);
         answer(2);
@@ -66,7 +66,7 @@
         assertEquals(2, tracker.takeTransitions().size());
     }
 
-    /** When an isolation of the router ends, the first site that answers does not prove that the others are lost. */
+    /** The first site that answers after an isolation of the router does not prove that the others are lost. */
     @Test
     void noSiteIsLostWhenAnIsolationEnds() {
         for (int i = 0; i < SETTINGS.failedReplicasForLoss(); i++) {
@@ -75,7 +75,7 @@
             answer(0);
         }
         answer(2);
-        // Sent before that answer came, told after it.
+        // A failure of an attempt that was sent before that answer, observed after it.
         now += 10 * MILLIS;
         tracker.onEvidence(now, 1, "1.1", ZoneEvidence.NO_CONNECTION, 100 * MILLIS, 0);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
@@ -85,16 +85,16 @@
     }
 
     @Test
-    void theOwnSitesAnswersDoNotConfirmALoss() {
+    void answersOfTheOwnSiteDoNotConfirmALoss() {
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.NO_CONNECTION);
         answer(0);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
         assertEquals(0, tracker.share(1, now));
     }
 
-    /** The router's site is cut off from the others, and its own engines answer: no site is lost. */
+    /** The router's site is partitioned from the others, and its own replicas answer: no site is lost. */
     @Test
-    void anIsolatedRouterCallsNoSiteLost() {
+    void anIsolatedRouterDeclaresNoSiteLost() {
         for (int i = 0; i < SETTINGS.failedReplicasForLoss(); i++) {
             fail(1, i + 1, ZoneEvidence.NO_CONNECTION);
             fail(2, i + 1, ZoneEvidence.NO_CONNECTION);
@@ -108,7 +108,7 @@
         }
         assertEquals(1, tracker.share(0, now));
         answer(1);
-        assertEquals(SiteState.RECOVERING, tracker.state(1), "by steps, after so long");
+        assertEquals(SiteState.RECOVERING, tracker.state(1), "traffic returns in steps after such a time");
     }
 
     @Test
@@ -117,7 +117,7 @@
         fail(2, SETTINGS.failedReplicasForLoss(), ZoneEvidence.SILENCE);
         answer(0);
         tracker.onListed(now, 1, 0, 20_000_000);
-        assertEquals(SiteState.SUSPECT, tracker.state(1), "an old list says nothing");
+        assertEquals(SiteState.SUSPECT, tracker.state(1), "an old list is no evidence");
         tracker.onListed(now, 1, 0, 1_000_000);
         tracker.onListed(now, 2, 0, 1_000_000);
         pass(SETTINGS.evidenceWindowMicros());
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void slownessOfAllSitesIsNoLoss() {
+    void slownessOfAllSitesIsNotALoss() {
         for (int i = 0; i < 40; i++) {
             for (int site = 0; site < 3; site++) {
                 now += 20 * MILLIS;
@@ -152,7 +152,7 @@
         for (int site = 0; site < 3; site++) {
             assertTrue(tracker.state(site) == SiteState.HEALTHY || tracker.state(site) == SiteState.SUSPECT);
         }
-        // A silent site beside slow ones is not lost either, and one beside a brisk one is.
+        // A silent site is not lost while the others are slow, but is lost once another one answers promptly.
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.SILENCE);
         tracker.onEvidence(now + 1, 2, "2.1", ZoneEvidence.ANSWERED, 5 * MILLIS, 9);
         fail(1, 1, ZoneEvidence.SILENCE);
@@ -176,9 +176,9 @@
         assertEquals(SiteState.HEALTHY, tracker.state(1));
     }
 
-    /** Faulty replicas are no faulty site, however many requests they get. */
+    /** A few faulty replicas don't make the site lost, however many requests they fail. */
     @Test
-    void aFewFaultyReplicasAreNoLoss() {
+    void aFewFaultyReplicasAreNotALoss() {
         for (int i = 0; i < 50; i++) {
             fail(1, 3, ZoneEvidence.ERROR);
             answer(2);
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void anEndpointListWithoutTheSiteIsNoLossWhileTheSiteAnswers() {
+    void anEndpointListWithoutTheSiteIsNotALossWhileTheSiteAnswers() {
         answer(1);
         tracker.onListed(now, 1, 0, 0);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
@@ -207,11 +207,11 @@
             assertTrue(tracker.state(1) != SiteState.LOST);
         }
         pass(SETTINGS.evidenceWindowMicros() + 100 * MILLIS);
-        assertEquals(SiteState.LOST, tracker.state(1), "nothing has come for a while");
+        assertEquals(SiteState.LOST, tracker.state(1), "no answer within the evidence window");
     }
 
     @Test
-    void recoveryGoesInStepsAndBackWhenItGoesBadly() {
+    void recoveryAdvancesInStepsAndStepsBackOnSlowAnswers() {
         lose(1);
         answer(1);
         assertEquals(SiteState.RECOVERING, tracker.state(1));
@@ -233,35 +233,35 @@
             pass(SETTINGS.rampStepMicros() + 50 * MILLIS);
         }
         assertEquals(SiteState.HEALTHY, tracker.state(1));
-        assertEquals(4, tracker.takeTransitions().size(), "four changes an event");
+        assertEquals(4, tracker.takeTransitions().size(), "suspect, lost, recovering, healthy");
     }
 
-    /** Lost again at half of its ramp: each loss waits longer, up to the bound. */
+    /** The site is lost again while it recovers: each loss lengthens the trial interval, up to the maximum. */
     @Test
-    void aSiteThatFlapsWaitsLongerEachTime() {
-        long before = 0;
+    void repeatedLossesLengthenTheTrialInterval() {
+        long previousWait = 0;
         for (int flap = 0; flap < 8; flap++) {
             lose(1);
-            long began = now;
+            long lostAt = now;
             while (!tracker.takeTrial(1, now)) {
                 now += MILLIS;
             }
-            long waited = now - began;
+            long waited = now - lostAt;
             assertTrue(waited <= 1.25 * SETTINGS.maxTrialIntervalMicros());
             assertTrue(waited
                     >= 0.75
                             * Math.min(
                                     SETTINGS.maxTrialIntervalMicros(), SETTINGS.trialIntervalMicros() << (2 * flap)));
-            assertTrue(flap > 3 || waited > before);
-            before = waited;
-            assertFalse(tracker.takeTrial(1, now), "one trial at a time");
+            assertTrue(flap > 3 || waited > previousWait);
+            previousWait = waited;
+            assertFalse(tracker.takeTrial(1, now), "only one trial per interval");
             answer(1);
             assertEquals(SiteState.RECOVERING, tracker.state(1));
         }
     }
 
     @Test
-    void aWithdrawalEmptiesASiteGraduallyAndOutlastsALoss() {
+    void aWithdrawalIsGradualAndNotEndedByTheLossOfAnotherSite() {
         tracker.withdraw(now, 1);
         assertEquals(1, tracker.share(1, now));
         now += SETTINGS.withdrawalMicros() / 2;
@@ -271,11 +271,11 @@
         answer(1);
         fail(2, 1, ZoneEvidence.NO_CONNECTION);
         answer(1);
-        assertEquals(SiteState.LOST, tracker.state(2), "another site is lost meanwhile");
+        assertEquals(SiteState.LOST, tracker.state(2), "another site is lost during the withdrawal");
         pass(SETTINGS.withdrawalMicros());
         assertEquals(SiteState.WITHDRAWN, tracker.state(1));
         assertEquals(0, tracker.share(1, now));
-        assertFalse(tracker.takeTrial(1, now), "no trials go there");
+        assertFalse(tracker.takeTrial(1, now), "no trials to a withdrawn site");
         tracker.reinstate(now, 1);
         assertEquals(0.1, tracker.share(1, now));
     }
--- a/src/test/java/magpiehub/sites/SiteLabelsTest.java
+++ b/src/test/java/magpiehub/sites/SiteLabelsTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The names in log events, counters and answers to operators, which must stay as tools know them. */
+/** Pins the names in log events, counters and responses to operators, which tools parse. */
 class SiteLabelsTest {
     @Test
     void labelsOfStates() {
