--- a/src/main/java/magpiehub/store/LamportTimestamp.java
+++ b/src/main/java/magpiehub/store/LamportTimestamp.java
@@ -1,10 +1,10 @@
 package magpiehub.store;
 
 /**
- * When a write was made: a Lamport timestamp, which orders all writes in the same way on every replica.
+ * The Lamport timestamp of a write. All replicas order writes by it in the same way.
  *
- * @param counter greater than that of any write that the replica knew when it made this one
- * @param replica the name of the replica that made the write; decides between equal counters
+ * @param counter greater than the counter of any write that the replica had received when it made this one
+ * @param replica the name of the replica that made the write; orders writes with equal counters
  */
 record LamportTimestamp(long counter, String replica) implements Comparable<LamportTimestamp> {
     @Override
--- a/src/main/java/magpiehub/store/LastWriteWinsStore.java
+++ b/src/main/java/magpiehub/store/LastWriteWinsStore.java
@@ -18,30 +18,30 @@
 /**
  * One replica of a key-value store that resolves conflicts by last write wins.
  *
- * <p>Every entry has a {@link LamportTimestamp}. Of two writes of a key the one with the later timestamp stays,
- * wherever and in whatever order they arrive, so replicas that have received the same writes hold the same entries.
- * There is no agreement between replicas and no order between keys: of two concurrent writes, one is lost everywhere.
- * Entries are in memory only; they last as long as one replica does.
+ * <p>Every entry has a {@link LamportTimestamp}. Of two writes of a key, each replica keeps the one with the later
+ * timestamp, in whatever order they arrive, so replicas that have received the same writes hold the same entries. There
+ * is no consensus between replicas and no ordering between keys: of two concurrent writes of a key, one is lost on all
+ * replicas. Entries are in memory only, and are lost once no replica is running.
  */
 public final class LastWriteWinsStore implements KeyValueStore {
     private final String replicaName;
     private final MonotonicClock clock;
     private final EventLog log;
-    /** All keys, removed ones included. Written with this locked, read without. */
+    /** All entries, including tombstones of removed keys. Written with the lock on this held, read without. */
     private final Map<String, VersionedValue> entries = new ConcurrentSkipListMap<>();
     /** Guarded by this. */
     private final List<PeerLink> links = new ArrayList<>();
 
     private final PeerListener listener;
-    /** The highest counter of all writes that this replica has made or received. Guarded by this. */
+    /** The highest counter of the writes that this replica has made or received. Guarded by this. */
     private long counter;
 
     private volatile boolean isClosed;
 
     /**
-     * Creates an empty replica, which accepts connections from then on.
+     * Creates an empty replica and starts to accept connections.
      *
-     * @param replicaName differs from the names of all other replicas
+     * @param replicaName the name of this replica, unique among all replicas
      */
     public LastWriteWinsStore(String replicaName, InetSocketAddress listenAddress, MonotonicClock clock, EventLog log)
             throws IOException {
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Creates a replica as a deployment's file describes it, with a link to each peer.
+     * Creates a replica with the settings of a file, and a link to each peer that the file names.
      *
-     * @return null if there is no such file: the store is then off
+     * @return null if there is no such file, which means that the store is off
      * @throws ConfigurationException if the file is malformed
      */
     public static LastWriteWinsStore fromFile(Path file, String replicaName, MonotonicClock clock, EventLog log)
@@ -74,12 +74,12 @@
         return store;
     }
 
-    /** The port that the replica listens on. */
+    /** The port on which the replica listens. */
     public int port() {
         return listener.port();
     }
 
-    /** Starts to send all entries and writes to a peer, given as {@code host:port}. */
+    /** Starts to replicate all entries and writes to a peer, given as {@code host:port}. */
     public void addPeer(String address) {
         PeerLink link = new PeerLink(HostPort.requireValid(address), entries, () -> isClosed, clock, log);
         synchronized (this) {
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Takes a write over if it is newer, and forwards it: the replica that made it may not be linked to all others. */
+    /** Applies a write if it is newer, and forwards it, since its origin may not be linked to all replicas. */
     private synchronized void merge(String key, VersionedValue write) {
         counter = Math.max(counter, write.timestamp().counter());
         if (write.isNewerThan(entries.get(key))) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** Stops this replica. The others keep what it has written. */
+    /** Stops this replica. The other replicas keep the writes that they received from it. */
     @Override
     public void close() {
         isClosed = true;
--- a/src/main/java/magpiehub/store/PeerLink.java
+++ b/src/main/java/magpiehub/store/PeerLink.java
@@ -13,18 +13,18 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Sends all writes to one peer: dials it, sends every entry, then each write as it is made. A connection that breaks is
- * dialled again and begins with every entry. A peer that reads too slowly is disconnected, so that it can't hold up
- * others.
+ * Replicates to one peer: connects to it, sends all entries, then each write as it is made. When the connection is
+ * lost, the link reconnects and sends all entries again. A peer that reads too slowly is disconnected, so that it can't
+ * delay other peers.
  */
 final class PeerLink {
     private static final long REDIAL_INTERVAL_MICROS = 500_000;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    /** Bytes of writes that may wait for the peer. */
+    /** Largest size of the writes queued for the peer. */
     private static final int MAX_QUEUED_BYTES = 4 << 20;
 
-    /** A message to the writing thread: the connection has ended. */
+    /** Tells the writing thread that the connection was closed. */
     private static final byte[] END_OF_CONNECTION = {};
 
     private final String address;
@@ -32,16 +32,16 @@
     private final BooleanSupplier isStoreClosed;
     private final MonotonicClock clock;
     private final EventLog log;
-    /** Lines to be written; null while there is no connection, for the next one begins with every entry. */
+    /** Lines to be written; null while there is no connection, since the next one starts with all entries. */
     private volatile Mailbox<byte[]> queue;
-    /** The connection, or the last one; null before the first. */
+    /** The current or last connection; null before the first. */
     private volatile Socket socket;
 
     /**
-     * Creates a link that is not dialled until {@link #start}.
+     * Creates a link that does not connect until {@link #start}.
      *
      * @param entries the store's live map, safe to iterate over while it changes
-     * @param isStoreClosed ends the link once it is true
+     * @param isStoreClosed stops the link once it returns true
      */
     PeerLink(
             String address,
@@ -56,7 +56,7 @@
         this.log = log;
     }
 
-    /** Starts to dial the peer, on a thread of the link's own; only that thread writes to the socket. */
+    /** Starts a thread that connects to the peer; no other thread writes to the socket. */
     void start() {
         DaemonThreads.newThread("store-link", this::run).start();
     }
@@ -68,17 +68,17 @@
                 new Mailbox<byte[]>(clock, 0).take(clock.micros() + REDIAL_INTERVAL_MICROS);
             }
         } catch (InterruptedException e) {
-            // The thread ends.
+            // The link stops with its thread.
         }
     }
 
-    /** Returns once the connection has ended or could not be made. */
+    /** Returns once the connection is closed or could not be opened. */
     private void connectAndSend() throws InterruptedException {
         try (Socket connection = new Socket()) {
             socket = connection;
             connection.setTcpNoDelay(true);
             connection.connect(HostPort.toSocketAddress(address), CONNECT_TIMEOUT_MILLIS);
-            // Before the entries are read: a write from now on is in the entries or in the queue.
+            // The queue is set before the entries are read, so that each later write is in one or the other.
             Mailbox<byte[]> newQueue = new Mailbox<>(clock, MAX_QUEUED_BYTES);
             queue = newQueue;
             sendEntries(connection.getOutputStream());
@@ -87,10 +87,10 @@
             log.count("store_links");
             sendWrites(connection.getOutputStream(), newQueue);
         } catch (IOException | OutOfMemoryError e) {
-            // OutOfMemoryError: no further thread can be started.
+            // OutOfMemoryError is thrown if no further thread can be started.
             log.count("store_link_failures");
         } finally {
-            // A write that is sent now must not end the next connection while it is being opened.
+            // Otherwise a write to the old queue could close the next connection while it is being opened.
             queue = null;
         }
     }
@@ -109,12 +109,15 @@
         }
     }
 
-    /** Waits for the peer to close the connection, which the writing thread would not notice: a peer never sends. */
+    /**
+     * Waits until the peer closes the connection, then stops the writing thread, which would not notice by itself while
+     * there is nothing to write. A peer never sends data.
+     */
     private static void watchForEnd(Socket connection, Mailbox<byte[]> lines) {
         try {
             connection.getInputStream().read();
         } catch (IOException e) {
-            // The connection has ended, like at the end of the input.
+            // The connection was lost: handled like the end of the input.
         }
         endQueue(lines);
         Sockets.closeQuietly(connection);
@@ -125,7 +128,7 @@
         lines.close();
     }
 
-    /** Queues a line for the peer. Never waits: a peer that does not read is disconnected, and dialled again. */
+    /** Queues a line for the peer. Never blocks: if the queue is full, the link disconnects and connects again. */
     void send(byte[] line) {
         Mailbox<byte[]> lines = queue;
         if (lines != null && !lines.post(line, line.length)) {
@@ -133,7 +136,7 @@
         }
     }
 
-    /** Ends the connection. The store must be closed by then, or the peer is dialled again. */
+    /** Closes the connection. The store must be closed before, or the link connects again. */
     void close() {
         Mailbox<byte[]> lines = queue;
         if (lines != null) {
--- a/src/main/java/magpiehub/store/PeerListener.java
+++ b/src/main/java/magpiehub/store/PeerListener.java
@@ -15,8 +15,8 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Accepts connections of peers and operators, and reads their messages. Each connection has a thread of its own; one
- * that sends a malformed line is closed, and the others go on.
+ * Accepts connections of peers and operators, and reads their messages. Each connection has its own thread. A malformed
+ * line closes the connection that sent it; other connections are not affected.
  */
 final class PeerListener {
     private static final int READ_BUFFER_BYTES = 4096;
@@ -29,9 +29,9 @@
     private volatile boolean isClosed;
 
     /**
-     * Binds the listener, and accepts connections from then on.
+     * Binds the listener and starts to accept connections.
      *
-     * @param receiver takes each message; called from several threads at once
+     * @param receiver receives each message; called from several threads at once
      */
     PeerListener(InetSocketAddress listenAddress, Consumer<StoreMessage> receiver, EventLog log) throws IOException {
         this.receiver = receiver;
@@ -42,7 +42,7 @@
         acceptThread.start();
     }
 
-    /** The port that the listener is bound to. */
+    /** The port to which the listener is bound. */
     int port() {
         return server.getLocalPort();
     }
@@ -56,7 +56,7 @@
                 DaemonThreads.newThread("store-reader", () -> readMessages(connection))
                         .start();
             } catch (IOException | OutOfMemoryError e) {
-                // OutOfMemoryError: no further thread can be started.
+                // OutOfMemoryError is thrown if no further thread can be started.
                 log.count("store_link_failures");
             }
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Returns the next line without its end; null at the end of the input, where an incomplete line is dropped. */
+    /** Returns the next line without its line feed; null at the end of the input. An incomplete line is dropped. */
     private static byte[] readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int b = in.read(); b >= 0; b = in.read()) {
@@ -84,21 +84,21 @@
             }
             line.write(b);
             if (line.size() > StoreMessageCodec.MAX_LINE_BYTES) {
-                throw new IOException("line too long");
+                throw new IOException("line is longer than " + StoreMessageCodec.MAX_LINE_BYTES + " bytes");
             }
         }
         return null;
     }
 
-    /** Closes the listener and all connections. Once it returns, the port is free. */
+    /** Closes the listener and all connections. The port is free once this returns. */
     void close() {
         isClosed = true;
         try {
             server.close();
-            // The port is free only once the accepting thread has left the kernel.
+            // The kernel frees the port only once the accepting thread has returned from its system call.
             acceptThread.join();
         } catch (IOException e) {
-            // The listener is unusable either way.
+            // The listener can't be used any more in this case either.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/magpiehub/store/StoreMessage.java
+++ b/src/main/java/magpiehub/store/StoreMessage.java
@@ -1,17 +1,17 @@
 package magpiehub.store;
 
-/** What a replica of the store receives. */
+/** A message that a replica of the store receives. */
 sealed interface StoreMessage {
-    /** The key that is written. */
+    /** The key of the write. */
     String key();
 
-    /** A write that some replica has made, with its timestamp. */
+    /** A write made by a replica, with its timestamp. */
     record ReplicatedWrite(String key, VersionedValue value) implements StoreMessage {}
 
     /**
-     * A write by an operator, which gets its timestamp from the replica that receives it.
+     * A write by an operator. The replica that receives it assigns the timestamp.
      *
-     * @param value null removes the key
+     * @param value the new value; null removes the key
      */
     record OperatorWrite(String key, String value) implements StoreMessage {}
 }
--- a/src/main/java/magpiehub/store/StoreMessageCodec.java
+++ b/src/main/java/magpiehub/store/StoreMessageCodec.java
@@ -7,17 +7,17 @@
 import magpiehub.config.Json;
 
 /**
- * The wire form of a {@link StoreMessage}: a line with a JSON object of the members {@code key}, {@code value} (absent
- * if the key is removed), {@code count} (the timestamp's counter, as a string) and {@code by} (its replica). An
- * operator's write has neither {@code count} nor {@code by}.
+ * The wire format of a {@link StoreMessage}: one line with a JSON object that has the members {@code key}, {@code
+ * value} (absent if the key is removed), {@code count} (the timestamp's counter, as a string) and {@code by} (the
+ * timestamp's replica). An operator's write has neither {@code count} nor {@code by}.
  */
 final class StoreMessageCodec {
-    /** Longest line that is accepted, in bytes without its end. */
+    /** Longest line that is accepted, without its line feed. */
     static final int MAX_LINE_BYTES = 256 * 1024;
 
     private StoreMessageCodec() {}
 
-    /** Returns the line, with its end, that replicates a write. */
+    /** Returns the line, with its line feed, that replicates a write. */
     static byte[] encode(String key, VersionedValue write) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator json = Json.FACTORY.createGenerator(out)) {
@@ -30,7 +30,7 @@
             json.writeStringField("by", write.timestamp().replica());
             json.writeEndObject();
         } catch (IOException e) {
-            // Cannot happen: the stream is in memory.
+            // Can't happen: the stream is in memory.
             throw new IllegalStateException(e);
         }
         out.write('\n');
@@ -38,17 +38,17 @@
     }
 
     /**
-     * Parses a line without its end.
+     * Parses a line without its line feed.
      *
-     * @throws IOException if the line has no key or is no JSON
-     * @throws RuntimeException if a member has the wrong type or the counter is no number
+     * @throws IOException if the line is not JSON or has no key
+     * @throws RuntimeException if a member has the wrong type or the counter is not a number
      */
     static StoreMessage decode(byte[] line) throws IOException {
         ConfigurationObject object = ConfigurationObject.parse(line, "store");
         String key = object.text("key", null);
         String replica = object.text("by", null);
         if (key == null) {
-            throw new IOException("malformed line");
+            throw new IOException("message has no key");
         }
         String value = object.text("value", null);
         if (replica == null) {
--- a/src/main/java/magpiehub/store/VersionedValue.java
+++ b/src/main/java/magpiehub/store/VersionedValue.java
@@ -1,13 +1,13 @@
 package magpiehub.store;
 
 /**
- * A value and when it was written.
+ * A value with the timestamp of its write.
  *
- * @param value null if the key was removed: the removal is kept, or an older write would bring the key back
- * @param timestamp when it was written
+ * @param value null for a tombstone: a removed key is kept, or an older write would restore it
+ * @param timestamp the timestamp of the write
  */
 record VersionedValue(String value, LamportTimestamp timestamp) {
-    /** Whether this value replaces another one; null stands for none. */
+    /** Whether this value replaces another one, which is null if there is none. */
     boolean isNewerThan(VersionedValue other) {
         return other == null || timestamp.compareTo(other.timestamp) > 0;
     }
--- a/src/main/java/magpiehub/store/package-info.java
+++ b/src/main/java/magpiehub/store/package-info.java
@@ -2,10 +2,10 @@
  * The replicated store for configuration and state that all routers share.
  *
  * <p>{@link magpiehub.store.LastWriteWinsStore} is one replica. It sends every write to its peers ({@code PeerLink}),
- * takes theirs ({@code PeerListener}), and resolves conflicts by {@code LamportTimestamp}. The store is off unless
- * {@code deploy/store.json} exists, and no request needs it to be routed.
+ * receives theirs ({@code PeerListener}), and resolves conflicts by {@code LamportTimestamp}. The store is off unless
+ * {@code deploy/store.json} exists, and requests are routed without it.
  *
- * <p>The protocol is one JSON object per line, in one direction: a replica dials each peer, sends all entries, then
- * each write as it comes. A line without a timestamp is an operator's write; see {@code StoreMessageCodec}.
+ * <p>The protocol is one JSON object per line, in one direction: a replica connects to each peer, sends all entries,
+ * then each write as it is made. A line without a timestamp is an operator's write; see {@code StoreMessageCodec}.
  */
 package magpiehub.store;
--- a/src/test/java/magpiehub/store/KeyValueStoreTest.java
+++ b/src/test/java/magpiehub/store/KeyValueStoreTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Replicas on loopback: replication and conflict resolution. */
+/** Tests replication and conflict resolution between replicas on loopback. */
 class KeyValueStoreTest {
     private final List<LastWriteWinsStore> replicas = new ArrayList<>();
     private final SyslogEventLog log = new SyslogEventLog(System.err, "test", 1);
@@ -37,24 +37,24 @@
 
     private static void await(BooleanSupplier condition) {
         for (int i = 0; !condition.getAsBoolean(); i++) {
-            assertTrue(i < 40_000, "never came");
+            assertTrue(i < 40_000, "condition not met in time");
             LockSupport.parkNanos(500_000);
         }
     }
 
     private static void send(LastWriteWinsStore to, String line) throws IOException {
-        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), to.port())) {
-            s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), to.port())) {
+            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
         }
     }
 
     @AfterEach
-    void end() {
+    void closeReplicas() {
         replicas.forEach(LastWriteWinsStore::close);
     }
 
     @Test
-    void writesReachReplicasThroughOthers() throws IOException {
+    void writesAreForwardedToReplicasWithoutADirectLink() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
         LastWriteWinsStore c = replica("c", 0);
@@ -78,7 +78,7 @@
         link(a, b);
         link(b, a);
         await(() -> "from b".equals(a.get("k")));
-        assertEquals("from b", b.get("k"), "the higher name wins a tie");
+        assertEquals("from b", b.get("k"), "the greater replica name wins for equal counters");
     }
 
     @Test
@@ -89,13 +89,13 @@
         send(
                 a,
                 "{\"key\":\"k\",\"value\":\"0\",\"count\":\"1\",\"by\":\"z\"}\n"
-                        + "{\"key\":\"mark\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
-        await(() -> a.get("mark") != null);
+                        + "{\"key\":\"end\",\"value\":\"1\",\"count\":\"1\",\"by\":\"z\"}");
+        await(() -> a.get("end") != null);
         assertNull(a.get("k"));
     }
 
     @Test
-    void aReplicaThatRestartsEmptyReceivesAllEntries() throws IOException {
+    void aRestartedReplicaReceivesAllEntries() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         LastWriteWinsStore b = replica("b", 0);
         link(a, b);
@@ -103,8 +103,8 @@
         await(() -> b.get("k") != null);
         int port = b.port();
         b.close();
-        LastWriteWinsStore again = replica("b", port);
-        await(() -> "1".equals(again.get("k")));
+        LastWriteWinsStore restarted = replica("b", port);
+        await(() -> "1".equals(restarted.get("k")));
     }
 
     @Test
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aMalformedLineEndsItsOwnConnectionOnly() throws IOException {
+    void aMalformedLineClosesOnlyItsOwnConnection() throws IOException {
         LastWriteWinsStore a = replica("a", 0);
         send(a, "{\"key\":");
         send(a, "{\"key\":\"k\",\"count\":\"x\",\"by\":\"z\"}");
--- a/src/test/java/magpiehub/store/StoreMessageCodecTest.java
+++ b/src/test/java/magpiehub/store/StoreMessageCodecTest.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** The wire form: lines that the program of 2 December 2026 sent, before its classes were rearranged. */
+/** Checks the wire format against lines recorded on 2 December 2026, before the classes were refactored. */
 class StoreMessageCodecTest {
     private static final String RECORDED_WRITE =
             "{\"key\":\"messages/model/a\",\"value\":\"\\\"quoted\\\" \u00fc\",\"count\":\"1\",\"by\":\"router-1\"}";
