--- a/src/main/java/magpiehub/config/ConfigurationComparison.java
+++ b/src/main/java/magpiehub/config/ConfigurationComparison.java
@@ -7,17 +7,18 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Compares the configuration file in force with a later one, both as {@link Json#readObject} gives them. */
+/** Compares the current configuration file with a later one, both as returned by {@link Json#readObject}. */
 final class ConfigurationComparison {
-    /** Keys that may come and go; any other that a file had, the next one must have too. */
+    /** Keys that a later file may lack although the current one has them. */
     private static final Set<String> OPTIONAL_KEYS =
             Set.of(RouterConfigurationKeys.INITIAL_ENDPOINTS, RouterConfigurationKeys.SEED, SettingsKeys.AIM_STRETCH);
 
     private ConfigurationComparison() {}
 
     /**
-     * The first key that a later file lacks, as a path, or null. Guards against a file that is read while it is being
-     * written and happens to parse. In an array of objects, the keys count that all of them have.
+     * Returns the path of the first key that the current file has and the later one lacks, or null. Guards against a
+     * file that is read while it is being written and happens to parse. Of an array of objects, only keys that all its
+     * objects have are required.
      */
     static String firstMissingKey(Map<?, ?> inForce, Map<?, ?> later, String path) {
         for (Map.Entry<?, ?> member : inForce.entrySet()) {
@@ -59,7 +60,7 @@
         return null;
     }
 
-    /** The members of the first object whose keys all objects of the array have. */
+    /** The members of the array's first object, without those whose keys other objects of the array lack. */
     private static Map<Object, Object> commonMembers(List<?> values) {
         Map<Object, Object> common = new LinkedHashMap<>();
         for (Object value : values) {
@@ -74,8 +75,9 @@
     }
 
     /**
-     * Adds the keys in which two files differ, in alphabetical order. Members of the file's own objects are named
-     * {@code object.key}; deeper differences count for the member that holds them.
+     * Adds the keys whose values differ between two files to a list, in alphabetical order. Members of top-level
+     * objects are named {@code object.key}; differences at deeper levels are reported for the member that contains
+     * them.
      */
     static void addChangedKeys(Map<?, ?> before, Map<?, ?> after, List<String> changed) {
         addChangedKeys(before, after, "", changed);
--- a/src/main/java/magpiehub/config/ConfigurationException.java
+++ b/src/main/java/magpiehub/config/ConfigurationException.java
@@ -1,21 +1,21 @@
 package magpiehub.config;
 
-/** Thrown where configuration or other JSON input does not follow its description; the message names the place. */
+/** Thrown if configuration or other JSON input is invalid. The message names the place of the error. */
 public final class ConfigurationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String path;
     private final String reason;
 
-    /** A fault whose place the caller names, or that concerns the input as a whole. */
+    /** An error whose place the catcher knows, or that concerns the input as a whole. */
     public ConfigurationException(String reason) {
         this("", reason, reason);
     }
 
     /**
-     * A fault of one value.
+     * An error in one value.
      *
-     * @param path the value's place, for example {@code config.limits.sockets}, or the variable's name
+     * @param path the path of the value, for example {@code config.limits.sockets}, or the name of the variable
      * @param reason what is wrong with it, as the rest of a sentence that begins with the path
      */
     public ConfigurationException(String path, String reason) {
@@ -28,17 +28,17 @@
         this.reason = reason;
     }
 
-    /** A text that is not JSON, with the parser's own explanation. */
+    /** An input that is not JSON, with the parser's explanation. */
     static ConfigurationException invalidJson(String path, String explanation) {
         return new ConfigurationException(path, explanation, path + ": " + explanation);
     }
 
-    /** The place of the fault; empty where the thrower does not know it. */
+    /** The path of the invalid value; empty if the thrower does not know it. */
     public String path() {
         return path;
     }
 
-    /** What is wrong there. */
+    /** What is wrong with the value. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/magpiehub/config/ConfigurationObject.java
+++ b/src/main/java/magpiehub/config/ConfigurationObject.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /**
- * Typed access to the members of a JSON object. Absent keys (and nulls) take a default; a value of the wrong type is a
- * {@link ConfigurationException} with its path.
+ * Typed access to the members of a JSON object. An absent key, or one whose value is null, takes a default; a value of
+ * the wrong type throws a {@link ConfigurationException} with its path.
  *
- * @param map the members as {@link Json#readObject} gives them
- * @param path where the object stands, as the start of the paths in error messages
+ * @param map the members as returned by {@link Json#readObject}
+ * @param path the path of the object, with which the paths in error messages begin
  */
 public record ConfigurationObject(Map<String, Object> map, String path) {
     /**
-     * Parses a text that holds one JSON object and nothing else.
+     * Parses an input that consists of one JSON object.
      *
-     * @param path the name of the text in error messages
-     * @throws ConfigurationException if it holds anything else
+     * @param path the name of the input in error messages
+     * @throws ConfigurationException if the input is anything else
      */
     public static ConfigurationObject parse(byte[] json, String path) throws IOException {
         try (JsonParser parser = Json.FACTORY.createParser(json)) {
@@ -40,15 +40,15 @@
         return value == null ? defaultValue : value;
     }
 
-    /** The time under a key, given in milliseconds, in microseconds. */
+    /** The duration under a key, converted from milliseconds to microseconds. */
     long millisAsMicros(String key, double defaultMillis) {
         return Milliseconds.toMicros(number(key, defaultMillis));
     }
 
     /**
-     * Checks that a required number is there, finite and above 0.
+     * Checks that a required number is present, finite and above 0.
      *
-     * @param smallest the smallest number that is not 0 once it is rounded to the unit that the program uses
+     * @param smallest the smallest number that does not become 0 when it is converted to the unit in use
      */
     void requirePositive(String key, double smallest) {
         Double value = get(key, Double.class);
@@ -60,13 +60,13 @@
         }
     }
 
-    /** The text under a key. */
+    /** The string under a key. */
     public String text(String key, String defaultValue) {
         String value = get(key, String.class);
         return value == null ? defaultValue : value;
     }
 
-    /** The truth value under a key. */
+    /** The boolean under a key. */
     public boolean flag(String key, boolean defaultValue) {
         Boolean value = get(key, Boolean.class);
         return value == null ? defaultValue : value;
@@ -83,19 +83,19 @@
         return listOf(key, Double.class, "numbers");
     }
 
-    /** The array of texts under a key; empty if the key is absent. */
+    /** The array of strings under a key; empty if the key is absent. */
     public List<String> texts(String key) {
-        return listOf(key, String.class, "texts");
+        return listOf(key, String.class, "strings");
     }
 
-    /** The object under a key; one without members if the key is absent. */
+    /** The object under a key; an empty one if the key is absent. */
     @SuppressWarnings("unchecked")
     public ConfigurationObject object(String key) {
         Map<String, Object> members = get(key, Map.class);
         return new ConfigurationObject(members == null ? Map.of() : members, pathOf(key));
     }
 
-    /** The array of objects under a key, each with the array's path; empty if the key is absent. */
+    /** The array of objects under a key, each with the path of the array; empty if the key is absent. */
     @SuppressWarnings("unchecked")
     public List<ConfigurationObject> objects(String key) {
         List<ConfigurationObject> objects = new ArrayList<>();
--- a/src/main/java/magpiehub/config/EndpointField.java
+++ b/src/main/java/magpiehub/config/EndpointField.java
@@ -1,10 +1,10 @@
 package magpiehub.config;
 
-/** The fields of an endpoint list's entry that the program reads, whatever a sender calls them. */
+/** The fields of an endpoint list entry that are read, independent of their names in a source's JSON. */
 public enum EndpointField {
-    /** The endpoint's id, unique in its list. Required. */
+    /** The endpoint's id, unique within the list. Required. */
     ID("id"),
-    /** Where it accepts connections, as {@code host:port}. */
+    /** The address on which it accepts connections, as {@code host:port}. */
     ADDRESS("address"),
     /** Its zone, as an index into the site's zones or as a name. Default 0. */
     ZONE("zone"),
@@ -12,11 +12,11 @@
     MACHINE_TYPE("kind"),
     /** The number of its deduplication cell. Default 0. */
     CELL("cell"),
-    /** Whether it takes requests, is draining or has gone. Default: it takes requests. */
+    /** Whether it takes requests, is draining or is gone. Default: it takes requests. */
     STATE("state"),
     /** Its capacity relative to others. Default 1. */
     WEIGHT("weight"),
-    /** When it started, in the sender's unit and by the sender's clock. Default 0: long ago. */
+    /** When it started, in the source's unit and by its clock. Default 0: long ago. */
     STARTED_AT("since");
 
     private final String label;
--- a/src/main/java/magpiehub/config/EndpointListParser.java
+++ b/src/main/java/magpiehub/config/EndpointListParser.java
@@ -13,9 +13,9 @@
     private EndpointListParser() {}
 
     /**
-     * Reads the array that the parser stands at the start of, and leaves the parser at its end.
+     * Parses the array at whose start the parser is positioned, and leaves the parser at its end.
      *
-     * @throws ConfigurationException if the parser stands at anything else, or an entry is malformed
+     * @throws ConfigurationException if the parser is not at the start of an array, or an entry is malformed
      */
     public static List<EndpointEntry> parse(JsonParser parser, EndpointFieldNames names) throws IOException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
--- a/src/main/java/magpiehub/config/HostPort.java
+++ b/src/main/java/magpiehub/config/HostPort.java
@@ -2,17 +2,17 @@
 
 import java.net.InetSocketAddress;
 
-/** Network addresses as settings and endpoint lists write them: {@code host:port}. */
+/** Network addresses in the form {@code host:port}, as used in settings and endpoint lists. */
 public final class HostPort {
     private static final int MAX_PORT = 65535;
 
     private HostPort() {}
 
     /**
-     * Checks the form of an address; the host is not looked up.
+     * Checks the format of an address. The host is not resolved.
      *
      * @return the same address
-     * @throws ConfigurationException if the host is empty or the port is no number from 0 to 65535
+     * @throws ConfigurationException if the host is empty or the port is not a number from 0 to 65535
      */
     public static String requireValid(String address) {
         int colon = address.lastIndexOf(':');
@@ -22,12 +22,12 @@
                 return address;
             }
         } catch (NumberFormatException e) {
-            // Falls through: every wrong form gets the same message.
+            // Falls through: every malformed address gets the same message.
         }
         throw new ConfigurationException("is no address:port: " + address);
     }
 
-    /** The socket address that a {@linkplain #requireValid valid} address names; resolves the host's name. */
+    /** Converts a {@linkplain #requireValid valid} address to a socket address; resolves the host name. */
     public static InetSocketAddress toSocketAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
--- a/src/main/java/magpiehub/config/Json.java
+++ b/src/main/java/magpiehub/config/Json.java
@@ -13,18 +13,20 @@
 
 /**
  * JSON values as Java objects: an object is a {@code Map} in the order of its members, an array a {@code List}, a
- * number a {@code Double}, and texts, truth values and null are themselves.
+ * number a {@code Double}, a string a {@code String}, a boolean a {@code Boolean}, and null is null.
  */
 public final class Json {
-    /** The only factory: whatever reads JSON shares its tables of field names. Any thread. */
+    /**
+     * The only factory, so that all parsers share its symbol tables of field names. Safe for use by several threads.
+     */
     public static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() {}
 
     /**
-     * Reads the object that the parser stands at the start of, and leaves the parser at its end.
+     * Reads the object at whose start the parser is positioned, and leaves the parser at its end.
      *
-     * @throws ConfigurationException if the parser stands at anything else
+     * @throws ConfigurationException if the parser is not at the start of an object
      */
     public static Map<String, Object> readObject(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
@@ -60,23 +62,23 @@
     }
 
     /**
-     * The text that the parser stands at.
+     * Returns the string at which the parser is positioned.
      *
      * @param name the field's name in the error message
-     * @throws ConfigurationException if the parser stands at anything else
+     * @throws ConfigurationException if the parser is at anything else
      */
     public static String requireText(JsonParser parser, String name) throws IOException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
-            throw new ConfigurationException(name, "must be a text");
+            throw new ConfigurationException(name, "must be a string");
         }
         return parser.getText();
     }
 
     /**
-     * The number that the parser stands at.
+     * Returns the number at which the parser is positioned.
      *
      * @param name the field's name in the error message
-     * @throws ConfigurationException if the parser stands at anything else
+     * @throws ConfigurationException if the parser is at anything else
      */
     public static double requireNumber(JsonParser parser, String name) throws IOException {
         if (parser.currentToken() == null || !parser.currentToken().isNumeric()) {
@@ -85,7 +87,7 @@
         return parser.getDoubleValue();
     }
 
-    /** Writes a value in the form that {@link #readObject} reads; what is of no such form becomes null. */
+    /** Serializes a value of the kinds that {@link #readObject} returns; any other value is written as null. */
     static byte[] write(Object value) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
--- a/src/main/java/magpiehub/config/RouterConfiguration.java
+++ b/src/main/java/magpiehub/config/RouterConfiguration.java
@@ -7,17 +7,17 @@
 /**
  * The configuration of one router.
  *
- * @param name the router's name, which log lines and its registration carry
- * @param listen where clients connect, as {@code host:port}
- * @param console where operators connect, as {@code host:port}; null if nowhere
- * @param inheritsListener whether the clients' listening socket is inherited as descriptor 0 instead of opened
- * @param discovery where the platform's discovery listens, as {@code host:port}; null if the file names none
+ * @param name the router's name in log lines and in its registration
+ * @param listen the address on which clients connect, as {@code host:port}
+ * @param console the address on which operators connect, as {@code host:port}; null if they can't
+ * @param inheritsListener whether the listening socket for clients is inherited as descriptor 0 instead of opened
+ * @param discovery the address of the platform's discovery service, as {@code host:port}; null if none is configured
  * @param seed the seed of the routing policy's random numbers
- * @param memoryMb the memory that the process may take (MiB)
- * @param maxSockets the descriptors that the process may open
- * @param initialEndpoints the endpoint list to start with, as JSON in discovery's form; null if there is none
- * @param site the settings that it shares with the simulator
- * @param members the file's content, for comparison with a later one
+ * @param memoryMb the memory limit of the process (MiB)
+ * @param maxSockets the limit of open descriptors
+ * @param initialEndpoints the endpoint list to start with, as JSON in the discovery service's format; null if none
+ * @param site the settings that the router shares with the simulator
+ * @param members the content of the file, for comparison with a later one
  */
 public record RouterConfiguration(
         String name,
@@ -32,8 +32,8 @@
         SiteSettings site,
         Map<String, Object> members) {
     /**
-     * Keys that {@link #changedKeys} leaves out: the endpoint list and the seed matter at the start only, a reload
-     * follows discovery's address separately, and a new console address is not reported.
+     * Keys that {@link #changedKeys} omits: the endpoint list and the seed are only used at startup, a reload handles
+     * the discovery address separately, and a new console address is not reported.
      */
     private static final List<String> IGNORED_CHANGES = List.of(
             RouterConfigurationKeys.INITIAL_ENDPOINTS,
@@ -42,9 +42,9 @@
             RouterConfigurationKeys.CONSOLE);
 
     /**
-     * The keys in which a later file differs; those of nested objects as {@code settings.key}.
+     * Returns the keys whose values differ in a later file; those of nested objects as {@code settings.key}.
      *
-     * @return a new list, which the caller may change
+     * @return a new list, which the caller may modify
      */
     public List<String> changedKeys(RouterConfiguration later) {
         List<String> changed = new ArrayList<>();
--- a/src/main/java/magpiehub/config/RouterConfigurationReader.java
+++ b/src/main/java/magpiehub/config/RouterConfigurationReader.java
@@ -8,22 +8,22 @@
 
 /** Reads a router's configuration from its file and the environment. */
 public final class RouterConfigurationReader {
-    /** The name of the file in the paths of error messages. */
+    /** The first element of the paths in error messages; stands for the file. */
     private static final String ROOT_PATH = "config";
-    /** The smallest deadline (ms) that is not 0 in the program's microseconds. */
+    /** One microsecond, the resolution of deadlines: a smaller one would be 0. */
     private static final double SMALLEST_DEADLINE_MS = 0.001;
 
     private static final int SMALLEST_ATTEMPTS = 1;
     private static final int HEXADECIMAL = 16;
-    /** Spreads the 32 bits of a text's hash over the 64 of a seed (2^64 divided by the golden ratio). */
+    /** Spreads a string's 32-bit hash over the 64 bits of a seed (2^64 divided by the golden ratio). */
     private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
 
     private RouterConfigurationReader() {}
 
     /**
-     * Reads the file that {@code ROUTER_CONFIG} names; the other variables override its values.
+     * Reads the file at the path in {@code ROUTER_CONFIG}. The other variables override its values.
      *
-     * @throws ConfigurationException if anything that is required is missing or malformed
+     * @throws ConfigurationException if a required value is missing, or a value is malformed
      */
     public static RouterConfiguration read(Map<String, String> environment) throws IOException {
         ConfigurationObject config = readFile(environment);
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Reads the configuration again while the router runs. The environment is that of the start, so the file alone now
-     * says where discovery listens.
+     * Reads the configuration again while the router runs. The environment is still that of startup, so the discovery
+     * address is taken from the file only.
      *
-     * @throws ConfigurationException as for {@link #read}, or if the file lacks a key that the one in force has
+     * @throws ConfigurationException as for {@link #read}, or if the file lacks a key that the current one has
      */
     public static RouterConfiguration reread(Map<String, String> environment, RouterConfiguration inForce)
             throws IOException {
@@ -87,7 +87,7 @@
         return ConfigurationObject.parse(Files.readAllBytes(Path.of(file)), ROOT_PATH);
     }
 
-    /** Checks what has no default in a router and would end every request at once if it were 0. */
+    /** Checks the settings that a router requires and whose value 0 would fail every request at once. */
     private static void checkSettings(ConfigurationObject settings) {
         if (settings.objects(SettingsKeys.CLASSES).isEmpty()) {
             throw new ConfigurationException(settings.path() + "." + SettingsKeys.CLASSES, "is missing");
@@ -98,7 +98,7 @@
         settings.object(SettingsKeys.LIMITS).requirePositive(SettingsKeys.MAX_ATTEMPTS, SMALLEST_ATTEMPTS);
     }
 
-    /** The variable's value, or else the file's. */
+    /** Returns the variable's value, or the file's if the variable is not set. */
     private static String require(Map<String, String> environment, String variable, String fromFile) {
         String value = isSet(environment, variable) ? environment.get(variable) : fromFile;
         if (value == null) {
@@ -107,7 +107,9 @@
         return value;
     }
 
-    /** The variable's address, or else the file's, or null: not every installation has a console or uses discovery. */
+    /**
+     * Returns the variable's address, or else the file's; null if neither is set: console and discovery are optional.
+     */
     private static String optionalAddress(Map<String, String> environment, String variable, String fromFile) {
         if (fromFile == null && !isSet(environment, variable)) {
             return null;
@@ -127,7 +129,7 @@
         if (!descriptor.strip().equals(RouterConfigurationKeys.INHERITED_DESCRIPTOR)) {
             throw new ConfigurationException(
                     RouterConfigurationKeys.DESCRIPTOR_VARIABLE,
-                    "must be 0, the one that can be inherited: " + descriptor);
+                    "must be 0, the only descriptor that can be inherited, but is " + descriptor);
         }
         return true;
     }
--- a/src/main/java/magpiehub/config/SiteSettings.java
+++ b/src/main/java/magpiehub/config/SiteSettings.java
@@ -8,18 +8,18 @@
 import magpiehub.routing.Tenant;
 
 /**
- * The settings of a site, which a router's configuration and the simulator's first message hold alike. Immutable.
+ * The settings of a site, which a router's configuration and the simulator's first message both contain. Immutable.
  *
- * <p>Request classes and tenants are known by their indexes in {@link #routing}. Entries there whose names are in
- * neither of the two maps were removed by a reload; they are kept for the requests in flight that name them.
+ * <p>Request classes and tenants are identified by their indexes in {@link #routing}. Entries there that the two index
+ * maps don't contain were removed by a reload; they are kept for requests in flight that refer to them.
  *
  * @param routing the settings of the routing policy
- * @param zones the names of the zones; endpoints name their zone by its index
- * @param machineTypes the names of the machine types; endpoints name theirs by its index
+ * @param zones the names of the zones; endpoints refer to their zone by its index
+ * @param machineTypes the names of the machine types; endpoints refer to theirs by its index
  * @param idleCloseMicros how long an upstream keeps an idle connection open (microseconds)
- * @param loadReports where upstreams report their load
- * @param classIndexes the index of each request class in force by its name
- * @param tenantIndexes the index of each tenant in force by its name
+ * @param loadReports how upstreams report their load
+ * @param classIndexes the index of each current request class by its name
+ * @param tenantIndexes the index of each current tenant by its name
  */
 public record SiteSettings(
         RoutingSettings routing,
@@ -31,7 +31,7 @@
         Map<String, Integer> tenantIndexes) {
     private static final int NONE = -1;
 
-    /** The index of the request class with this name; -1 if there is none, and its requests are rejected. */
+    /** The index of the request class with this name; -1 if there is none: such requests are rejected. */
     public int classIndex(String name) {
         return classIndexes.getOrDefault(name, NONE);
     }
@@ -42,8 +42,8 @@
     }
 
     /**
-     * The settings once a later file is in force: its own, but with all classes and tenants of this file at their
-     * indexes. A class or tenant that is new, or another one under an old name, takes the next index.
+     * Returns the settings after a reload: those of the later file, in which all classes and tenants of the current one
+     * keep their indexes. A class or tenant that is new, or whose definition has changed, takes the next free index.
      */
     public SiteSettings updatedTo(SiteSettings later) {
         List<RequestClass> classTable = new ArrayList<>(routing.classes());
--- a/src/main/java/magpiehub/config/SiteSettingsParser.java
+++ b/src/main/java/magpiehub/config/SiteSettingsParser.java
@@ -12,15 +12,15 @@
 import magpiehub.routing.Tenant;
 import magpiehub.routing.WeightMeaning;
 
-/** Parses the settings that a router's configuration and the simulator's first message hold alike. */
+/** Parses the settings that a router's configuration and the simulator's first message both contain. */
 public final class SiteSettingsParser {
     private SiteSettingsParser() {}
 
     /**
-     * Parses a settings object. Unknown keys are ignored; what a router requires beyond the simulator is checked by
+     * Parses a settings object. Unknown keys are ignored. Settings that only a router requires are checked by
      * {@link RouterConfigurationReader}.
      *
-     * @throws ConfigurationException if a value has the wrong type or is none of the words that its key allows
+     * @throws ConfigurationException if a value has the wrong type or is not among those that its key allows
      */
     public static SiteSettings parse(ConfigurationObject settings) {
         List<RequestClass> classes = requestClasses(settings);
@@ -72,7 +72,8 @@
             case SettingsKeys.EFFECT_PURE -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.IDEMPOTENT_WITH_KEY;
             case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new ConfigurationException("classes.effect", "is no effect: " + effect);
+            default -> throw new ConfigurationException(
+                    "classes.effect", "must be pure, token or side_effect, but is " + effect);
         };
     }
 
@@ -81,7 +82,7 @@
             case SettingsKeys.GROUP_ALL -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new ConfigurationException("classes.group", "is no group: " + group);
+            default -> throw new ConfigurationException("classes.group", "must be all, zone or cell, but is " + group);
         };
     }
 
@@ -120,7 +121,7 @@
                 costs(costs));
     }
 
-    /** The meaning that a word names; an unknown word counts as none. */
+    /** Parses the meaning of weights; unknown words mean {@link WeightMeaning#NONE}. */
     private static WeightMeaning weightMeaning(String word) {
         return switch (word) {
             case "nominal" -> WeightMeaning.NOMINAL;
@@ -170,7 +171,7 @@
                 || source.equals(SettingsKeys.REPORT_SOURCE_RESPONSES)
                 || source.equals(SettingsKeys.REPORT_SOURCE_HEALTH_CHECKS);
         if (!isKnown) {
-            throw new ConfigurationException("telemetry.how", "is unknown: " + source);
+            throw new ConfigurationException("telemetry.how", "must be none, answers or probe, but is " + source);
         }
         boolean hasReports = !source.equals(SettingsKeys.REPORT_SOURCE_NONE);
         return new LoadReportSettings(
--- a/src/main/java/magpiehub/config/StableIndexes.java
+++ b/src/main/java/magpiehub/config/StableIndexes.java
@@ -6,19 +6,19 @@
 import java.util.function.Function;
 
 /**
- * Indexes of named values that stay the same over reloads, so that requests in flight can go on naming their class
+ * Assigns indexes to named values that stay valid across reloads, so that requests in flight can refer to their class
  * and tenant by index.
  */
 final class StableIndexes {
     private StableIndexes() {}
 
     /**
-     * Gives each value its index in a table that only grows: a value that the table holds already keeps its index, any
-     * other is appended. Of several values with one name, the first counts.
+     * Assigns each value its index in an append-only table: a value that the table already contains keeps its index,
+     * any other is appended. Of several values with the same name, the first is used.
      *
-     * @param values the values now in force
-     * @param table all values so far; the new ones are added to it
-     * @return the index of each name in force
+     * @param values the current values
+     * @param table all values so far; new ones are appended
+     * @return the index of each current name
      */
     static <T> Map<String, Integer> assign(List<T> values, Function<T, String> nameOf, List<T> table) {
         Map<String, Integer> indexes = new HashMap<>();
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reading a router's configuration: a fault is reported in one line that names its place. */
+/** Tests reading a router's configuration. An error is reported in one line that names its place. */
 class ConfigTest {
-    private static final String GOOD = "{'name':'n','listen':'127.0.0.1:1','discovery':'127.0.0.1:2',"
+    private static final String VALID = "{'name':'n','listen':'127.0.0.1:1','discovery':'127.0.0.1:2',"
             + "'seed':'8f','limits':{'sockets':9},'settings':{'classes':[{'name':'c',"
             + "'deadlineMs':9}],'limits':{'mostTries':2}}}";
 
@@ -34,7 +34,7 @@
         return RouterConfigurationReader.read(Map.of("ROUTER_CONFIG", file.toString(), "ROUTER_NAME", "from-variable"));
     }
 
-    private void bad(String json, String message) {
+    private void assertInvalid(String json, String message) {
         assertEquals(
                 message,
                 assertThrows(ConfigurationException.class, () -> read(json)).getMessage());
@@ -42,28 +42,33 @@
 
     @Test
     void variablesOverrideTheFile() throws IOException {
-        RouterConfiguration r = read(GOOD);
+        RouterConfiguration configuration = read(VALID);
         assertEquals(
-                "from-variable 127.0.0.1:1 143 9", r.name() + " " + r.listen() + " " + r.seed() + " " + r.maxSockets());
-        assertEquals(-1, r.site().classIndex("d"));
+                "from-variable 127.0.0.1:1 143 9",
+                configuration.name() + " " + configuration.listen() + " " + configuration.seed() + " "
+                        + configuration.maxSockets());
+        assertEquals(-1, configuration.site().classIndex("d"));
     }
 
     @Test
-    void faultsNameTheirPlace() {
-        bad(GOOD.replace("'classes'", "'clauses'"), "config.settings.classes is missing");
-        bad(GOOD.replace("[{'name':'c','deadlineMs':9}]", "[7]"), "config.settings.classes must hold objects");
-        bad(GOOD.replace("'127.0.0.1:1'", "'127.0.0.1'"), "is no address:port: 127.0.0.1");
-        bad(GOOD.replace(",'deadlineMs':9", ""), "config.settings.classes.deadlineMs is missing");
-        bad(
-                GOOD.replace("'deadlineMs':9", "'deadlineMs':0"),
+    void errorsNameTheirPlace() {
+        assertInvalid(VALID.replace("'classes'", "'clauses'"), "config.settings.classes is missing");
+        assertInvalid(
+                VALID.replace("[{'name':'c','deadlineMs':9}]", "[7]"), "config.settings.classes must hold objects");
+        assertInvalid(VALID.replace("'127.0.0.1:1'", "'127.0.0.1'"), "is no address:port: 127.0.0.1");
+        assertInvalid(VALID.replace(",'deadlineMs':9", ""), "config.settings.classes.deadlineMs is missing");
+        assertInvalid(
+                VALID.replace("'deadlineMs':9", "'deadlineMs':0"),
                 "config.settings.classes.deadlineMs must be a number above 0");
-        bad(
-                GOOD.replace("'mostTries':2", "'mostTries':-2"),
+        assertInvalid(
+                VALID.replace("'mostTries':2", "'mostTries':-2"),
                 "config.settings.limits.mostTries must be a number above 0");
-        bad(GOOD.replace("'mostTries':2", "'mostTries':'2'"), "config.settings.limits.mostTries has the wrong type");
-        bad(GOOD.replace("'sockets':9}", "'sockets':'9'}"), "config.limits.sockets has the wrong type");
-        bad(GOOD.replace("'seed'", "'sead'"), "config.seed is missing");
-        bad(GOOD + "{}", "config holds more than one value");
+        assertInvalid(
+                VALID.replace("'mostTries':2", "'mostTries':'2'"),
+                "config.settings.limits.mostTries has the wrong type");
+        assertInvalid(VALID.replace("'sockets':9}", "'sockets':'9'}"), "config.limits.sockets has the wrong type");
+        assertInvalid(VALID.replace("'seed'", "'sead'"), "config.seed is missing");
+        assertInvalid(VALID + "{}", "config holds more than one value");
         assertEquals(
                 "ROUTER_CONFIG is not set",
                 assertThrows(ConfigurationException.class, () -> RouterConfigurationReader.read(Map.of()))
@@ -71,19 +76,21 @@
     }
 
     @Test
-    void faultsCarryPathAndReason() {
-        ConfigurationException fault =
-                assertThrows(ConfigurationException.class, () -> read(GOOD.replace("'sockets':9}", "'sockets':'9'}")));
-        assertEquals("config.limits.sockets", fault.path());
-        assertEquals("has the wrong type", fault.reason());
+    void errorsHavePathAndReason() {
+        ConfigurationException error =
+                assertThrows(ConfigurationException.class, () -> read(VALID.replace("'sockets':9}", "'sockets':'9'}")));
+        assertEquals("config.limits.sockets", error.path());
+        assertEquals("has the wrong type", error.reason());
     }
 
-    /** A later file must have every key of the one in force, in each class too, but for the list and the seed. */
+    /**
+     * A later file must have every key of the current one, also in each class, except the endpoint list and the seed.
+     */
     @Test
     void aLaterFileMustHaveEveryKey() throws IOException {
-        RouterConfiguration now = read(GOOD);
+        RouterConfiguration now = read(VALID);
         Map<String, Object> later =
-                read(GOOD.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).members();
+                read(VALID.replace("{'name':'c',", "{'aimMs':1,'name':'d',")).members();
         assertEquals(null, ConfigurationComparison.firstMissingKey(now.members(), later, "config"));
         assertEquals(
                 "config.settings.classes[0].aimMs",
@@ -95,7 +102,7 @@
     }
 
     @Test
-    void classesKeepTheirPlacesOverFiles() {
+    void classesKeepTheirIndexesAcrossReloads() {
         SiteSettings one = site("{'name':'a','deadlineMs':1},{'name':'b','deadlineMs':2}");
         SiteSettings two = one.updatedTo(
                 site("{'name':'b','deadlineMs':2},{'name':'c','deadlineMs':3}," + "{'name':'a','deadlineMs':9}"));
@@ -107,12 +114,14 @@
                 "0 -1 4",
                 three.classIndex("a") + " " + three.classIndex("b") + " "
                         + three.routing().classes().size(),
-                "as at first: its first place again, no fifth");
+                "the original definition gets its original index again");
     }
 
-    /** Names of classes, tenants and models come from the settings only: the program has none of the examples'. */
+    /**
+     * Names of classes, tenants and models must come from the settings only, so none of the examples' is in the code.
+     */
     @Test
-    void namesOfTheExamplesAreNotInTheProgram() throws IOException {
+    void namesOfTheExamplesAreNotInTheCode() throws IOException {
         Set<String> names = new TreeSet<>();
         for (Path example : list(Path.of("deploy"), ".json")) {
             Matcher value = Pattern.compile(":\\s*\"([a-z]+(-[a-z]+)+)\"").matcher(Files.readString(example));
@@ -120,19 +129,19 @@
                 names.add(value.group(1));
             }
         }
-        assertTrue(names.size() >= 3, "a class, a tenant and another class: " + names);
-        List<Path> program = list(Path.of("src/main"), "");
-        program.add(Path.of("deploy/balancer.toml"));
-        for (Path file : program) {
+        assertTrue(names.size() >= 3, "two classes and a tenant: " + names);
+        List<Path> sources = list(Path.of("src/main"), "");
+        sources.add(Path.of("deploy/balancer.toml"));
+        for (Path file : sources) {
             String text = Files.readString(file);
-            names.forEach(n -> assertFalse(text.contains(n), file + " has " + n));
+            names.forEach(name -> assertFalse(text.contains(name), file + " contains " + name));
         }
     }
 
-    private static List<Path> list(Path folder, String end) throws IOException {
+    private static List<Path> list(Path folder, String suffix) throws IOException {
         try (var all = Files.walk(folder)) {
             return new ArrayList<>(
-                    all.filter(f -> Files.isRegularFile(f) && f.toString().endsWith(end))
+                    all.filter(f -> Files.isRegularFile(f) && f.toString().endsWith(suffix))
                             .toList());
         }
     }
