--- a/src/main/java/magpiehub/admin/AdminAnswers.java
+++ b/src/main/java/magpiehub/admin/AdminAnswers.java
@@ -1,15 +1,15 @@
 package magpiehub.admin;
 
-/** The form of an answer to a command: one line that begins with its outcome. */
+/** Formats the response to a command: one line that begins with the outcome. */
 final class AdminAnswers {
     private AdminAnswers() {}
 
-    /** The command was carried out, or the query is answered. */
+    /** The response to a command that was carried out, or to a query. */
     static String success(String text) {
         return "SUCCESS " + text;
     }
 
-    /** The command was rejected or not carried out in full; the text says why. */
+    /** The response to a command that was rejected or not fully carried out. */
     static String failure(String reason) {
         return "FAILURE " + reason;
     }
--- a/src/main/java/magpiehub/admin/AdminCommand.java
+++ b/src/main/java/magpiehub/admin/AdminCommand.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * A command that an operator gave, parsed but not yet checked against the state.
+ * A parsed operator command, not yet checked against the state.
  *
  * @param verb what to do
  * @param argument the replica id or site name; null if the command has none
  */
 record AdminCommand(Verb verb, String argument) {
 
-    /** What may follow a verb. */
+    /** The arguments that a verb takes. */
     private enum Arguments {
         NONE(0, 0, "takes nothing more"),
         REPLICA_ID(1, 1, "takes one id"),
@@ -29,7 +29,7 @@
         }
     }
 
-    /** The commands that there are. Those for sites exist only where the router plans for the loss of a site. */
+    /** The known commands. Those for sites exist only if site failover is on. */
     enum Verb {
         STATUS("status", Arguments.NONE),
         STANDBY("standby", Arguments.NONE),
--- a/src/main/java/magpiehub/admin/AdminCommandHandler.java
+++ b/src/main/java/magpiehub/admin/AdminCommandHandler.java
@@ -17,18 +17,18 @@
  * Executes operator commands: updates the {@link MaintenanceState}, stores it in the file that both processes of an
  * upgrade share, and applies it to the router through {@link MaintenanceActions}.
  *
- * <p>A command is answered with success only once it is stored and no request of this process can start any more that
- * goes against it. What the other process stores is applied here within a tenth of a second. Safe for use by several
- * threads; no method waits for the router's own threads but {@link #handle}.
+ * <p>The response reports success only once the command is stored and this process can't start any request that
+ * contradicts it. Changes that the other process stores are applied in this one within 0.1 s. Safe for use by several
+ * threads. Only {@link #handle} waits for the router's threads.
  */
 public final class AdminCommandHandler {
-    /** How often the file is read: a command to the other process is to be applied here within a second. */
+    /** How often the file is read. A command to the other process must take effect in this one within 1 s. */
     private static final long FILE_POLL_MICROS = 100_000;
 
-    /** How long a command may take to be applied in this process. */
+    /** How long to wait for a command to be applied in this process. */
     private static final long APPLY_TIMEOUT_MILLIS = 700;
 
-    /** How long the other process of an upgrade is given to read the file. */
+    /** How long to wait for the other process of an upgrade to read the file. */
     private static final long OTHER_PROCESS_MILLIS = 2 * FILE_POLL_MICROS / 1000;
 
     private final MaintenanceStateFile file;
@@ -36,23 +36,23 @@
     private final MonotonicClock clock;
     private final EventLog log;
     private final ServingProcesses processes = new ServingProcesses();
-    /** Every id that the endpoint list has named to this process. */
+    /** All replica ids that were in an endpoint list of this process. */
     private final Set<String> listedIds = ConcurrentHashMap.newKeySet();
-    /** The state that was last applied. Guarded by this. */
+    /** The state that was applied last. Guarded by this. */
     private MaintenanceState state = MaintenanceState.INITIAL;
-    /** Whether {@link #listedIds} holds ids that are not stored yet. */
+    /** Whether {@link #listedIds} has ids that are not stored yet. */
     private volatile boolean hasUnstoredIds;
 
     /**
-     * What came of a command.
+     * The outcome of a command.
      *
-     * @param result the command's meaning and answer
+     * @param result the command's effect on the state, and its response
      * @param storeFailure why the new state could not be stored; null if it was stored or did not change
-     * @param isAnotherProcessServing whether another process has to apply the new state as well
+     * @param isAnotherProcessServing whether another process must apply the new state as well
      */
     private record Execution(CommandResult result, Exception storeFailure, boolean isAnotherProcessServing) {}
 
-    /** Creates a handler that reads, writes and applies nothing until {@link #start}. */
+    /** Creates a handler. It neither accesses the file nor applies a state until {@link #start}. */
     public AdminCommandHandler(
             Path folder, String routerName, MaintenanceActions actions, MonotonicClock clock, EventLog log) {
         this.file = new MaintenanceStateFile(folder, routerName, log);
@@ -61,7 +61,7 @@
         this.log = log;
     }
 
-    /** Applies the stored state, and from then on follows the file on a thread of its own. */
+    /** Applies the stored state, and starts a thread that applies later changes of the file. */
     public void start() {
         followFile();
         DaemonThreads.newThread("operators", this::pollFile).start();
@@ -83,24 +83,24 @@
         }
     }
 
-    /** Notes ids that the endpoint list names: commands are accepted for these. */
+    /** Records replica ids of the endpoint list, for which commands are accepted. */
     public void onListed(Collection<String> ids) {
         if (listedIds.addAll(ids)) {
             hasUnstoredIds = true;
         }
     }
 
-    /** Records that this process serves from now on, as the newest. */
+    /** Records that this process has started to serve, as the newest one. */
     public void onServing() {
         changeState(stored -> stored.withServing(processes.ownPid(), processes.ended(stored)));
     }
 
-    /** Records that this process has ended its service. */
+    /** Records that this process has stopped serving. */
     public void onServiceEnded() {
         changeState(stored -> stored.withoutServing(processes.ownPid()));
     }
 
-    /** Whether another process began to serve after this one and is alive: it takes over the clients. */
+    /** Whether a process that started to serve after this one is alive, so that it takes over the clients. */
     public boolean hasSuccessor() {
         MaintenanceState stored = file.read();
         return stored != null && processes.isAnotherAlive(stored) && processes.isAnotherNewest(stored);
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Makes a state the current one, and passes on what differs from the one before. Called with the lock held. */
+    /** Replaces the current state, and applies the differences to the router. Called with the lock held. */
     private void apply(MaintenanceState next, Runnable whenApplied) {
         MaintenanceState previous = state;
         state = next;
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Executes one command line and returns its answer, a line without its end. Waits until the command is applied. */
+    /** Executes a command line and returns the response, without a line feed. Waits until the command is applied. */
     public String handle(String line) {
         log.count("console_calls");
         CountDownLatch applied = new CountDownLatch(1);
@@ -180,7 +180,7 @@
         }
         Exception storeFailure = null;
         if (result.state().version() == before.version()) {
-            // Nothing changes; but an earlier command's change may still be on its way to the router's threads.
+            // Nothing changes, but the router's threads may not have applied the same earlier command yet.
             actions.setReplicasOutOfService(state.outOfService(), state.returnedAtUnixMillis(), applied::countDown);
         } else {
             storeFailure = storeAndApply(line, context, result, applied);
@@ -188,7 +188,7 @@
         return new Execution(result, storeFailure, processes.isAnotherAlive(state));
     }
 
-    /** Executes the command on what the file holds by now. Returns why that could not be stored, or null. */
+    /** Executes the command on the latest stored state. Returns the failure to store the new state, or null. */
     private Exception storeAndApply(String line, CommandContext context, CommandResult result, CountDownLatch applied) {
         try {
             MaintenanceState stored = file.change(
@@ -197,14 +197,14 @@
             apply(stored, applied::countDown);
             return null;
         } catch (IOException | RuntimeException e) {
-            // The command is applied all the same; its answer says that it won't outlast this process.
+            // The command is applied nevertheless; its response says that it will be lost when this process ends.
             logStoreFailure(e);
             apply(result.state(), applied::countDown);
             return e;
         }
     }
 
-    /** Whether the command was applied in time; waits for the other process of an upgrade as well. */
+    /** Returns whether the command was applied in time. Also waits for the other process of an upgrade. */
     private static boolean awaitApplied(CountDownLatch applied, boolean isAnotherProcessServing) {
         try {
             if (!applied.await(APPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
--- a/src/main/java/magpiehub/admin/AdminCommandInterpreter.java
+++ b/src/main/java/magpiehub/admin/AdminCommandInterpreter.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The meaning of each command: a function of the state, without I/O. */
+/** Computes the effect of each command as a function of the state, without I/O. */
 final class AdminCommandInterpreter {
     private AdminCommandInterpreter() {}
 
--- a/src/main/java/magpiehub/admin/AdminServer.java
+++ b/src/main/java/magpiehub/admin/AdminServer.java
@@ -13,31 +13,31 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * The listener for operator commands: each connection sends one line, gets a one-line answer, and is closed.
+ * The server for operator commands: each connection sends one line, receives a one-line response, and is closed.
  *
- * <p>Each connection has a thread of its own, so a slow caller delays no other. The number of connections and the
- * bytes read from each are bounded; when one too many arrives, the oldest is closed.
+ * <p>Each connection has its own thread, so a slow client doesn't delay others. The number of connections and the bytes
+ * read from each are limited; if a connection exceeds the limit, the oldest one is closed.
  */
 public final class AdminServer {
-    /** Most connections open at once. */
+    /** Most connections that may be open at the same time. */
     static final int MAX_CONNECTIONS = 24;
 
-    /** Connections that the kernel queues until they are accepted. */
+    /** Connections that the kernel may queue until they are accepted. */
     private static final int ACCEPT_BACKLOG = 128;
 
-    /** How long a caller may take to close its side once it has its answer. */
+    /** How long a client may take to close its side after the response was sent. */
     private static final int LINGER_MILLIS = 500;
 
     private final ServerSocket server = new ServerSocket();
     private final UnaryOperator<String> commandHandler;
     private final EventLog log;
-    /** Open connections, the oldest first. Guarded by itself. */
+    /** Open connections, the oldest first. Guarded by its own lock. */
     private final Set<Socket> connections = new LinkedHashSet<>();
 
     /**
-     * Binds the listener; nothing is accepted until {@link #start}.
+     * Binds the listener. It does not accept connections until {@link #start}.
      *
-     * @param commandHandler answers one command line; called from several threads at once
+     * @param commandHandler returns the response to a command line; called from several threads at once
      */
     public AdminServer(InetSocketAddress listenAddress, UnaryOperator<String> commandHandler, EventLog log)
             throws IOException {
@@ -47,12 +47,12 @@
         server.bind(listenAddress, ACCEPT_BACKLOG);
     }
 
-    /** The port that the listener is bound to. */
+    /** The port to which the listener is bound. */
     public int port() {
         return server.getLocalPort();
     }
 
-    /** Starts to accept connections, on a thread of its own. */
+    /** Starts a thread that accepts connections. */
     public void start() {
         DaemonThreads.newThread("console", this::acceptConnections).start();
     }
@@ -67,7 +67,7 @@
                 DaemonThreads.newThread("console-caller", () -> serve(connection))
                         .start();
             } catch (IOException | OutOfMemoryError e) {
-                // OutOfMemoryError: no further thread can be started.
+                // OutOfMemoryError is thrown if no further thread can be started.
                 log.count("console_accept_failures");
                 if (accepted != null) {
                     close(accepted);
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Adds a connection, and closes the oldest one if there are too many. */
+    /** Adds a connection, and closes the oldest one if the limit is exceeded. */
     private void register(Socket connection) {
         Socket oldest = null;
         synchronized (connections) {
@@ -107,7 +107,7 @@
             connection.shutdownOutput();
             discardInput(connection);
         } catch (IOException e) {
-            // The caller closed the connection, or it was closed as the oldest one.
+            // The client closed the connection, or it was closed as the oldest one.
         } finally {
             close(connection);
         }
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Reads what the caller still sends: closing with unread input would reset the connection and lose the answer. */
+    /** Discards remaining input: closing with unread input would reset the connection and lose the response. */
     private static void discardInput(Socket connection) throws IOException {
         byte[] discarded = new byte[256];
         long deadlineNanos = System.nanoTime() + LINGER_MILLIS * 1_000_000L;
--- a/src/main/java/magpiehub/admin/CommandLineReader.java
+++ b/src/main/java/magpiehub/admin/CommandLineReader.java
@@ -7,23 +7,23 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the one command line that a connection may send.
+ * Reads the single command line of a connection.
  *
- * <p>A line ends with LF or CRLF, holds printable ASCII only, and is rejected unless it arrives complete and in time:
- * a command that was cut off must not be executed.
+ * <p>A line ends with LF or CRLF and consists of printable ASCII. It is rejected unless it arrives completely and in
+ * time, since a truncated command must not be executed.
  */
 final class CommandLineReader {
-    /** Longest line in bytes, its end included. */
+    /** Longest line, including its line end. */
     static final int MAX_LINE_BYTES = 512;
 
-    /** How long a caller may take to send its line. */
+    /** How long a client may take to send its line. */
     private static final int LINE_TIMEOUT_MILLIS = 5_000;
 
     private static final byte ASCII_DELETE = 0x7f;
 
     private final Socket socket;
     private final byte[] buffer = new byte[MAX_LINE_BYTES];
-    /** Bytes read so far. */
+    /** The number of bytes read so far. */
     private int length;
 
     private CommandLineReader(Socket socket) {
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Returns the line without its end.
+     * Returns the line without its line end.
      *
-     * @throws MalformedCommandLineException if the caller sent anything but one complete line in time
+     * @throws MalformedCommandLineException if the client did not send exactly one complete line in time
      */
     static String read(Socket socket) throws IOException {
         return new CommandLineReader(socket).readLine();
--- a/src/main/java/magpiehub/admin/CommandResult.java
+++ b/src/main/java/magpiehub/admin/CommandResult.java
@@ -1,20 +1,20 @@
 package magpiehub.admin;
 
 /**
- * What a command does to the state, and what is answered.
+ * The effect of a command on the state, and its response.
  *
  * @param outcome whether the command was accepted
- * @param state the state after the command; the very same object as before if nothing changes
- * @param text the answer, or the reason for a rejection
+ * @param state the state after the command; the same object as before if nothing changes
+ * @param text the response, or the reason for a rejection
  */
 record CommandResult(Outcome outcome, MaintenanceState state, String text) {
 
-    /** Whether a command is accepted, and whether it may change the state. */
+    /** Whether a command was accepted, and whether it may change the state. */
     enum Outcome {
         REJECTED,
-        /** The command only asks; the state is as before. */
+        /** The command only reads the state. */
         QUERY,
-        /** The command is granted; the state may still be as before if the command repeats an earlier one. */
+        /** The command was accepted. The state is unchanged if the command repeats an earlier one. */
         ACCEPTED
     }
 
@@ -38,12 +38,12 @@
         return outcome == Outcome.QUERY;
     }
 
-    /** The answer to a command that was not rejected; null if it was. */
+    /** The response to an accepted command or a query; null if the command was rejected. */
     String answer() {
         return isRejected() ? null : text;
     }
 
-    /** Why the command was rejected; null if it was accepted. */
+    /** Why the command was rejected; null if it was not. */
     String rejection() {
         return isRejected() ? text : null;
     }
--- a/src/main/java/magpiehub/admin/CommandSyntaxException.java
+++ b/src/main/java/magpiehub/admin/CommandSyntaxException.java
@@ -1,6 +1,6 @@
 package magpiehub.admin;
 
-/** A command line is not a known verb with the arguments it takes. The message is meant for the operator. */
+/** Thrown if a command line is not a known verb with its arguments. The message is shown to the operator. */
 final class CommandSyntaxException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/magpiehub/admin/MaintenanceActions.java
+++ b/src/main/java/magpiehub/admin/MaintenanceActions.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * What operator commands change in the router. {@link AdminCommandHandler} calls it, one call at a time, with its lock
- * held; implementations must return promptly.
+ * The effects of operator commands on the router. Called by {@link AdminCommandHandler}, which holds its lock during
+ * the call, so calls never overlap and implementations must return promptly.
  */
 public interface MaintenanceActions {
     /** Whether this process can serve requests. */
@@ -14,22 +14,21 @@
     /**
      * Sets which replicas are out of service.
      *
-     * @param outOfService ids of the replicas that get no requests
-     * @param returnedAtUnixMillis replicas that were put back into service, by id, with the time: they count as
-     *     restarted
-     * @param whenApplied run, from any thread, once no attempt can start any more that goes against this
+     * @param outOfService the ids of replicas that must not receive requests
+     * @param returnedAtUnixMillis when replicas were returned to service, by id; they count as restarted at that time
+     * @param whenApplied run, on any thread, once no attempt to these replicas can start any more
      */
     void setReplicasOutOfService(
             Set<String> outOfService, Map<String, Long> returnedAtUnixMillis, Runnable whenApplied);
 
-    /** The status of each site by its name; empty if the router plans for no loss of a site. */
+    /** The status of each site by its name; empty if site failover is off. */
     default Map<String, String> siteStatus() {
         return Map.of();
     }
 
-    /** Withdraws these sites from service, and puts all others back. */
+    /** Withdraws these sites from service, and returns all others to service. */
     default void setWithdrawnSites(Set<String> names) {}
 
-    /** Sends clients to other routers, or serves them again. */
+    /** Directs clients to other routers, or serves them again. */
     void setStandby(boolean standby);
 }
--- a/src/main/java/magpiehub/admin/MaintenanceState.java
+++ b/src/main/java/magpiehub/admin/MaintenanceState.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 
 /**
- * What operators have ordered so far, as both router processes of an upgrade share it. Immutable.
+ * The state set by operator commands, which both router processes of an upgrade share. Immutable.
  *
- * <p>Each {@code with} method returns this very object if it changes nothing, and otherwise a state of the next
+ * <p>Each {@code with} method returns the same object if it changes nothing, and otherwise a state with the next
  * version.
  *
- * @param version grows by one with each change
- * @param standby true while clients are sent to other routers
- * @param outOfService ids of replicas that are taken out of service
- * @param returnedAtUnixMillis replicas that were put back into service, by id, with the time: they have been restarted
- * @param listedIds every replica id that was ever listed, the earliest first
- * @param servingProcesses ids of the router processes that serve, the newest last
- * @param withdrawnSites names of sites that are taken out of service
+ * @param version incremented by each change
+ * @param standby whether clients are directed to other routers
+ * @param outOfService the ids of replicas that are out of service
+ * @param returnedAtUnixMillis when replicas were returned to service, by id; they count as restarted at that time
+ * @param listedIds the replica ids that were ever listed, the earliest first
+ * @param servingProcesses the ids of the router processes that serve, the newest last
+ * @param withdrawnSites the names of sites that are out of service
  */
 public record MaintenanceState(
         long version,
@@ -29,17 +29,17 @@
         Set<Long> servingProcesses,
         Set<String> withdrawnSites) {
 
-    /** Most ids remembered. Beyond that the earliest are forgotten, but never those out of service. */
+    /** Most listed ids that are kept. Beyond that the earliest are removed, except those out of service. */
     static final int MAX_LISTED_IDS = 20_000;
 
-    /** How long a return to service is remembered: longer than any replica takes to warm up. */
+    /** How long a return to service is kept: longer than any replica takes to warm up. */
     private static final long RETURN_MEMORY_MILLIS = 600_000;
 
     /** The state before the first command. */
     public static final MaintenanceState INITIAL =
             new MaintenanceState(0, false, Set.of(), Map.of(), Set.of(), Set.of(), Set.of());
 
-    /** Adds ids that are listed now. */
+    /** Adds ids of the current endpoint list. */
     public MaintenanceState withListed(Collection<String> ids) {
         if (listedIds.containsAll(ids)) {
             return this;
@@ -55,7 +55,7 @@
                 version + 1, standby, outOfService, returnedAtUnixMillis, all, servingProcesses, withdrawnSites);
     }
 
-    /** Adds a process that begins to serve as the newest one, and removes those that have ended. */
+    /** Adds a process that starts to serve, as the newest one, and removes those that have ended. */
     public MaintenanceState withServing(long process, Collection<Long> ended) {
         Set<Long> all = new LinkedHashSet<>(servingProcesses);
         all.removeAll(ended);
@@ -64,7 +64,7 @@
         return withServingProcesses(all);
     }
 
-    /** Removes a process that has ended. */
+    /** Removes a process that has stopped serving. */
     public MaintenanceState withoutServing(long process) {
         Set<Long> all = new LinkedHashSet<>(servingProcesses);
         return all.remove(process) ? withServingProcesses(all) : this;
@@ -88,7 +88,7 @@
                         withdrawnSites);
     }
 
-    /** Takes a replica out of service; when it last returned is forgotten. */
+    /** Takes a replica out of service, and removes the time of its last return. */
     MaintenanceState withReplicaOut(String id) {
         if (outOfService.contains(id)) {
             return this;
@@ -100,7 +100,7 @@
         return withReplicas(out, returned);
     }
 
-    /** Puts a replica back into service, and forgets returns that are too long ago to matter. */
+    /** Returns a replica to service, and removes earlier returns that have expired. */
     MaintenanceState withReplicaBack(String id, long nowUnixMillis) {
         if (!outOfService.contains(id)) {
             return this;
--- a/src/main/java/magpiehub/admin/MaintenanceStateCodec.java
+++ b/src/main/java/magpiehub/admin/MaintenanceStateCodec.java
@@ -13,24 +13,24 @@
 import magpiehub.config.Json;
 
 /**
- * The stored form of a {@link MaintenanceState}: one JSON object. Earlier and later versions of the router read and
- * write the same file during an upgrade, so the form must stay as it is.
+ * The stored format of a {@link MaintenanceState}: one JSON object. Processes of different versions read and write the
+ * same file during an upgrade, so the format must not change.
  */
 final class MaintenanceStateCodec {
-    /** Marks the file as this program's, in this form. */
+    /** Identifies the file format. */
     private static final String FORM = "magpiehub-operators-1";
 
     private MaintenanceStateCodec() {}
 
     /**
-     * Parses a stored state. Keys that are absent take their value in {@link MaintenanceState#INITIAL}.
+     * Parses a stored state. Absent keys take their value in {@link MaintenanceState#INITIAL}.
      *
-     * @throws ConfigurationException if the text is no JSON object of this form
+     * @throws ConfigurationException if the input is not a JSON object in this format
      */
     static MaintenanceState parse(byte[] json) throws IOException {
         ConfigurationObject object = ConfigurationObject.parse(json, "operators");
         if (!object.text("form", "").equals(FORM)) {
-            throw new ConfigurationException("not a file of this program's");
+            throw new ConfigurationException("form is not " + FORM);
         }
         return new MaintenanceState(
                 (long) object.number("version", 0),
--- a/src/main/java/magpiehub/admin/MaintenanceStateFile.java
+++ b/src/main/java/magpiehub/admin/MaintenanceStateFile.java
@@ -15,18 +15,18 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * The file that keeps a {@link MaintenanceState} across restarts and shares it between the two router processes of an
- * upgrade.
+ * The file that preserves a {@link MaintenanceState} across restarts and shares it between the two router processes of
+ * an upgrade.
  *
- * <p>A change is made under a lock on a second file, written to a temporary file and renamed, so a reader sees either
- * the old state or the new one. A file that is truncated or not this program's is logged and treated as absent: it must
- * not keep a router from starting. Safe for use by several threads.
+ * <p>A change is made under a lock on a second file, written to a temporary file and renamed, so that a reader sees
+ * either the old state or the new one. A file that is truncated or has another format is logged and treated as absent,
+ * since it must not prevent a router from starting. Safe for use by several threads.
  */
 final class MaintenanceStateFile {
-    /** Largest file that is read, in bytes. */
+    /** Largest file that is read. */
     private static final long MAX_FILE_BYTES = 4 << 20;
 
-    /** Identifies one version of the file: it is only ever replaced as a whole, which gives it another key. */
+    /** Identifies a version of the file. Each change replaces the whole file, which gives it another key. */
     private record FileVersion(Object key, FileTime modified, long size) {
         static FileVersion of(Path path) throws IOException {
             BasicFileAttributes attributes = Files.readAttributes(path, BasicFileAttributes.class);
@@ -40,7 +40,7 @@
     private final EventLog log;
     /** The version that was last read or written; null if there was no file. */
     private FileVersion lastVersion;
-    /** What that version holds; null if there was no file, or it could not be read. */
+    /** The state in that version; null if there was no file, or it could not be read. */
     private MaintenanceState lastState;
 
     MaintenanceStateFile(Path folder, String routerName, EventLog log) {
@@ -52,12 +52,12 @@
         this.log = log;
     }
 
-    /** Returns what the file holds, or null if there is no usable file. A version is parsed, and logged, only once. */
+    /** Returns the stored state, or null if there is no valid file. Each version is parsed and logged only once. */
     synchronized MaintenanceState read() {
         try {
             FileVersion version = FileVersion.of(file);
             if (!version.equals(lastVersion)) {
-                // Remembered before it is parsed, so that an unusable file is logged only once.
+                // Set before the file is parsed, so that an invalid file is logged only once.
                 lastVersion = version;
                 lastState = null;
                 lastState = parseFile();
@@ -75,16 +75,16 @@
 
     private MaintenanceState parseFile() throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new ConfigurationException("too long");
+            throw new ConfigurationException("file is larger than " + MAX_FILE_BYTES + " bytes");
         }
         return MaintenanceStateCodec.parse(Files.readAllBytes(file));
     }
 
     /**
-     * Changes what the file holds, whichever process wrote it last, and returns the new state.
+     * Changes the stored state, whichever process wrote it last, and returns the new state.
      *
-     * @param ifAbsent the state to change if there is no usable file
-     * @throws IOException if the file can't be locked or written; it then holds what it held before
+     * @param ifAbsent the state to change if there is no valid file
+     * @throws IOException if the file can't be locked or written, in which case it is unchanged
      */
     synchronized MaintenanceState change(MaintenanceState ifAbsent, UnaryOperator<MaintenanceState> change)
             throws IOException {
--- a/src/main/java/magpiehub/admin/MalformedCommandLineException.java
+++ b/src/main/java/magpiehub/admin/MalformedCommandLineException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A connection did not send exactly one complete line of printable ASCII. The message is meant for the caller. */
+/** Thrown if a client did not send exactly one complete line of printable ASCII. The message is sent to the client. */
 final class MalformedCommandLineException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/magpiehub/admin/ServingProcesses.java
+++ b/src/main/java/magpiehub/admin/ServingProcesses.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which of the router processes that a {@link MaintenanceState} names are alive: there are two during an upgrade. */
+/** Checks which router processes of a {@link MaintenanceState} are alive. There are two during an upgrade. */
 final class ServingProcesses {
     private final long ownPid = ProcessHandle.current().pid();
 
@@ -11,7 +11,7 @@
         return ownPid;
     }
 
-    /** Whether another process that serves is alive. */
+    /** Whether another serving process is alive. */
     boolean isAnotherAlive(MaintenanceState state) {
         for (long pid : state.servingProcesses()) {
             if (pid != ownPid && isAlive(pid)) {
@@ -21,7 +21,7 @@
         return false;
     }
 
-    /** Whether another process began to serve after this one. */
+    /** Whether another process started to serve after this one. */
     boolean isAnotherNewest(MaintenanceState state) {
         long newest = ownPid;
         for (long pid : state.servingProcesses()) {
--- a/src/test/java/magpiehub/admin/AdminServerTest.java
+++ b/src/test/java/magpiehub/admin/AdminServerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One line per connection, and no caller waits for another. */
+/** Tests that each connection sends one line, and that clients don't delay each other. */
 class AdminServerTest {
     private final EventLog noLog = new EventLog() {
         @Override
@@ -39,7 +39,7 @@
         return s;
     }
 
-    private static String answer(Socket s) throws IOException {
+    private static String readResponse(Socket s) throws IOException {
         return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     }
 
@@ -49,7 +49,7 @@
             if (closeOutput) {
                 s.shutdownOutput();
             }
-            return answer(s);
+            return readResponse(s);
         }
     }
 
@@ -68,9 +68,9 @@
         assertEquals("FAILURE the line is longer than 512 bytes\n", send("x".repeat(2000), true));
     }
 
-    /** More connections than the limit send no complete line; the next one is answered all the same. */
+    /** More connections than the limit send no complete line; the next one still gets a response. */
     @Test
-    void idleConnectionsDelayNobody() throws IOException {
+    void idleConnectionsDelayNoOther() throws IOException {
         List<Socket> idleConnections = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * AdminServer.MAX_CONNECTIONS; i++) {
@@ -79,11 +79,11 @@
                 idleConnections.add(s);
             }
             assertEquals("SUCCESS status\n", send("status\n", false));
-            // The first ones had to go; the last ones have been left alone.
+            // The oldest ones were closed; the newest ones are still open.
             assertTrue(isClosed(idleConnections.get(0)));
             Socket last = idleConnections.get(idleConnections.size() - 1);
             last.getOutputStream().write("tus\n".getBytes(StandardCharsets.US_ASCII));
-            assertEquals("SUCCESS status\n", answer(last));
+            assertEquals("SUCCESS status\n", readResponse(last));
         } finally {
             for (Socket s : idleConnections) {
                 s.close();
@@ -110,9 +110,9 @@
         broken.start();
         try (Socket s = new Socket(loopback, broken.port())) {
             s.getOutputStream().write('\n');
-            String a = answer(s);
-            assertEquals("FAILURE internal error\n", a);
-            assertFalse(a.contains("IllegalState"));
+            String response = readResponse(s);
+            assertEquals("FAILURE internal error\n", response);
+            assertFalse(response.contains("IllegalState"));
         }
     }
 }
--- a/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Reads a state file that the program of 2 December 2026 wrote, before its classes were rearranged: a router
- * that is upgraded finds such a file.
+ * Checks the file format against a file recorded on 2 December 2026, before the classes were refactored: an upgraded
+ * router finds such a file.
  */
 class MaintenanceStateFileTest {
     private static final MaintenanceState RECORDED = new MaintenanceState(
@@ -32,7 +32,7 @@
     @TempDir
     Path folder;
 
-    private final EventLog failOnFault = new EventLog() {
+    private final EventLog failingLog = new EventLog() {
         @Override
         public void count(String name) {
             throw new AssertionError(name);
@@ -61,10 +61,10 @@
     }
 
     @Test
-    void findsTheFileByTheRoutersNameAndChangesIt() throws IOException {
+    void findsTheFileByTheNameOfTheRouterAndChangesIt() throws IOException {
         Path path = folder.resolve("magpiehub-router_1.operators");
         Files.write(path, recordedFile());
-        MaintenanceStateFile file = new MaintenanceStateFile(folder, "router/1", failOnFault);
+        MaintenanceStateFile file = new MaintenanceStateFile(folder, "router/1", failingLog);
         assertEquals(RECORDED, file.read());
         file.change(MaintenanceState.INITIAL, stored -> stored.withServing(8, List.of(30430L)));
         String expected = new String(recordedFile(), StandardCharsets.UTF_8)
--- a/src/test/java/magpiehub/admin/MaintenanceStateTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The meaning of the commands, and the file that keeps the state. */
+/** Tests the effects of the commands, and the file that stores the state. */
 class MaintenanceStateTest {
     @TempDir
     Path folder;
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void repeatedCommandsChangeNothingAndOneReturnEndsTheOutage() {
+    void commandsAreIdempotent() {
         MaintenanceState out = execute(twoListed, "maint-on a").state();
         assertEquals(Set.of("a"), out.outOfService());
         CommandResult again = execute(out, "maint-on a");
@@ -62,7 +62,7 @@
         assertSame(back, execute(back, "maint-off a").state());
         assertTrue(
                 execute(back, "maint-on a").state().returnedAtUnixMillis().isEmpty(),
-                "a ban ends what was known of the call back before it");
+                "taking a replica out again removes the time of its earlier return");
     }
 
     @Test
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void theEarliestIdsAreForgottenFirstButNeverThoseOutOfService() {
+    void theEarliestIdsAreRemovedFirstExceptThoseOutOfService() {
         MaintenanceState out = execute(twoListed, "maint-on a").state();
         List<String> many = new ArrayList<>();
         for (int i = 0; i < MaintenanceState.MAX_LISTED_IDS; i++) {
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void twoProcessesShareOneFile() throws Exception {
+    void twoProcessesShareTheFile() throws Exception {
         MaintenanceStateFile oldProcess = new MaintenanceStateFile(folder, "n/1", log);
         MaintenanceStateFile newProcess = new MaintenanceStateFile(folder, "n/1", log);
         assertNull(oldProcess.read());
@@ -130,36 +130,36 @@
     }
 
     @Test
-    void aTruncatedOrForeignFileIsLoggedAndTreatedAsAbsent() throws Exception {
+    void anInvalidFileIsLoggedOnceAndTreatedAsAbsent() throws Exception {
         Path root = folder;
         MaintenanceStateFile file = new MaintenanceStateFile(root, "n", log);
         file.change(twoListed, state -> execute(state, "maint-on a").state());
         Path path = root.resolve("magpiehub-n.operators");
-        byte[] whole = Files.readAllBytes(path);
-        for (byte[] bad : List.of(
+        byte[] valid = Files.readAllBytes(path);
+        for (byte[] invalid : List.of(
                 new byte[0],
-                Arrays.copyOf(whole, whole.length / 2),
+                Arrays.copyOf(valid, valid.length / 2),
                 "{\"form\":\"other\"}".getBytes(UTF_8),
                 "[]".getBytes(UTF_8),
                 new byte[] {0, 1, 2})) {
-            Files.write(root.resolve("next"), bad);
+            Files.write(root.resolve("next"), invalid);
             Files.move(root.resolve("next"), path, StandardCopyOption.REPLACE_EXISTING);
             logged.clear();
             assertNull(file.read());
             assertNull(file.read());
-            assertEquals(List.of("operators-file-unreadable"), logged, "named once");
+            assertEquals(List.of("operators-file-unreadable"), logged, "logged once");
         }
         assertEquals(
                 Set.of("b"),
                 file.change(twoListed, state -> execute(state, "maint-on b").state())
                         .outOfService(),
-                "the next change writes it anew");
+                "the next change replaces the file");
         assertEquals(
                 Set.of("b"), new MaintenanceStateFile(root, "n", log).read().outOfService());
     }
 
     @Test
-    void sitesAreWithdrawnAndReturnedButNeverAllOfThem() throws Exception {
+    void sitesAreWithdrawnAndReinstatedButNeverAllWithdrawn() throws Exception {
         Map<String, String> sites = new TreeMap<>(Map.of("a", "whole", "b", "lost share=0% cause=list"));
         assertTrue(execute(twoListed, "site-out a", true).rejection().startsWith("unknown call; status, m"));
         MaintenanceState out = execute(twoListed, "site-out a", sites).state();
@@ -178,7 +178,7 @@
         assertEquals(
                 "b lost share=0% cause=list",
                 execute(out, "site-status b", sites).answer());
-        assertEquals(out, MaintenanceStateCodec.parse(MaintenanceStateCodec.format(out)), "kept over a restart");
+        assertEquals(out, MaintenanceStateCodec.parse(MaintenanceStateCodec.format(out)), "preserved across a restart");
         assertEquals(Set.of(), execute(out, "site-in a", sites).state().withdrawnSites());
         assertTrue(execute(out, "nothing", sites).rejection().contains("site-out NAME"));
     }
