--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -158,7 +158,7 @@
             }
             due.removeIf(d -> d.at <= t);
             m.onTick(t);
-            for (SiteTransition ch : m.takeTransitions()) {
+            for (SiteTransition ch : m.drainTransitions()) {
                 // By values: a constant's own hash is another one in each process.
                 result.digest = result.digest * 31
                         + java.util.Objects.hash(
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -133,7 +133,7 @@
     }
 
     private void publishTransitions(long now) {
-        for (SiteTransition transition : tracker.takeTransitions()) {
+        for (SiteTransition transition : tracker.drainTransitions()) {
             log.count("site_" + transition.to().label());
             log.log(
                     "site",
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -28,7 +28,7 @@
     private final int ownSite;
     private final Site[] sites;
     private final CrossSiteEvidence crossSiteEvidence;
-    /** Transitions not yet returned by {@link #takeTransitions}. */
+    /** Transitions not yet returned by {@link #drainTransitions}. */
     private final List<SiteTransition> transitions = new ArrayList<>();
 
     /**
@@ -74,7 +74,7 @@
     }
 
     /** Returns the transitions since the last call, the earliest first. */
-    public List<SiteTransition> takeTransitions() {
+    public List<SiteTransition> drainTransitions() {
         List<SiteTransition> all = List.copyOf(transitions);
         transitions.clear();
         return all;
--- a/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -63,7 +63,7 @@
         answer(2);
         assertEquals(SiteState.LOST, tracker.state(1));
         assertEquals(TransitionCause.NO_CONNECTION, tracker.cause(1));
-        assertEquals(2, tracker.takeTransitions().size());
+        assertEquals(2, tracker.drainTransitions().size());
     }
 
     /** The first site that answers after an isolation of the router does not prove that the others are lost. */
@@ -233,7 +233,7 @@
             pass(SETTINGS.rampStepMicros() + 50 * MILLIS);
         }
         assertEquals(SiteState.HEALTHY, tracker.state(1));
-        assertEquals(4, tracker.takeTransitions().size(), "suspect, lost, recovering, healthy");
+        assertEquals(4, tracker.drainTransitions().size(), "suspect, lost, recovering, healthy");
     }
 
     /** The site is lost again while it recovers: each loss lengthens the trial interval, up to the maximum. */
