--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -133,7 +133,7 @@
                 for (int k = m.takeHealthChecks(site); k > 0; k--) {
                     send(c, own, site, t, r, due);
                 }
-                if (m.takeTrial(site, t)) {
+                if (m.acquireTrial(site, t)) {
                     send(c, own, site, t, r, due);
                 }
             }
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -103,7 +103,7 @@
 
     @Override
     public boolean acquireTrial(long now, int zone) {
-        return isTracked(zone) && tracker.takeTrial(zone, now);
+        return isTracked(zone) && tracker.acquireTrial(zone, now);
     }
 
     @Override
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -81,7 +81,7 @@
     }
 
     /** Whether one request may be sent now as a trial to a site that receives trials only. True counts it as sent. */
-    public boolean takeTrial(int index, long now) {
+    public boolean acquireTrial(int index, long now) {
         Site site = sites[index];
         if (site.state() == SiteState.WITHDRAWN
                 || site.share(now) > 0
--- a/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -243,7 +243,7 @@
         for (int flap = 0; flap < 8; flap++) {
             lose(1);
             long lostAt = now;
-            while (!tracker.takeTrial(1, now)) {
+            while (!tracker.acquireTrial(1, now)) {
                 now += MILLIS;
             }
             long waited = now - lostAt;
@@ -254,7 +254,7 @@
                                     SETTINGS.maxTrialIntervalMicros(), SETTINGS.trialIntervalMicros() << (2 * flap)));
             assertTrue(flap > 3 || waited > previousWait);
             previousWait = waited;
-            assertFalse(tracker.takeTrial(1, now), "only one trial per interval");
+            assertFalse(tracker.acquireTrial(1, now), "only one trial per interval");
             answer(1);
             assertEquals(SiteState.RECOVERING, tracker.state(1));
         }
@@ -275,7 +275,7 @@
         pass(SETTINGS.withdrawalMicros());
         assertEquals(SiteState.WITHDRAWN, tracker.state(1));
         assertEquals(0, tracker.share(1, now));
-        assertFalse(tracker.takeTrial(1, now), "no trials to a withdrawn site");
+        assertFalse(tracker.acquireTrial(1, now), "no trials to a withdrawn site");
         tracker.reinstate(now, 1);
         assertEquals(0.1, tracker.share(1, now));
     }
