--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -130,7 +130,7 @@
         for (long now = 0; now < c.end; now += TICK) {
             long t = now;
             for (int site = 0; site < c.sites; site++) {
-                for (int k = m.takeHealthChecks(site); k > 0; k--) {
+                for (int k = m.acquireHealthChecks(site); k > 0; k--) {
                     send(c, own, site, t, r, due);
                 }
                 if (m.acquireTrial(site, t)) {
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -108,7 +108,7 @@
 
     @Override
     public int acquireHealthChecks(int zone) {
-        return isTracked(zone) ? tracker.takeHealthChecks(zone) : 0;
+        return isTracked(zone) ? tracker.acquireHealthChecks(zone) : 0;
     }
 
     @Override
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -96,7 +96,7 @@
      * Returns how many replicas of a site, other than those that failed, need a health check now, and counts the checks
      * as requested. The caller reports each result to {@link #onEvidence}.
      */
-    public int takeHealthChecks(int index) {
+    public int acquireHealthChecks(int index) {
         Site site = sites[index];
         if (site.state() == SiteState.SUSPECT && site.isSuspended()) {
             long answeredAt = crossSiteEvidence.otherSiteAnsweredAt(site);
--- a/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -48,17 +48,17 @@
         assertEquals(0.5, tracker.share(1, now));
         assertEquals(
                 SETTINGS.failedReplicasForLoss() + 1,
-                tracker.takeHealthChecks(1),
+                tracker.acquireHealthChecks(1),
                 "health checks for the remaining evidence");
-        assertEquals(0, tracker.takeHealthChecks(1));
+        assertEquals(0, tracker.acquireHealthChecks(1));
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.NO_CONNECTION);
         assertEquals(SiteState.SUSPECT, tracker.state(1), "the router itself may be isolated");
         assertEquals(0, tracker.share(1, now));
-        assertEquals(1, tracker.takeHealthChecks(2), "so another site is checked");
+        assertEquals(1, tracker.acquireHealthChecks(2), "so another site is checked");
         answer(2);
         assertEquals(SiteState.SUSPECT, tracker.state(1), "the network may have recovered in the meantime");
-        assertEquals(1, tracker.takeHealthChecks(1), "so the failed site is checked again");
-        assertEquals(0, tracker.takeHealthChecks(1));
+        assertEquals(1, tracker.acquireHealthChecks(1), "so the failed site is checked again");
+        assertEquals(0, tracker.acquireHealthChecks(1));
         fail(1, 1, ZoneEvidence.NO_CONNECTION);
         answer(2);
         assertEquals(SiteState.LOST, tracker.state(1));
@@ -79,7 +79,7 @@
         now += 10 * MILLIS;
         tracker.onEvidence(now, 1, "1.1", ZoneEvidence.NO_CONNECTION, 100 * MILLIS, 0);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
-        assertEquals(1, tracker.takeHealthChecks(1));
+        assertEquals(1, tracker.acquireHealthChecks(1));
         answer(1);
         assertEquals(SiteState.HEALTHY, tracker.state(1));
     }
