--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -149,7 +149,7 @@
             }
             if (now % 1_000_000 == 0) {
                 gone = truth && c.down(t - c.listLate);
-                m.onListed(t, c.site, gone ? 0 : ENGINES / c.sites, 100_000);
+                m.onEndpointList(t, c.site, gone ? 0 : ENGINES / c.sites, 100_000);
             }
             for (Due d : due) {
                 if (d.at <= t) {
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailoverPlan.java
@@ -86,7 +86,7 @@
     @Override
     public void setReplicaCount(long now, int zone, int replicas) {
         if (isTracked(zone)) {
-            tracker.onListed(now, zone, replicas, 0);
+            tracker.onEndpointList(now, zone, replicas, 0);
             publishTransitions(now);
         }
     }
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -153,7 +153,7 @@
     }
 
     /** Records how many replicas of a site that take requests an endpoint list of this age has. */
-    public void onListed(long now, int index, int replicas, long ageMicros) {
+    public void onEndpointList(long now, int index, int replicas, long ageMicros) {
         Site site = sites[index];
         boolean returned = site.evidence().onListed(replicas, now - ageMicros);
         if (returned && site.state() == SiteState.LOST) {
--- a/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
+++ b/src/test/java/magpiehub/sites/SiteHealthTrackerTest.java
@@ -116,10 +116,10 @@
         fail(1, SETTINGS.failedReplicasForLoss(), ZoneEvidence.SILENCE);
         fail(2, SETTINGS.failedReplicasForLoss(), ZoneEvidence.SILENCE);
         answer(0);
-        tracker.onListed(now, 1, 0, 20_000_000);
+        tracker.onEndpointList(now, 1, 0, 20_000_000);
         assertEquals(SiteState.SUSPECT, tracker.state(1), "an old list is no evidence");
-        tracker.onListed(now, 1, 0, 1_000_000);
-        tracker.onListed(now, 2, 0, 1_000_000);
+        tracker.onEndpointList(now, 1, 0, 1_000_000);
+        tracker.onEndpointList(now, 2, 0, 1_000_000);
         pass(SETTINGS.evidenceWindowMicros());
         assertEquals(SiteState.LOST, tracker.state(1));
         assertEquals(SiteState.LOST, tracker.state(2));
@@ -199,7 +199,7 @@
     @Test
     void anEndpointListWithoutTheSiteIsNotALossWhileTheSiteAnswers() {
         answer(1);
-        tracker.onListed(now, 1, 0, 0);
+        tracker.onEndpointList(now, 1, 0, 0);
         assertEquals(SiteState.SUSPECT, tracker.state(1));
         for (int i = 0; i < 20; i++) {
             pass(200 * MILLIS);
