--- a/src/main/java/magpiehub/config/SiteSettings.java
+++ b/src/main/java/magpiehub/config/SiteSettings.java
@@ -45,7 +45,7 @@
      * Returns the settings after a reload: those of the later file, in which all classes and tenants of the current one
      * keep their indexes. A class or tenant that is new, or whose definition has changed, takes the next free index.
      */
-    public SiteSettings updatedTo(SiteSettings later) {
+    public SiteSettings updatedWith(SiteSettings later) {
         List<RequestClass> classTable = new ArrayList<>(routing.classes());
         List<Tenant> tenantTable = new ArrayList<>(routing.tenants());
         RoutingSettings next = later.routing;
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -214,7 +214,7 @@
     }
 
     private void applySettings(SiteSettings later) throws IOException {
-        SiteSettings next = site.get().updatedTo(later);
+        SiteSettings next = site.get().updatedWith(later);
         streams.updateSettings(readStreamLimits(next), next);
         upstreams.updateSettings(next);
         dispatcher.updateSettings(next.routing());
--- a/src/test/java/magpiehub/config/ConfigTest.java
+++ b/src/test/java/magpiehub/config/ConfigTest.java
@@ -104,12 +104,12 @@
     @Test
     void classesKeepTheirIndexesAcrossReloads() {
         SiteSettings one = site("{'name':'a','deadlineMs':1},{'name':'b','deadlineMs':2}");
-        SiteSettings two = one.updatedTo(
+        SiteSettings two = one.updatedWith(
                 site("{'name':'b','deadlineMs':2},{'name':'c','deadlineMs':3}," + "{'name':'a','deadlineMs':9}"));
         assertEquals("1 2 3", two.classIndex("b") + " " + two.classIndex("c") + " " + two.classIndex("a"));
         assertEquals(1000, two.routing().classes().get(0).deadline());
         assertEquals(9000, two.routing().classes().get(3).deadline());
-        SiteSettings three = two.updatedTo(site("{'name':'a','deadlineMs':1}"));
+        SiteSettings three = two.updatedWith(site("{'name':'a','deadlineMs':1}"));
         assertEquals(
                 "0 -1 4",
                 three.classIndex("a") + " " + three.classIndex("b") + " "
