--- a/src/main/java/magpiehub/config/RouterConfigurationReader.java
+++ b/src/main/java/magpiehub/config/RouterConfigurationReader.java
@@ -63,7 +63,7 @@
      *
      * @throws ConfigurationException as for {@link #read}, or if the file lacks a key that the current one has
      */
-    public static RouterConfiguration reread(Map<String, String> environment, RouterConfiguration inForce)
+    public static RouterConfiguration reload(Map<String, String> environment, RouterConfiguration inForce)
             throws IOException {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
         withoutDiscovery.remove(RouterConfigurationKeys.DISCOVERY_VARIABLE);
--- a/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -77,7 +77,7 @@
 
     private void reload() {
         try {
-            RouterConfiguration next = RouterConfigurationReader.reread(System.getenv(), inForce);
+            RouterConfiguration next = RouterConfigurationReader.reload(System.getenv(), inForce);
             DiscoverySettings registry = DiscoverySettings.read(registryFile);
             List<String> applied = inForce.changedKeys(next);
             applied.removeIf(key -> !key.startsWith(SETTINGS_PREFIX));
