--- a/src/main/java/magpiehub/admin/AdminCommandHandler.java
+++ b/src/main/java/magpiehub/admin/AdminCommandHandler.java
@@ -91,7 +91,7 @@
     }
 
     /** Records that this process has started to serve, as the newest one. */
-    public void onServing() {
+    public void onServiceStarted() {
         changeState(stored -> stored.withServing(processes.ownPid(), processes.ended(stored)));
     }
 
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -275,7 +275,7 @@
         console.start();
         log.log("console", "listen", withPort(configuration.console(), console.port()));
         // An older process ends once this one reports itself, and looks then for who takes its clients.
-        admin.onServing();
+        admin.onServiceStarted();
     }
 
     private void awaitList() {
