--- a/src/main/java/magpiehub/admin/AdminCommandHandler.java
+++ b/src/main/java/magpiehub/admin/AdminCommandHandler.java
@@ -84,7 +84,7 @@
     }
 
     /** Records replica ids of the endpoint list, for which commands are accepted. */
-    public void onListed(Collection<String> ids) {
+    public void addListedIds(Collection<String> ids) {
         if (listedIds.addAll(ids)) {
             hasUnstoredIds = true;
         }
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -197,7 +197,7 @@
                 new RouterMaintenanceActions(discovery::isKnown, discovery, failoverPlan, listeners, clock);
         AdminCommandHandler created =
                 new AdminCommandHandler(temporaryFolder(), configuration.name(), actions, clock, log);
-        discovery.maintenanceOverlay().onListed(created::onListed);
+        discovery.maintenanceOverlay().onListed(created::addListedIds);
         return created;
     }
 
