--- a/src/main/java/magpiehub/config/EndpointListParser.java
+++ b/src/main/java/magpiehub/config/EndpointListParser.java
@@ -49,9 +49,9 @@
                 continue;
             }
             switch (field) {
-                case ID -> id = Json.requireText(parser, name);
-                case ADDRESS -> address = Json.requireText(parser, name);
-                case STATE -> state = names.parseState(Json.requireText(parser, name));
+                case ID -> id = Json.requireString(parser, name);
+                case ADDRESS -> address = Json.requireString(parser, name);
+                case STATE -> state = names.parseState(Json.requireString(parser, name));
                 case ZONE -> zone = names.readIndex(field, parser);
                 case MACHINE_TYPE -> machineType = names.readIndex(field, parser);
                 case CELL -> cell = (int) Json.requireNumber(parser, name);
--- a/src/main/java/magpiehub/config/Json.java
+++ b/src/main/java/magpiehub/config/Json.java
@@ -67,7 +67,7 @@
      * @param name the field's name in the error message
      * @throws ConfigurationException if the parser is at anything else
      */
-    public static String requireText(JsonParser parser, String name) throws IOException {
+    public static String requireString(JsonParser parser, String name) throws IOException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
             throw new ConfigurationException(name, "must be a string");
         }
--- a/src/main/java/magpiehub/discovery/EndpointEntryParser.java
+++ b/src/main/java/magpiehub/discovery/EndpointEntryParser.java
@@ -111,7 +111,7 @@
         }
         SiteSettings settings = site.get();
         List<String> names = field == EndpointField.ZONE ? settings.zones() : settings.machineTypes();
-        return names.indexOf(Json.requireText(parser, field.label()));
+        return names.indexOf(Json.requireString(parser, field.label()));
     }
 
     @Override
