--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -29,7 +29,7 @@
 import magpiehub.routing.RequestClass;
 import magpiehub.routing.ZoneHealth;
 import magpiehub.simulator.JitWarmUp;
-import magpiehub.sites.SiteFailoverPlan;
+import magpiehub.sites.SiteFailover;
 import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.store.KeyValueStore;
 import magpiehub.store.LastWriteWinsStore;
@@ -72,7 +72,7 @@
 
     private final EndpointSource discovery;
     /** Null where the installation has none. */
-    private final SiteFailoverPlan failoverPlan;
+    private final SiteFailover failoverPlan;
 
     private final RequestDispatcher dispatcher;
     private final PlatformProtocol platformProtocol;
@@ -171,13 +171,13 @@
         return new RegistryClient(registry, site::get, upstreams, clock, log, seed);
     }
 
-    private SiteFailoverPlan createFailoverPlan() throws IOException {
+    private SiteFailover createFailoverPlan() throws IOException {
         SiteFailoverSettings settings = SiteFailoverSettings.read(SITE_FAILOVER_FILE);
         if (settings == null) {
             return null;
         }
         SiteSettings siteSettings = configuration.site();
-        return new SiteFailoverPlan(
+        return new SiteFailover(
                 settings, siteSettings.zones(), siteSettings.routing().ownZone(), configuration.seed(), log);
     }
 
--- a/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
+++ b/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
@@ -9,7 +9,7 @@
 import magpiehub.concurrent.MonotonicClock;
 import magpiehub.discovery.EndpointSource;
 import magpiehub.downstream.ClientListener;
-import magpiehub.sites.SiteFailoverPlan;
+import magpiehub.sites.SiteFailover;
 
 /** Carries out the operators' commands on the parts of this router. */
 final class RouterMaintenanceActions implements MaintenanceActions {
@@ -17,7 +17,7 @@
 
     private final BooleanSupplier ready;
     private final EndpointSource discovery;
-    private final SiteFailoverPlan failoverPlan;
+    private final SiteFailover failoverPlan;
     private final List<ClientListener> listeners;
     /** Monotonic time less Unix time, taken once, so that one time of a command always gives the same result. */
     private final long monotonicOffsetMicros;
@@ -31,7 +31,7 @@
     RouterMaintenanceActions(
             BooleanSupplier ready,
             EndpointSource discovery,
-            SiteFailoverPlan failoverPlan,
+            SiteFailover failoverPlan,
             List<ClientListener> listeners,
             MonotonicClock clock) {
         this.ready = ready;
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailover.java
@@ -17,7 +17,7 @@
  * <p>The methods of {@link ZoneHealth} are called by the routing thread only. Those for operators and metrics may be
  * called from any thread; a withdrawal takes effect at the next {@link #advance}.
  */
-public final class SiteFailoverPlan implements ZoneHealth {
+public final class SiteFailover implements ZoneHealth {
     /** The result of {@link #closedSince} for a site that receives more than trials. */
     private static final long NOT_SUSPENDED = Long.MAX_VALUE;
 
@@ -43,8 +43,7 @@
      * @param siteNames the zones of the router configuration, in their order
      * @param ownSite the index of the router's own site, -1 if it has none
      */
-    public SiteFailoverPlan(
-            SiteFailoverSettings settings, List<String> siteNames, int ownSite, long seed, EventLog log) {
+    public SiteFailover(SiteFailoverSettings settings, List<String> siteNames, int ownSite, long seed, EventLog log) {
         this.settings = settings;
         this.siteNames = List.copyOf(siteNames);
         for (String name : siteNames) {
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import magpiehub.sites.SiteFailoverPlan;
+import magpiehub.sites.SiteFailover;
 import magpiehub.sites.SiteFailoverSettings;
 import magpiehub.telemetry.EventLog;
 
@@ -151,7 +151,7 @@
         for (int i = 0; i < settings.zoneCount(); i++) {
             names.add("zone" + i);
         }
-        return new SiteFailoverPlan(SiteFailoverSettings.DEFAULTS, names, settings.ownZone(), seed, new EventLog() {
+        return new SiteFailover(SiteFailoverSettings.DEFAULTS, names, settings.ownZone(), seed, new EventLog() {
             @Override
             public void count(String name) {
                 record("count", name);
--- a/src/test/java/magpiehub/sites/SiteFailoverPlanTest.java
+++ b/src/test/java/magpiehub/sites/SiteFailoverTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests the settings file, zone health as the routing policy sees it, the log, and withdrawals by operators. */
-class SiteFailoverPlanTest {
+class SiteFailoverTest {
     private static final long SECOND = 1_000_000;
 
     @TempDir
     Path folder;
 
     private final List<String> logged = new ArrayList<>();
-    private final SiteFailoverPlan plan = new SiteFailoverPlan(
-            SiteFailoverSettings.DEFAULTS, List.of("north", "south", "west"), 0, 1, new EventLog() {
+    private final SiteFailover plan =
+            new SiteFailover(SiteFailoverSettings.DEFAULTS, List.of("north", "south", "west"), 0, 1, new EventLog() {
                 @Override
                 public void count(String name) {
                     logged.add(name);
