--- a/src/main/java/magpiehub/sites/RecoveryRamp.java
+++ b/src/main/java/magpiehub/sites/RecoveryRamp.java
@@ -9,13 +9,13 @@
     private static final double[] STEP_SHARES = {0.1, 0.25, 0.5, 0.75};
 
     /** A step fails if more than this fraction of its attempts are slow or failed. */
-    private static final double MAX_BAD_PART = 0.25;
+    private static final double MAX_FAILED_FRACTION = 0.25;
 
     /** The fewest attempts by which a step may be judged to fail. */
-    private static final int MIN_ANSWERS = 4;
+    private static final int MIN_ATTEMPTS = 4;
 
     /** A step without any prompt answer lasts this many times as long before the next step begins. */
-    private static final int UNPROVEN_STEP_FACTOR = 3;
+    private static final int STEP_FACTOR_WITHOUT_SUCCESS = 3;
 
     /** Most doublings of the step duration: prevents overflow. The longest step is reached with far fewer. */
     private static final int MAX_DOUBLINGS = 10;
@@ -23,8 +23,8 @@
     private final SiteFailoverSettings settings;
     private int step;
     private long stepStartedAt;
-    private int goodAnswers;
-    private int badAnswers;
+    private int successfulAttempts;
+    private int failedAttempts;
 
     RecoveryRamp(SiteFailoverSettings settings) {
         this.settings = settings;
@@ -38,20 +38,20 @@
 
     private void startStep(long now) {
         stepStartedAt = now;
-        goodAnswers = 0;
-        badAnswers = 0;
+        successfulAttempts = 0;
+        failedAttempts = 0;
     }
 
     /**
      * Counts an attempt of the current step.
      *
-     * @param isGood whether it was answered promptly; false if it was slow or failed
+     * @param isSuccessful whether it was answered promptly; false if it was slow or failed
      */
-    void onAnswer(boolean isGood) {
-        if (isGood) {
-            goodAnswers++;
+    void onAttempt(boolean isSuccessful) {
+        if (isSuccessful) {
+            successfulAttempts++;
         } else {
-            badAnswers++;
+            failedAttempts++;
         }
     }
 
@@ -60,9 +60,9 @@
         return STEP_SHARES[step];
     }
 
-    boolean isGoingBadly() {
-        int answers = goodAnswers + badAnswers;
-        return answers >= MIN_ANSWERS && badAnswers > MAX_BAD_PART * answers;
+    boolean isStepFailing() {
+        int attempts = successfulAttempts + failedAttempts;
+        return attempts >= MIN_ATTEMPTS && failedAttempts > MAX_FAILED_FRACTION * attempts;
     }
 
     void stepBack(long now) {
@@ -78,7 +78,7 @@
     boolean isStepOver(long now, int losses) {
         int doublings = Math.min(MAX_DOUBLINGS, Math.max(0, losses - 1));
         long duration = Math.min(settings.maxTrialIntervalMicros(), settings.rampStepMicros() << doublings);
-        return now - stepStartedAt >= (goodAnswers > 0 ? duration : UNPROVEN_STEP_FACTOR * duration);
+        return now - stepStartedAt >= (successfulAttempts > 0 ? duration : STEP_FACTOR_WITHOUT_SUCCESS * duration);
     }
 
     /** Starts the next step. Returns true if the step before was the last one: the site has then recovered. */
--- a/src/main/java/magpiehub/sites/Site.java
+++ b/src/main/java/magpiehub/sites/Site.java
@@ -22,7 +22,7 @@
     /** Whether enough replicas have failed that the site receives trials only. */
     private boolean isSuspended;
     /** When the site was last suspended, lost, or found healthy. */
-    private long since = SiteEvidence.NEVER;
+    private long stateSince = SiteEvidence.NEVER;
     /** Losses since the site was last healthy for {@link SiteFailoverSettings#lossMemoryMicros}. */
     private int losses;
     /** When the withdrawal began; dated back if the site received less than its usual traffic at that time. */
@@ -45,19 +45,19 @@
     // ---- Transitions ----------------------------------------------------------------------------------
 
     /** Records that some evidence points to a loss. */
-    void suspect(long now, TransitionCause why) {
+    void markSuspect(long now, TransitionCause why) {
         changeState(now, SiteState.SUSPECT, why);
     }
 
     /** Restricts the site to trials: its own evidence is complete, and only that of other sites is missing. */
     void suspend(long now) {
         isSuspended = true;
-        since = now;
+        stateSince = now;
         trials.restart(now, losses);
     }
 
     /** Records the loss of the site. */
-    void lose(long now, TransitionCause why) {
+    void markLost(long now, TransitionCause why) {
         losses++;
         isSuspended = true;
         trials.restart(now, losses);
@@ -71,7 +71,7 @@
     }
 
     /** Gives the site all of its usual traffic. */
-    void becomeHealthy(long now, TransitionCause why) {
+    void markHealthy(long now, TransitionCause why) {
         changeState(now, SiteState.HEALTHY, why);
     }
 
@@ -92,7 +92,7 @@
         state = next;
         cause = why;
         if (next == SiteState.HEALTHY || next == SiteState.LOST) {
-            since = now;
+            stateSince = now;
         }
     }
 
@@ -109,8 +109,8 @@
         isSuspended = false;
     }
 
-    void forgetOldLosses(long now) {
-        if (losses > 0 && now - since > settings.lossMemoryMicros()) {
+    void expireLosses(long now) {
+        if (losses > 0 && now - stateSince > settings.lossMemoryMicros()) {
             losses = 0;
         }
     }
@@ -145,8 +145,8 @@
         return isSuspended;
     }
 
-    long since() {
-        return since;
+    long stateSince() {
+        return stateSince;
     }
 
     int losses() {
--- a/src/main/java/magpiehub/sites/SiteEvidence.java
+++ b/src/main/java/magpiehub/sites/SiteEvidence.java
@@ -67,7 +67,7 @@
     }
 
     /** Records how many replicas that take requests the endpoint list has. Returns whether it had none before. */
-    boolean onListed(int replicas, long atMicros) {
+    boolean onEndpointList(int replicas, long atMicros) {
         boolean returned = listedReplicas == 0 && replicas > 0;
         listedReplicas = replicas;
         listedAt = atMicros;
--- a/src/main/java/magpiehub/sites/SiteFailover.java
+++ b/src/main/java/magpiehub/sites/SiteFailover.java
@@ -38,7 +38,7 @@
     private final Map<String, String> siteStatus = new ConcurrentHashMap<>();
 
     /**
-     * Creates a plan in which all sites are healthy.
+     * Creates a failover whose sites are all healthy.
      *
      * @param siteNames the zones of the router configuration, in their order
      * @param ownSite the index of the router's own site, -1 if it has none
@@ -72,9 +72,9 @@
 
     @Override
     public void recordEvidence(
-            long now, int zone, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
+            long now, int zone, String replica, ZoneEvidence evidence, long elapsedMicros, double latencyRatio) {
         if (isTracked(zone)) {
-            tracker.onEvidence(now, zone, replica, evidence, tookMicros, latencyRatio);
+            tracker.onEvidence(now, zone, replica, evidence, elapsedMicros, latencyRatio);
             publishTransitions(now);
         }
     }
@@ -91,8 +91,8 @@
     }
 
     @Override
-    public boolean accepts(long now, int zone, double place) {
-        return !isTracked(zone) || place < tracker.share(zone, now);
+    public boolean accepts(long now, int zone, double position) {
+        return !isTracked(zone) || position < tracker.share(zone, now);
     }
 
     @Override
@@ -146,8 +146,8 @@
                     transition.cause().label());
         }
         for (int site = 0; site < suspendedSince.length; site++) {
-            boolean getsTraffic = tracker.share(site, now) > 0;
-            suspendedSince[site] = getsTraffic ? NOT_SUSPENDED : Math.min(suspendedSince[site], now);
+            boolean receivesTraffic = tracker.share(site, now) > 0;
+            suspendedSince[site] = receivesTraffic ? NOT_SUSPENDED : Math.min(suspendedSince[site], now);
         }
     }
 
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -19,10 +19,10 @@
      * Failed replicas, with none answering, that make a site suspect. Low, since a router with little traffic would
      * wait long for more failures; health checks collect the remaining evidence.
      */
-    private static final int SUSPECT_FAILURES = 2;
+    private static final int FAILURES_FOR_SUSPECT = 2;
 
     /** The same for replicas that answer with errors. Higher, since some may be faulty although the site is not. */
-    private static final int SUSPECT_ERRORS = 4;
+    private static final int ERRORS_FOR_SUSPECT = 4;
 
     private final SiteFailoverSettings settings;
     private final int ownSite;
@@ -136,12 +136,12 @@
     /**
      * Records the result of an attempt or a health check.
      *
-     * @param tookMicros the time since it was sent
+     * @param elapsedMicros the time since it was sent
      * @param latencyRatio the ratio of its time to the first token to the usual one
      */
     public void onEvidence(
-            long now, int index, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
-        long sentAt = now - tookMicros;
+            long now, int index, String replica, ZoneEvidence evidence, long elapsedMicros, double latencyRatio) {
+        long sentAt = now - elapsedMicros;
         if (evidence == ZoneEvidence.ANSWERED) {
             onAnswer(now, sentAt, sites[index], latencyRatio >= settings.slowRatio());
         } else {
@@ -155,7 +155,7 @@
     /** Records how many replicas of a site that take requests an endpoint list of this age has. */
     public void onEndpointList(long now, int index, int replicas, long ageMicros) {
         Site site = sites[index];
-        boolean returned = site.evidence().onListed(replicas, now - ageMicros);
+        boolean returned = site.evidence().onEndpointList(replicas, now - ageMicros);
         if (returned && site.state() == SiteState.LOST) {
             site.trials().bringForward(now, site.losses());
         }
@@ -183,19 +183,19 @@
 
     private void onAnswer(long now, long sentAt, Site site, boolean isSlow) {
         site.evidence().onAnswer(now, sentAt, isSlow);
-        site.ramp().onAnswer(!isSlow);
+        site.ramp().onAttempt(!isSlow);
         boolean wasSuspended = site.isSuspended();
         site.clearFailures();
         if (site.state() == SiteState.LOST
                 || (site.state() == SiteState.SUSPECT
                         && wasSuspended
-                        && now - site.since() > settings.rampStepMicros())) {
+                        && now - site.stateSince() > settings.rampStepMicros())) {
             // The site's caches are cold after a time without traffic, and all routers return at the same time.
             site.startRecovery(now, TransitionCause.ANSWERED);
         } else if (site.state() == SiteState.SUSPECT
                 && (site.cause() != TransitionCause.SLOW || !isSlow)
                 && !site.evidence().isUnlisted(now, settings)) {
-            site.becomeHealthy(now, TransitionCause.ANSWERED);
+            site.markHealthy(now, TransitionCause.ANSWERED);
         }
     }
 
@@ -204,7 +204,7 @@
             site.clearFailures();
         }
         site.evidence().onFailure(now, sentAt, replica, failure);
-        site.ramp().onAnswer(false);
+        site.ramp().onAttempt(false);
     }
 
     // ---- Evaluation -----------------------------------------------------------------------------------
@@ -227,7 +227,7 @@
         } else if (site.state() != SiteState.LOST
                 && isUnlisted
                 && !evidence.hasAnsweredWithin(now, settings.evidenceWindowMicros())) {
-            site.lose(now, TransitionCause.ENDPOINT_LIST);
+            site.markLost(now, TransitionCause.ENDPOINT_LIST);
             return;
         }
         if (!site.isSuspended() && evidence.areFailuresExpired(now, settings)) {
@@ -247,13 +247,13 @@
         }
         TransitionCause failure = site.evidence().dominantFailure();
         if (crossSiteEvidence.isLossConfirmed(site) || isUnlisted) {
-            site.lose(now, isUnlisted ? TransitionCause.ENDPOINT_LIST : failure);
+            site.markLost(now, isUnlisted ? TransitionCause.ENDPOINT_LIST : failure);
             return;
         }
         TransitionCause cause =
                 crossSiteEvidence.isAnotherSiteFailing(site) ? TransitionCause.ROUTER_ISOLATED : failure;
         if (site.state() != SiteState.SUSPECT) {
-            site.suspect(now, cause);
+            site.markSuspect(now, cause);
         }
         site.updateCause(cause);
     }
@@ -271,15 +271,15 @@
         SiteEvidence evidence = site.evidence();
         TransitionCause failure = evidence.dominantFailure();
         if (isUnlisted) {
-            site.suspect(now, TransitionCause.ENDPOINT_LIST);
+            site.markSuspect(now, TransitionCause.ENDPOINT_LIST);
         } else if (evidence.failedReplicas()
-                >= (failure == TransitionCause.ERRORS ? SUSPECT_ERRORS : SUSPECT_FAILURES)) {
-            site.suspect(now, failure);
+                >= (failure == TransitionCause.ERRORS ? ERRORS_FOR_SUSPECT : FAILURES_FOR_SUSPECT)) {
+            site.markSuspect(now, failure);
         } else if (evidence.consecutiveSlowAnswers() >= settings.failedReplicasForLoss()
                 && !crossSiteEvidence.isSlownessShared(site, now)) {
-            site.suspect(now, evidence.hasFailures() ? failure : TransitionCause.SLOW);
+            site.markSuspect(now, evidence.hasFailures() ? failure : TransitionCause.SLOW);
         } else {
-            site.forgetOldLosses(now);
+            site.expireLosses(now);
         }
     }
 
@@ -287,23 +287,23 @@
         if (site.isSuspended() || isUnlisted || site.evidence().hasFailures()) {
             return;
         }
-        boolean isSlowAlone = site.cause() == TransitionCause.SLOW
+        boolean isSlowByItself = site.cause() == TransitionCause.SLOW
                 && site.evidence().consecutiveSlowAnswers() > 0
                 && !crossSiteEvidence.isSlownessShared(site, now);
-        if (!isSlowAlone) {
-            site.becomeHealthy(now, TransitionCause.EVIDENCE_EXPIRED);
+        if (!isSlowByItself) {
+            site.markHealthy(now, TransitionCause.EVIDENCE_EXPIRED);
         }
     }
 
     private void evaluateRecovering(long now, Site site) {
         RecoveryRamp ramp = site.ramp();
         boolean hasFailures = site.evidence().hasFailures();
-        if (ramp.isGoingBadly() && (hasFailures || !crossSiteEvidence.isSlownessShared(site, now))) {
+        if (ramp.isStepFailing() && (hasFailures || !crossSiteEvidence.isSlownessShared(site, now))) {
             ramp.stepBack(now);
             return;
         }
         if (ramp.isStepOver(now, site.losses()) && !hasFailures && ramp.stepForward(now)) {
-            site.becomeHealthy(now, TransitionCause.RECOVERY_COMPLETED);
+            site.markHealthy(now, TransitionCause.RECOVERY_COMPLETED);
         }
     }
 }
--- a/src/main/java/magpiehub/sites/TrialSchedule.java
+++ b/src/main/java/magpiehub/sites/TrialSchedule.java
@@ -19,7 +19,7 @@
     private static final double JITTER_RANGE = 0.5;
 
     /** Divides the interval before the first trial after the endpoint list has replicas of the site again. */
-    private static final int RELISTED_DIVISOR = 4;
+    private static final int RELISTED_INTERVAL_DIVISOR = 4;
 
     private final SiteFailoverSettings settings;
     private final SplittableRandom random;
@@ -40,7 +40,7 @@
 
     /** Makes the next trial earlier, since replicas of the site are in the endpoint list again. */
     void bringForward(long now, int losses) {
-        nextTrialAt = Math.min(nextTrialAt, now + drawInterval(losses) / RELISTED_DIVISOR);
+        nextTrialAt = Math.min(nextTrialAt, now + drawInterval(losses) / RELISTED_INTERVAL_DIVISOR);
     }
 
     boolean isDue(long now) {
--- a/src/test/java/magpiehub/sites/SiteFailoverTest.java
+++ b/src/test/java/magpiehub/sites/SiteFailoverTest.java
@@ -25,7 +25,7 @@
     Path folder;
 
     private final List<String> logged = new ArrayList<>();
-    private final SiteFailover plan =
+    private final SiteFailover failover =
             new SiteFailover(SiteFailoverSettings.DEFAULTS, List.of("north", "south", "west"), 0, 1, new EventLog() {
                 @Override
                 public void count(String name) {
@@ -56,46 +56,46 @@
 
     @Test
     void logsALossWithItsCauseAndSuspendsTheSiteUntilItAnswers() {
-        plan.setZoneCount(3);
+        failover.setZoneCount(3);
         for (int i = 0; i < 3; i++) {
-            plan.setReplicaCount(0, i, 8);
+            failover.setReplicaCount(0, i, 8);
         }
         for (int i = 0; i < 6; i++) {
-            plan.recordEvidence(SECOND + i * 10_000L, 1, "s" + i, ZoneEvidence.NO_CONNECTION, 1_000, 1);
-            plan.recordEvidence(SECOND + i * 10_000L + 5_000, 2, "w" + i, ZoneEvidence.ANSWERED, 400, 1);
+            failover.recordEvidence(SECOND + i * 10_000L, 1, "s" + i, ZoneEvidence.NO_CONNECTION, 1_000, 1);
+            failover.recordEvidence(SECOND + i * 10_000L + 5_000, 2, "w" + i, ZoneEvidence.ANSWERED, 400, 1);
         }
-        assertEquals(0, plan.siteNames().indexOf("north"));
+        assertEquals(0, failover.siteNames().indexOf("north"));
         assertTrue(
                 logged.contains("site name south from doubted to lost cause no_connection")
                         && logged.contains("site_lost"),
                 logged.toString());
-        assertFalse(plan.accepts(2 * SECOND, 1, 0));
-        assertTrue(plan.accepts(2 * SECOND, 2, 0.99));
-        assertTrue(plan.closedSince(1) <= SECOND + 60_000, "suspended since the loss was detected");
-        plan.advance(2 * SECOND);
-        assertEquals("lost share=0% cause=no_connection", plan.siteStatus().get("south"));
-        assertTrue(plan.metrics().contains("site_south lost share=0% cause=no_connection\n"));
-        plan.recordEvidence(4 * SECOND, 1, "s1", ZoneEvidence.ANSWERED, 1_000, 1);
-        assertEquals(Long.MAX_VALUE, plan.closedSince(1));
+        assertFalse(failover.accepts(2 * SECOND, 1, 0));
+        assertTrue(failover.accepts(2 * SECOND, 2, 0.99));
+        assertTrue(failover.closedSince(1) <= SECOND + 60_000, "suspended since the loss was detected");
+        failover.advance(2 * SECOND);
+        assertEquals("lost share=0% cause=no_connection", failover.siteStatus().get("south"));
+        assertTrue(failover.metrics().contains("site_south lost share=0% cause=no_connection\n"));
+        failover.recordEvidence(4 * SECOND, 1, "s1", ZoneEvidence.ANSWERED, 1_000, 1);
+        assertEquals(Long.MAX_VALUE, failover.closedSince(1));
         assertTrue(
-                plan.accepts(4 * SECOND, 1, 0.09) && !plan.accepts(4 * SECOND, 1, 0.11),
+                failover.accepts(4 * SECOND, 1, 0.09) && !failover.accepts(4 * SECOND, 1, 0.11),
                 "the first step has 10 % of the traffic");
     }
 
     @Test
     void withdrawsASiteGraduallyAndReturnsItInSteps() {
-        plan.setZoneCount(3);
-        plan.advance(SECOND);
-        plan.setWithdrawnSites(Set.of("west"));
-        plan.advance(2 * SECOND);
-        assertTrue(plan.accepts(2 * SECOND + 100_000, 2, 0.9), "nearly all traffic at first");
-        assertFalse(plan.accepts(6 * SECOND, 2, 0), "no traffic at the end");
-        assertTrue(plan.accepts(6 * SECOND, 1, 0.99));
-        plan.setWithdrawnSites(Set.of());
-        plan.advance(7 * SECOND);
+        failover.setZoneCount(3);
+        failover.advance(SECOND);
+        failover.setWithdrawnSites(Set.of("west"));
+        failover.advance(2 * SECOND);
+        assertTrue(failover.accepts(2 * SECOND + 100_000, 2, 0.9), "nearly all traffic at first");
+        assertFalse(failover.accepts(6 * SECOND, 2, 0), "no traffic at the end");
+        assertTrue(failover.accepts(6 * SECOND, 1, 0.99));
+        failover.setWithdrawnSites(Set.of());
+        failover.advance(7 * SECOND);
         assertTrue(
-                plan.siteStatus().get("west").startsWith("returning share=10%"),
-                plan.siteStatus().get("west"));
-        assertTrue(plan.accepts(7 * SECOND, 9, 1), "zones that are not configured are not tracked");
+                failover.siteStatus().get("west").startsWith("returning share=10%"),
+                failover.siteStatus().get("west"));
+        assertTrue(failover.accepts(7 * SECOND, 9, 1), "zones that are not configured are not tracked");
     }
 }
