--- a/src/main/java/magpiehub/store/PeerLink.java
+++ b/src/main/java/magpiehub/store/PeerLink.java
@@ -18,14 +18,14 @@
  * delay other peers.
  */
 final class PeerLink {
-    private static final long REDIAL_INTERVAL_MICROS = 500_000;
+    private static final long RECONNECT_INTERVAL_MICROS = 500_000;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
     /** Largest size of the writes queued for the peer. */
     private static final int MAX_QUEUED_BYTES = 4 << 20;
 
     /** Tells the writing thread that the connection was closed. */
-    private static final byte[] END_OF_CONNECTION = {};
+    private static final byte[] CONNECTION_CLOSED = {};
 
     private final String address;
     private final Map<String, VersionedValue> entries;
@@ -65,7 +65,7 @@
         try {
             while (!isStoreClosed.getAsBoolean()) {
                 connectAndSend();
-                new Mailbox<byte[]>(clock, 0).take(clock.micros() + REDIAL_INTERVAL_MICROS);
+                new Mailbox<byte[]>(clock, 0).take(clock.micros() + RECONNECT_INTERVAL_MICROS);
             }
         } catch (InterruptedException e) {
             // The link stops with its thread.
@@ -82,7 +82,7 @@
             Mailbox<byte[]> newQueue = new Mailbox<>(clock, MAX_QUEUED_BYTES);
             queue = newQueue;
             sendEntries(connection.getOutputStream());
-            DaemonThreads.newThread("store-watch", () -> watchForEnd(connection, newQueue))
+            DaemonThreads.newThread("store-watch", () -> awaitDisconnect(connection, newQueue))
                     .start();
             log.count("store_links");
             sendWrites(connection.getOutputStream(), newQueue);
@@ -113,18 +113,18 @@
      * Waits until the peer closes the connection, then stops the writing thread, which would not notice by itself while
      * there is nothing to write. A peer never sends data.
      */
-    private static void watchForEnd(Socket connection, Mailbox<byte[]> lines) {
+    private static void awaitDisconnect(Socket connection, Mailbox<byte[]> lines) {
         try {
             connection.getInputStream().read();
         } catch (IOException e) {
             // The connection was lost: handled like the end of the input.
         }
-        endQueue(lines);
+        closeQueue(lines);
         Sockets.closeQuietly(connection);
     }
 
-    private static void endQueue(Mailbox<byte[]> lines) {
-        lines.post(END_OF_CONNECTION);
+    private static void closeQueue(Mailbox<byte[]> lines) {
+        lines.post(CONNECTION_CLOSED);
         lines.close();
     }
 
@@ -140,7 +140,7 @@
     void close() {
         Mailbox<byte[]> lines = queue;
         if (lines != null) {
-            endQueue(lines);
+            closeQueue(lines);
         }
         Socket connection = socket;
         if (connection != null) {
