--- a/src/main/java/magpiehub/config/ConfigurationComparison.java
+++ b/src/main/java/magpiehub/config/ConfigurationComparison.java
@@ -10,8 +10,10 @@
 /** Compares the current configuration file with a later one, both as returned by {@link Json#readObject}. */
 final class ConfigurationComparison {
     /** Keys that a later file may lack although the current one has them. */
-    private static final Set<String> OPTIONAL_KEYS =
-            Set.of(RouterConfigurationKeys.INITIAL_ENDPOINTS, RouterConfigurationKeys.SEED, SettingsKeys.AIM_STRETCH);
+    private static final Set<String> OPTIONAL_KEYS = Set.of(
+            RouterConfigurationKeys.INITIAL_ENDPOINTS,
+            RouterConfigurationKeys.SEED,
+            SettingsKeys.LATENCY_OBJECTIVE_STRETCH);
 
     private ConfigurationComparison() {}
 
@@ -20,8 +22,8 @@
      * file that is read while it is being written and happens to parse. Of an array of objects, only keys that all its
      * objects have are required.
      */
-    static String firstMissingKey(Map<?, ?> inForce, Map<?, ?> later, String path) {
-        for (Map.Entry<?, ?> member : inForce.entrySet()) {
+    static String firstMissingKey(Map<?, ?> current, Map<?, ?> later, String path) {
+        for (Map.Entry<?, ?> member : current.entrySet()) {
             if (OPTIONAL_KEYS.contains(member.getKey())) {
                 continue;
             }
@@ -38,11 +40,11 @@
         return null;
     }
 
-    private static String firstMissingInValue(Object inForce, Object later, String path) {
-        if (inForce instanceof Map<?, ?> members && later instanceof Map<?, ?> laterMembers) {
+    private static String firstMissingInValue(Object current, Object later, String path) {
+        if (current instanceof Map<?, ?> members && later instanceof Map<?, ?> laterMembers) {
             return firstMissingKey(members, laterMembers, path);
         }
-        if (inForce instanceof List<?> values && later instanceof List<?> laterValues) {
+        if (current instanceof List<?> values && later instanceof List<?> laterValues) {
             return firstMissingInElements(commonMembers(values), laterValues, path);
         }
         return null;
--- a/src/main/java/magpiehub/config/RouterConfigurationReader.java
+++ b/src/main/java/magpiehub/config/RouterConfigurationReader.java
@@ -11,10 +11,10 @@
     /** The first element of the paths in error messages; stands for the file. */
     private static final String ROOT_PATH = "config";
     /** One microsecond, the resolution of deadlines: a smaller one would be 0. */
-    private static final double SMALLEST_DEADLINE_MS = 0.001;
+    private static final double MIN_DEADLINE_MS = 0.001;
 
-    private static final int SMALLEST_ATTEMPTS = 1;
-    private static final int HEXADECIMAL = 16;
+    private static final int MIN_ATTEMPTS = 1;
+    private static final int HEXADECIMAL_RADIX = 16;
     /** Spreads a string's 32-bit hash over the 64 bits of a seed (2^64 divided by the golden ratio). */
     private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
 
@@ -63,12 +63,12 @@
      *
      * @throws ConfigurationException as for {@link #read}, or if the file lacks a key that the current one has
      */
-    public static RouterConfiguration reload(Map<String, String> environment, RouterConfiguration inForce)
+    public static RouterConfiguration reload(Map<String, String> environment, RouterConfiguration current)
             throws IOException {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
         withoutDiscovery.remove(RouterConfigurationKeys.DISCOVERY_VARIABLE);
         RouterConfiguration later = read(withoutDiscovery);
-        String missing = ConfigurationComparison.firstMissingKey(inForce.members(), later.members(), ROOT_PATH);
+        String missing = ConfigurationComparison.firstMissingKey(current.members(), later.members(), ROOT_PATH);
         if (missing != null) {
             throw new ConfigurationException(missing, "is missing");
         }
@@ -93,9 +93,9 @@
             throw new ConfigurationException(settings.path() + "." + SettingsKeys.CLASSES, "is missing");
         }
         for (ConfigurationObject requestClass : settings.objects(SettingsKeys.CLASSES)) {
-            requestClass.requirePositive(SettingsKeys.DEADLINE_MS, SMALLEST_DEADLINE_MS);
+            requestClass.requirePositive(SettingsKeys.DEADLINE_MS, MIN_DEADLINE_MS);
         }
-        settings.object(SettingsKeys.LIMITS).requirePositive(SettingsKeys.MAX_ATTEMPTS, SMALLEST_ATTEMPTS);
+        settings.object(SettingsKeys.LIMITS).requirePositive(SettingsKeys.MAX_ATTEMPTS, MIN_ATTEMPTS);
     }
 
     /** Returns the variable's value, or the file's if the variable is not set. */
@@ -140,7 +140,7 @@
         }
         if (value instanceof String text) {
             try {
-                return Long.parseUnsignedLong(text, HEXADECIMAL);
+                return Long.parseUnsignedLong(text, HEXADECIMAL_RADIX);
             } catch (NumberFormatException e) {
                 return text.hashCode() * HASH_MULTIPLIER;
             }
--- a/src/main/java/magpiehub/config/SettingsKeys.java
+++ b/src/main/java/magpiehub/config/SettingsKeys.java
@@ -29,18 +29,18 @@
     /** What an endpoint's weight means: {@code none}, {@code nominal}, {@code rough} or {@code live}; default none. */
     static final String WEIGHTS = "weights";
     /** The value of a request beyond its tenant's quota, relative to one within it; factor; default 1. */
-    static final String OVER_SHARE_WORTH = "overShareWorth";
+    static final String OVER_QUOTA_WEIGHT = "overShareWorth";
 
     // Language models: "familyInfo".
 
     /** The next three keys; object. */
-    static final String FAMILY_INFO = "familyInfo";
+    static final String LANGUAGE_MODELS = "familyInfo";
     /** Whether clients request the rest of an interrupted stream; boolean; default false. */
-    static final String RESUME = "resume";
+    static final String STREAM_RESUMPTION = "resume";
     /** What 1,000 prompt tokens add to the latency objective; microseconds, one number per class; default 0. */
-    static final String AIM_PER_1000_PROMPT_TOKENS = "aimUsPer1000PromptTokens";
+    static final String LATENCY_OBJECTIVES_PER_1000_PROMPT_TOKENS_MICROS = "aimUsPer1000PromptTokens";
     /** The objective for the time between two tokens; ms, one number per class; default 0. Not used. */
-    static final String TOKEN_AIMS_MS = "tokenAimMs";
+    static final String TOKEN_INTERVAL_OBJECTIVES_MS = "tokenAimMs";
 
     // Request classes: "classes".
 
@@ -52,49 +52,49 @@
      * The idempotency of requests: {@code pure} (idempotent), {@code token} (idempotent with a key) or
      * {@code side_effect} (not idempotent); default pure.
      */
-    static final String EFFECT = "effect";
+    static final String IDEMPOTENCY = "effect";
 
-    static final String EFFECT_PURE = "pure";
+    static final String IDEMPOTENCY_PURE = "pure";
     /**
      * Which upstreams deduplicate requests by idempotency key: {@code all}, {@code zone} or {@code cell}; default all.
      */
-    static final String GROUP = "group";
+    static final String DEDUPLICATION_SCOPE = "group";
 
-    static final String GROUP_ALL = "all";
+    static final String DEDUPLICATION_SCOPE_ALL = "all";
     /** How long upstreams remember an idempotency key; ms; default 0. */
-    static final String WINDOW_MS = "windowMs";
+    static final String DEDUPLICATION_WINDOW_MS = "windowMs";
     /** Whether responses are streams; boolean; default false. */
     static final String STREAM = "stream";
     /** The latency objective, for the time to the first token; ms; default 0. */
-    static final String AIM_MS = "aimMs";
+    static final String LATENCY_OBJECTIVE_MS = "aimMs";
     /** Part of the latency objective; number; default 0. Not used. */
-    static final String AIM_STRETCH = "aimStretch";
+    static final String LATENCY_OBJECTIVE_STRETCH = "aimStretch";
     /** The deadline of a request; ms; default 0 in the simulator, required in a router. */
     static final String DEADLINE_MS = "deadlineMs";
     /** The value of a response within its objective; number; default 1. */
-    static final String GAIN = "gain";
+    static final String PRIORITY_WEIGHT = "gain";
     /** The fraction of that value that a later response has; fraction; default 0. */
-    static final String LATE_SHARE = "lateShare";
+    static final String LATE_ANSWER_VALUE = "lateShare";
 
     // Tenants: "accounts".
 
     /** The tenants; objects with {@link #NAME} and the next two keys; default none. */
-    static final String ACCOUNTS = "accounts";
+    static final String TENANTS = "accounts";
     /** The tenant's fraction of the traffic; fraction; default 0. Not used. */
-    static final String SHARE = "share";
+    static final String TENANT_SHARE = "share";
     /** The requests per second that all routers together admit at full value; number; default 0: no quota. */
-    static final String ALLOWANCE_PER_SECOND = "allowancePerS";
+    static final String QUOTA_PER_SECOND = "allowancePerS";
 
     // What the site allows: "limits".
 
     /** The next ten keys; object. */
     static final String LIMITS = "limits";
     /** Whether attempts may be cancelled; boolean; default false. */
-    static final String CANCEL = "cancel";
+    static final String CANCELLATION = "cancel";
     /** Whether the router may send health checks; boolean; default false. */
-    static final String PROBES = "probes";
+    static final String HEALTH_CHECKS = "probes";
     /** Whether routers may send messages to each other; boolean; default false. Not used. */
-    static final String PEERS = "peers";
+    static final String PEER_MESSAGES = "peers";
     /** Whether attempts of one request may overlap; boolean; default false. */
     static final String PARALLEL_ATTEMPTS = "parallelTries";
     /** Whether a rejection tells the client when to retry; boolean; default false. */
@@ -128,10 +128,13 @@
     static final int DEFAULT_POLL_WITHIN_MS = 10_000;
     /** How long an upstream takes to warm up after its start; ms; default 0. */
     static final String WARM_UP_MS = "coldMs";
-    /** The window over which requests to a warming upstream are counted; ms; default {@value #DEFAULT_FALL_MS}. */
-    static final String FALL_MS = "fallMs";
+    /**
+     * The window over which requests to a warming upstream are counted; ms; default {@value
+     * #DEFAULT_OVERLOAD_WINDOW_MS}.
+     */
+    static final String OVERLOAD_WINDOW_MS = "fallMs";
 
-    static final int DEFAULT_FALL_MS = 1000;
+    static final int DEFAULT_OVERLOAD_WINDOW_MS = 1000;
     /**
      * The multiple of its current capacity that overloads a warming upstream; factor; default
      * {@value #DEFAULT_OVERLOAD_FACTOR}.
@@ -140,7 +143,7 @@
 
     static final int DEFAULT_OVERLOAD_FACTOR = 2;
     /** The capacity of an upstream at its start, as a fraction of its full capacity; fraction; default 1. */
-    static final String START_CAPACITY = "startCapacity";
+    static final String INITIAL_CAPACITY = "startCapacity";
     /**
      * How soon a draining upstream must no longer receive requests; ms; default 0. Not used: the router stops sending
      * at once.
@@ -154,9 +157,9 @@
     /** The cost of an attempt in another zone. */
     static final String CROSS_ZONE = "crossZone";
     /** The cost of an attempt whose result is not needed. Not used. */
-    static final String WASTE = "waste";
+    static final String UNUSED_ATTEMPT = "waste";
     /** The cost of a health check. Not used. */
-    static final String PROBE = "probe";
+    static final String HEALTH_CHECK = "probe";
     /** The cost of a request that fails at its deadline instead of at once. Not used. */
     static final String LATE_FAILURE = "lateFail";
     /** The cost of an open connection. */
--- a/src/main/java/magpiehub/config/SiteSettingsParser.java
+++ b/src/main/java/magpiehub/config/SiteSettingsParser.java
@@ -37,39 +37,44 @@
     }
 
     private static List<RequestClass> requestClasses(ConfigurationObject settings) {
-        ConfigurationObject familyInfo = settings.object(SettingsKeys.FAMILY_INFO);
-        List<Double> aimsPer1000 = familyInfo.numbers(SettingsKeys.AIM_PER_1000_PROMPT_TOKENS);
-        List<Double> tokenAims = familyInfo.numbers(SettingsKeys.TOKEN_AIMS_MS);
+        ConfigurationObject languageModels = settings.object(SettingsKeys.LANGUAGE_MODELS);
+        List<Double> objectivesPer1000 =
+                languageModels.numbers(SettingsKeys.LATENCY_OBJECTIVES_PER_1000_PROMPT_TOKENS_MICROS);
+        List<Double> tokenIntervals = languageModels.numbers(SettingsKeys.TOKEN_INTERVAL_OBJECTIVES_MS);
         List<RequestClass> classes = new ArrayList<>();
         for (ConfigurationObject requestClass : settings.objects(SettingsKeys.CLASSES)) {
             int index = classes.size();
-            long aimPer1000Micros =
-                    index < aimsPer1000.size() ? aimsPer1000.get(index).longValue() : 0;
-            long tokenAimMicros = index < tokenAims.size() ? Milliseconds.toMicros(tokenAims.get(index)) : 0;
-            classes.add(requestClass(requestClass, aimPer1000Micros, tokenAimMicros));
+            long objectivePer1000Micros = index < objectivesPer1000.size()
+                    ? objectivesPer1000.get(index).longValue()
+                    : 0;
+            long tokenIntervalMicros =
+                    index < tokenIntervals.size() ? Milliseconds.toMicros(tokenIntervals.get(index)) : 0;
+            classes.add(requestClass(requestClass, objectivePer1000Micros, tokenIntervalMicros));
         }
         return classes;
     }
 
-    private static RequestClass requestClass(ConfigurationObject settings, long aimPer1000Micros, long tokenAimMicros) {
+    private static RequestClass requestClass(
+            ConfigurationObject settings, long objectivePer1000Micros, long tokenIntervalMicros) {
         return new RequestClass(
                 settings.text(SettingsKeys.NAME, ""),
-                idempotency(settings.text(SettingsKeys.EFFECT, SettingsKeys.EFFECT_PURE)),
-                deduplicationScope(settings.text(SettingsKeys.GROUP, SettingsKeys.GROUP_ALL)),
-                settings.millisAsMicros(SettingsKeys.WINDOW_MS, 0),
+                idempotency(settings.text(SettingsKeys.IDEMPOTENCY, SettingsKeys.IDEMPOTENCY_PURE)),
+                deduplicationScope(
+                        settings.text(SettingsKeys.DEDUPLICATION_SCOPE, SettingsKeys.DEDUPLICATION_SCOPE_ALL)),
+                settings.millisAsMicros(SettingsKeys.DEDUPLICATION_WINDOW_MS, 0),
                 settings.flag(SettingsKeys.STREAM, false),
-                settings.millisAsMicros(SettingsKeys.AIM_MS, 0),
-                aimPer1000Micros,
-                settings.number(SettingsKeys.AIM_STRETCH, 0),
+                settings.millisAsMicros(SettingsKeys.LATENCY_OBJECTIVE_MS, 0),
+                objectivePer1000Micros,
+                settings.number(SettingsKeys.LATENCY_OBJECTIVE_STRETCH, 0),
                 settings.millisAsMicros(SettingsKeys.DEADLINE_MS, 0),
-                tokenAimMicros,
-                settings.number(SettingsKeys.GAIN, 1),
-                settings.number(SettingsKeys.LATE_SHARE, 0));
+                tokenIntervalMicros,
+                settings.number(SettingsKeys.PRIORITY_WEIGHT, 1),
+                settings.number(SettingsKeys.LATE_ANSWER_VALUE, 0));
     }
 
     private static Idempotency idempotency(String effect) {
         return switch (effect) {
-            case SettingsKeys.EFFECT_PURE -> Idempotency.IDEMPOTENT;
+            case SettingsKeys.IDEMPOTENCY_PURE -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.IDEMPOTENT_WITH_KEY;
             case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
             default -> throw new ConfigurationException(
@@ -79,7 +84,7 @@
 
     private static DeduplicationScope deduplicationScope(String group) {
         return switch (group) {
-            case SettingsKeys.GROUP_ALL -> DeduplicationScope.ALL;
+            case SettingsKeys.DEDUPLICATION_SCOPE_ALL -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
             default -> throw new ConfigurationException("classes.group", "must be all, zone or cell, but is " + group);
@@ -88,11 +93,11 @@
 
     private static List<Tenant> tenants(ConfigurationObject settings) {
         List<Tenant> tenants = new ArrayList<>();
-        for (ConfigurationObject account : settings.objects(SettingsKeys.ACCOUNTS)) {
+        for (ConfigurationObject tenant : settings.objects(SettingsKeys.TENANTS)) {
             tenants.add(new Tenant(
-                    account.text(SettingsKeys.NAME, ""),
-                    account.number(SettingsKeys.SHARE, 0),
-                    account.number(SettingsKeys.ALLOWANCE_PER_SECOND, 0)));
+                    tenant.text(SettingsKeys.NAME, ""),
+                    tenant.number(SettingsKeys.TENANT_SHARE, 0),
+                    tenant.number(SettingsKeys.QUOTA_PER_SECOND, 0)));
         }
         return tenants;
     }
@@ -111,9 +116,9 @@
                 settings.list(SettingsKeys.ZONES).size(),
                 settings.text(SettingsKeys.MEMBERSHIP_MODE, SettingsKeys.MEMBERSHIP_AUTOMATIC)
                         .equals(SettingsKeys.MEMBERSHIP_SUBSCRIBE),
-                settings.object(SettingsKeys.FAMILY_INFO).flag(SettingsKeys.RESUME, false),
+                settings.object(SettingsKeys.LANGUAGE_MODELS).flag(SettingsKeys.STREAM_RESUMPTION, false),
                 weightMeaning(settings.text(SettingsKeys.WEIGHTS, "none")),
-                settings.number(SettingsKeys.OVER_SHARE_WORTH, 1),
+                settings.number(SettingsKeys.OVER_QUOTA_WEIGHT, 1),
                 classes,
                 tenants,
                 limits(limits),
@@ -133,9 +138,9 @@
 
     private static RoutingLimits limits(ConfigurationObject limits) {
         return new RoutingLimits(
-                limits.flag(SettingsKeys.CANCEL, false),
-                limits.flag(SettingsKeys.PROBES, false),
-                limits.flag(SettingsKeys.PEERS, false),
+                limits.flag(SettingsKeys.CANCELLATION, false),
+                limits.flag(SettingsKeys.HEALTH_CHECKS, false),
+                limits.flag(SettingsKeys.PEER_MESSAGES, false),
                 limits.flag(SettingsKeys.PARALLEL_ATTEMPTS, false),
                 limits.flag(SettingsKeys.RETRY_AFTER, false),
                 (int) limits.number(SettingsKeys.MAX_ATTEMPTS, 1),
@@ -149,17 +154,17 @@
                 guarantees.millisAsMicros(SettingsKeys.ANSWER_SLACK_MS, 0),
                 guarantees.millisAsMicros(SettingsKeys.POLL_WITHIN_MS, SettingsKeys.DEFAULT_POLL_WITHIN_MS),
                 guarantees.millisAsMicros(SettingsKeys.WARM_UP_MS, 0),
-                guarantees.millisAsMicros(SettingsKeys.FALL_MS, SettingsKeys.DEFAULT_FALL_MS),
+                guarantees.millisAsMicros(SettingsKeys.OVERLOAD_WINDOW_MS, SettingsKeys.DEFAULT_OVERLOAD_WINDOW_MS),
                 guarantees.number(SettingsKeys.OVERLOAD_FACTOR, SettingsKeys.DEFAULT_OVERLOAD_FACTOR),
-                guarantees.number(SettingsKeys.START_CAPACITY, 1),
+                guarantees.number(SettingsKeys.INITIAL_CAPACITY, 1),
                 guarantees.millisAsMicros(SettingsKeys.STOP_SENDING_WITHIN_MS, 0));
     }
 
     private static RoutingCosts costs(ConfigurationObject costs) {
         return new RoutingCosts(
                 costs.number(SettingsKeys.CROSS_ZONE, 0),
-                costs.number(SettingsKeys.WASTE, 0),
-                costs.number(SettingsKeys.PROBE, 0),
+                costs.number(SettingsKeys.UNUSED_ATTEMPT, 0),
+                costs.number(SettingsKeys.HEALTH_CHECK, 0),
                 costs.number(SettingsKeys.LATE_FAILURE, 0),
                 costs.number(SettingsKeys.CONNECTION, 0),
                 costs.number(SettingsKeys.HANDSHAKE, 0));
