--- a/src/main/java/magpiehub/admin/AdminCommand.java
+++ b/src/main/java/magpiehub/admin/AdminCommand.java
@@ -18,13 +18,13 @@
         SITE_NAME(1, 1, "takes one name"),
         OPTIONAL_SITE_NAME(0, 1, "takes one name or nothing");
 
-        private final int least;
-        private final int most;
+        private final int min;
+        private final int max;
         private final String requirement;
 
-        Arguments(int least, int most, String requirement) {
-            this.least = least;
-            this.most = most;
+        Arguments(int min, int max, String requirement) {
+            this.min = min;
+            this.max = max;
             this.requirement = requirement;
         }
     }
@@ -34,10 +34,10 @@
         STATUS("status", Arguments.NONE),
         STANDBY("standby", Arguments.NONE),
         ACTIVE("active", Arguments.NONE),
-        REPLICA_OUT("maint-on", Arguments.REPLICA_ID),
-        REPLICA_BACK("maint-off", Arguments.REPLICA_ID),
-        SITE_OUT("site-out", Arguments.SITE_NAME),
-        SITE_BACK("site-in", Arguments.SITE_NAME),
+        MAINTENANCE_ON("maint-on", Arguments.REPLICA_ID),
+        MAINTENANCE_OFF("maint-off", Arguments.REPLICA_ID),
+        WITHDRAW_SITE("site-out", Arguments.SITE_NAME),
+        REINSTATE_SITE("site-in", Arguments.SITE_NAME),
         SITE_STATUS("site-status", Arguments.OPTIONAL_SITE_NAME);
 
         private static final Map<String, Verb> BY_WORD = new HashMap<>();
@@ -73,16 +73,16 @@
         String[] words = line.strip().split(" +", -1);
         Verb verb = Verb.BY_WORD.get(words[0]);
         if (verb == null || (verb.isForSites() && !hasSites)) {
-            throw new CommandSyntaxException(words[0].isEmpty() ? "no call" : unknownCommand(hasSites));
+            throw new CommandSyntaxException(words[0].isEmpty() ? "no call" : unknownCommandMessage(hasSites));
         }
         int count = words.length - 1;
-        if (count < verb.arguments.least || count > verb.arguments.most) {
+        if (count < verb.arguments.min || count > verb.arguments.max) {
             throw new CommandSyntaxException(verb.word + " " + verb.arguments.requirement);
         }
         return new AdminCommand(verb, count == 0 ? null : words[1]);
     }
 
-    private static String unknownCommand(boolean hasSites) {
+    private static String unknownCommandMessage(boolean hasSites) {
         return "unknown call; status, maint-on ID, maint-off ID,"
                 + (hasSites ? " site-out NAME, site-in NAME, site-status," : "")
                 + " standby and active are known";
--- a/src/main/java/magpiehub/admin/AdminCommandHandler.java
+++ b/src/main/java/magpiehub/admin/AdminCommandHandler.java
@@ -29,7 +29,7 @@
     private static final long APPLY_TIMEOUT_MILLIS = 700;
 
     /** How long to wait for the other process of an upgrade to read the file. */
-    private static final long OTHER_PROCESS_MILLIS = 2 * FILE_POLL_MICROS / 1000;
+    private static final long OTHER_PROCESS_WAIT_MILLIS = 2 * FILE_POLL_MICROS / 1000;
 
     private final MaintenanceStateFile file;
     private final MaintenanceActions actions;
@@ -48,9 +48,9 @@
      *
      * @param result the command's effect on the state, and its response
      * @param storeFailure why the new state could not be stored; null if it was stored or did not change
-     * @param isAnotherProcessServing whether another process must apply the new state as well
+     * @param isOtherProcessServing whether another process must apply the new state as well
      */
-    private record Execution(CommandResult result, Exception storeFailure, boolean isAnotherProcessServing) {}
+    private record Execution(CommandResult result, Exception storeFailure, boolean isOtherProcessServing) {}
 
     /** Creates a handler. It neither accesses the file nor applies a state until {@link #start}. */
     public AdminCommandHandler(
@@ -63,7 +63,7 @@
 
     /** Applies the stored state, and starts a thread that applies later changes of the file. */
     public void start() {
-        followFile();
+        applyFileChanges();
         DaemonThreads.newThread("operators", this::pollFile).start();
     }
 
@@ -72,10 +72,10 @@
         try {
             while (true) {
                 timer.take(clock.micros() + FILE_POLL_MICROS);
-                followFile();
+                applyFileChanges();
                 if (hasUnstoredIds) {
                     hasUnstoredIds = false;
-                    changeState(stored -> stored.withListed(listedIds));
+                    changeState(stored -> stored.withListedIds(listedIds));
                 }
             }
         } catch (InterruptedException e) {
@@ -92,18 +92,18 @@
 
     /** Records that this process has started to serve, as the newest one. */
     public void onServiceStarted() {
-        changeState(stored -> stored.withServing(processes.ownPid(), processes.ended(stored)));
+        changeState(stored -> stored.withServingProcess(processes.ownPid(), processes.terminated(stored)));
     }
 
     /** Records that this process has stopped serving. */
     public void onServiceEnded() {
-        changeState(stored -> stored.withoutServing(processes.ownPid()));
+        changeState(stored -> stored.withoutServingProcess(processes.ownPid()));
     }
 
     /** Whether a process that started to serve after this one is alive, so that it takes over the clients. */
     public boolean hasSuccessor() {
         MaintenanceState stored = file.read();
-        return stored != null && processes.isAnotherAlive(stored) && processes.isAnotherNewest(stored);
+        return stored != null && processes.isOtherProcessAlive(stored) && processes.hasNewerProcess(stored);
     }
 
     private synchronized void changeState(UnaryOperator<MaintenanceState> change) {
@@ -119,7 +119,7 @@
         log.log("operators-file-failed", "error", e.toString());
     }
 
-    private synchronized void followFile() {
+    private synchronized void applyFileChanges() {
         MaintenanceState stored = file.read();
         if (stored != null && stored.version() > state.version()) {
             apply(stored, () -> {});
@@ -155,23 +155,23 @@
         CommandResult result = execution.result();
         if (result.isRejected()) {
             log.count("console_refused");
-            return AdminAnswers.failure(result.text());
+            return AdminResponses.failure(result.text());
         }
         if (result.isQuery()) {
-            return AdminAnswers.success(result.text());
+            return AdminResponses.success(result.text());
         }
-        if (!awaitApplied(applied, execution.isAnotherProcessServing())) {
-            return AdminAnswers.failure("not yet carried out; call again");
+        if (!awaitApplied(applied, execution.isOtherProcessServing())) {
+            return AdminResponses.failure("not yet carried out; call again");
         }
         log.log("console-call", "call", line, "answer", result.text());
         Exception failure = execution.storeFailure();
         return failure == null
-                ? AdminAnswers.success(result.text())
-                : AdminAnswers.failure(result.text() + ", but not kept for an upgrade: " + failure.getMessage());
+                ? AdminResponses.success(result.text())
+                : AdminResponses.failure(result.text() + ", but not kept for an upgrade: " + failure.getMessage());
     }
 
     private synchronized Execution execute(String line, CountDownLatch applied) {
-        MaintenanceState before = state.withListed(listedIds);
+        MaintenanceState before = state.withListedIds(listedIds);
         CommandContext context =
                 new CommandContext(actions.isReady(), System.currentTimeMillis(), actions.siteStatus());
         CommandResult result = AdminCommandInterpreter.execute(before, line, context);
@@ -185,14 +185,14 @@
         } else {
             storeFailure = storeAndApply(line, context, result, applied);
         }
-        return new Execution(result, storeFailure, processes.isAnotherAlive(state));
+        return new Execution(result, storeFailure, processes.isOtherProcessAlive(state));
     }
 
     /** Executes the command on the latest stored state. Returns the failure to store the new state, or null. */
     private Exception storeAndApply(String line, CommandContext context, CommandResult result, CountDownLatch applied) {
         try {
             MaintenanceState stored = file.change(
-                    state, latest -> AdminCommandInterpreter.execute(latest.withListed(listedIds), line, context)
+                    state, latest -> AdminCommandInterpreter.execute(latest.withListedIds(listedIds), line, context)
                             .state());
             apply(stored, applied::countDown);
             return null;
@@ -205,13 +205,13 @@
     }
 
     /** Returns whether the command was applied in time. Also waits for the other process of an upgrade. */
-    private static boolean awaitApplied(CountDownLatch applied, boolean isAnotherProcessServing) {
+    private static boolean awaitApplied(CountDownLatch applied, boolean isOtherProcessServing) {
         try {
             if (!applied.await(APPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 return false;
             }
-            if (isAnotherProcessServing) {
-                Thread.sleep(OTHER_PROCESS_MILLIS);
+            if (isOtherProcessServing) {
+                Thread.sleep(OTHER_PROCESS_WAIT_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/magpiehub/admin/AdminCommandInterpreter.java
+++ b/src/main/java/magpiehub/admin/AdminCommandInterpreter.java
@@ -24,10 +24,10 @@
             case STATUS -> status(state, context);
             case STANDBY -> CommandResult.accepted(state.withStandby(true), "standby");
             case ACTIVE -> CommandResult.accepted(state.withStandby(false), "active");
-            case REPLICA_OUT -> replicaOut(state, argument);
-            case REPLICA_BACK -> replicaBack(state, argument, context);
-            case SITE_OUT -> siteOut(state, argument, context.siteStatus());
-            case SITE_BACK -> siteBack(state, argument, context.siteStatus());
+            case MAINTENANCE_ON -> maintenanceOn(state, argument);
+            case MAINTENANCE_OFF -> maintenanceOff(state, argument, context);
+            case WITHDRAW_SITE -> withdrawSite(state, argument, context.siteStatus());
+            case REINSTATE_SITE -> reinstateSite(state, argument, context.siteStatus());
             case SITE_STATUS -> siteStatus(state, argument, context.siteStatus());
         };
     }
@@ -42,18 +42,18 @@
                         + state.outOfService().size());
     }
 
-    private static CommandResult replicaOut(MaintenanceState state, String id) {
+    private static CommandResult maintenanceOn(MaintenanceState state, String id) {
         if (!isKnownReplica(state, id)) {
             return unknownReplica(state);
         }
-        return CommandResult.accepted(state.withReplicaOut(id), "out " + id);
+        return CommandResult.accepted(state.withReplicaOutOfService(id), "out " + id);
     }
 
-    private static CommandResult replicaBack(MaintenanceState state, String id, CommandContext context) {
+    private static CommandResult maintenanceOff(MaintenanceState state, String id, CommandContext context) {
         if (!isKnownReplica(state, id)) {
             return unknownReplica(state);
         }
-        return CommandResult.accepted(state.withReplicaBack(id, context.nowUnixMillis()), "back " + id);
+        return CommandResult.accepted(state.withReplicaReturned(id, context.nowUnixMillis()), "back " + id);
     }
 
     private static boolean isKnownReplica(MaintenanceState state, String id) {
@@ -64,14 +64,14 @@
         return CommandResult.rejected(state, "no engine of that id was ever listed");
     }
 
-    private static CommandResult siteOut(MaintenanceState state, String name, Map<String, String> siteStatus) {
+    private static CommandResult withdrawSite(MaintenanceState state, String name, Map<String, String> siteStatus) {
         if (!siteStatus.containsKey(name)) {
             return unknownSite(state, siteStatus);
         }
         if (!state.withdrawnSites().contains(name) && isLastSite(state, name, siteStatus.keySet())) {
             return CommandResult.rejected(state, "it is the last site that is not out");
         }
-        return CommandResult.accepted(state.withSiteOut(name), "out " + name);
+        return CommandResult.accepted(state.withSiteWithdrawn(name), "out " + name);
     }
 
     /** Whether all other sites are withdrawn. */
@@ -84,11 +84,11 @@
         return true;
     }
 
-    private static CommandResult siteBack(MaintenanceState state, String name, Map<String, String> siteStatus) {
+    private static CommandResult reinstateSite(MaintenanceState state, String name, Map<String, String> siteStatus) {
         if (!siteStatus.containsKey(name)) {
             return unknownSite(state, siteStatus);
         }
-        return CommandResult.accepted(state.withSiteBack(name), "in " + name);
+        return CommandResult.accepted(state.withSiteReinstated(name), "in " + name);
     }
 
     private static CommandResult siteStatus(MaintenanceState state, String name, Map<String, String> siteStatus) {
--- a/src/main/java/magpiehub/admin/AdminResponses.java
+++ b/src/main/java/magpiehub/admin/AdminResponses.java
@@ -1,8 +1,8 @@
 package magpiehub.admin;
 
 /** Formats the response to a command: one line that begins with the outcome. */
-final class AdminAnswers {
-    private AdminAnswers() {}
+final class AdminResponses {
+    private AdminResponses() {}
 
     /** The response to a command that was carried out, or to a query. */
     static String success(String text) {
--- a/src/main/java/magpiehub/admin/AdminServer.java
+++ b/src/main/java/magpiehub/admin/AdminServer.java
@@ -26,7 +26,7 @@
     private static final int ACCEPT_BACKLOG = 128;
 
     /** How long a client may take to close its side after the response was sent. */
-    private static final int LINGER_MILLIS = 500;
+    private static final int LINGER_TIMEOUT_MILLIS = 500;
 
     private final ServerSocket server = new ServerSocket();
     private final UnaryOperator<String> commandHandler;
@@ -102,8 +102,8 @@
     private void serve(Socket connection) {
         try {
             connection.setTcpNoDelay(true);
-            String answer = answer(connection);
-            connection.getOutputStream().write((answer + "\n").getBytes(StandardCharsets.UTF_8));
+            String response = respond(connection);
+            connection.getOutputStream().write((response + "\n").getBytes(StandardCharsets.UTF_8));
             connection.shutdownOutput();
             discardInput(connection);
         } catch (IOException e) {
@@ -113,26 +113,26 @@
         }
     }
 
-    private String answer(Socket connection) throws IOException {
+    private String respond(Socket connection) throws IOException {
         try {
             return commandHandler.apply(CommandLineReader.read(connection));
         } catch (MalformedCommandLineException e) {
             log.count("console_malformed");
-            return AdminAnswers.failure(e.getMessage());
+            return AdminResponses.failure(e.getMessage());
         } catch (RuntimeException | OutOfMemoryError e) {
             log.count("console_exceptions");
             log.log("console-exception", "error", e.toString());
-            return AdminAnswers.failure("internal error");
+            return AdminResponses.failure("internal error");
         }
     }
 
     /** Discards remaining input: closing with unread input would reset the connection and lose the response. */
     private static void discardInput(Socket connection) throws IOException {
         byte[] discarded = new byte[256];
-        long deadlineNanos = System.nanoTime() + LINGER_MILLIS * 1_000_000L;
+        long deadlineNanos = System.nanoTime() + LINGER_TIMEOUT_MILLIS * 1_000_000L;
         int count = 0;
         while (count >= 0 && System.nanoTime() < deadlineNanos) {
-            connection.setSoTimeout(LINGER_MILLIS);
+            connection.setSoTimeout(LINGER_TIMEOUT_MILLIS);
             count = connection.getInputStream().read(discarded);
         }
     }
--- a/src/main/java/magpiehub/admin/CommandResult.java
+++ b/src/main/java/magpiehub/admin/CommandResult.java
@@ -22,12 +22,12 @@
         return new CommandResult(Outcome.REJECTED, state, reason);
     }
 
-    static CommandResult query(MaintenanceState state, String answer) {
-        return new CommandResult(Outcome.QUERY, state, answer);
+    static CommandResult query(MaintenanceState state, String response) {
+        return new CommandResult(Outcome.QUERY, state, response);
     }
 
-    static CommandResult accepted(MaintenanceState state, String answer) {
-        return new CommandResult(Outcome.ACCEPTED, state, answer);
+    static CommandResult accepted(MaintenanceState state, String response) {
+        return new CommandResult(Outcome.ACCEPTED, state, response);
     }
 
     boolean isRejected() {
@@ -39,7 +39,7 @@
     }
 
     /** The response to an accepted command or a query; null if the command was rejected. */
-    String answer() {
+    String response() {
         return isRejected() ? null : text;
     }
 
--- a/src/main/java/magpiehub/admin/MaintenanceState.java
+++ b/src/main/java/magpiehub/admin/MaintenanceState.java
@@ -40,7 +40,7 @@
             new MaintenanceState(0, false, Set.of(), Map.of(), Set.of(), Set.of(), Set.of());
 
     /** Adds ids of the current endpoint list. */
-    public MaintenanceState withListed(Collection<String> ids) {
+    public MaintenanceState withListedIds(Collection<String> ids) {
         if (listedIds.containsAll(ids)) {
             return this;
         }
@@ -56,7 +56,7 @@
     }
 
     /** Adds a process that starts to serve, as the newest one, and removes those that have ended. */
-    public MaintenanceState withServing(long process, Collection<Long> ended) {
+    public MaintenanceState withServingProcess(long process, Collection<Long> ended) {
         Set<Long> all = new LinkedHashSet<>(servingProcesses);
         all.removeAll(ended);
         all.remove(process);
@@ -65,7 +65,7 @@
     }
 
     /** Removes a process that has stopped serving. */
-    public MaintenanceState withoutServing(long process) {
+    public MaintenanceState withoutServingProcess(long process) {
         Set<Long> all = new LinkedHashSet<>(servingProcesses);
         return all.remove(process) ? withServingProcesses(all) : this;
     }
@@ -89,7 +89,7 @@
     }
 
     /** Takes a replica out of service, and removes the time of its last return. */
-    MaintenanceState withReplicaOut(String id) {
+    MaintenanceState withReplicaOutOfService(String id) {
         if (outOfService.contains(id)) {
             return this;
         }
@@ -101,7 +101,7 @@
     }
 
     /** Returns a replica to service, and removes earlier returns that have expired. */
-    MaintenanceState withReplicaBack(String id, long nowUnixMillis) {
+    MaintenanceState withReplicaReturned(String id, long nowUnixMillis) {
         if (!outOfService.contains(id)) {
             return this;
         }
@@ -117,12 +117,12 @@
         return new MaintenanceState(version + 1, standby, out, returned, listedIds, servingProcesses, withdrawnSites);
     }
 
-    MaintenanceState withSiteOut(String name) {
+    MaintenanceState withSiteWithdrawn(String name) {
         Set<String> sites = new LinkedHashSet<>(withdrawnSites);
         return sites.add(name) ? withWithdrawnSites(sites) : this;
     }
 
-    MaintenanceState withSiteBack(String name) {
+    MaintenanceState withSiteReinstated(String name) {
         Set<String> sites = new LinkedHashSet<>(withdrawnSites);
         return sites.remove(name) ? withWithdrawnSites(sites) : this;
     }
--- a/src/main/java/magpiehub/admin/ServingProcesses.java
+++ b/src/main/java/magpiehub/admin/ServingProcesses.java
@@ -12,7 +12,7 @@
     }
 
     /** Whether another serving process is alive. */
-    boolean isAnotherAlive(MaintenanceState state) {
+    boolean isOtherProcessAlive(MaintenanceState state) {
         for (long pid : state.servingProcesses()) {
             if (pid != ownPid && isAlive(pid)) {
                 return true;
@@ -22,7 +22,7 @@
     }
 
     /** Whether another process started to serve after this one. */
-    boolean isAnotherNewest(MaintenanceState state) {
+    boolean hasNewerProcess(MaintenanceState state) {
         long newest = ownPid;
         for (long pid : state.servingProcesses()) {
             newest = pid;
@@ -31,7 +31,7 @@
     }
 
     /** The processes that have ended without removing themselves from the state. */
-    List<Long> ended(MaintenanceState state) {
+    List<Long> terminated(MaintenanceState state) {
         List<Long> ended = new ArrayList<>();
         for (long pid : state.servingProcesses()) {
             if (!isAlive(pid)) {
--- a/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateFileTest.java
@@ -66,7 +66,7 @@
         Files.write(path, recordedFile());
         MaintenanceStateFile file = new MaintenanceStateFile(folder, "router/1", failingLog);
         assertEquals(RECORDED, file.read());
-        file.change(MaintenanceState.INITIAL, stored -> stored.withServing(8, List.of(30430L)));
+        file.change(MaintenanceState.INITIAL, stored -> stored.withServingProcess(8, List.of(30430L)));
         String expected = new String(recordedFile(), StandardCharsets.UTF_8)
                 .replace("\"version\":7", "\"version\":8")
                 .replace("\"routers\":[30430]", "\"routers\":[8]");
--- a/src/test/java/magpiehub/admin/MaintenanceStateTest.java
+++ b/src/test/java/magpiehub/admin/MaintenanceStateTest.java
@@ -35,7 +35,7 @@
             logged.add(what);
         }
     };
-    private final MaintenanceState twoListed = MaintenanceState.INITIAL.withListed(List.of("a", "b"));
+    private final MaintenanceState twoListed = MaintenanceState.INITIAL.withListedIds(List.of("a", "b"));
 
     private static CommandResult execute(MaintenanceState state, String line) {
         return execute(state, line, true);
@@ -88,7 +88,7 @@
 
     @Test
     void commandsForAnIdThatWasEverListedAreAccepted() {
-        MaintenanceState later = twoListed.withListed(List.of("c"));
+        MaintenanceState later = twoListed.withListedIds(List.of("c"));
         assertNull(execute(later, "maint-on a").rejection());
         assertTrue(execute(execute(twoListed, "standby").state(), "standby")
                 .state()
@@ -105,7 +105,7 @@
         for (int i = 0; i < MaintenanceState.MAX_LISTED_IDS; i++) {
             many.add("e" + i);
         }
-        MaintenanceState full = out.withListed(many);
+        MaintenanceState full = out.withListedIds(many);
         assertEquals(MaintenanceState.MAX_LISTED_IDS, full.listedIds().size());
         assertTrue(full.listedIds().contains("a"));
         assertTrue(!full.listedIds().contains("b"));
@@ -117,12 +117,12 @@
         MaintenanceStateFile newProcess = new MaintenanceStateFile(folder, "n/1", log);
         assertNull(oldProcess.read());
         MaintenanceState stored =
-                oldProcess.change(twoListed, state -> execute(state.withServing(7, List.of()), "maint-on a")
+                oldProcess.change(twoListed, state -> execute(state.withServingProcess(7, List.of()), "maint-on a")
                         .state());
         assertEquals(stored, newProcess.read());
         MaintenanceState changed = newProcess.change(
-                MaintenanceState.INITIAL,
-                state -> execute(state.withServing(8, List.of(9L)), "standby").state());
+                MaintenanceState.INITIAL, state -> execute(state.withServingProcess(8, List.of(9L)), "standby")
+                        .state());
         assertEquals(Set.of("a"), changed.outOfService());
         assertEquals(changed, oldProcess.read());
         assertEquals(List.of(7L, 8L), List.copyOf(changed.servingProcesses()));
@@ -174,10 +174,10 @@
         assertEquals("site-in takes one name", execute(out, "site-in", sites).rejection());
         assertEquals(
                 "a whole; b lost share=0% cause=list",
-                execute(out, "site-status", sites).answer());
+                execute(out, "site-status", sites).response());
         assertEquals(
                 "b lost share=0% cause=list",
-                execute(out, "site-status b", sites).answer());
+                execute(out, "site-status b", sites).response());
         assertEquals(out, MaintenanceStateCodec.parse(MaintenanceStateCodec.format(out)), "preserved across a restart");
         assertEquals(Set.of(), execute(out, "site-in a", sites).state().withdrawnSites());
         assertTrue(execute(out, "nothing", sites).rejection().contains("site-out NAME"));
