--- a/src/main/java/magpiehub/config/SettingsKeys.java
+++ b/src/main/java/magpiehub/config/SettingsKeys.java
@@ -129,8 +129,8 @@
     /** How long an upstream takes to warm up after its start; ms; default 0. */
     static final String WARM_UP_MS = "coldMs";
     /**
-     * The window over which requests to a warming upstream are counted; ms; default {@value
-     * #DEFAULT_OVERLOAD_WINDOW_MS}.
+     * The window over which requests to a warming upstream are counted; ms; default
+     * {@value #DEFAULT_OVERLOAD_WINDOW_MS}.
      */
     static final String OVERLOAD_WINDOW_MS = "fallMs";
 
--- a/src/main/java/magpiehub/sites/Site.java
+++ b/src/main/java/magpiehub/sites/Site.java
@@ -29,7 +29,7 @@
     private long withdrawnAt;
     /** Health checks requested since the site began to fail. */
     private int requestedHealthChecks;
-    /** When the other site's answer came after which this site was last checked again. */
+    /** The time of the other site's answer that led to the latest recheck of this site. */
     private long recheckedForAnswerAt = SiteEvidence.NEVER;
     /** When the attempt was sent that failed after another site had answered; see {@link CrossSiteEvidence}. */
     private long repeatedFailureSentAt = SiteEvidence.NEVER;
--- a/src/main/java/magpiehub/sites/SiteEvidence.java
+++ b/src/main/java/magpiehub/sites/SiteEvidence.java
@@ -66,7 +66,7 @@
         failures.put(replica, failure);
     }
 
-    /** Records how many replicas that take requests the endpoint list has. Returns whether it had none before. */
+    /** Records the number of listed replicas that take requests. Returns whether there are some again after none. */
     boolean onEndpointList(int replicas, long atMicros) {
         boolean returned = listedReplicas == 0 && replicas > 0;
         listedReplicas = replicas;
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -10,9 +10,9 @@
  * Tracks the health of all sites as one router observes it: decides from the evidence which site is suspect, lost or
  * recovering, and how much of its usual traffic each may receive.
  *
- * <p>A site is not declared lost while this router itself may be isolated, nor because all sites are slow. This is a
- * deterministic state machine without I/O: the time (in microseconds) and the seed are arguments, and equal events give
- * equal transitions. Not safe for use by several threads.
+ * <p>A site is not declared lost on this router's own evidence alone while the router may be isolated, nor because all
+ * sites are slow. This is a deterministic state machine without I/O: the time (in microseconds) and the seed are
+ * arguments, and equal events give equal transitions. Not safe for use by several threads.
  */
 public final class SiteHealthTracker {
     /**
@@ -152,7 +152,7 @@
         evaluateAll(now);
     }
 
-    /** Records how many replicas of a site that take requests an endpoint list of this age has. */
+    /** Records the number of a site's replicas that take requests, from an endpoint list of this age. */
     public void onEndpointList(long now, int index, int replicas, long ageMicros) {
         Site site = sites[index];
         boolean returned = site.evidence().onEndpointList(replicas, now - ageMicros);
--- a/src/main/java/magpiehub/store/StoreMessageCodec.java
+++ b/src/main/java/magpiehub/store/StoreMessageCodec.java
@@ -7,9 +7,9 @@
 import magpiehub.config.Json;
 
 /**
- * The wire format of a {@link StoreMessage}: one line with a JSON object that has the members {@code key}, {@code
- * value} (absent if the key is removed), {@code count} (the timestamp's counter, as a string) and {@code by} (the
- * timestamp's replica). An operator's write has neither {@code count} nor {@code by}.
+ * The wire format of a {@link StoreMessage}: one line with a JSON object. Its members are {@code key}, {@code value}
+ * (absent if the key is removed), {@code count} (the timestamp's counter, as a string) and {@code by} (the timestamp's
+ * replica). An operator's write has neither {@code count} nor {@code by}.
  */
 final class StoreMessageCodec {
     /** Longest line that is accepted, without its line feed. */
