--- a/src/main/java/magpiehub/admin/MaintenanceState.java
+++ b/src/main/java/magpiehub/admin/MaintenanceState.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 
 /**
- * What operators have ordered so far, as both router processes of an upgrade share it. Immutable.
+ * The state set by operator commands, which both router processes of an upgrade share. Immutable.
  *
- * <p>Each {@code with} method returns this very object if it changes nothing, and otherwise a state of the next
+ * <p>Each {@code with} method returns the same object if it changes nothing, and otherwise a state with the next
  * version.
  *
- * @param version grows by one with each change
- * @param standby true while clients are sent to other routers
- * @param outOfService ids of replicas that are taken out of service
- * @param returnedAtUnixMillis replicas that were put back into service, by id, with the time: they have been restarted
- * @param listedIds every replica id that was ever listed, the earliest first
- * @param servingProcesses ids of the router processes that serve, the newest last
- * @param withdrawnSites names of sites that are taken out of service
+ * @param version incremented by each change
+ * @param standby whether clients are directed to other routers
+ * @param outOfService the ids of replicas that are out of service
+ * @param returnedAtUnixMillis when replicas were returned to service, by id; they count as restarted at that time
+ * @param listedIds the replica ids that were ever listed, the earliest first
+ * @param servingProcesses the ids of the router processes that serve, the newest last
+ * @param withdrawnSites the names of sites that are out of service
  */
 public record MaintenanceState(
         long version,
@@ -29,18 +29,18 @@
         Set<Long> servingProcesses,
         Set<String> withdrawnSites) {
 
-    /** Most ids remembered. Beyond that the earliest are forgotten, but never those out of service. */
+    /** Most listed ids that are kept. Beyond that the earliest are removed, except those out of service. */
     static final int MAX_LISTED_IDS = 20_000;
 
-    /** How long a return to service is remembered: longer than any replica takes to warm up. */
+    /** How long a return to service is kept: longer than any replica takes to warm up. */
     private static final long RETURN_MEMORY_MILLIS = 600_000;
 
     /** The state before the first command. */
     public static final MaintenanceState INITIAL =
             new MaintenanceState(0, false, Set.of(), Map.of(), Set.of(), Set.of(), Set.of());
 
-    /** Adds ids that are listed now. */
-    public MaintenanceState withListed(Collection<String> ids) {
+    /** Adds ids of the current endpoint list. */
+    public MaintenanceState withListedIds(Collection<String> ids) {
         if (listedIds.containsAll(ids)) {
             return this;
         }
@@ -55,8 +55,8 @@
                 version + 1, standby, outOfService, returnedAtUnixMillis, all, servingProcesses, withdrawnSites);
     }
 
-    /** Adds a process that begins to serve as the newest one, and removes those that have ended. */
-    public MaintenanceState withServing(long process, Collection<Long> ended) {
+    /** Adds a process that starts to serve, as the newest one, and removes those that have ended. */
+    public MaintenanceState withServingProcess(long process, Collection<Long> ended) {
         Set<Long> all = new LinkedHashSet<>(servingProcesses);
         all.removeAll(ended);
         all.remove(process);
@@ -64,8 +64,8 @@
         return withServingProcesses(all);
     }
 
-    /** Removes a process that has ended. */
-    public MaintenanceState withoutServing(long process) {
+    /** Removes a process that has stopped serving. */
+    public MaintenanceState withoutServingProcess(long process) {
         Set<Long> all = new LinkedHashSet<>(servingProcesses);
         return all.remove(process) ? withServingProcesses(all) : this;
     }
@@ -88,8 +88,8 @@
                         withdrawnSites);
     }
 
-    /** Takes a replica out of service; when it last returned is forgotten. */
-    MaintenanceState withReplicaOut(String id) {
+    /** Takes a replica out of service, and removes the time of its last return. */
+    MaintenanceState withReplicaOutOfService(String id) {
         if (outOfService.contains(id)) {
             return this;
         }
@@ -100,8 +100,8 @@
         return withReplicas(out, returned);
     }
 
-    /** Puts a replica back into service, and forgets returns that are too long ago to matter. */
-    MaintenanceState withReplicaBack(String id, long nowUnixMillis) {
+    /** Returns a replica to service, and removes earlier returns that have expired. */
+    MaintenanceState withReplicaReturned(String id, long nowUnixMillis) {
         if (!outOfService.contains(id)) {
             return this;
         }
@@ -117,12 +117,12 @@
         return new MaintenanceState(version + 1, standby, out, returned, listedIds, servingProcesses, withdrawnSites);
     }
 
-    MaintenanceState withSiteOut(String name) {
+    MaintenanceState withSiteWithdrawn(String name) {
         Set<String> sites = new LinkedHashSet<>(withdrawnSites);
         return sites.add(name) ? withWithdrawnSites(sites) : this;
     }
 
-    MaintenanceState withSiteBack(String name) {
+    MaintenanceState withSiteReinstated(String name) {
         Set<String> sites = new LinkedHashSet<>(withdrawnSites);
         return sites.remove(name) ? withWithdrawnSites(sites) : this;
     }
