--- a/src/main/java/magpiehub/routing/ActiveSettings.java
+++ b/src/main/java/magpiehub/routing/ActiveSettings.java
@@ -1,6 +1,6 @@
 package magpiehub.routing;
 
-/** The settings in force, shared by all parts of one policy. A reload replaces them between two events. */
+/** Holds the current settings, shared by all components of one policy. A reload replaces them between two events. */
 final class ActiveSettings {
     private RoutingSettings settings;
 
--- a/src/main/java/magpiehub/routing/AdmissionController.java
+++ b/src/main/java/magpiehub/routing/AdmissionController.java
@@ -3,24 +3,26 @@
 import java.util.Arrays;
 
 /**
- * Sheds load while the fleet is overloaded: the requests with the least value for the time that they take are rejected
- * first. Requests beyond their tenant's quota have little value; the rest of a stream that broke or was migrated is
- * never shed, since most of its work is done.
+ * Sheds load while the fleet is overloaded, starting with the requests that have the lowest value per service time.
+ * Requests over their tenant's quota have a reduced value. A request that continues a broken or migrated stream is
+ * never shed, since most of its work is already done.
  */
 final class AdmissionController {
-    /** Steps of the shed part, up and down, a period, and the most that is shed. */
+    /** Increase and decrease of the shed fraction per adjustment period, and its upper bound. */
     private static final double STEP_UP = 0.1;
 
     private static final double STEP_DOWN = 0.05;
     private static final double MAX_SHED_PART = 0.8;
 
-    /** What arrivals of earlier periods weigh after each period. */
+    /** Factor by which arrivals of earlier periods are multiplied after each period. */
     private static final double ARRIVAL_DECAY = 0.9;
 
-    /** A router that has sent nothing for so long (us) sheds nothing: answers alone tell of the end of overload. */
+    /**
+     * A router that has sent no attempt for this time sheds nothing: only answers can show that the overload is over.
+     */
     private static final long MAX_IDLE_MICROS = 2_000_000;
 
-    /** The least mean time of an answer that a value is divided by, in microseconds. */
+    /** Lower bound of the mean answer time that a value is divided by. */
     private static final long SHORTEST_ANSWER_MICROS = 50_000;
 
     private final ActiveSettings settings;
@@ -30,7 +32,7 @@
     private final TenantQuotas quotas;
     private final SplitMix64 random;
     private double shedPart;
-    // Two buckets for each class: requests within, then those over their tenants' quotas.
+    // Two buckets per class: requests within their tenant's quota, then requests over it.
     private double[] arrivals = {};
     private double[] shedPartOfBucket = {};
 
@@ -50,7 +52,7 @@
         resize();
     }
 
-    /** Makes room for the classes and tenants of new settings. */
+    /** Adjusts the number of buckets to the classes and tenants of new settings. */
     void resize() {
         int buckets = 2 * Math.max(1, settings.get().classes().size());
         arrivals = Arrays.copyOf(arrivals, buckets);
@@ -58,7 +60,7 @@
         quotas.resize();
     }
 
-    /** Whether a request is admitted; its class must be known. */
+    /** Returns whether a request is admitted. Its class must be valid. */
     boolean admit(RoutingRequest request, long now) {
         int bucket = 2 * request.classIndex() + (quotas.isOverQuota(request.tenantIndex(), now) ? 1 : 0);
         arrivals[bucket]++;
@@ -68,7 +70,7 @@
                 || random.nextDouble() >= shedPartOfBucket[bucket];
     }
 
-    /** Adapts the part that is shed to the answers of the period that ends. */
+    /** Adapts the shed fraction to the answers of the period that ends. */
     void adjust() {
         shedPart = overload.needsLoadShedding()
                 ? Math.min(MAX_SHED_PART, shedPart + STEP_UP)
@@ -79,7 +81,7 @@
         }
     }
 
-    /** Spends the shed part on the buckets, from the least value upwards. */
+    /** Distributes the load to be shed over the buckets, from the lowest value rate upwards. */
     private void distributeShedding() {
         Arrays.fill(shedPartOfBucket, 0);
         double left = shedPart * Arrays.stream(arrivals).sum();
@@ -93,7 +95,7 @@
         }
     }
 
-    /** -1 if all buckets are shed. */
+    /** Returns the bucket with the lowest value rate of those that are not shed, -1 if all are. */
     private int leastValuableUnshedBucket() {
         int least = -1;
         for (int bucket = 0; bucket < 2 * settings.get().classes().size(); bucket++) {
@@ -104,7 +106,7 @@
         return least;
     }
 
-    /** Value of a bucket's request for the time that it takes. */
+    /** Returns the value of a request of the bucket per service time. */
     private double valueRate(int bucket) {
         int classIndex = bucket / 2;
         boolean isOverQuota = bucket % 2 == 1;
--- a/src/main/java/magpiehub/routing/AffinityEntry.java
+++ b/src/main/java/magpiehub/routing/AffinityEntry.java
@@ -1,16 +1,16 @@
 package magpiehub.routing;
 
 /**
- * An affinity key, a shared prefix or a session, with the replicas that are likely to have its tokens cached. The
- * replicas form a deque that is used in rotation; new ones enter at the front.
+ * An affinity key, which is a shared prefix or a session, and the replicas that are likely to have its tokens cached.
+ * The replicas form a deque that is used round-robin; new ones are added at the front.
  */
 final class AffinityEntry {
-    /** Replicas of one entry at most; a prefix that needs more is spread by session over the whole ring. */
+    /** Maximum number of replicas of an entry; a prefix that needs more is spread by session over the whole ring. */
     static final int MAX_REPLICAS = 8;
 
     private static final long NEVER = Long.MIN_VALUE;
 
-    // Position in the table's order of last use: only AffinityTable touches these three.
+    // Links and time of the LRU list, which only AffinityTable accesses.
     AffinityEntry newer;
     AffinityEntry older;
     long lastUsedAt;
@@ -32,23 +32,23 @@
         return key;
     }
 
-    /** Whether the key is a session; otherwise it is a shared prefix. */
+    /** Returns whether the key is a session; otherwise it is a shared prefix. */
     boolean isSession() {
         return session;
     }
 
-    /** The key's position on a ring; sessions and prefixes of equal number have different ones. */
+    /** Returns the key's position on a ring, which differs for a session and a prefix with the same id. */
     long ringPosition() {
         return SplitMix64.mix(key * 2 + (session ? 1 : 0));
     }
 
     // ---- Demand -----------------------------------------------------------------------------------------
-    /** Counts a request for this key. */
+    /** Records a request for this key. */
     void recordRequest(long now) {
         demand.increment(now);
     }
 
-    /** Requests for this key, decayed. */
+    /** Returns the decayed number of requests for this key. */
     double demand() {
         return demand.value();
     }
@@ -75,7 +75,7 @@
         return -1;
     }
 
-    /** Adds a replica at the front, unless it is there; past {@code maxSize}, replicas at the back go. */
+    /** Adds a replica at the front unless it is present; removes replicas at the back beyond {@code maxSize}. */
     void addFirst(Replica replica, int maxSize) {
         if (contains(replica)) {
             return;
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Removes replicas that are no longer ready, and those at the back past {@code maxSize}. */
+    /** Removes replicas that are not ready, and those at the back beyond {@code maxSize}. */
     void retainReady(int maxSize) {
         for (int i = size - 1; i >= 0; i--) {
             if (!replicas[i].isReady() || i >= maxSize) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Makes the replica the last one in rotation. */
+    /** Moves the replica to the end of the rotation. */
     void moveToBack(int index) {
         Replica replica = replicas[index];
         System.arraycopy(replicas, index + 1, replicas, index, size - index - 1);
@@ -123,17 +123,17 @@
     }
 
     // ---- Confirmation -----------------------------------------------------------------------------------
-    /** Whether a replica of the entry has served the key since the newest one was added. */
+    /** Returns whether a replica of the entry has served the key since the last replica was added. */
     boolean isConfirmed() {
         return confirmedAt != NEVER;
     }
 
-    /** A replica of the entry has served the key. */
+    /** Records that a replica of the entry has served the key. */
     void confirm(long now) {
         confirmedAt = now;
     }
 
-    /** Whether the entry was confirmed when an attempt was sent. */
+    /** Returns whether the entry was confirmed by the given time. */
     boolean wasConfirmedAt(long time) {
         return time >= confirmedAt;
     }
--- a/src/main/java/magpiehub/routing/AffinityResolver.java
+++ b/src/main/java/magpiehub/routing/AffinityResolver.java
@@ -1,14 +1,14 @@
 package magpiehub.routing;
 
 /**
- * Finds the affinity entry of a request, by its shared prefix or its session, and over how many replicas the key is
- * spread: as many as its share of this router's traffic needs.
+ * Finds the affinity entry of a request by its shared prefix or its session, and computes over how many replicas the
+ * key is spread from its share of this router's traffic.
  */
 final class AffinityResolver {
-    /** A key gets this many times the replicas that its share of the traffic would fill. */
+    /** Ratio of the replicas that a key is spread over to those that its share of the traffic would fill. */
     private static final double SPREAD_FACTOR = 4;
 
-    /** Requests of one session, decayed, from which it is a hot key: no conversation comes that often. */
+    /** Decayed request count above which a session is a hot key; a single conversation does not reach it. */
     private static final double HOT_SESSION_DEMAND = 5;
 
     private final AffinityTable table;
@@ -23,7 +23,7 @@
         this.traffic = traffic;
     }
 
-    /** Sets a request's affinity entry, if it has a key; returns the number of replicas that the key is spread over. */
+    /** Sets a request's affinity entry if it has a key. Returns the number of replicas that the key is spread over. */
     int resolve(RequestInFlight request, long now) {
         long prefixId = request.request().prefixId();
         long sessionId = request.request().sessionId();
@@ -31,7 +31,7 @@
             AffinityEntry entry = table.usePrefix(prefixId, now);
             entry.recordRequest(now);
             double needed = neededReplicas(entry);
-            // A prefix too heavy for one entry is cached everywhere; the session's own tokens decide.
+            // A prefix with too much traffic for one entry is cached everywhere, so the session's tokens decide.
             if (needed <= AffinityEntry.MAX_REPLICAS || sessionId == 0) {
                 request.setAffinityEntry(entry);
                 return width(entry, needed);
@@ -44,11 +44,11 @@
         AffinityEntry entry = table.useSession(sessionId, now);
         entry.recordRequest(now);
         request.setAffinityEntry(entry);
-        // A hot key would overload the one replica that it lives on.
+        // A hot key would overload a single replica.
         return entry.demand() > HOT_SESSION_DEMAND ? width(entry, neededReplicas(entry)) : 1;
     }
 
-    /** Replicas that the key's share of this router's traffic would keep cached. */
+    /** Returns how many replicas the key's share of this router's traffic needs. */
     private double neededReplicas(AffinityEntry entry) {
         return traffic.isEstablished()
                 ? SPREAD_FACTOR * entry.demand() / traffic.requestCount() * fleet.readyCount()
--- a/src/main/java/magpiehub/routing/AffinityTable.java
+++ b/src/main/java/magpiehub/routing/AffinityTable.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The affinity entries by key, bounded in number and age: the least recently used ones go. */
+/** The affinity entries by key, an LRU cache that is bounded in size and age. */
 final class AffinityTable {
-    /** Entries kept at most: a bound on memory. */
+    /** Maximum number of entries, which bounds the memory. */
     private static final int MAX_ENTRIES = 20_000;
 
-    /** How long an unused entry's replicas are believed to have its tokens cached, in microseconds. */
+    /** How long the replicas of an unused entry are assumed to keep its tokens cached. */
     private static final long IDLE_TIMEOUT_MICROS = 30_000_000;
 
     private final int maxEntries;
@@ -22,7 +22,7 @@
         this(MAX_ENTRIES);
     }
 
-    /** A table of so many entries at most. */
+    /** Creates a table that holds at most {@code maxEntries} entries. */
     AffinityTable(int maxEntries) {
         this.maxEntries = maxEntries;
     }
@@ -31,22 +31,22 @@
         return size;
     }
 
-    /** The least recently used entry, null if there is none. */
+    /** Returns the least recently used entry, null if the table is empty. */
     AffinityEntry oldest() {
         return oldest;
     }
 
-    /** The entry that was used next after another one, null if that is the most recently used. */
+    /** Returns the entry that was used next after the given one, null if that is the most recently used. */
     AffinityEntry nextNewer(AffinityEntry entry) {
         return entry.newer;
     }
 
-    /** The entry of a prefix, new if there was none; it becomes the most recently used one. */
+    /** Returns the entry of a prefix, creating it if necessary, and makes it the most recently used one. */
     AffinityEntry usePrefix(long prefixId, long now) {
         return use(byPrefix, prefixId, false, now);
     }
 
-    /** The entry of a session, new if there was none; it becomes the most recently used one. */
+    /** Returns the entry of a session, creating it if necessary, and makes it the most recently used one. */
     AffinityEntry useSession(long sessionId, long now) {
         return use(bySession, sessionId, true, now);
     }
--- a/src/main/java/magpiehub/routing/Attempt.java
+++ b/src/main/java/magpiehub/routing/Attempt.java
@@ -1,6 +1,6 @@
 package magpiehub.routing;
 
-/** One sending of a request to a replica, from the moment it is sent until its outcome is known. */
+/** One attempt to serve a request at a replica, from sending it until its outcome is known. */
 final class Attempt {
     private final Replica replica;
     private final long sentAt;
@@ -25,12 +25,12 @@
         return sentAt;
     }
 
-    /** The zone that the replica was in when it was sent. */
+    /** Returns the zone that the replica belonged to when the attempt was sent. */
     int zone() {
         return zone;
     }
 
-    /** Whether its first token has come. */
+    /** Returns whether its first token has arrived. */
     boolean hasStarted() {
         return started;
     }
@@ -47,12 +47,12 @@
         ended = true;
     }
 
-    /** Whether it is open and its first token has not come. */
+    /** Returns whether it is open and its first token has not arrived. */
     boolean awaitsFirstToken() {
         return !ended && !started;
     }
 
-    /** Whether it is the trial of an ejected replica. */
+    /** Returns whether it is the trial of an ejected replica. */
     boolean isTrial() {
         return trial;
     }
@@ -61,7 +61,7 @@
         trial = true;
     }
 
-    /** Whether its zone health has been told that no first token comes. */
+    /** Returns whether the missing first token has been reported to the zone health. */
     boolean isSilenceReported() {
         return silenceReported;
     }
@@ -70,7 +70,9 @@
         silenceReported = true;
     }
 
-    /** Whether this router cancelled it because its zone is closed; its request may then go elsewhere. */
+    /**
+     * Returns whether this router cancelled it because its zone is closed; its request may then be retried elsewhere.
+     */
     boolean isGivenUp() {
         return givenUp;
     }
--- a/src/main/java/magpiehub/routing/AttemptOutcome.java
+++ b/src/main/java/magpiehub/routing/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package magpiehub.routing;
 
-/** How one attempt or health check ended. The constants' names are part of counter names. */
+/** Outcome of an attempt or a health check. The constants' names are part of counter names. */
 public enum AttemptOutcome {
     /** Answered completely. */
     OK(false),
@@ -8,7 +8,7 @@
     ERROR(false),
     /** The replica rejected it for lack of capacity. */
     FULL(true),
-    /** No answer in time. */
+    /** No answer arrived before the timeout. */
     TIMEOUT(false),
     /** No connection could be opened. */
     CONNECT_FAILED(true),
@@ -16,7 +16,7 @@
     RESET(false),
     /** Cancelled by this router or by its client. */
     CANCELLED(false),
-    /** Superseded: the request needed it no longer before it was executed. */
+    /** Superseded: the request no longer needed the attempt before it was executed. */
     MOOT(true),
     /** The response was malformed. */
     SPOILT(false);
@@ -27,7 +27,7 @@
         this.neverExecuted = neverExecuted;
     }
 
-    /** Whether the outcome proves that the attempt was not executed, so that repeating it is harmless. */
+    /** Returns whether the outcome proves that the attempt was not executed, so that a retry is safe. */
     public boolean wasNeverExecuted() {
         return neverExecuted;
     }
--- a/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
+++ b/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
@@ -5,14 +5,14 @@
 import java.util.Set;
 
 /**
- * The plain zone health: a zone is passed over for a moment once several of its replicas could not be reached and none
- * could, so that the loss of a network path is learnt once and not replica by replica.
+ * The default zone health: skips a zone for a short time once connections to several of its replicas failed and none
+ * succeeded, so that the loss of a network path is detected once instead of replica by replica.
  */
 public final class ConnectFailureZoneHealth implements ZoneHealth {
-    /** How long a zone is passed over, in microseconds; failures further apart than twice this are unrelated. */
+    /** How long a zone is skipped. Failures that are more than twice this time apart count as unrelated. */
     private static final long PAUSE_MICROS = 1_000_000;
 
-    /** Unreachable replicas, with none reached in between, from which a zone is passed over. */
+    /** Number of unreachable replicas, with none reached in between, from which a zone is skipped. */
     private static final int MIN_FAILURES = 3;
 
     private long[] lastFailureAt = new long[0];
--- a/src/main/java/magpiehub/routing/DecayedCounter.java
+++ b/src/main/java/magpiehub/routing/DecayedCounter.java
@@ -1,15 +1,15 @@
 package magpiehub.routing;
 
 /**
- * A count in which older events weigh exponentially less. Its value is that of the moment of the last event: it is
- * not decayed further while it is read.
+ * A counter with exponential decay. Its value is the one at the time of the last event; reading it applies no further
+ * decay.
  */
 final class DecayedCounter {
     private final double timeConstant;
     private double value;
     private long updatedAt;
 
-    /** A counter at 0 whose events weigh 1/e after {@code timeConstant} microseconds. */
+    /** Creates a counter at 0 whose events have decayed to 1/e after {@code timeConstant} microseconds. */
     DecayedCounter(double timeConstant, long now) {
         this.timeConstant = timeConstant;
         updatedAt = now;
@@ -20,13 +20,13 @@
         add(1, now);
     }
 
-    /** Counts an event of a weight. */
+    /** Counts an event with a weight. */
     void add(double weight, long now) {
         value = value * Math.exp((updatedAt - now) / timeConstant) + weight;
         updatedAt = now;
     }
 
-    /** Multiplies what has been counted by a factor. */
+    /** Multiplies the value by a factor. */
     void scale(double factor) {
         value *= factor;
     }
@@ -35,7 +35,7 @@
         return value;
     }
 
-    /** When the last event was counted; the time of creation if there was none. */
+    /** Returns the time of the last event, or of the creation if there was none. */
     long updatedAt() {
         return updatedAt;
     }
--- a/src/main/java/magpiehub/routing/DeduplicationScope.java
+++ b/src/main/java/magpiehub/routing/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package magpiehub.routing;
 
-/** The replicas among which repeats of a request with an idempotency key are recognised. */
+/** The replicas that recognize a repeated request by its idempotency key. */
 public enum DeduplicationScope {
     /** All replicas of the fleet. */
     ALL,
-    /** Those of one zone. */
+    /** The replicas of one zone. */
     ZONE,
-    /** Those of one cell. */
+    /** The replicas of one cell. */
     CELL
 }
--- a/src/main/java/magpiehub/routing/EndpointListHandler.java
+++ b/src/main/java/magpiehub/routing/EndpointListHandler.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * Applies endpoint lists and new settings to the fleet and to what depends on it, and asks for lists when they are due.
+ * Applies endpoint lists and new settings to the fleet and to the components that depend on it, and requests lists when
+ * they are due.
  */
 final class EndpointListHandler implements FleetState.Listener {
     private final ActiveSettings settings;
@@ -40,7 +41,7 @@
         pollSchedule = EndpointPollSchedule.startingAt(now, settings.get(), random.nextDouble());
     }
 
-    /** Takes a list, or the news that none could be had. */
+    /** Handles an endpoint list, or the report that none was available. */
     void handle(EndpointListKind kind, List<Endpoint> endpoints, long now) {
         if (kind == EndpointListKind.ERROR) {
             pollSchedule.recordFailure(now, settings.get().guarantees().pollWithin(), random.nextDouble());
@@ -54,7 +55,7 @@
         }
     }
 
-    /** Asks for the list if that is due and lists are not pushed. */
+    /** Requests the endpoint list if that is due and lists are not pushed. */
     void pollIfDue(long now) {
         if (settings.get().subscribesToEndpoints()
                 && pollSchedule.acquirePoll(now, settings.get().guarantees().pollWithin())) {
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Rebuilds the rings, and tells what depends on the number and sizes of replicas. */
+    /** Rebuilds the rings and updates the components that depend on the number and sizes of replicas. */
     void rebuildFleet(long now) {
         fleet.rebuild();
         for (int zone = 0; zone < fleet.zoneCount(); zone++) {
--- a/src/main/java/magpiehub/routing/EndpointPollSchedule.java
+++ b/src/main/java/magpiehub/routing/EndpointPollSchedule.java
@@ -1,15 +1,16 @@
 package magpiehub.routing;
 
 /**
- * Says when the endpoint list is asked for, with backoff after calls that failed. What discovery has and could send
- * counts as sent 6 s later, whatever happened before; so the longest backoff, a connection, and an answer that has
- * queued for as long as discovery lets calls queue fit into that time together.
+ * Schedules requests for the endpoint list, with backoff after failed calls. An endpoint list that discovery has and
+ * could send counts as sent after 6 s, whatever happened before. The longest backoff, the time to connect and the
+ * longest time that discovery lets a call wait in its queue must therefore fit into 6 s together.
  */
 final class EndpointPollSchedule {
     /**
-     * Base of the backoff after a watch was lost, and after each further failure (us). Half of it always, and nearly as
-     * much by chance: routers that lost discovery together are to come back spread out. The longest, with a second in
-     * vain for a connection, leaves half of the 6 s for an answer that waits.
+     * Base of the backoff after a watch was lost, and after each further failure. The backoff is at least half of it,
+     * with nearly as much jitter, so that routers that lost discovery together reconnect spread out. The longest
+     * backoff and a failed connection attempt of one second leave half of the 6 s for an answer that waits in
+     * discovery's queue.
      */
     private static final long FIRST_BACKOFF_MICROS = 1_000_000;
 
@@ -17,37 +18,37 @@
     private static final double LEAST_BACKOFF = 0.5;
     private static final double BACKOFF_JITTER = 0.45;
 
-    /** Discovery serves callers in turn: first calls are spread over this time (us) for each router. */
+    /** Time per router over which first calls are spread, since discovery serves callers one after another. */
     private static final long FIRST_POLL_SPREAD_MICROS = 20_000;
 
     private boolean upToDate;
     private boolean failedBefore;
-    /** Whether {@link #nextPollAt} is the end of a backoff, and not of a call's time. */
+    /** Whether {@link #nextPollAt} is the end of a backoff rather than the end of the time allotted to a call. */
     private boolean backingOff;
 
     private long nextPollAt;
 
-    /** Nothing is known yet; the first poll is due at a time. */
+    /** Creates a schedule without an endpoint list, whose first poll is due at the given time. */
     EndpointPollSchedule(long firstPollAt) {
         nextPollAt = firstPollAt;
     }
 
-    /** A schedule whose first poll is due soon, at a random time, so that routers started together spread out. */
+    /** Creates a schedule with a random time of the first poll, so that routers that start together are spread out. */
     static EndpointPollSchedule startingAt(long now, RoutingSettings settings, double random) {
         long spread =
                 Math.min(settings.guarantees().pollWithin() / 2, FIRST_POLL_SPREAD_MICROS * settings.instanceCount());
         return new EndpointPollSchedule(now + (long) (random * spread));
     }
 
-    /** Discovery has sent a list: nothing is due until a call fails. */
+    /** Records that discovery has sent a list: no poll is due until a call fails. */
     void recordReceived() {
         upToDate = true;
         failedBefore = false;
     }
 
     /**
-     * A call has failed, or a watch has ended. Neither a list nor a second failure puts off a poll that is waited for:
-     * each message of a watch that has fallen silent once would.
+     * Records that a call has failed or a watch has ended. Neither a list nor another failure postpones a poll that is
+     * already scheduled after a backoff; otherwise each message of a watch that was silent before would postpone it.
      */
     void recordFailure(long now, long pollWithin, double random) {
         long base = Math.min(pollWithin, failedBefore ? FURTHER_BACKOFF_MICROS : FIRST_BACKOFF_MICROS);
@@ -59,8 +60,8 @@
     }
 
     /**
-     * Whether a poll is due; true uses it up. The call is then believed to be under way for half of the time that the
-     * settings give for polling.
+     * Returns whether a poll is due and, if so, counts it as made. The call then counts as in progress for half of the
+     * time that the settings allow for polling.
      */
     boolean acquirePoll(long now, long pollWithin) {
         boolean due = !upToDate && now >= nextPollAt;
--- a/src/main/java/magpiehub/routing/EndpointState.java
+++ b/src/main/java/magpiehub/routing/EndpointState.java
@@ -1,11 +1,11 @@
 package magpiehub.routing;
 
-/** State of a replica as the endpoint list has it. */
+/** State of a replica in the endpoint list. */
 public enum EndpointState {
-    /** Takes requests. */
+    /** Accepts requests. */
     LIVE,
-    /** Serves what it has and takes nothing new. */
+    /** Finishes its requests and accepts no new ones. */
     DRAINING,
-    /** Gone; a new replica has a new id. */
+    /** Removed for good; a replacement has a new id. */
     DEAD
 }
--- a/src/main/java/magpiehub/routing/FleetState.java
+++ b/src/main/java/magpiehub/routing/FleetState.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /**
- * The replicas that the endpoint list names, and the hash rings over those that are ready. Endpoint lists go in;
- * a listener hears which replicas started anew or became unavailable.
+ * The replicas of the endpoint list, and the hash rings of those that are ready. Applies endpoint lists, and notifies
+ * a listener of replicas that restarted or became unavailable.
  */
 final class FleetState {
-    /** Replicas that a router keeps to where connections have a price. */
+    /** Number of replicas that a router uses where connections have a cost. */
     private static final int SUBSET_SIZE = 6;
 
-    /** Hears what an endpoint list changes for single replicas. */
+    /** Is notified of the changes that an endpoint list makes to single replicas. */
     interface Listener {
-        /** The replica has started at a time. */
+        /** The replica has started or restarted at {@code startedAt}. */
         void onReplicaStarted(Replica replica, long startedAt);
 
-        /** The replica is draining, gone or no longer listed: it gets nothing new. */
+        /** The replica is draining, gone or no longer listed: it gets no new requests. */
         void onReplicaUnavailable(Replica replica);
     }
 
@@ -41,23 +41,23 @@
         growZones();
     }
 
-    /** Makes room for zones that new settings add; the number of zones never falls. */
+    /** Adds the zones of new settings; the number of zones never decreases. */
     void growZones() {
         zoneCount = Math.max(Math.max(1, zoneCount), settings.get().zoneCount());
     }
 
-    /** Sets until when the endpoint list may be used. */
+    /** Sets the time until which the endpoint list may be used. */
     void setValidUntil(long time) {
         validUntil = time;
     }
 
-    /** Whether anything may be sent by the endpoint list. */
+    /** Returns whether the endpoint list may still be used for sending. */
     boolean isValid(long now) {
         return now < validUntil;
     }
 
     // ---- Endpoint lists ---------------------------------------------------------------------------------
-    /** Takes an endpoint list; returns whether {@link #rebuild} is needed. */
+    /** Applies an endpoint list; returns whether {@link #rebuild} is needed. */
     boolean update(EndpointListKind kind, List<Endpoint> endpoints, Listener listener) {
         boolean changed = false;
         if (kind != EndpointListKind.CHANGES) {
@@ -102,7 +102,7 @@
             makeUnavailable(replica, listener);
         }
         if (endpoint.state() == EndpointState.DEAD) {
-            // A new replica has a new id: what has gone would be kept, and walked over, for good.
+            // A replacement has a new id, so the old entry would otherwise be kept and iterated over forever.
             byId.remove(replica.id());
             replicas.remove(replica);
             changed = true;
@@ -110,7 +110,7 @@
         return changed;
     }
 
-    /** It gets nothing new from this moment; affinity entries drop it when they meet it. */
+    /** The replica gets no new requests from now on; affinity entries remove it when they are next used. */
     private static void makeUnavailable(Replica replica, Listener listener) {
         replica.setReady(false);
         listener.onReplicaUnavailable(replica);
@@ -151,8 +151,9 @@
     }
 
     /**
-     * The few replicas that a router keeps to where connections have a price. Its number picks them from a shuffle
-     * that a round of routers shares, so that each replica belongs to as many routers as the next.
+     * Returns the subset of replicas that a router uses where connections have a cost (deterministic subsetting). Its
+     * instance index picks a slice of a shuffle that it shares with the other routers of its round, so that all
+     * replicas are used by about the same number of routers.
      */
     private static List<Replica> subset(List<Replica> from, int instance) {
         int slices = Math.max(1, from.size() / SUBSET_SIZE);
@@ -163,38 +164,38 @@
         return shuffled.subList(start, slices == 1 ? from.size() : start + SUBSET_SIZE);
     }
 
-    /** The ring of all ready replicas. */
+    /** Returns the ring of all ready replicas. */
     HashRing fullRing() {
         return fullRing;
     }
 
-    /** The ring of those that this router keeps to: all that are ready, unless connections have a price. */
+    /** Returns the ring of the replicas that this router uses: all ready ones, unless connections have a cost. */
     HashRing subsetRing() {
         return subsetRing;
     }
 
-    /** The ring of those of the own zone; {@link #subsetRing()} if there are none. */
+    /** Returns the ring of the own zone's replicas; {@link #subsetRing()} if there are none. */
     HashRing ownZoneRing() {
         return ownZoneRing;
     }
 
-    /** Whether ordinary traffic goes to the replica, so that its idle connections are of use. */
+    /** Returns whether the replica gets regular traffic, so that its idle connections are worth keeping. */
     boolean isOnOwnRings(Replica replica) {
         return ownZoneRing.contains(replica) || subsetRing.contains(replica);
     }
 
     // ---- Replicas ---------------------------------------------------------------------------------------
-    /** The replica of an id, null if it is not known. */
+    /** Returns the replica with the id, null if it is unknown. */
     Replica find(String id) {
         return byId.get(id);
     }
 
-    /** Replicas known, ready or not. */
+    /** Returns the number of known replicas, ready or not. */
     int size() {
         return replicas.size();
     }
 
-    /** A replica by its index from 0, in an order that only endpoint lists change. */
+    /** Returns a replica by its index from 0; only endpoint lists change the order. */
     Replica get(int index) {
         return replicas.get(index);
     }
@@ -208,12 +209,12 @@
         return zoneCount;
     }
 
-    /** Ready replicas of a zone when the rings were last built. */
+    /** Returns the number of ready replicas of a zone when the rings were last built. */
     int readyInZone(int zone) {
         return readyPerZone[zone];
     }
 
-    /** Ready replicas of the router's own zone when the rings were last built. */
+    /** Returns the number of ready replicas of the router's own zone when the rings were last built. */
     int readyInOwnZone() {
         return readyInOwnZone;
     }
@@ -226,7 +227,7 @@
         return validZone(replica.endpoint().zone());
     }
 
-    /** The zone itself, or 0 for one that the settings do not know. */
+    /** Returns the zone itself, or 0 if the settings do not contain it. */
     int validZone(int zone) {
         return zone >= 0 && zone < zoneCount ? zone : 0;
     }
--- a/src/main/java/magpiehub/routing/HashRing.java
+++ b/src/main/java/magpiehub/routing/HashRing.java
@@ -6,21 +6,21 @@
 import java.util.Map;
 
 /**
- * A consistent-hash ring. A replica's points depend on its id alone, so a replica that joins or leaves moves no key
- * but its own, and all routers have the same ring. It does not change once it is built.
+ * An immutable consistent-hash ring. A replica's points depend only on its id, so a replica that joins or leaves moves
+ * only its own keys, and all routers have the same ring.
  */
 final class HashRing {
-    /** Points of a replica of mean size: enough for even shares, few enough to rebuild fast. */
+    /** Points of a replica of mean size: enough for even shares, few enough for fast rebuilds. */
     private static final int POINTS_PER_REPLICA = 24;
 
-    /** An odd constant that spreads a replica's points. */
+    /** An odd constant that separates the points of a replica. */
     private static final long POINT_STEP = 0x632be59bd9b4e019L;
 
     private final long[] positions;
     private final Replica[] replicas;
     private final int replicaCount;
 
-    /** A ring of replicas, each with points in proportion to its relative size. */
+    /** Creates a ring on which each replica has points in proportion to its relative size. */
     HashRing(List<Replica> members) {
         replicaCount = members.size();
         List<Map.Entry<Long, Replica>> points = new ArrayList<>();
@@ -47,12 +47,12 @@
         return positions.length;
     }
 
-    /** The replica of a point, by its index from 0; indexes go on round the ring. */
+    /** Returns the replica of a point by its index from 0; indexes wrap around. */
     Replica replicaAt(int point) {
         return replicas[point % replicas.length];
     }
 
-    /** The first point at or after a position; {@link #pointCount()} if the next one is the ring's first. */
+    /** Returns the first point at or after a position; {@link #pointCount()} if the search wraps to the first point. */
     int firstPointFrom(long position) {
         int i = Arrays.binarySearch(positions, position);
         return i >= 0 ? i : -i - 1;
--- a/src/main/java/magpiehub/routing/HealthChecker.java
+++ b/src/main/java/magpiehub/routing/HealthChecker.java
@@ -1,14 +1,14 @@
 package magpiehub.routing;
 
 /**
- * Sends health checks: to replicas that have not been heard of for a period, at a rate that all routers share, so that
- * routers times replicas stays small; and to replicas of a zone when that is asked for.
+ * Sends health checks to replicas that have not answered for a period, at a rate that all routers share so that the
+ * total does not grow with the number of routers, and to replicas of a zone on request.
  */
 final class HealthChecker {
-    /** A replica is checked once in this time (us), over all routers together, while nothing is heard of it. */
+    /** Interval between health checks of a replica that does not answer otherwise, over all routers together. */
     private static final long PERIOD_MICROS = 10_000_000;
 
-    /** Replicas looked at, in one tick, for one that has not been heard of. */
+    /** Maximum number of replicas that one tick examines for one that has not answered for a period. */
     private static final int MAX_STEPS = 12;
 
     private final ActiveSettings settings;
@@ -27,7 +27,7 @@
         lastCheckAt = now;
     }
 
-    /** Checks one silent replica, if it is this router's turn. */
+    /** Checks one replica that has not answered for a period, if a check is due. */
     void checkSilentReplica(long now) {
         if (!isDue(now)) {
             return;
@@ -50,7 +50,7 @@
                 && now - lastCheckAt >= PERIOD_MICROS * settings.get().instanceCount() / fleet.size();
     }
 
-    /** Checks so many ready replicas of a zone, as far as it has them. */
+    /** Checks up to {@code count} ready replicas of a zone. */
     void checkZone(int zone, int count, long now) {
         int left = count;
         for (int step = 0; left > 0 && step < fleet.size() && fleet.isValid(now); step++) {
--- a/src/main/java/magpiehub/routing/Idempotency.java
+++ b/src/main/java/magpiehub/routing/Idempotency.java
@@ -1,11 +1,11 @@
 package magpiehub.routing;
 
-/** What happens if a request is executed twice; it decides where a retry may go. */
+/** The effect of executing a request twice, which decides where a retry may be sent. */
 public enum Idempotency {
-    /** Repeating it is harmless. */
+    /** A repeat is harmless. */
     IDEMPOTENT,
-    /** Replicas of one {@link DeduplicationScope} recognise its key and drop repeats, for a limited time. */
+    /** Replicas of one {@link DeduplicationScope} recognize its key and drop repeats for a limited time. */
     IDEMPOTENT_WITH_KEY,
-    /** Never safe to repeat unless it is known that no earlier attempt was executed. */
+    /** Safe to repeat only if it is certain that no earlier attempt was executed. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/magpiehub/routing/LoadReport.java
+++ b/src/main/java/magpiehub/routing/LoadReport.java
@@ -1,12 +1,12 @@
 package magpiehub.routing;
 
 /**
- * A replica's own load report; a value is NaN where the site or the report lacks it.
+ * A replica's load report. A value is NaN if the site does not define it or the report does not contain it.
  *
- * @param inFlight requests that it serves
- * @param queueLength requests that wait there
+ * @param inFlight requests in progress
+ * @param queueLength queued requests
  * @param utilization utilization, from 0 to 1
- * @param latencyMillis its recent time of service in milliseconds
+ * @param latencyMillis recent service time in milliseconds
  * @param requestsPerSecond requests per second
  * @param errorsPerSecond errors per second
  * @param siteMetric0 first metric that only this site defines
--- a/src/main/java/magpiehub/routing/LoadTracker.java
+++ b/src/main/java/magpiehub/routing/LoadTracker.java
@@ -3,42 +3,42 @@
 import java.util.ArrayDeque;
 
 /**
- * This router's load on each replica: attempts in flight, an adaptive concurrency limit, the pause after a rejection,
- * and attempts whose first token is awaited. It answers whether a replica has capacity for one more.
+ * Tracks this router's load on each replica: attempts in flight, an adaptive concurrency limit, the backoff after a
+ * rejection, and attempts that await their first token. Decides whether a replica has capacity for another attempt.
  */
 final class LoadTracker {
     /**
-     * A replica is passed over while it has more than this many times the mean of this router's attempts, and
-     * {@link #EXTRA_QUEUE_DEPTH} more: work piles up where a replica is slow, whatever makes it slow.
+     * A replica is skipped while it has more than this multiple of the mean number of this router's attempts per
+     * replica plus {@link #EXTRA_QUEUE_DEPTH}: attempts accumulate at a slow replica whatever the cause.
      */
     private static final double MAX_QUEUE_DEPTH_RATIO = 2;
 
     private static final double EXTRA_QUEUE_DEPTH = 1.5;
 
     /**
-     * A replica is passed over while an attempt has waited there for so long (us) without a first token: some five
-     * times what one takes that finds its tokens cached.
+     * A replica is skipped while an attempt there has waited for this time without a first token, which is about five
+     * times the usual time to first token of a cached prompt.
      */
     static final long FIRST_TOKEN_PATIENCE_MICROS = 400_000;
 
-    /** How long a replica that rejected for lack of capacity is passed over (us), before jitter. */
+    /** How long a replica that rejected an attempt for lack of capacity is skipped, before jitter. */
     private static final long REJECTION_PAUSE_MICROS = 300_000;
 
-    /** Jitter on that pause: half of it always, and as much again by chance. */
+    /** Lower bound of the jitter factor of that backoff, which is between 0.5 and 1.5. */
     private static final double LEAST_PAUSE = 0.5;
 
-    /** Concurrency limit of a replica of which nothing is known; high enough not to bind. */
+    /** Concurrency limit of a replica without history; high enough not to have an effect. */
     private static final double INITIAL_CONCURRENCY_LIMIT = 64;
 
-    /** A rejection lowers the limit to this part of what was in flight. */
+    /** Factor from the number of attempts in flight to the concurrency limit after a rejection. */
     private static final double REJECTION_DECREASE = 0.8;
 
-    /** The load on one replica; only {@link LoadTracker} reads and changes it. */
+    /** The load on one replica, which only {@link LoadTracker} accesses. */
     static final class ReplicaLoad {
         private int inFlight;
         private double concurrencyLimit = INITIAL_CONCURRENCY_LIMIT;
         private long pausedUntil;
-        /** In the order of sending; those started or ended are taken out when they are met at the head. */
+        /** In the order of sending; started and ended attempts are removed when they reach the head. */
         private final ArrayDeque<Attempt> awaitingFirstToken = new ArrayDeque<>(2);
 
         private void dropStarted() {
@@ -68,12 +68,12 @@
         inFlight--;
     }
 
-    /** Attempts in flight at a replica. */
+    /** Returns the number of attempts in flight at a replica. */
     int inFlight(Replica replica) {
         return replica.load.inFlight;
     }
 
-    /** A complete answer came: while the limit binds, it rises by about one a round of answers. */
+    /** Records a complete answer: while the limit is reached, it rises by about one per round of answers. */
     void recordServed(Replica replica) {
         ReplicaLoad load = replica.load;
         if (load.inFlight + 1 >= load.concurrencyLimit) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** The replica rejected an attempt for lack of capacity: its limit falls, and it rests for a moment. */
+    /** Records a rejection for lack of capacity: lowers the limit and skips the replica for a short time. */
     void recordRejected(Replica replica, long now) {
         ReplicaLoad load = replica.load;
         double held = Math.min(load.concurrencyLimit, load.inFlight + 1);
@@ -89,17 +89,17 @@
         load.pausedUntil = now + (long) (REJECTION_PAUSE_MICROS * (LEAST_PAUSE + random.nextDouble()));
     }
 
-    /** The replica reports a queue: it is passed over for as long as one that rejected. */
+    /** Records that the replica reported a queue: it is skipped for as long as after a rejection, without jitter. */
     void recordQueueReported(Replica replica, long now) {
         replica.load.pausedUntil = Math.max(replica.load.pausedUntil, now + REJECTION_PAUSE_MICROS);
     }
 
-    /** The replica has started anew: its limit is not known. */
+    /** Resets the limit of a replica that has restarted. */
     void resetLimit(Replica replica) {
         replica.load.concurrencyLimit = INITIAL_CONCURRENCY_LIMIT;
     }
 
-    /** Whether the replica can take one more attempt without making it wait. */
+    /** Returns whether the replica can serve another attempt without queueing it. */
     boolean hasCapacity(Replica replica, int readyCount, long now) {
         ReplicaLoad load = replica.load;
         double mean = replica.relativeSize() * inFlight / Math.max(1, readyCount);
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Whether an attempt there should have started by now. A first token tells of a slow replica only when it comes;
-     * until then everything of its keys would follow, from every router.
+     * Returns whether the first token of an attempt is overdue. A late first token shows a slow replica only once it
+     * arrives; until then all routers would keep sending requests of its affinity keys there.
      */
     private static boolean isFirstTokenOverdue(ReplicaLoad load, long now) {
         load.dropStarted();
@@ -119,7 +119,7 @@
                 && now - load.awaitingFirstToken.peek().sentAt() > FIRST_TOKEN_PATIENCE_MICROS;
     }
 
-    /** Attempts at a replica that may still await their first token, in the order of sending. */
+    /** Returns attempts at a replica that may still await their first token, in the order of sending. */
     Iterable<Attempt> possiblyAwaitingFirstToken(Replica replica) {
         return replica.load.awaitingFirstToken;
     }
--- a/src/main/java/magpiehub/routing/OutcomeRecorder.java
+++ b/src/main/java/magpiehub/routing/OutcomeRecorder.java
@@ -1,14 +1,14 @@
 package magpiehub.routing;
 
 /**
- * Tells each mechanism what first tokens, outcomes, health checks and load reports show of replicas, of their zones
- * and of the fleet.
+ * Forwards first tokens, outcomes, health check results and load reports to the mechanisms that track replicas, zones
+ * and the fleet.
  */
 final class OutcomeRecorder {
-    /** Ratio of a latency that was not measured. */
+    /** Latency ratio that stands for a latency that was not measured. */
     private static final double USUAL_LATENCY = 1;
 
-    /** Waiting requests from which a reported queue counts. */
+    /** Reported queue length from which a replica counts as busy. */
     private static final double QUEUE_LENGTH = 1;
 
     private final ActiveSettings settings;
@@ -42,7 +42,7 @@
         this.latencies = latencies;
     }
 
-    /** The first token of an attempt has come after {@code took} microseconds. */
+    /** Records that the first token of an attempt arrived after {@code took} microseconds. */
     void recordFirstToken(RequestInFlight request, Attempt attempt, long took, long now) {
         RoutingRequest details = request.request();
         Replica replica = attempt.replica();
@@ -50,7 +50,7 @@
         replica.heardAt(now);
         RequestClass requestClass = settings.get().classes().get(details.classIndex());
         boolean isInTime = took <= requestClass.firstTokenObjective(details.promptTokens());
-        // A late answer that keeps a part of its value is bad by the rest only.
+        // A late answer that keeps a fraction of its value counts as bad only by the lost fraction.
         overload.recordFirstToken(isInTime ? 1 : requestClass.lateAnswerValue());
         recordEvidence(replica, ZoneEvidence.ANSWERED, took, ratio, now);
         outliers.recordLatency(replica, ratio, now);
@@ -58,7 +58,7 @@
         outliers.recordFirstToken(attempt);
     }
 
-    /** An attempt has ended. */
+    /** Records the outcome of an attempt. */
     void recordOutcome(RequestInFlight request, Attempt attempt, AttemptOutcome outcome, long took, long now) {
         Replica replica = attempt.replica();
         switch (outcome) {
@@ -93,7 +93,7 @@
                 outliers.recordTimeout(replica, now);
             }
             default -> {
-                // Cancelled or superseded attempts show nothing of the replica.
+                // Cancelled and superseded attempts provide no evidence about the replica.
             }
         }
     }
@@ -103,7 +103,7 @@
         recordEvidence(replica, evidence, took, USUAL_LATENCY, now);
     }
 
-    /** A health check has ended; {@code report} may be null. */
+    /** Records the outcome of a health check; {@code report} may be null. */
     void recordProbe(Replica replica, AttemptOutcome outcome, long took, LoadReport report, long now) {
         switch (outcome) {
             case OK -> {
@@ -124,14 +124,15 @@
                 }
             }
             default -> {
-                // A replica that rejects or fails health checks can be reached; requests tell the rest.
+                // The replica is reachable; whether it serves requests is learned from attempts.
             }
         }
     }
 
     /**
-     * A load report has come; null is ignored. Reports are stale and noisy: a queue counts for a moment only, and the
-     * time of service is compared with the fleet's as a first token's is, unless the replica is slow for warming up.
+     * Records a load report; null is ignored. Reports are stale and noisy, so a queue has an effect for a short time
+     * only. The service time is compared with the fleet's mean like a time to first token, unless the replica is
+     * warming up and therefore slow.
      */
     void recordLoadReport(Replica replica, LoadReport report, long now) {
         if (report == null) {
@@ -145,12 +146,15 @@
         }
     }
 
-    /** No first token has come for {@code elapsed} microseconds. */
+    /** Records that no first token has arrived for {@code elapsed} microseconds. */
     void recordSilence(Replica replica, long elapsed, long now) {
         recordEvidence(replica, ZoneEvidence.SILENCE, elapsed, USUAL_LATENCY, now);
     }
 
-    /** Whether a failure to connect shows anything: an attempt that the endpoint list stops is reported as one too. */
+    /**
+     * Returns whether a connect failure is evidence about the replica. Attempts that the endpoint list no longer allows
+     * are also reported as connect failures.
+     */
     private boolean mayBeSentTo(Replica replica, long now) {
         return replica.isReady() && fleet.isValid(now);
     }
--- a/src/main/java/magpiehub/routing/OutlierDetector.java
+++ b/src/main/java/magpiehub/routing/OutlierDetector.java
@@ -1,46 +1,46 @@
 package magpiehub.routing;
 
 /**
- * Ejects replicas that fail or are slow against the others, for a time that grows with each ejection. When the time is
- * over, one attempt is let through as a trial. Latencies count as ratios to the fleet's means: what all replicas share
- * cancels out, so a shared cause ejects none.
+ * Ejects replicas that fail or are slower than the others, for a time that grows with each ejection. After that time,
+ * one attempt is sent as a trial. Latencies are ratios to the fleet's means, so a cause that slows down all replicas
+ * ejects none of them.
  */
 final class OutlierDetector {
-    /** A time this many times the mean is a sign of a slow replica. */
+    /** Ratio to the mean latency above which a replica counts as slow. */
     static final double SLOW_RATIO = 4;
 
-    /** Ejections: the first one's length, the longest (us), and the doublings between them. */
+    /** Duration of the first ejection, the longest duration, and the maximum number of doublings. */
     private static final long FIRST_EJECTION_MICROS = 2_000_000;
 
     private static final long LONGEST_EJECTION_MICROS = 16_000_000;
     private static final int MAX_DOUBLINGS = 4;
 
-    /** Jitter of an ejection's length, so that routers do not try a replica at the same moment. */
+    /** Jitter of an ejection's duration, so that routers do not send their trials to a replica at the same time. */
     private static final double LEAST_LENGTH = 0.75;
 
     private static final double LENGTH_JITTER = 0.5;
 
-    /** The part of the fleet that may be ejected at once, unless replicas can't be reached at all. */
+    /** Maximum fraction of the fleet that may be ejected; unreachable replicas are ejected regardless of it. */
     private static final double MAX_EJECTED_PART = 0.34;
 
-    /** Lost connections that eject; they count less with time (us) and with each answer served. */
+    /** Decayed number of broken attempts that ejects; it decreases with time and with each complete answer. */
     private static final double MAX_BROKEN_ATTEMPTS = 1.5;
 
     private static final double BROKEN_TIME_CONSTANT_MICROS = 4_000_000;
     private static final double BROKEN_DECREASE_PER_ANSWER = 0.8;
 
-    /** A malformed response may come from any replica, and shows that this one is there. */
+    /** Weight of a malformed response: any replica may send one, and it shows that the replica is reachable. */
     private static final double MALFORMED_WEIGHT = 0.5;
 
-    /** Weights of the newest ratio in the slowness: complete answers differ in length, so they tell less. */
+    /** Weights of the newest ratio in the slowness; complete answers differ in length and have a lower weight. */
     private static final double FIRST_TOKEN_WEIGHT = 0.4;
 
     private static final double COMPLETE_ANSWER_WEIGHT = 0.25;
 
-    /** A ratio counts as this at most; a timeout counts as it. */
+    /** Upper bound of a latency ratio, which is also the ratio of a timeout. */
     private static final double MAX_RATIO = 10;
 
-    /** What is known of one replica; only {@link OutlierDetector} reads and changes it. */
+    /** The state of one replica, which only {@link OutlierDetector} accesses. */
     static final class ReplicaStatus {
         private double slowness = 1;
         private final DecayedCounter brokenAttempts = new DecayedCounter(BROKEN_TIME_CONSTANT_MICROS, 0);
@@ -61,19 +61,19 @@
         this.random = random;
     }
 
-    // ---- What is asked ----------------------------------------------------------------------------------
+    // ---- Queries ----------------------------------------------------------------------------------------
     boolean isEjected(Replica replica) {
         return replica.outlierStatus.ejected;
     }
 
-    /** Whether the replica is not ejected, or its next trial is due. */
+    /** Returns whether the replica is not ejected, or its next trial is due. */
     boolean allowsAttempt(Replica replica, long now) {
         ReplicaStatus status = replica.outlierStatus;
         return !status.ejected || (now >= status.ejectedUntil && !status.trialInFlight);
     }
 
-    // ---- What attempts show -----------------------------------------------------------------------------
-    /** An attempt is sent; if its replica's ejection is over, it is the trial. */
+    // ---- Attempts ---------------------------------------------------------------------------------------
+    /** Records that an attempt is sent; if the ejection time of its replica is over, it is the trial. */
     void recordSent(Attempt attempt, long now) {
         ReplicaStatus status = attempt.replica().outlierStatus;
         if (status.ejected && now >= status.ejectedUntil) {
@@ -82,21 +82,21 @@
         }
     }
 
-    /** An attempt has ended: a trial no longer stands in the way of the next. */
+    /** Records that an attempt has ended; after a trial, the next one may be sent. */
     void recordEnded(Attempt attempt) {
         if (attempt.isTrial()) {
             attempt.replica().outlierStatus.trialInFlight = false;
         }
     }
 
-    /** A trial's first token ends the ejection, unless the replica is still slow. */
+    /** Ends the ejection after a trial's first token, unless the replica is still slow. */
     void recordFirstToken(Attempt attempt) {
         if (attempt.isTrial() && attempt.replica().outlierStatus.slowness <= SLOW_RATIO) {
             reset(attempt.replica());
         }
     }
 
-    /** A time to the first token, or a reported time of service, by its ratio to the fleet's mean. */
+    /** Records a time to first token or a reported service time by its ratio to the fleet's mean. */
     void recordLatency(Replica replica, double ratio, long now) {
         ReplicaStatus status = replica.outlierStatus;
         status.slowness += (Math.min(MAX_RATIO, ratio) - status.slowness) * FIRST_TOKEN_WEIGHT;
@@ -109,7 +109,7 @@
         recordLatency(replica, MAX_RATIO, now);
     }
 
-    /** A complete answer came. One that took long counts as slow, but ejects nobody by itself. */
+    /** Records a complete answer. A slow one raises the slowness but does not eject by itself. */
     void recordServed(Replica replica, long took, double meanTime) {
         ReplicaStatus status = replica.outlierStatus;
         status.brokenAttempts.scale(BROKEN_DECREASE_PER_ANSWER);
@@ -131,8 +131,8 @@
     }
 
     /**
-     * One broken attempt tells of the request or of the network as often as of the replica; two soon after each other,
-     * with little served in between, tell of the replica.
+     * A single broken attempt may be caused by the request or the network as well as by the replica. Two within a short
+     * time with few complete answers in between indicate the replica.
      */
     private void recordBroken(Replica replica, double weight, long now) {
         DecayedCounter broken = replica.outlierStatus.brokenAttempts;
@@ -142,7 +142,7 @@
         }
     }
 
-    /** No connection could be opened: it is ejected however many others are. */
+    /** Records a failed connection: the replica is ejected regardless of how many others are. */
     void recordUnreachable(Replica replica, long now) {
         eject(replica, true, now);
     }
@@ -163,7 +163,7 @@
         status.ejectedUntil = now + (long) (length * (LEAST_LENGTH + LENGTH_JITTER * random.nextDouble()));
     }
 
-    /** Ends an ejection and forgets what led to it; lost connections go on counting. */
+    /** Ends an ejection and resets its causes, except the decayed count of broken attempts. */
     void reset(Replica replica) {
         ReplicaStatus status = replica.outlierStatus;
         ejectedCount -= status.ejected ? 1 : 0;
--- a/src/main/java/magpiehub/routing/OverloadDetector.java
+++ b/src/main/java/magpiehub/routing/OverloadDetector.java
@@ -1,33 +1,33 @@
 package magpiehub.routing;
 
 /**
- * Tells from recent answers whether the fleet is overloaded. An answer is good if its first token came within the
- * latency objective, and bad if it came later, was rejected for lack of capacity or timed out.
+ * Detects from recent answers whether the fleet is overloaded. An answer is good if its first token met the latency
+ * objective, and bad if its first token was late, it was rejected for lack of capacity or it timed out.
  */
 final class OverloadDetector {
-    /** Part of bad answers from which the fleet counts as overloaded, and the least number of them. */
+    /** Fraction of bad answers above which the fleet counts as overloaded, and the number that they must exceed. */
     private static final double OVERLOADED_PART = 0.15;
 
     private static final double LEAST_BAD_ANSWERS = 2;
 
-    /** Part of bad answers from which load is shed, and the least number of answers that say so. */
+    /** Fraction of bad answers above which load is shed, and the minimum number of answers. */
     private static final double SHEDDING_PART = 0.3;
 
     private static final double LEAST_ANSWERS = 4;
 
-    /** What answers of earlier periods weigh after each period. */
+    /** Factor by which the counts are multiplied after each period. */
     private static final double DECAY_PER_PERIOD = 0.5;
 
     private double good;
     private double bad;
 
-    /** A first token came; {@code value} is 1 if it came in time, and what its class says of a late one else. */
+    /** Records a first token; {@code value} is 1 if it was in time, otherwise its class's value of a late answer. */
     void recordFirstToken(double value) {
         good += value;
         bad += 1 - value;
     }
 
-    /** An attempt was rejected for lack of capacity, or timed out. */
+    /** Records an attempt that was rejected for lack of capacity or timed out. */
     void recordFailure() {
         bad++;
     }
@@ -36,13 +36,13 @@
         return bad > OVERLOADED_PART * (good + bad) && bad > LEAST_BAD_ANSWERS;
     }
 
-    /** Whether so many answers are bad that load has to be shed. */
+    /** Returns whether the fraction of bad answers requires load shedding. */
     boolean needsLoadShedding() {
         double total = good + bad;
         return !(total < LEAST_ANSWERS || bad <= SHEDDING_PART * total);
     }
 
-    /** Called at the end of each period. */
+    /** Decays the counts; called at the end of each period. */
     void decay() {
         good *= DECAY_PER_PERIOD;
         bad *= DECAY_PER_PERIOD;
--- a/src/main/java/magpiehub/routing/PromptCacheTracker.java
+++ b/src/main/java/magpiehub/routing/PromptCacheTracker.java
@@ -1,23 +1,23 @@
 package magpiehub.routing;
 
 /**
- * Follows how many prompt tokens replicas find in their caches, from what served answers report: over the whole fleet,
- * and for single prefixes, whose replica leaves the affinity entry once it no longer has the tokens.
+ * Tracks the cache hits of prompt tokens that complete answers report: the hit ratio of the fleet, and misses of single
+ * prefixes, after which the replica is removed from the affinity entry.
  */
 final class PromptCacheTracker {
-    /** Part of the tokens below which they count as not cached. */
+    /** Hit ratio below which tokens count as not cached. */
     private static final double LOW_HIT_RATIO = 0.5;
 
     /**
-     * The least time between two replicas that leave their entries for a miss (us): when caches are lost all at once,
-     * as after a release, the places of the keys are still right.
+     * Minimum time between two removals of a replica after a miss. If all caches are lost at once, as after a release,
+     * the assignment of keys to replicas is still right.
      */
     private static final long MISS_INTERVAL_MICROS = 1_000_000;
 
-    /** Weight of the newest answer in the fleet's hit ratio: twenty answers tell of a release. */
+    /** Weight of the newest answer in the fleet's hit ratio; a release shows after about twenty answers. */
     private static final double NEWEST_WEIGHT = 0.05;
 
-    /** Part of the prompts' tokens found cached: a plain mean of the first answers, decayed from then on. */
+    /** Fraction of prompt tokens found cached: the mean of the first answers, then a moving average. */
     private double hitRatio = 1;
 
     private int answersSeen = 1;
@@ -27,12 +27,12 @@
         lastMissAt = now;
     }
 
-    /** Whether replicas find most tokens, so that a key is worth keeping in its place. */
+    /** Returns whether most tokens are found cached, so that keeping a key at its replica is worthwhile. */
     boolean isHitRatioHigh() {
         return hitRatio >= LOW_HIT_RATIO;
     }
 
-    /** Records a served answer; {@code cachedTokens} is -1 if the replica did not say. */
+    /** Records a complete answer; {@code cachedTokens} is -1 if the replica did not report it. */
     void recordServed(RequestInFlight request, Attempt attempt, long cachedTokens, long now) {
         if (cachedTokens < 0) {
             return;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The first answer after a replica joined confirms the entry and is never a miss. */
+    /** Updates the entry. The first answer after a replica was added confirms it and never counts as a miss. */
     private void updateEntry(RequestInFlight request, Attempt attempt, long cachedTokens, long now) {
         AffinityEntry entry = request.affinityEntry();
         if (!entry.isConfirmed()) {
--- a/src/main/java/magpiehub/routing/Replica.java
+++ b/src/main/java/magpiehub/routing/Replica.java
@@ -1,16 +1,18 @@
 package magpiehub.routing;
 
 /**
- * A replica of the fleet as this router knows it: what the endpoint list says of it, and one state object for each
- * mechanism that remembers something of it. Only that mechanism reads and changes its state.
+ * This router's view of a replica: its entry of the endpoint list, and one state object per mechanism that tracks it.
+ * Only that mechanism accesses its state object.
  */
 final class Replica {
-    /** Bounds of a replica's size against the fleet's mean, so that a wrong weight can't take or starve a replica. */
+    /**
+     * Bounds of a replica's size relative to the fleet's mean, so that a wrong weight neither floods nor starves it.
+     */
     private static final double LEAST_RELATIVE_SIZE = 0.2;
 
     private static final double MOST_RELATIVE_SIZE = 4;
 
-    /** A new weight within this part of the known size is noise, and leaves the ring as it is. */
+    /** Relative change of the weight up to which it counts as noise and the ring is not rebuilt. */
     private static final double SIZE_TOLERANCE = 0.1;
 
     /** Owned by {@link LoadTracker}. */
@@ -42,17 +44,17 @@
         return id;
     }
 
-    /** A hash of the id, equal at all routers. */
+    /** Returns a hash of the id, which is the same at all routers. */
     long hash() {
         return hash;
     }
 
-    /** Its newest entry of the endpoint list. */
+    /** Returns its latest entry of the endpoint list. */
     Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Whether it takes new requests, as far as the endpoint list says. */
+    /** Returns whether it accepts new requests according to the endpoint list. */
     boolean isReady() {
         return ready;
     }
@@ -61,12 +63,12 @@
         ready = isReady;
     }
 
-    /** Whether an entry says that the replica started anew; the first entry counts as a start. */
+    /** Returns whether an entry shows that the replica restarted; the first entry counts as a start. */
     boolean isRestartedBy(Endpoint entry) {
         return endpoint == null || entry.startedAt() > endpoint.startedAt();
     }
 
-    /** Takes a newer entry of the endpoint list; returns whether the rings depend on what it changed. */
+    /** Applies a newer entry of the endpoint list; returns whether the rings must be rebuilt. */
     boolean update(Endpoint entry, WeightMeaning meaning) {
         double newSize = sizeOf(entry, meaning);
         boolean resized = Math.abs(newSize - size) > SIZE_TOLERANCE * size;
@@ -80,7 +82,7 @@
     private double sizeOf(Endpoint entry, WeightMeaning meaning) {
         return switch (meaning) {
             case NONE -> 1;
-                // A live weight falls with the load: the most seen is the replica's size.
+                // A live weight decreases with the load: the largest value seen is the replica's size.
             case LIVE -> Math.max(size, entry.weight());
             default -> entry.weight();
         };
@@ -90,19 +92,19 @@
         return size;
     }
 
-    /** Its size over the mean of the fleet's, within bounds. */
+    /** Returns its size relative to the fleet's mean, within bounds. */
     double relativeSize() {
         return relativeSize;
     }
 
-    /** Sets the size against the sum of a fleet's sizes. */
+    /** Sets the relative size from the number and the sum of the sizes of the fleet's replicas. */
     void setRelativeSize(int replicaCount, double sizeSum) {
         relativeSize = sizeSum <= 0
                 ? 1
                 : Math.max(LEAST_RELATIVE_SIZE, Math.min(MOST_RELATIVE_SIZE, size * replicaCount / sizeSum));
     }
 
-    /** How many entries of the affinity table it stands in. */
+    /** Returns the number of affinity entries that contain it. */
     int affinityEntryCount() {
         return affinityEntryCount;
     }
@@ -115,7 +117,7 @@
         affinityEntryCount--;
     }
 
-    /** When it last answered anything, or was last probed. */
+    /** Returns when it last answered, or was last sent a health check for not answering. */
     long lastHeardAt() {
         return lastHeardAt;
     }
--- a/src/main/java/magpiehub/routing/ReplicaSelector.java
+++ b/src/main/java/magpiehub/routing/ReplicaSelector.java
@@ -1,23 +1,23 @@
 package magpiehub.routing;
 
 /**
- * Chooses the replica of an attempt: one that has the key's tokens cached; else the next one with capacity on the ring
- * from the key's position; else a busy one that has the tokens; else whichever may take it at all.
+ * Selects the replica of an attempt. In order of preference: one that has the affinity key's tokens cached, the next
+ * one with capacity on the ring from the key's position, a busy one that has the tokens cached, any that is allowed.
  */
 final class ReplicaSelector {
-    /** Replicas looked at beyond the affinity entry before the request settles for a busy one. */
+    /** Maximum number of replicas examined on a ring, or of entries under pressure, before falling back. */
     private static final int MAX_STEPS = 6;
 
-    /** Replicas looked at, in one walk from a random place, before no replica is found. */
+    /** Maximum number of replicas examined from a random start before selection fails. */
     private static final int MAX_LAST_RESORT_STEPS = 4 * MAX_STEPS;
 
-    /** Affinity entries that one replica can serve from its cache, for all routers together; each counts its part. */
+    /** Affinity entries that a replica can serve from its cache, over all routers; each router uses an equal share. */
     private static final int CACHED_KEYS_PER_REPLICA = 512;
 
-    /** A router's part is not less than this, however many routers there are. */
+    /** Lower bound of a router's share of these entries. */
     private static final int LEAST_CACHED_KEYS = 16;
 
-    /** Makes a conversation's position in its zones' traffic independent of its other hashes. */
+    /** Makes a conversation's position in a zone's traffic independent of its other hashes. */
     private static final long ZONE_POSITION_SALT = 0x51ab3c7d90e2f614L;
 
     private final ActiveSettings settings;
@@ -27,12 +27,12 @@
     private final ZoneAffinity zoneAffinity;
     private final Mechanisms mechanisms;
     private final SplitMix64 random;
-    /** Position of requests without a key: they go round the fleet. */
+    /** Counter from which ring positions of requests without a key are derived, which spreads them over the fleet. */
     private long rotation;
-    /** The current request's place in its zones' traffic, 0 to 1: the same for a whole conversation. */
+    /** Position of the current request in a zone's traffic, from 0 to 1; the same for a whole conversation. */
     private double zonePosition;
 
-    /** The mechanisms that may forbid a replica or find it busy. */
+    /** The mechanisms that decide whether a replica is allowed and has capacity. */
     record Mechanisms(
             LoadTracker load,
             OutlierDetector outliers,
@@ -59,9 +59,10 @@
     }
 
     /**
-     * The replica for a request's next attempt, null if no replica may take it or the endpoint list is out of date.
+     * Returns the replica for a request's next attempt, null if no replica is allowed or the endpoint list is out of
+     * date.
      *
-     * @param width replicas that the request's affinity key is spread over
+     * @param width number of replicas that the request's affinity key is spread over
      */
     Replica select(RequestInFlight request, int width, long now) {
         if (!fleet.isValid(now)) {
@@ -103,8 +104,9 @@
 
     // ---- Affinity ---------------------------------------------------------------------------------------
     /**
-     * Where in the entry the search begins. A session enters a prefix's entry at its own place, so that its next turn
-     * finds its tokens there; everything else takes the replicas in turn, which are kept in that order.
+     * Returns the index in the entry at which the search starts. A session starts at a fixed replica of a prefix's
+     * entry, so that its next turn finds its tokens there. All other requests use the replicas round-robin, in the
+     * entry's order.
      */
     private static int firstInRotation(RequestInFlight request) {
         AffinityEntry entry = request.affinityEntry();
@@ -119,7 +121,7 @@
         return request.affinityEntry().isSession() || request.request().sessionId() == 0;
     }
 
-    /** A session's own order of replicas: one that joins or leaves an entry moves its own sessions only. */
+    /** Rank of a replica for a session (rendezvous hashing): a replica that joins or leaves moves only its sessions. */
     private static long rank(RequestInFlight request, Replica replica) {
         return SplitMix64.mix(request.request().sessionId() ^ replica.hash());
     }
@@ -161,7 +163,7 @@
                 : replica;
     }
 
-    /** The next available replica with room for one more key, in turn from the position on the ring. */
+    /** Returns the next available replica from the position on the ring that has room for another key, null if none. */
     private Replica walk(HashRing ring, long position, RequestInFlight request, boolean isPlaced, long now) {
         int cachedKeys = Math.max(
                 LEAST_CACHED_KEYS, CACHED_KEYS_PER_REPLICA / settings.get().instanceCount());
@@ -184,10 +186,10 @@
         return null;
     }
 
-    // ---- Exceptions -------------------------------------------------------------------------------------
+    // ---- Fallbacks --------------------------------------------------------------------------------------
     /**
-     * All replicas are at capacity or busy. One of the least recently used affinity entry takes the request, and leaves
-     * that entry; if that finds none, any ready replica does, from a random place in one short walk.
+     * Selects a replica when all are at capacity or busy: one of the least recently used affinity entries, which is
+     * then removed from that entry, or else any ready replica within a bounded search from a random start.
      */
     private Replica selectUnderPressure(RequestInFlight request, long now) {
         int looked = 0;
@@ -217,7 +219,7 @@
         return null;
     }
 
-    /** One new request goes to a closed zone as its trial, if one is due and health checks are not allowed. */
+    /** Returns a replica of a closed zone if a trial is due there and health checks are not allowed, otherwise null. */
     private Replica selectZoneTrial(RequestInFlight request, long now) {
         if (!zones.plansFailover() || settings.get().limits().allowsHealthChecks() || request.hasAttempts()) {
             return null;
@@ -245,14 +247,14 @@
     }
 
     // ---- Eligibility ------------------------------------------------------------------------------------
-    /** Whether this request may go there: not twice, only where a repeat is safe, and within slow start. */
+    /** Returns whether the request may be sent there: not twice, only if a retry is safe, and within slow start. */
     private boolean isAllowed(RequestInFlight request, Replica replica, long now) {
         return !request.wasSentTo(replica)
                 && mechanisms.retries.allowsAttempt(request, replica, now)
                 && mechanisms.slowStart.allowsAttempt(replica, now);
     }
 
-    /** Whether attempts may go there at all: ready, not ejected, in a zone that accepts the request. */
+    /** Returns whether the replica is ready, not ejected, and in a zone that accepts the request. */
     private boolean isReachable(Replica replica, long now) {
         return replica.isReady()
                 && mechanisms.outliers.allowsAttempt(replica, now)
@@ -260,9 +262,9 @@
     }
 
     /**
-     * Whether it takes ordinary traffic now. While the fleet is overloaded a key stays, however busy its replica is:
-     * elsewhere its tokens would be computed anew and push the next one over. Where few tokens are found anyway, as
-     * after a release, a short queue is worth more than the place.
+     * Returns whether the replica gets regular traffic now. While the fleet is overloaded, a key stays at its replica
+     * however busy it is: another replica would have to recompute its tokens and become overloaded in turn. If few
+     * tokens are found cached anyway, as after a release, a short queue matters more than affinity.
      */
     private boolean isAvailable(Replica replica, long now) {
         boolean keysStay = mechanisms.overload.isOverloaded() && mechanisms.promptCache.isHitRatioHigh();
--- a/src/main/java/magpiehub/routing/RequestInFlight.java
+++ b/src/main/java/magpiehub/routing/RequestInFlight.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that is not over yet, or that is over and still has open attempts. */
+/** A request that is not finished, or that is finished and still has open attempts. */
 final class RequestInFlight {
     private final RoutingRequest request;
     private final long arrivedAt;
@@ -34,18 +34,18 @@
         return arrivedAt;
     }
 
-    /** The limits in force when it came: a reload allows nothing more to a request in flight. */
+    /** Returns the limits at its arrival: a reload does not extend the limits of a request in flight. */
     RoutingLimits limits() {
         return limits;
     }
 
-    /** Attempts allowed: a reload may lower the number for a request in flight, but not raise it. */
+    /** Returns the maximum number of attempts. A reload can lower it for a request in flight, but not raise it. */
     int maxAttempts(RoutingLimits inForce) {
         return Math.min(limits.maxAttempts(), inForce.maxAttempts());
     }
 
     // ---- Affinity ---------------------------------------------------------------------------------------
-    /** The entry of its affinity key, null if it has no key. */
+    /** Returns the entry of its affinity key, null if it has no key. */
     AffinityEntry affinityEntry() {
         return affinityEntry;
     }
@@ -54,7 +54,7 @@
         affinityEntry = entry;
     }
 
-    /** Replicas that its key has now, at least one. */
+    /** Returns the current number of replicas of its affinity key, at least 1. */
     int affinityWidth() {
         return affinityEntry == null ? 1 : Math.max(1, affinityEntry.size());
     }
@@ -63,7 +63,7 @@
         return affinityEntry != null && affinityEntry.contains(replica);
     }
 
-    /** Whether its newest attempt went to a replica that its key's entry did not take in beforehand. */
+    /** Returns whether its latest attempt was sent to a replica that was not in its affinity entry or added to it. */
     boolean isServedOutsideAffinity() {
         return servedOutsideAffinity;
     }
@@ -78,7 +78,7 @@
         openAttempts++;
     }
 
-    /** The attempt of a number from 0; null if there is none. */
+    /** Returns the attempt with the number, counted from 0; null if there is none. */
     Attempt findAttempt(int number) {
         return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    /** The earliest attempt that may have been executed or still may be; null if there is none. */
+    /** Returns the earliest attempt that may have been or may yet be executed; null if there is none. */
     Attempt earliestPossibleExecution() {
         Attempt earliest = firstPossiblyExecuted;
         for (Attempt attempt : attempts) {
@@ -128,13 +128,13 @@
         return earliest;
     }
 
-    /** Whether it is certain that no attempt was executed or is open. */
+    /** Returns whether it is certain that no attempt was executed or is open. */
     boolean wasNeverExecuted() {
         return openAttempts == 0 && firstPossiblyExecuted == null;
     }
 
     // ---- Progress ---------------------------------------------------------------------------------------
-    /** Whether a stream is passed on to its client. */
+    /** Returns whether a stream is being forwarded to its client. */
     boolean isStreaming() {
         return streaming;
     }
@@ -143,7 +143,7 @@
         streaming = true;
     }
 
-    /** Whether no answer is owed any more. */
+    /** Returns whether no answer is due any more. */
     boolean isFinished() {
         return finished;
     }
--- a/src/main/java/magpiehub/routing/RetryPolicy.java
+++ b/src/main/java/magpiehub/routing/RetryPolicy.java
@@ -1,24 +1,24 @@
 package magpiehub.routing;
 
 /**
- * Decides whether a request may have another attempt, and at which replicas: by its idempotency, by what earlier
- * attempts may have done, and out of a retry budget that requests earn.
+ * Decides whether a request may have another attempt and at which replicas. This depends on its idempotency, on whether
+ * earlier attempts may have been executed, and on a retry budget to which each request contributes.
  */
 final class RetryPolicy {
-    /** Attempts for one request at most, whatever the site allows. */
+    /** Maximum number of attempts per request, even if the site allows more. */
     private static final int MAX_ATTEMPTS = 4;
 
-    /** Retry budget: what a request earns, the most that is saved, and the cost of an error that came at once. */
+    /** Retry budget: contribution of a request, upper bound, cost of a retry, and of a retry after a quick error. */
     private static final double EARNED_PER_REQUEST = 0.15;
 
     private static final double MAX_BUDGET = 10;
     private static final double FULL_COST = 1;
     private static final double QUICK_ERROR_COST = 0.25;
 
-    /** An error within this time (us) came at once: the replica did little for it. */
+    /** An error within this time counts as quick: the replica spent little work on the attempt. */
     private static final long QUICK_ERROR_MICROS = RoutingTick.PERIOD_MICROS;
 
-    /** With less time to its deadline (us) a request is not sent again. */
+    /** Minimum time to the deadline for a retry. */
     private static final long LEAST_TIME_LEFT_MICROS = RoutingTick.PERIOD_MICROS;
 
     private final ActiveSettings settings;
@@ -30,12 +30,12 @@
         this.overload = overload;
     }
 
-    /** A request has come and earns its part of the budget. */
+    /** Records a request, which adds to the budget. */
     void recordRequest() {
         budget = Math.min(MAX_BUDGET, budget + EARNED_PER_REQUEST);
     }
 
-    /** Whether a request may be sent again after an attempt has ended; true takes the cost out of the budget. */
+    /** Returns whether a request is retried after an attempt has ended and, if so, deducts the cost from the budget. */
     boolean acquireRetry(RequestInFlight request, Attempt attempt, AttemptOutcome outcome, long took, long now) {
         if (!isRetryable(request, attempt, outcome) || !isWorthwhile(request, outcome, now)) {
             return false;
@@ -66,20 +66,20 @@
         if (now - request.arrivedAt() > objective && requestClass.lateAnswerValue() <= 0) {
             return false;
         }
-        // While the fleet is overloaded, a full replica's request waits with its client: its tokens are cached there,
-        // and elsewhere it would be computed anew and push the next replica over.
+        // While the fleet is overloaded, a request that a full replica rejected is left for its client to retry: its
+        // tokens are cached there, and another replica would have to recompute them and become overloaded in turn.
         return outcome != AttemptOutcome.FULL || !overload.isOverloaded();
     }
 
     private static double cost(Attempt attempt, AttemptOutcome outcome, long took) {
-        // At a zone that is lost nothing runs: what is given up there costs nobody a second time.
+        // Nothing is executed at a lost zone, so an attempt that was abandoned there did not use any capacity.
         if (outcome == AttemptOutcome.CONNECT_FAILED || attempt.isGivenUp()) {
             return 0;
         }
         return outcome != AttemptOutcome.FULL && took < QUICK_ERROR_MICROS ? QUICK_ERROR_COST : FULL_COST;
     }
 
-    /** Whether an attempt at a replica may be sent, after what earlier attempts did or may still do. */
+    /** Returns whether an attempt may be sent to a replica, given what earlier attempts did or may still do. */
     boolean allowsAttempt(RequestInFlight request, Replica replica, long now) {
         if (request.hasOpenAttempts() && !request.limits().allowsParallelAttempts()) {
             return false;
@@ -100,7 +100,7 @@
                         earlier.replica().endpoint());
     }
 
-    /** Whether one replica recognises the key of a request that another may have executed. */
+    /** Returns whether one replica recognizes the key of a request that the other may have executed. */
     private static boolean recognisesRepeat(DeduplicationScope scope, Endpoint one, Endpoint other) {
         return switch (scope) {
             case ALL -> true;
@@ -109,7 +109,7 @@
         };
     }
 
-    /** Whether a request may be answered as rejected: a retry by its client must be harmless. */
+    /** Returns whether a request may be rejected, which requires that a retry by its client is safe. */
     boolean mayReject(RequestInFlight request) {
         if (!settings.get().hasClass(request.request().classIndex()) || request.wasNeverExecuted()) {
             return true;
--- a/src/main/java/magpiehub/routing/RoutingActions.java
+++ b/src/main/java/magpiehub/routing/RoutingActions.java
@@ -1,17 +1,17 @@
 package magpiehub.routing;
 
 /**
- * What the routing policy asks of its host. Calls come on the policy's thread, within an event; the host must not
- * call back into the policy from them. Times are in microseconds of the host's clock.
+ * The actions that the routing policy requests from its host. They are called on the policy's thread while it handles
+ * an event; the host must not call the policy from them. Times are in microseconds of the host's clock.
  */
 public interface RoutingActions {
-    /** Starts the next attempt of a request. A timeout of 0 lasts until the request's deadline. */
+    /** Starts the next attempt of a request. With a timeout of 0, the attempt may last until the request's deadline. */
     void sendAttempt(String id, String replica, long timeout);
 
     /** Cancels an attempt, counted from 0. Its outcome is still reported. */
     void cancelAttempt(String id, int attempt);
 
-    /** Final answer: rejected; a retry by the client is harmless. 0 names no time to come back. */
+    /** Final answer: rejected; a retry by the client is safe. {@code retryAfter} is 0 if no time is given. */
     void reject(String id, long retryAfter);
 
     /** Final answer: failed; the request may have been executed. */
@@ -20,16 +20,16 @@
     /** Opens a watch on the endpoint list. */
     void watchEndpoints();
 
-    /** Asks for {@link RoutingEvents#onTimer} with this token at a time. */
+    /** Requests a call of {@link RoutingEvents#onTimer} with the token at the given time. */
     void setTimer(long at, long token);
 
     /** Sends a health check to a replica. */
     void sendHealthCheck(String replica);
 
-    /** Ends a running stream in order, so that its client resumes it elsewhere. */
+    /** Ends a running stream gracefully, so that its client resumes it elsewhere. */
     void migrateStream(String id);
 
-    /** Asks for the complete endpoint list once. */
+    /** Requests the complete endpoint list once. */
     void fetchEndpoints();
 
     /** Closes the watch on the endpoint list. */
@@ -38,9 +38,9 @@
     /** Closes the idle connections to a replica. */
     void closeIdleConnections(String replica);
 
-    /** Sends at most 256 bytes to one peer, or to all if {@code peer} is negative. */
+    /** Sends at most 256 bytes to one peer, or to all peers if {@code peer} is negative. */
     void sendToPeer(int peer, byte[] payload);
 
-    /** Logs a line for operators. */
+    /** Writes a line to the operators' log. */
     void log(String text);
 }
--- a/src/main/java/magpiehub/routing/RoutingCosts.java
+++ b/src/main/java/magpiehub/routing/RoutingCosts.java
@@ -1,14 +1,19 @@
 package magpiehub.routing;
 
 /**
- * Prices of what takes value away from service, each as a part of the value of one answer.
+ * Costs of resource usage and failures, each as a fraction of the value of one answer.
  *
  * @param crossZone an attempt sent to another zone
- * @param waste an attempt whose result is not used
- * @param probe a health check
- * @param lateFail a request that fails at its deadline instead of at once
+ * @param wastedAttempt an attempt whose result is not used
+ * @param healthCheck a health check
+ * @param lateFailure a request that fails at its deadline instead of immediately
  * @param connection keeping a connection open
  * @param handshake opening a connection
  */
 public record RoutingCosts(
-        double crossZone, double waste, double probe, double lateFail, double connection, double handshake) {}
+        double crossZone,
+        double wastedAttempt,
+        double healthCheck,
+        double lateFailure,
+        double connection,
+        double handshake) {}
--- a/src/main/java/magpiehub/routing/RoutingLimits.java
+++ b/src/main/java/magpiehub/routing/RoutingLimits.java
@@ -1,17 +1,17 @@
 package magpiehub.routing;
 
 /**
- * What the site permits.
+ * The site's limits on what a router may do.
  *
  * @param allowsCancellation whether an attempt may be cancelled
- * @param allowsHealthChecks whether replicas may be probed
+ * @param allowsHealthChecks whether health checks may be sent
  * @param allowsPeerMessages whether routers may send messages to each other
  * @param allowsParallelAttempts whether one request may have two attempts open at once
- * @param sendsRetryAfter whether a rejection may name a time to come back
- * @param maxAttempts attempts for one request at most
- * @param maxInFlight requests in flight at most
- * @param maxRetryAfter longest time to come back that may be named, in microseconds
- * @param connectTimeout time for opening a connection, in microseconds
+ * @param sendsRetryAfter whether a rejection may contain a retry-after time
+ * @param maxAttempts maximum number of attempts per request
+ * @param maxInFlight maximum number of requests in flight
+ * @param maxRetryAfter longest retry-after time, in microseconds
+ * @param connectTimeout timeout for opening a connection, in microseconds
  */
 public record RoutingLimits(
         boolean allowsCancellation,
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * Decides which replica gets each request, one instance per router. Events go in, actions come out, and each event is
- * handled completely before the next: the host calls it on one thread.
+ * Decides which replica serves each request. There is one instance per router; its host reports events on one thread,
+ * and the actions that an event leads to are requested before its handler returns.
  *
  * <p>The ordinary path of a request: {@link AdmissionController} admits it, {@link AffinityResolver} finds the replicas
- * that are likely to have its prompt cached, {@link ReplicaSelector} picks one, and the attempt is sent. Its first
- * token and its outcome go to {@link OutcomeRecorder}; if it failed, {@link RetryPolicy} says whether there is another
- * attempt, and otherwise the request is rejected or failed. This class shows that path and holds no formula; each
- * mechanism is a class of its own. {@code docs/design.md} gives the reasons.
+ * that are likely to have its prompt cached, {@link ReplicaSelector} selects one, and the attempt is sent. Its first
+ * token and its outcome are reported to {@link OutcomeRecorder}. If it failed, {@link RetryPolicy} decides whether
+ * there is another attempt; if not, the request is rejected or failed. This class implements that path and contains no
+ * formula; each mechanism is a separate class. {@code docs/design.md} explains the design.
  *
- * <p>There is no clock but the events' and no randomness but the seed's, and nothing is shared with other routers:
- * equal events and seeds lead to equal actions.
+ * <p>Decisions are deterministic: the same events and seed lead to the same actions. Time comes from the events and
+ * randomness from the seed; no state is shared with other routers.
  */
 public final class RoutingPolicy implements RoutingEvents {
     /** How often load shedding and zone affinity are adjusted, in microseconds. */
@@ -44,12 +44,12 @@
     private long now;
     private long adjustedAt;
 
-    /** A policy of a router that has just started and knows no replica; zones are passed over by failed connections. */
+    /** Creates a policy without replicas, with {@link ConnectFailureZoneHealth} as its zone health. */
     public RoutingPolicy(RoutingSettings settings, long seed, RoutingActions actions, long now) {
         this(settings, seed, actions, now, new ConnectFailureZoneHealth());
     }
 
-    /** The same with another view of the zones. */
+    /** Creates a policy without replicas. */
     public RoutingPolicy(RoutingSettings initial, long seed, RoutingActions actions, long now, ZoneHealth zones) {
         this.settings = new ActiveSettings(initial);
         this.actions = actions;
@@ -83,7 +83,7 @@
         setTimer();
     }
 
-    /** A clock that steps back is read as standing still. */
+    /** Advances the clock; a time that lies before the current one is ignored. */
     private void advanceClock(long time) {
         now = Math.max(now, time);
     }
@@ -116,7 +116,7 @@
         fleet.setValidUntil(validUntil);
     }
 
-    /** Replicas known, ready or not. */
+    /** Returns the number of known replicas, ready or not. */
     int knownReplicaCount() {
         return fleet.size();
     }
@@ -132,7 +132,7 @@
         requests.put(details.id(), request);
         traffic.recordRequest(now);
         retries.recordRequest();
-        // What came too late is no sign of overload, and no replica is asked for it.
+        // An expired request is neither sent nor counted by admission control: it is no sign of overload.
         if (settings.get().hasClass(details.classIndex())
                 && details.deadline() > now
                 && admission.admit(details, now)) {
@@ -162,7 +162,7 @@
         actions.sendAttempt(request.id(), replica.id(), 0);
     }
 
-    /** The final answer when there is no further attempt: rejected if a retry is harmless, else failed. */
+    /** Gives the final answer if there is no further attempt: rejected if a retry is safe, otherwise failed. */
     private void end(RequestInFlight request) {
         if (retries.mayReject(request)) {
             actions.reject(request.id(), 0);
@@ -172,7 +172,7 @@
         finish(request);
     }
 
-    /** No answer is owed any more; the request is forgotten once its attempts have ended. */
+    /** Marks a request as finished; it is removed once its attempts have ended. */
     private void finish(RequestInFlight request) {
         request.markFinished();
         if (!request.hasOpenAttempts()) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /** Whether a request may be answered as rejected now, whatever became of its attempts. */
+    /** Returns whether a request may be rejected now, given the outcomes of its attempts so far. */
     public boolean mayReject(String id) {
         RequestInFlight request = requests.get(id);
         return request == null || retries.mayReject(request);
@@ -269,7 +269,7 @@
         AffinityEntry entry = request.affinityEntry();
         Replica replica = attempt.replica();
         if (request.isServedOutsideAffinity() && entry != null && !entry.isSession() && replica.isReady()) {
-            // It has the prefix's tokens now: it joins, and the replica at the back goes.
+            // The replica has the prefix's tokens cached now: it replaces the one at the back.
             entry.addFirst(replica, request.affinityWidth());
         }
         promptCache.recordServed(request, attempt, cachedTokens, now);
--- a/src/main/java/magpiehub/routing/RoutingSettings.java
+++ b/src/main/java/magpiehub/routing/RoutingSettings.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What a router is configured with. A reload may change all of it; classes and tenants keep their places, and
- * new ones follow them.
+ * The configuration of a router. A reload may change all of it; classes and tenants keep their indexes, and new ones
+ * are appended.
  *
- * @param instanceIndex this router's number among the instances, from 0
- * @param instanceCount how many routers share the fleet
- * @param ownZone the zone that this router runs in
- * @param zoneCount how many zones the fleet spans
- * @param subscribesToEndpoints whether this router has to ask for endpoint lists; otherwise they are pushed to it
- * @param resumesStreams whether clients ask for the rest of a stream that was ended in order
- * @param weightMeaning what the weights of endpoints say
- * @param overQuotaWeight factor on the value of requests beyond their tenant's quota, from 0 to 1
+ * @param instanceIndex index of this router among the instances, from 0
+ * @param instanceCount number of routers that share the fleet
+ * @param ownZone index of the zone that this router runs in
+ * @param zoneCount number of zones of the fleet
+ * @param subscribesToEndpoints whether this router must request endpoint lists; otherwise they are pushed to it
+ * @param resumesStreams whether clients resume a stream that was ended gracefully
+ * @param weightMeaning what the weights of endpoints represent
+ * @param overQuotaWeight factor on the value of requests over their tenant's quota, from 0 to 1
  * @param classes classes of requests, by index
  * @param tenants tenants, by index
- * @param limits what the site permits
- * @param guarantees what every router has to keep to by itself
- * @param costs prices of what takes value away from service
+ * @param limits the site's limits on what a router may do
+ * @param guarantees limits that every router observes on its own
+ * @param costs costs of resource usage and failures
  */
 public record RoutingSettings(
         int instanceIndex,
@@ -35,17 +35,17 @@
         Guarantees guarantees,
         RoutingCosts costs) {
 
-    /** Whether an index names a class of these settings. */
+    /** Returns whether an index belongs to a class of these settings. */
     boolean hasClass(int classIndex) {
         return classIndex >= 0 && classIndex < classes.size();
     }
 
-    /** Whether sending to another zone has a price and there is another zone to send to. */
+    /** Returns whether sending to another zone has a cost and there is more than one zone. */
     boolean crossZoneTrafficCosts() {
         return costs.crossZone() > 0 && zoneCount > 1;
     }
 
-    /** Whether each open connection has a price, so that a router does better with few replicas. */
+    /** Returns whether connections have a cost, so that a router should use few replicas. */
     boolean connectionsCost() {
         return costs.connection() + costs.handshake() > 0;
     }
--- a/src/main/java/magpiehub/routing/RoutingTick.java
+++ b/src/main/java/magpiehub/routing/RoutingTick.java
@@ -1,11 +1,11 @@
 package magpiehub.routing;
 
-/** The policy's one periodic timer. */
+/** The policy's only periodic timer. */
 final class RoutingTick {
-    /** Its period in microseconds: finer than any timeout that it serves. */
+    /** Its period, which is shorter than every timeout that depends on it. */
     static final long PERIOD_MICROS = 50_000;
 
-    /** The token by which its events are known. */
+    /** The token that identifies its events. */
     static final long TIMER_TOKEN = 1;
 
     private RoutingTick() {}
--- a/src/main/java/magpiehub/routing/SlowStart.java
+++ b/src/main/java/magpiehub/routing/SlowStart.java
@@ -1,24 +1,25 @@
 package magpiehub.routing;
 
 /**
- * Limits the traffic to a replica that has just started to its share by the capacity that it has by then. The limit
- * holds for all routers together, and none knows more than its own part: each earns its part of the replica's share by
- * what it sends itself, as tokens, and sends where it has earned more than a threshold between 0 and 1 that is another
- * one for each router and window. Of thirty routers that come in one moment with a third of a token each, ten send.
+ * Limits the traffic to a replica that has just started to a share that corresponds to its current capacity. The limit
+ * applies to all routers together although each knows only its own traffic: a router earns tokens for its part of the
+ * replica's share in proportion to the attempts that it sends, and may send if it has more tokens than a threshold
+ * between 0 and 1 that differs between routers and windows. Of thirty routers that have a third of a token each at the
+ * same time, ten send.
  */
 final class SlowStart {
     private static final long NEVER = Long.MIN_VALUE;
 
-    /** The golden section: its multiples, modulo 1, lie as far apart as any, so thresholds are evenly spread. */
+    /** Fraction of the golden ratio: its multiples modulo 1 are evenly spread, and so are the thresholds. */
     private static final double GOLDEN_SECTION = 0.6180339887;
 
-    /** While many replicas warm up, each one's share is larger, by a factor of two at most. */
+    /** Lower bound of the fleet's capacity per ready replica: while many warm up, shares at most double. */
     private static final double LEAST_FLEET_CAPACITY = 0.5;
 
-    /** How far traffic keeps below what makes a warming replica fail: at most the root of a half of it. */
+    /** Upper bound of the traffic as a fraction of that which makes a warming replica fail. */
     private static final double SAFETY = Math.sqrt(0.5);
 
-    /** The warm-up of one replica; only {@link SlowStart} reads and changes it. */
+    /** The warm-up of one replica, which only {@link SlowStart} accesses. */
     static final class WarmUp {
         private long startedAt = NEVER;
         private double tokens;
@@ -29,11 +30,11 @@
     private final ActiveSettings settings;
     private final FleetState fleet;
     private final TrafficMeter traffic;
-    /** Capacity of the ready replicas, in replicas at full capacity, and when it was summed. */
+    /** Capacity of the ready replicas, in units of a replica at full capacity. */
     private double fleetCapacity;
-
+    /** When {@link #fleetCapacity} was computed. */
     private long fleetCapacityAt = NEVER / 2;
-    /** The same as a mean over the time that traffic is measured over. */
+    /** Moving average of {@link #fleetCapacity} over the time constant of the traffic meter. */
     private double meanFleetCapacity;
 
     SlowStart(ActiveSettings settings, FleetState fleet, TrafficMeter traffic) {
@@ -42,7 +43,7 @@
         this.traffic = traffic;
     }
 
-    /** A replica has started and warms up from now on. */
+    /** Starts the warm-up of a replica that started at {@code since}. */
     void start(Replica replica, long since) {
         WarmUp warmUp = replica.warmUp;
         warmUp.startedAt = since;
@@ -56,7 +57,7 @@
         return replica.warmUp.startedAt != NEVER;
     }
 
-    /** An attempt is sent: at a warming replica it uses a token up. */
+    /** Records that an attempt is sent; at a warming replica it consumes a token. */
     void recordSent(Replica replica) {
         if (isWarmingUp(replica)) {
             replica.warmUp.tokens--;
@@ -64,7 +65,7 @@
     }
 
     // ---- Capacity ---------------------------------------------------------------------------------------
-    /** Part of its capacity that a replica has by now, by the least that the site promises; 1 if it is warm. */
+    /** Returns the fraction of its capacity that the site guarantees for a replica by now; 1 if it is warm. */
     double capacity(Replica replica, long now) {
         if (!isWarmingUp(replica)) {
             return 1;
@@ -75,12 +76,12 @@
         return age >= 1 ? 1 : initial + (1 - initial) * Math.max(0, age);
     }
 
-    /** The fleet has changed: its capacity has to be summed again. */
+    /** Invalidates the fleet's capacity after a change of the fleet. */
     void invalidateFleetCapacity() {
         fleetCapacityAt = NEVER / 2;
     }
 
-    /** Sums the ready replicas' capacities, at most once a tick. */
+    /** Computes the capacity of the ready replicas, at most once per tick. */
     void updateFleetCapacity(long now) {
         if (now - fleetCapacityAt < RoutingTick.PERIOD_MICROS) {
             return;
@@ -99,7 +100,10 @@
                                 / TrafficMeter.TIME_CONSTANT_MICROS;
     }
 
-    /** The capacity that shares are taken of: the larger of now's and the mean's, which traffic came from. */
+    /**
+     * Returns the capacity that shares are based on: the larger of the current one and the mean one during the time in
+     * which the traffic was measured.
+     */
     private double sharedCapacity(long now) {
         updateFleetCapacity(now);
         double current = Math.max(fleetCapacity, LEAST_FLEET_CAPACITY * fleet.readyCount());
@@ -107,7 +111,7 @@
     }
 
     // ---- Tokens -----------------------------------------------------------------------------------------
-    /** Whether the replica may be sent one more attempt: it is warm, or this router has earned a token. */
+    /** Returns whether the replica may be sent another attempt: it is warm, or this router has enough tokens. */
     boolean allowsAttempt(Replica replica, long now) {
         WarmUp warmUp = replica.warmUp;
         if (!isWarmingUp(replica)) {
@@ -127,16 +131,16 @@
     private void earnTokens(Replica replica, double capacity, long window, long now) {
         WarmUp warmUp = replica.warmUp;
         Guarantees guarantees = settings.get().guarantees();
-        // By what was sent, not received: under overload clients ask several times over.
+        // Attempts sent instead of requests received: under overload, clients retry several times.
         double rate = traffic.attemptsPerMicro(now);
         double share = capacity * replica.relativeSize() / sharedCapacity(now);
         double factor = guarantees.overloadFactor();
         double cautious = share * cautionFactor(window, factor);
-        // A router that sees few requests spreads its keys by session: no key can lead all routers to one replica.
+        // A router with few requests spreads its keys by session, so no key can direct all routers to one replica.
         double most = !traffic.isEstablished()
                 ? cautious * fleet.readyCount()
                 : factor * share * rate * guarantees.overloadWindow();
-        // Before its first token a router counts as one that has sent for long.
+        // Before its first token, a router counts as one that has been sending for a long time.
         double earned = warmUp.tokensAt == NEVER
                 ? cautious * fleet.readyCount()
                 : warmUp.tokens + cautious * rate * (now - warmUp.tokensAt);
@@ -145,9 +149,10 @@
     }
 
     /**
-     * The multiple of its share that a warming replica gets: half way, by the multiple, between the bare share, with
-     * which it idles while the warm ones are overloaded, and what makes it fail, and not nearer to that than
-     * {@link #SAFETY}; as far below the share within the first window, when one burst may use the tokens up.
+     * Returns the multiple of its share that a warming replica gets: the geometric mean of the share itself, with which
+     * it idles while the warm replicas are overloaded, and the multiple at which it fails, limited by {@link #SAFETY}.
+     * Within the first window, when a single burst may consume the tokens, it is as far below the share as it is above
+     * later.
      */
     private static double cautionFactor(long window, double overloadFactor) {
         return Math.min(Math.sqrt(window == 0 ? 1 / overloadFactor : overloadFactor), SAFETY * overloadFactor);
--- a/src/main/java/magpiehub/routing/TenantQuotas.java
+++ b/src/main/java/magpiehub/routing/TenantQuotas.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** Token buckets of the tenants' quotas; each router counts its part of them. */
+/** Token buckets for the tenants' quotas; each router applies its equal share of a quota. */
 final class TenantQuotas {
-    /** What a bucket holds beyond two seconds' worth, so that a small quota lets bursts of a few through. */
+    /** Tokens that a bucket holds in addition to those of two seconds, so that a small quota allows short bursts. */
     private static final double EXTRA_BURST = 2;
 
     private static final double BURST_SECONDS = 2;
@@ -20,12 +20,12 @@
         resize();
     }
 
-    /** Makes room for the tenants of new settings; known tenants keep their tokens. */
+    /** Adds the tenants of new settings; existing tenants keep their tokens. */
     void resize() {
         tokens = Arrays.copyOf(tokens, settings.get().tenants().size());
     }
 
-    /** Takes a token for a request; returns whether the request is beyond its tenant's quota. */
+    /** Takes a token for a request; returns whether the request is over its tenant's quota. */
     boolean isOverQuota(int tenant, long now) {
         refill(now);
         if (tenant < 0
--- a/src/main/java/magpiehub/routing/TrafficMeter.java
+++ b/src/main/java/magpiehub/routing/TrafficMeter.java
@@ -1,14 +1,14 @@
 package magpiehub.routing;
 
-/** Requests that came to this router and attempts that it sent, as decayed counts. */
+/** Decayed counts of the requests that this router received and of the attempts that it sent. */
 final class TrafficMeter {
-    /** Time constant of shares of traffic, in microseconds: a few sessions long. */
+    /** Time constant of the counts, the length of a few sessions. */
     static final double TIME_CONSTANT_MICROS = 20_000_000;
 
-    /** Requests seen before shares of traffic are believed; until then keys are spread by session. */
+    /** Requests from which shares of traffic are reliable; until then keys are spread by session. */
     private static final double ESTABLISHED_COUNT = 30;
 
-    /** The least time, in time constants, that a rate is taken over, so that it is defined from the start. */
+    /** Minimum time, in time constants, over which a rate is computed, so that it is defined from the start. */
     private static final double SHORTEST_SPAN = 0.1;
 
     private final DecayedCounter received;
@@ -29,24 +29,24 @@
         sent.increment(now);
     }
 
-    /** Requests received, decayed. */
+    /** Returns the decayed number of requests received. */
     double requestCount() {
         return received.value();
     }
 
-    /** Whether enough requests have been seen for a key's share of them to mean something. */
+    /** Returns whether enough requests were received for a key's share of them to be reliable. */
     boolean isEstablished() {
         return received.value() >= ESTABLISHED_COUNT;
     }
 
-    /** When the last attempt was sent; the router's start if there was none. */
+    /** Returns when the last attempt was sent, or when the router started if there was none. */
     long lastAttemptAt() {
         return sent.updatedAt();
     }
 
     /**
-     * Attempts sent per microsecond. A router that has just started has sent for a short time only: taken over the
-     * whole time constant it would count as idle.
+     * Returns the attempts sent per microsecond. The rate of a router that has just started is computed over the time
+     * since its start: over the whole time constant, the router would appear idle.
      */
     double attemptsPerMicro(long now) {
         return sent.value()
--- a/src/main/java/magpiehub/routing/WeightMeaning.java
+++ b/src/main/java/magpiehub/routing/WeightMeaning.java
@@ -1,13 +1,13 @@
 package magpiehub.routing;
 
-/** What the weights of endpoints say of a replica's size. */
+/** What the weight of an endpoint represents. */
 public enum WeightMeaning {
-    /** Nothing: all replicas count as equal. */
+    /** Nothing: all replicas have the same size. */
     NONE,
     /** The size that the replica was registered with. */
     NOMINAL,
-    /** An estimate of its size. */
+    /** An estimate of the replica's size. */
     ROUGH,
-    /** Free capacity at the moment: it falls with the load, so the largest value seen is the size. */
+    /** The current free capacity, which decreases with the load, so the largest value seen is the size. */
     LIVE
 }
--- a/src/main/java/magpiehub/routing/ZoneAffinity.java
+++ b/src/main/java/magpiehub/routing/ZoneAffinity.java
@@ -1,29 +1,30 @@
 package magpiehub.routing;
 
 /**
- * Decides which part of the affinity keys stays in the router's own zone where traffic between zones has a price. The
- * part grows while first tokens come as fast from the own zone as from the others, and shrinks while they come later.
+ * Decides which fraction of the affinity keys stays in the router's own zone where traffic between zones has a cost.
+ * The fraction grows while first tokens arrive as fast from the own zone as from the others, and shrinks while they are
+ * slower.
  */
 final class ZoneAffinity {
-    /** The part at the start, before anything is known. */
+    /** Initial fraction, before any latency is known. */
     private static final double INITIAL_PART = 0.5;
 
-    /** The most that ever stays: a few keys go on measuring the other zones. */
+    /** Upper bound of the fraction; the other keys keep measuring the other zones. */
     private static final double MAX_PART = 0.95;
 
-    /** Steps of the part, and the ratios of first-token times, own to other zones, at which it takes them. */
+    /** Steps of the fraction, and the ratios of times to first token (own zone to others) at which they are taken. */
     private static final double STEP_UP = 0.03;
 
     private static final double STEP_DOWN = 0.06;
     private static final double STEP_UP_BELOW = 1.1;
     private static final double STEP_DOWN_ABOVE = 1.3;
 
-    /** Weights of the newest ratio; the other zones' first tokens are fewer. */
+    /** Weights of the newest ratio; the other zones have fewer first tokens. */
     private static final double OWN_ZONE_WEIGHT = 0.03;
 
     private static final double OTHER_ZONES_WEIGHT = 0.1;
 
-    /** A ratio counts as this at most. */
+    /** Upper bound of a latency ratio. */
     private static final double MAX_RATIO = 4;
 
     private final ActiveSettings settings;
@@ -39,14 +40,14 @@
         part = settings.get().crossZoneTrafficCosts() ? INITIAL_PART : 0;
     }
 
-    /** The ring on which a key is placed: the own zone's for the part of the keys that stays. */
+    /** Returns the ring of a key: the own zone's for the fraction of the keys that stays. */
     HashRing ringFor(long key) {
         return part > 0 && SplitMix64.mixToUnitInterval(key) < part ? fleet.ownZoneRing() : fleet.subsetRing();
     }
 
-    /** Bounds the part after a rebuild of the fleet. */
+    /** Updates the bound of the fraction after a rebuild of the fleet. */
     void updateFleet() {
-        // A zone with few replicas keeps fewer keys; what others spill lands there too.
+        // A zone with few replicas keeps fewer keys, since it also gets requests that other zones have no capacity for.
         int ready = Math.max(1, fleet.readyCount());
         int zoneCount = fleet.zoneCount();
         double meanSpread = 0;
@@ -58,7 +59,7 @@
         part = Math.min(part, maxPart);
     }
 
-    /** Records a time to the first token by its ratio to the mean. */
+    /** Records a time to first token by its ratio to the mean. */
     void recordFirstToken(Replica replica, double ratio) {
         double capped = Math.min(MAX_RATIO, ratio);
         if (fleet.isInOwnZone(replica)) {
@@ -68,7 +69,7 @@
         }
     }
 
-    /** Moves the part by one step, if there is reason to. Called periodically. */
+    /** Changes the fraction by one step if the latencies require it. Called periodically. */
     void adjust() {
         if (settings.get().crossZoneTrafficCosts()) {
             part = Math.max(0, Math.min(maxPart, part + step()));
--- a/src/main/java/magpiehub/routing/ZoneEvidence.java
+++ b/src/main/java/magpiehub/routing/ZoneEvidence.java
@@ -1,15 +1,15 @@
 package magpiehub.routing;
 
-/** What an attempt or a health check shows of the replica that it went to. */
+/** Evidence about a replica from an attempt or a health check. */
 public enum ZoneEvidence {
     /** It answered: a first token, a complete answer or a rejection. */
     ANSWERED,
     /** No connection could be opened. */
     NO_CONNECTION,
-    /** The connection was lost under a request. */
+    /** The connection was lost during a request. */
     BROKEN,
-    /** No first token for long, compared with what is usual. */
+    /** No first token arrived for much longer than usual. */
     SILENCE,
-    /** It answered with an error, so it can be reached. */
+    /** It answered with an error, so it is reachable. */
     ERROR
 }
--- a/src/main/java/magpiehub/routing/ZoneFailover.java
+++ b/src/main/java/magpiehub/routing/ZoneFailover.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Serves a {@link ZoneHealth} that plans for the loss of a zone: reports silence while it lasts, gives up attempts that
- * wait at a closed zone, and has replicas checked where too few requests would tell late.
+ * Drives a {@link ZoneHealth} that plans for the loss of a zone: reports overdue first tokens, cancels attempts that
+ * wait at a closed zone, and sends health checks where there are too few requests for a timely detection.
  */
 final class ZoneFailover {
     private final ActiveSettings settings;
@@ -18,7 +18,7 @@
     private final LatencyEstimator latencies;
     private final HealthChecker healthChecker;
     private final RoutingActions actions;
-    /** Zones that were closed at the last tick. */
+    /** The zones that were closed at the last tick. */
     private boolean[] closed = {};
 
     ZoneFailover(
@@ -43,7 +43,7 @@
         resize();
     }
 
-    /** Makes room for zones that new settings add. */
+    /** Adds the zones of new settings. */
     void resize() {
         zones.setZoneCount(fleet.zoneCount());
         closed = Arrays.copyOf(closed, fleet.zoneCount());
@@ -79,7 +79,7 @@
         }
     }
 
-    /** What waits at a closed zone is cancelled, except a trial that has not been silent for long. */
+    /** Cancels attempts that wait at a closed zone, except trials whose first token is not overdue. */
     private void giveUpAttempts(RequestInFlight request) {
         for (int number = 0; number < request.attemptCount(); number++) {
             Attempt attempt = request.findAttempt(number);
@@ -96,7 +96,7 @@
         }
     }
 
-    /** What was learnt of a zone's replicas while nothing reached them says nothing once it is open again. */
+    /** Resets the ejections of a zone that is open again: failures of the closed zone are no evidence any more. */
     private void forgetFailuresIfReopened(int zone) {
         boolean isClosed = zones.closedSince(zone) != Long.MAX_VALUE;
         if (closed[zone] && !isClosed) {
--- a/src/main/java/magpiehub/routing/ZoneHealth.java
+++ b/src/main/java/magpiehub/routing/ZoneHealth.java
@@ -1,59 +1,59 @@
 package magpiehub.routing;
 
 /**
- * How the zones of the fleet stand, as one router sees them. The routing policy asks it before sending and tells it
- * what attempts and health checks show; which replica of a zone gets a request is the policy's choice.
- * {@link ConnectFailureZoneHealth} is the plain implementation. An implementation that plans for the loss of a zone
- * returns true from {@link #plansFailover()} and is then asked for trials and health checks as well.
+ * The health of the fleet's zones from one router's point of view. The routing policy queries it before sending and
+ * reports the evidence of attempts and health checks; the policy selects the replica within a zone.
+ * {@link ConnectFailureZoneHealth} is the default implementation. An implementation that plans for the loss of a zone
+ * returns true from {@link #plansFailover()} and then also schedules trials and health checks.
  *
  * <p>All methods are called on the policy's thread. Times are in microseconds.
  */
 public interface ZoneHealth {
 
-    /** The fleet spans so many zones from now on; the number never falls. */
+    /** Sets the number of zones, which never decreases. */
     void setZoneCount(int zones);
 
     /**
-     * Records what an attempt or a health check showed.
+     * Records evidence from an attempt or a health check.
      *
-     * @param took time since it was sent
-     * @param ratio its time to the first token against the usual one, 1 where none was measured
+     * @param took time since the attempt or health check was sent
+     * @param ratio its time to first token relative to the mean, 1 if none was measured
      */
     void recordEvidence(long now, int zone, String replica, ZoneEvidence evidence, long took, double ratio);
 
-    /** Forgets what was recorded of a replica: it restarted, is gone, or can be reached again. */
+    /** Discards the evidence about a replica that restarted, is gone, or is reachable again. */
     void forgetReplica(String replica);
 
-    /** The endpoint list names so many replicas of a zone that take requests. */
+    /** Sets the number of replicas of a zone that accept requests according to the endpoint list. */
     void setReplicaCount(long now, int zone, int live);
 
     /**
-     * Whether a zone accepts a request now. A zone that recovers accepts a growing part of its usual traffic.
+     * Returns whether a zone accepts a request now. A recovering zone accepts a growing fraction of its usual traffic.
      *
-     * @param position the request's place in that traffic, from 0 to 1, the same for a whole conversation
+     * @param position the request's position in that traffic, from 0 to 1; the same for a whole conversation
      */
     boolean accepts(long now, int zone, double position);
 
-    /** Since when the zone gets nothing but trials; {@link Long#MAX_VALUE} while it gets more. */
+    /** Returns since when the zone gets only trials; {@link Long#MAX_VALUE} if it is not closed. */
     default long closedSince(int zone) {
         return Long.MAX_VALUE;
     }
 
-    /** Whether a trial is due at a zone that gets nothing else; true uses the trial up. */
+    /** Returns whether a trial is due at a closed zone and, if so, counts it as sent. */
     default boolean acquireTrial(long now, int zone) {
         return false;
     }
 
-    /** How many replicas of the zone are to be probed now; asking uses them up. */
+    /** Returns how many health checks of the zone are due, and counts them as sent. */
     default int acquireHealthChecks(int zone) {
         return 0;
     }
 
-    /** Whether it plans for the loss of a zone: it wants silence reported, and trials and health checks made. */
+    /** Returns whether it plans for the loss of a zone: the policy then reports silence and sends trials and checks. */
     default boolean plansFailover() {
         return false;
     }
 
-    /** Called periodically with the current time. */
+    /** Advances the time; called periodically. */
     default void advance(long now) {}
 }
