--- a/src/main/java/magpiehub/routing/AdmissionController.java
+++ b/src/main/java/magpiehub/routing/AdmissionController.java
@@ -12,7 +12,7 @@
     private static final double STEP_UP = 0.1;
 
     private static final double STEP_DOWN = 0.05;
-    private static final double MAX_SHED_PART = 0.8;
+    private static final double MAX_SHED_FRACTION = 0.8;
 
     /** Factor by which arrivals of earlier periods are multiplied after each period. */
     private static final double ARRIVAL_DECAY = 0.9;
@@ -23,7 +23,7 @@
     private static final long MAX_IDLE_MICROS = 2_000_000;
 
     /** Lower bound of the mean answer time that a value is divided by. */
-    private static final long SHORTEST_ANSWER_MICROS = 50_000;
+    private static final long MIN_ANSWER_MICROS = 50_000;
 
     private final ActiveSettings settings;
     private final OverloadDetector overload;
@@ -31,10 +31,10 @@
     private final TrafficMeter traffic;
     private final TenantQuotas quotas;
     private final SplitMix64 random;
-    private double shedPart;
+    private double shedFraction;
     // Two buckets per class: requests within their tenant's quota, then requests over it.
     private double[] arrivals = {};
-    private double[] shedPartOfBucket = {};
+    private double[] shedFractionByBucket = {};
 
     AdmissionController(
             ActiveSettings settings,
@@ -56,7 +56,7 @@
     void resize() {
         int buckets = 2 * Math.max(1, settings.get().classes().size());
         arrivals = Arrays.copyOf(arrivals, buckets);
-        shedPartOfBucket = Arrays.copyOf(shedPartOfBucket, buckets);
+        shedFractionByBucket = Arrays.copyOf(shedFractionByBucket, buckets);
         quotas.resize();
     }
 
@@ -65,16 +65,16 @@
         int bucket = 2 * request.classIndex() + (quotas.isOverQuota(request.tenantIndex(), now) ? 1 : 0);
         arrivals[bucket]++;
         return request.continuation()
-                || shedPartOfBucket[bucket] <= 0
+                || shedFractionByBucket[bucket] <= 0
                 || now - traffic.lastAttemptAt() >= MAX_IDLE_MICROS
-                || random.nextDouble() >= shedPartOfBucket[bucket];
+                || random.nextDouble() >= shedFractionByBucket[bucket];
     }
 
     /** Adapts the shed fraction to the answers of the period that ends. */
     void adjust() {
-        shedPart = overload.needsLoadShedding()
-                ? Math.min(MAX_SHED_PART, shedPart + STEP_UP)
-                : Math.max(0, shedPart - STEP_DOWN);
+        shedFraction = overload.needsLoadShedding()
+                ? Math.min(MAX_SHED_FRACTION, shedFraction + STEP_UP)
+                : Math.max(0, shedFraction - STEP_DOWN);
         distributeShedding();
         for (int bucket = 0; bucket < arrivals.length; bucket++) {
             arrivals[bucket] *= ARRIVAL_DECAY;
@@ -83,27 +83,27 @@
 
     /** Distributes the load to be shed over the buckets, from the lowest value rate upwards. */
     private void distributeShedding() {
-        Arrays.fill(shedPartOfBucket, 0);
-        double left = shedPart * Arrays.stream(arrivals).sum();
-        while (left > 0) {
-            int least = leastValuableUnshedBucket();
-            if (least < 0) {
+        Arrays.fill(shedFractionByBucket, 0);
+        double remaining = shedFraction * Arrays.stream(arrivals).sum();
+        while (remaining > 0) {
+            int lowest = lowestValueUnshedBucket();
+            if (lowest < 0) {
                 break;
             }
-            shedPartOfBucket[least] = arrivals[least] <= 0 ? 1 : Math.min(1, left / arrivals[least]);
-            left -= arrivals[least];
+            shedFractionByBucket[lowest] = arrivals[lowest] <= 0 ? 1 : Math.min(1, remaining / arrivals[lowest]);
+            remaining -= arrivals[lowest];
         }
     }
 
     /** Returns the bucket with the lowest value rate of those that are not shed, -1 if all are. */
-    private int leastValuableUnshedBucket() {
-        int least = -1;
+    private int lowestValueUnshedBucket() {
+        int lowest = -1;
         for (int bucket = 0; bucket < 2 * settings.get().classes().size(); bucket++) {
-            if (shedPartOfBucket[bucket] == 0 && (least < 0 || valueRate(bucket) < valueRate(least))) {
-                least = bucket;
+            if (shedFractionByBucket[bucket] == 0 && (lowest < 0 || valueRate(bucket) < valueRate(lowest))) {
+                lowest = bucket;
             }
         }
-        return least;
+        return lowest;
     }
 
     /** Returns the value of a request of the bucket per service time. */
@@ -112,6 +112,6 @@
         boolean isOverQuota = bucket % 2 == 1;
         return settings.get().classes().get(classIndex).priorityWeight()
                 * (isOverQuota ? settings.get().overQuotaWeight() : 1)
-                / Math.max(SHORTEST_ANSWER_MICROS, latencies.meanCompleteAnswer(classIndex));
+                / Math.max(MIN_ANSWER_MICROS, latencies.meanCompleteAnswer(classIndex));
     }
 }
--- a/src/main/java/magpiehub/routing/AffinityResolver.java
+++ b/src/main/java/magpiehub/routing/AffinityResolver.java
@@ -34,7 +34,7 @@
             // A prefix with too much traffic for one entry is cached everywhere, so the session's tokens decide.
             if (needed <= AffinityEntry.MAX_REPLICAS || sessionId == 0) {
                 request.setAffinityEntry(entry);
-                return width(entry, needed);
+                return targetReplicaCount(entry, needed);
             }
         }
         return sessionId != 0 ? resolveSession(request, sessionId, now) : 1;
@@ -45,7 +45,7 @@
         entry.recordRequest(now);
         request.setAffinityEntry(entry);
         // A hot key would overload a single replica.
-        return entry.demand() > HOT_SESSION_DEMAND ? width(entry, neededReplicas(entry)) : 1;
+        return entry.demand() > HOT_SESSION_DEMAND ? targetReplicaCount(entry, neededReplicas(entry)) : 1;
     }
 
     /** Returns how many replicas the key's share of this router's traffic needs. */
@@ -55,9 +55,10 @@
                 : Double.MAX_VALUE;
     }
 
-    private int width(AffinityEntry entry, double needed) {
-        int onRing = zoneAffinity.ringFor(entry.ringPosition()).replicaCount();
-        double part = (double) onRing / Math.max(1, fleet.readyCount());
-        return (int) Math.max(1, Math.min(Math.min(AffinityEntry.MAX_REPLICAS, onRing), Math.ceil(needed * part)));
+    private int targetReplicaCount(AffinityEntry entry, double needed) {
+        int replicasOnRing = zoneAffinity.ringFor(entry.ringPosition()).replicaCount();
+        double ringFraction = (double) replicasOnRing / Math.max(1, fleet.readyCount());
+        return (int) Math.max(
+                1, Math.min(Math.min(AffinityEntry.MAX_REPLICAS, replicasOnRing), Math.ceil(needed * ringFraction)));
     }
 }
--- a/src/main/java/magpiehub/routing/Attempt.java
+++ b/src/main/java/magpiehub/routing/Attempt.java
@@ -9,7 +9,7 @@
     private boolean ended;
     private boolean trial;
     private boolean silenceReported;
-    private boolean givenUp;
+    private boolean abandoned;
 
     Attempt(Replica replica, long sentAt) {
         this.replica = replica;
@@ -73,11 +73,11 @@
     /**
      * Returns whether this router cancelled it because its zone is closed; its request may then be retried elsewhere.
      */
-    boolean isGivenUp() {
-        return givenUp;
+    boolean isAbandoned() {
+        return abandoned;
     }
 
-    void markGivenUp() {
-        givenUp = true;
+    void markAbandoned() {
+        abandoned = true;
     }
 }
--- a/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
+++ b/src/main/java/magpiehub/routing/ConnectFailureZoneHealth.java
@@ -10,7 +10,7 @@
  */
 public final class ConnectFailureZoneHealth implements ZoneHealth {
     /** How long a zone is skipped. Failures that are more than twice this time apart count as unrelated. */
-    private static final long PAUSE_MICROS = 1_000_000;
+    private static final long SKIP_MICROS = 1_000_000;
 
     /** Number of unreachable replicas, with none reached in between, from which a zone is skipped. */
     private static final int MIN_FAILURES = 3;
@@ -29,7 +29,7 @@
     public void recordEvidence(long now, int zone, String replica, ZoneEvidence evidence, long took, double ratio) {
         if (evidence == ZoneEvidence.NO_CONNECTION) {
             if (unreachable.add(replica)) {
-                failures[zone] = now - lastFailureAt[zone] > 2 * PAUSE_MICROS ? 1 : failures[zone] + 1;
+                failures[zone] = now - lastFailureAt[zone] > 2 * SKIP_MICROS ? 1 : failures[zone] + 1;
                 lastFailureAt[zone] = now;
             }
         } else if (evidence == ZoneEvidence.ANSWERED || evidence == ZoneEvidence.ERROR) {
@@ -48,6 +48,6 @@
 
     @Override
     public boolean accepts(long now, int zone, double position) {
-        return failures[zone] < MIN_FAILURES || now - lastFailureAt[zone] >= PAUSE_MICROS;
+        return failures[zone] < MIN_FAILURES || now - lastFailureAt[zone] >= SKIP_MICROS;
     }
 }
--- a/src/main/java/magpiehub/routing/EndpointPollSchedule.java
+++ b/src/main/java/magpiehub/routing/EndpointPollSchedule.java
@@ -14,8 +14,8 @@
      */
     private static final long FIRST_BACKOFF_MICROS = 1_000_000;
 
-    private static final long FURTHER_BACKOFF_MICROS = 2_000_000;
-    private static final double LEAST_BACKOFF = 0.5;
+    private static final long REPEATED_BACKOFF_MICROS = 2_000_000;
+    private static final double MIN_BACKOFF_FACTOR = 0.5;
     private static final double BACKOFF_JITTER = 0.45;
 
     /** Time per router over which first calls are spread, since discovery serves callers one after another. */
@@ -51,8 +51,8 @@
      * already scheduled after a backoff; otherwise each message of a watch that was silent before would postpone it.
      */
     void recordFailure(long now, long pollWithin, double random) {
-        long base = Math.min(pollWithin, failedBefore ? FURTHER_BACKOFF_MICROS : FIRST_BACKOFF_MICROS);
-        long next = now + (long) (base * (LEAST_BACKOFF + BACKOFF_JITTER * random));
+        long base = Math.min(pollWithin, failedBefore ? REPEATED_BACKOFF_MICROS : FIRST_BACKOFF_MICROS);
+        long next = now + (long) (base * (MIN_BACKOFF_FACTOR + BACKOFF_JITTER * random));
         nextPollAt = backingOff ? Math.min(nextPollAt, next) : next;
         backingOff = true;
         failedBefore = true;
--- a/src/main/java/magpiehub/routing/FleetState.java
+++ b/src/main/java/magpiehub/routing/FleetState.java
@@ -125,7 +125,7 @@
             sizeSum += replica.size();
         }
         List<Replica> ready = new ArrayList<>();
-        List<Replica> near = new ArrayList<>();
+        List<Replica> ownZoneReady = new ArrayList<>();
         readyPerZone = new int[zoneCount];
         for (Replica replica : replicas) {
             replica.setRelativeSize(replicas.size(), sizeSum);
@@ -133,21 +133,23 @@
                 ready.add(replica);
                 readyPerZone[zoneOf(replica)]++;
                 if (isInOwnZone(replica)) {
-                    near.add(replica);
+                    ownZoneReady.add(replica);
                 }
             }
         }
         readyCount = ready.size();
-        readyInOwnZone = near.size();
-        buildRings(ready, near);
+        readyInOwnZone = ownZoneReady.size();
+        buildRings(ready, ownZoneReady);
     }
 
-    private void buildRings(List<Replica> ready, List<Replica> near) {
+    private void buildRings(List<Replica> ready, List<Replica> ownZoneReady) {
         boolean subset = settings.get().connectionsCost();
         int instance = settings.get().instanceIndex();
         fullRing = new HashRing(ready);
         subsetRing = subset ? new HashRing(subset(ready, instance)) : fullRing;
-        ownZoneRing = near.isEmpty() ? subsetRing : new HashRing(subset ? subset(near, instance / zoneCount) : near);
+        ownZoneRing = ownZoneReady.isEmpty()
+                ? subsetRing
+                : new HashRing(subset ? subset(ownZoneReady, instance / zoneCount) : ownZoneReady);
     }
 
     /**
--- a/src/main/java/magpiehub/routing/HealthChecker.java
+++ b/src/main/java/magpiehub/routing/HealthChecker.java
@@ -28,15 +28,15 @@
     }
 
     /** Checks one replica that has not answered for a period, if a check is due. */
-    void checkSilentReplica(long now) {
+    void checkIdleReplica(long now) {
         if (!isDue(now)) {
             return;
         }
         lastCheckAt = now;
         for (int step = 0; step < MAX_STEPS; step++) {
             Replica replica = nextReplica();
-            if (replica.isReady() && !outliers.isEjected(replica) && now - replica.lastHeardAt() > PERIOD_MICROS) {
-                replica.heardAt(now);
+            if (replica.isReady() && !outliers.isEjected(replica) && now - replica.lastContactAt() > PERIOD_MICROS) {
+                replica.recordContact(now);
                 actions.sendHealthCheck(replica.id());
                 return;
             }
--- a/src/main/java/magpiehub/routing/LatencyEstimator.java
+++ b/src/main/java/magpiehub/routing/LatencyEstimator.java
@@ -14,7 +14,7 @@
     private static final double OUTLIER_CAP = 4;
 
     /** Lower bound of the mean that a first token is compared with: below it, ratios are noise. */
-    private static final long SHORTEST_FIRST_TOKEN_MICROS = 20_000;
+    private static final long MIN_FIRST_TOKEN_MICROS = 20_000;
 
     private double[] firstToken = {};
     private double[] completeAnswer = {};
@@ -31,7 +31,7 @@
     double recordFirstToken(int classIndex, long took) {
         double mean = firstToken[classIndex] == 0 ? (double) took : firstToken[classIndex];
         firstToken[classIndex] = updated(mean, (double) took);
-        return took / Math.max(SHORTEST_FIRST_TOKEN_MICROS, mean);
+        return took / Math.max(MIN_FIRST_TOKEN_MICROS, mean);
     }
 
     /** Records the time of a complete answer; returns the mean without it. */
--- a/src/main/java/magpiehub/routing/LoadTracker.java
+++ b/src/main/java/magpiehub/routing/LoadTracker.java
@@ -19,13 +19,13 @@
      * A replica is skipped while an attempt there has waited for this time without a first token, which is about five
      * times the usual time to first token of a cached prompt.
      */
-    static final long FIRST_TOKEN_PATIENCE_MICROS = 400_000;
+    static final long FIRST_TOKEN_OVERDUE_MICROS = 400_000;
 
     /** How long a replica that rejected an attempt for lack of capacity is skipped, before jitter. */
-    private static final long REJECTION_PAUSE_MICROS = 300_000;
+    private static final long REJECTION_BACKOFF_MICROS = 300_000;
 
     /** Lower bound of the jitter factor of that backoff, which is between 0.5 and 1.5. */
-    private static final double LEAST_PAUSE = 0.5;
+    private static final double MIN_JITTER_FACTOR = 0.5;
 
     /** Concurrency limit of a replica without history; high enough not to have an effect. */
     private static final double INITIAL_CONCURRENCY_LIMIT = 64;
@@ -37,7 +37,7 @@
     static final class ReplicaLoad {
         private int inFlight;
         private double concurrencyLimit = INITIAL_CONCURRENCY_LIMIT;
-        private long pausedUntil;
+        private long backoffUntil;
         /** In the order of sending; started and ended attempts are removed when they reach the head. */
         private final ArrayDeque<Attempt> awaitingFirstToken = new ArrayDeque<>(2);
 
@@ -84,14 +84,14 @@
     /** Records a rejection for lack of capacity: lowers the limit and skips the replica for a short time. */
     void recordRejected(Replica replica, long now) {
         ReplicaLoad load = replica.load;
-        double held = Math.min(load.concurrencyLimit, load.inFlight + 1);
-        load.concurrencyLimit = Math.max(1, held * REJECTION_DECREASE);
-        load.pausedUntil = now + (long) (REJECTION_PAUSE_MICROS * (LEAST_PAUSE + random.nextDouble()));
+        double inFlightAtRejection = Math.min(load.concurrencyLimit, load.inFlight + 1);
+        load.concurrencyLimit = Math.max(1, inFlightAtRejection * REJECTION_DECREASE);
+        load.backoffUntil = now + (long) (REJECTION_BACKOFF_MICROS * (MIN_JITTER_FACTOR + random.nextDouble()));
     }
 
     /** Records that the replica reported a queue: it is skipped for as long as after a rejection, without jitter. */
     void recordQueueReported(Replica replica, long now) {
-        replica.load.pausedUntil = Math.max(replica.load.pausedUntil, now + REJECTION_PAUSE_MICROS);
+        replica.load.backoffUntil = Math.max(replica.load.backoffUntil, now + REJECTION_BACKOFF_MICROS);
     }
 
     /** Resets the limit of a replica that has restarted. */
@@ -104,7 +104,7 @@
         ReplicaLoad load = replica.load;
         double mean = replica.relativeSize() * inFlight / Math.max(1, readyCount);
         return !isFirstTokenOverdue(load, now)
-                && now >= load.pausedUntil
+                && now >= load.backoffUntil
                 && load.inFlight < load.concurrencyLimit
                 && load.inFlight < EXTRA_QUEUE_DEPTH + MAX_QUEUE_DEPTH_RATIO * mean;
     }
@@ -116,7 +116,7 @@
     private static boolean isFirstTokenOverdue(ReplicaLoad load, long now) {
         load.dropStarted();
         return !load.awaitingFirstToken.isEmpty()
-                && now - load.awaitingFirstToken.peek().sentAt() > FIRST_TOKEN_PATIENCE_MICROS;
+                && now - load.awaitingFirstToken.peek().sentAt() > FIRST_TOKEN_OVERDUE_MICROS;
     }
 
     /** Returns attempts at a replica that may still await their first token, in the order of sending. */
--- a/src/main/java/magpiehub/routing/OutcomeRecorder.java
+++ b/src/main/java/magpiehub/routing/OutcomeRecorder.java
@@ -6,10 +6,10 @@
  */
 final class OutcomeRecorder {
     /** Latency ratio that stands for a latency that was not measured. */
-    private static final double USUAL_LATENCY = 1;
+    private static final double NEUTRAL_LATENCY_RATIO = 1;
 
     /** Reported queue length from which a replica counts as busy. */
-    private static final double QUEUE_LENGTH = 1;
+    private static final double BUSY_QUEUE_LENGTH = 1;
 
     private final ActiveSettings settings;
     private final FleetState fleet;
@@ -47,7 +47,7 @@
         RoutingRequest details = request.request();
         Replica replica = attempt.replica();
         double ratio = latencies.recordFirstToken(details.classIndex(), took);
-        replica.heardAt(now);
+        replica.recordContact(now);
         RequestClass requestClass = settings.get().classes().get(details.classIndex());
         boolean isInTime = took <= requestClass.firstTokenObjective(details.promptTokens());
         // A late answer that keeps a fraction of its value counts as bad only by the lost fraction.
@@ -78,12 +78,12 @@
                 recordAnswer(replica, ZoneEvidence.ERROR, took, now);
             }
             case RESET -> {
-                recordEvidence(replica, ZoneEvidence.BROKEN, took, USUAL_LATENCY, now);
+                recordEvidence(replica, ZoneEvidence.BROKEN, took, NEUTRAL_LATENCY_RATIO, now);
                 outliers.recordConnectionLost(replica, now);
             }
             case SPOILT -> outliers.recordMalformedResponse(replica, now);
             case CONNECT_FAILED -> {
-                if (mayBeSentTo(replica, now)) {
+                if (mayReceiveAttempts(replica, now)) {
                     recordUnreachable(replica, took, now);
                 }
             }
@@ -99,22 +99,22 @@
     }
 
     private void recordAnswer(Replica replica, ZoneEvidence evidence, long took, long now) {
-        replica.heardAt(now);
-        recordEvidence(replica, evidence, took, USUAL_LATENCY, now);
+        replica.recordContact(now);
+        recordEvidence(replica, evidence, took, NEUTRAL_LATENCY_RATIO, now);
     }
 
     /** Records the outcome of a health check; {@code report} may be null. */
-    void recordProbe(Replica replica, AttemptOutcome outcome, long took, LoadReport report, long now) {
+    void recordHealthCheck(Replica replica, AttemptOutcome outcome, long took, LoadReport report, long now) {
         switch (outcome) {
             case OK -> {
-                replica.heardAt(now);
+                replica.recordContact(now);
                 recordLoadReport(replica, report, now);
                 if (zones.plansFailover()) {
-                    recordEvidence(replica, ZoneEvidence.ANSWERED, took, USUAL_LATENCY, now);
+                    recordEvidence(replica, ZoneEvidence.ANSWERED, took, NEUTRAL_LATENCY_RATIO, now);
                 }
             }
             case CONNECT_FAILED, RESET -> {
-                if (mayBeSentTo(replica, now)) {
+                if (mayReceiveAttempts(replica, now)) {
                     recordUnreachable(replica, took, now);
                 }
             }
@@ -138,7 +138,7 @@
         if (report == null) {
             return;
         }
-        if (report.queueLength() >= QUEUE_LENGTH) {
+        if (report.queueLength() >= BUSY_QUEUE_LENGTH) {
             load.recordQueueReported(replica, now);
         }
         if (report.latencyMillis() > 0 && !slowStart.isWarmingUp(replica)) {
@@ -148,19 +148,19 @@
 
     /** Records that no first token has arrived for {@code elapsed} microseconds. */
     void recordSilence(Replica replica, long elapsed, long now) {
-        recordEvidence(replica, ZoneEvidence.SILENCE, elapsed, USUAL_LATENCY, now);
+        recordEvidence(replica, ZoneEvidence.SILENCE, elapsed, NEUTRAL_LATENCY_RATIO, now);
     }
 
     /**
      * Returns whether a connect failure is evidence about the replica. Attempts that the endpoint list no longer allows
      * are also reported as connect failures.
      */
-    private boolean mayBeSentTo(Replica replica, long now) {
+    private boolean mayReceiveAttempts(Replica replica, long now) {
         return replica.isReady() && fleet.isValid(now);
     }
 
     private void recordUnreachable(Replica replica, long took, long now) {
-        recordEvidence(replica, ZoneEvidence.NO_CONNECTION, took, USUAL_LATENCY, now);
+        recordEvidence(replica, ZoneEvidence.NO_CONNECTION, took, NEUTRAL_LATENCY_RATIO, now);
         outliers.recordUnreachable(replica, now);
     }
 
--- a/src/main/java/magpiehub/routing/OutlierDetector.java
+++ b/src/main/java/magpiehub/routing/OutlierDetector.java
@@ -16,12 +16,12 @@
     private static final int MAX_DOUBLINGS = 4;
 
     /** Jitter of an ejection's duration, so that routers do not send their trials to a replica at the same time. */
-    private static final double LEAST_LENGTH = 0.75;
+    private static final double MIN_JITTER_FACTOR = 0.75;
 
-    private static final double LENGTH_JITTER = 0.5;
+    private static final double JITTER_RANGE = 0.5;
 
     /** Maximum fraction of the fleet that may be ejected; unreachable replicas are ejected regardless of it. */
-    private static final double MAX_EJECTED_PART = 0.34;
+    private static final double MAX_EJECTED_FRACTION = 0.34;
 
     /** Decayed number of broken attempts that ejects; it decreases with time and with each complete answer. */
     private static final double MAX_BROKEN_ATTEMPTS = 1.5;
@@ -123,18 +123,18 @@
     }
 
     void recordConnectionLost(Replica replica, long now) {
-        recordBroken(replica, 1, now);
+        recordBrokenAttempt(replica, 1, now);
     }
 
     void recordMalformedResponse(Replica replica, long now) {
-        recordBroken(replica, MALFORMED_WEIGHT, now);
+        recordBrokenAttempt(replica, MALFORMED_WEIGHT, now);
     }
 
     /**
      * A single broken attempt may be caused by the request or the network as well as by the replica. Two within a short
      * time with few complete answers in between indicate the replica.
      */
-    private void recordBroken(Replica replica, double weight, long now) {
+    private void recordBrokenAttempt(Replica replica, double weight, long now) {
         DecayedCounter broken = replica.outlierStatus.brokenAttempts;
         broken.add(weight, now);
         if (broken.value() >= MAX_BROKEN_ATTEMPTS) {
@@ -148,19 +148,21 @@
     }
 
     // ---- Ejection ---------------------------------------------------------------------------------------
-    private void eject(Replica replica, boolean always, long now) {
+    private void eject(Replica replica, boolean ignoresEjectionLimit, long now) {
         ReplicaStatus status = replica.outlierStatus;
         if (!replica.isReady()
                 || (status.ejected && now < status.ejectedUntil)
-                || (!status.ejected && !always && ejectedCount + 1 > MAX_EJECTED_PART * fleet.readyCount())) {
+                || (!status.ejected
+                        && !ignoresEjectionLimit
+                        && ejectedCount + 1 > MAX_EJECTED_FRACTION * fleet.readyCount())) {
             return;
         }
         ejectedCount += status.ejected ? 0 : 1;
         status.ejected = true;
         status.trialInFlight = false;
         int doublings = Math.min(status.ejections++, MAX_DOUBLINGS);
-        long length = Math.min(LONGEST_EJECTION_MICROS, FIRST_EJECTION_MICROS << doublings);
-        status.ejectedUntil = now + (long) (length * (LEAST_LENGTH + LENGTH_JITTER * random.nextDouble()));
+        long duration = Math.min(LONGEST_EJECTION_MICROS, FIRST_EJECTION_MICROS << doublings);
+        status.ejectedUntil = now + (long) (duration * (MIN_JITTER_FACTOR + JITTER_RANGE * random.nextDouble()));
     }
 
     /** Ends an ejection and resets its causes, except the decayed count of broken attempts. */
--- a/src/main/java/magpiehub/routing/OverloadDetector.java
+++ b/src/main/java/magpiehub/routing/OverloadDetector.java
@@ -6,14 +6,14 @@
  */
 final class OverloadDetector {
     /** Fraction of bad answers above which the fleet counts as overloaded, and the number that they must exceed. */
-    private static final double OVERLOADED_PART = 0.15;
+    private static final double OVERLOADED_FRACTION = 0.15;
 
-    private static final double LEAST_BAD_ANSWERS = 2;
+    private static final double MIN_BAD_ANSWERS = 2;
 
     /** Fraction of bad answers above which load is shed, and the minimum number of answers. */
-    private static final double SHEDDING_PART = 0.3;
+    private static final double SHEDDING_FRACTION = 0.3;
 
-    private static final double LEAST_ANSWERS = 4;
+    private static final double MIN_ANSWERS = 4;
 
     /** Factor by which the counts are multiplied after each period. */
     private static final double DECAY_PER_PERIOD = 0.5;
@@ -33,13 +33,13 @@
     }
 
     boolean isOverloaded() {
-        return bad > OVERLOADED_PART * (good + bad) && bad > LEAST_BAD_ANSWERS;
+        return bad > OVERLOADED_FRACTION * (good + bad) && bad > MIN_BAD_ANSWERS;
     }
 
     /** Returns whether the fraction of bad answers requires load shedding. */
     boolean needsLoadShedding() {
         double total = good + bad;
-        return !(total < LEAST_ANSWERS || bad <= SHEDDING_PART * total);
+        return !(total < MIN_ANSWERS || bad <= SHEDDING_FRACTION * total);
     }
 
     /** Decays the counts; called at the end of each period. */
--- a/src/main/java/magpiehub/routing/Replica.java
+++ b/src/main/java/magpiehub/routing/Replica.java
@@ -8,9 +8,9 @@
     /**
      * Bounds of a replica's size relative to the fleet's mean, so that a wrong weight neither floods nor starves it.
      */
-    private static final double LEAST_RELATIVE_SIZE = 0.2;
+    private static final double MIN_RELATIVE_SIZE = 0.2;
 
-    private static final double MOST_RELATIVE_SIZE = 4;
+    private static final double MAX_RELATIVE_SIZE = 4;
 
     /** Relative change of the weight up to which it counts as noise and the ring is not rebuilt. */
     private static final double SIZE_TOLERANCE = 0.1;
@@ -29,7 +29,7 @@
     private double relativeSize = 1;
     private boolean ready;
     private int affinityEntryCount;
-    private long lastHeardAt;
+    private long lastContactAt;
 
     Replica(String id) {
         this.id = id;
@@ -101,7 +101,7 @@
     void setRelativeSize(int replicaCount, double sizeSum) {
         relativeSize = sizeSum <= 0
                 ? 1
-                : Math.max(LEAST_RELATIVE_SIZE, Math.min(MOST_RELATIVE_SIZE, size * replicaCount / sizeSum));
+                : Math.max(MIN_RELATIVE_SIZE, Math.min(MAX_RELATIVE_SIZE, size * replicaCount / sizeSum));
     }
 
     /** Returns the number of affinity entries that contain it. */
@@ -118,11 +118,11 @@
     }
 
     /** Returns when it last answered, or was last sent a health check for not answering. */
-    long lastHeardAt() {
-        return lastHeardAt;
+    long lastContactAt() {
+        return lastContactAt;
     }
 
-    void heardAt(long now) {
-        lastHeardAt = now;
+    void recordContact(long now) {
+        lastContactAt = now;
     }
 }
--- a/src/main/java/magpiehub/routing/ReplicaSelector.java
+++ b/src/main/java/magpiehub/routing/ReplicaSelector.java
@@ -15,7 +15,7 @@
     private static final int CACHED_KEYS_PER_REPLICA = 512;
 
     /** Lower bound of a router's share of these entries. */
-    private static final int LEAST_CACHED_KEYS = 16;
+    private static final int MIN_CACHED_KEYS = 16;
 
     /** Makes a conversation's position in a zone's traffic independent of its other hashes. */
     private static final long ZONE_POSITION_SALT = 0x51ab3c7d90e2f614L;
@@ -28,7 +28,7 @@
     private final Mechanisms mechanisms;
     private final SplitMix64 random;
     /** Counter from which ring positions of requests without a key are derived, which spreads them over the fleet. */
-    private long rotation;
+    private long keylessRequestCount;
     /** Position of the current request in a zone's traffic, from 0 to 1; the same for a whole conversation. */
     private double zonePosition;
 
@@ -62,9 +62,9 @@
      * Returns the replica for a request's next attempt, null if no replica is allowed or the endpoint list is out of
      * date.
      *
-     * @param width number of replicas that the request's affinity key is spread over
+     * @param targetReplicaCount number of replicas that the request's affinity key is spread over
      */
-    Replica select(RequestInFlight request, int width, long now) {
+    Replica select(RequestInFlight request, int targetReplicaCount, long now) {
         if (!fleet.isValid(now)) {
             return null;
         }
@@ -75,22 +75,22 @@
         }
         AffinityEntry entry = request.affinityEntry();
         if (entry != null) {
-            entry.retainReady(width);
+            entry.retainReady(targetReplicaCount);
         }
-        boolean isPlaced = entry != null && entry.size() >= width;
+        boolean isEntryComplete = entry != null && entry.size() >= targetReplicaCount;
         Replica busy = null;
-        if (isPlaced || (entry != null && entry.size() > 0 && request.hasAttempts())) {
-            int first = firstInRotation(request);
+        if (isEntryComplete || (entry != null && entry.size() > 0 && request.hasAttempts())) {
+            int first = startIndex(request);
             Replica cached = selectCached(request, first, now);
             if (cached != null) {
                 return cached;
             }
             busy = selectBusyCached(request, first, now);
         }
-        Replica next = selectFromRings(request, isPlaced, now);
-        request.setServedOutsideAffinity(next == null || isPlaced || request.hasAttempts());
+        Replica next = selectFromRings(request, isEntryComplete, now);
+        request.setServedOutsideAffinity(next == null || isEntryComplete || request.hasAttempts());
         if (!request.isServedOutsideAffinity() && entry != null) {
-            entry.addFirst(next, width);
+            entry.addFirst(next, targetReplicaCount);
         }
         if (next != null) {
             return next;
@@ -108,16 +108,16 @@
      * entry, so that its next turn finds its tokens there. All other requests use the replicas round-robin, in the
      * entry's order.
      */
-    private static int firstInRotation(RequestInFlight request) {
+    private static int startIndex(RequestInFlight request) {
         AffinityEntry entry = request.affinityEntry();
         int first = 0;
-        for (int i = 1; i < entry.size() && !rotates(request); i++) {
+        for (int i = 1; i < entry.size() && !usesRoundRobin(request); i++) {
             first = rank(request, entry.get(i)) > rank(request, entry.get(first)) ? i : first;
         }
         return first;
     }
 
-    private static boolean rotates(RequestInFlight request) {
+    private static boolean usesRoundRobin(RequestInFlight request) {
         return request.affinityEntry().isSession() || request.request().sessionId() == 0;
     }
 
@@ -132,7 +132,7 @@
             int index = (first + step) % entry.size();
             Replica replica = entry.get(index);
             if (isAllowed(request, replica, now) && isAvailable(replica, now)) {
-                if (rotates(request)) {
+                if (usesRoundRobin(request)) {
                     entry.moveToBack(index);
                 }
                 return replica;
@@ -153,30 +153,31 @@
     }
 
     // ---- Rings ------------------------------------------------------------------------------------------
-    private Replica selectFromRings(RequestInFlight request, boolean isPlaced, long now) {
+    private Replica selectFromRings(RequestInFlight request, boolean isEntryComplete, long now) {
         AffinityEntry entry = request.affinityEntry();
-        long position = entry != null ? entry.ringPosition() : SplitMix64.mix(rotation++);
-        HashRing ring = zoneAffinity.ringFor(entry != null ? position : rotation);
-        Replica replica = walk(ring, position, request, isPlaced, now);
+        long position = entry != null ? entry.ringPosition() : SplitMix64.mix(keylessRequestCount++);
+        HashRing ring = zoneAffinity.ringFor(entry != null ? position : keylessRequestCount);
+        Replica replica = findAvailable(ring, position, request, isEntryComplete, now);
         return replica == null && ring != fleet.fullRing()
-                ? walk(fleet.fullRing(), position, request, isPlaced, now)
+                ? findAvailable(fleet.fullRing(), position, request, isEntryComplete, now)
                 : replica;
     }
 
     /** Returns the next available replica from the position on the ring that has room for another key, null if none. */
-    private Replica walk(HashRing ring, long position, RequestInFlight request, boolean isPlaced, long now) {
+    private Replica findAvailable(
+            HashRing ring, long position, RequestInFlight request, boolean isEntryComplete, long now) {
         int cachedKeys = Math.max(
-                LEAST_CACHED_KEYS, CACHED_KEYS_PER_REPLICA / settings.get().instanceCount());
+                MIN_CACHED_KEYS, CACHED_KEYS_PER_REPLICA / settings.get().instanceCount());
         int start = ring.firstPointFrom(position);
-        Replica last = null;
-        int looked = 0;
-        for (int step = 0; step < ring.pointCount() && looked < MAX_STEPS; step++) {
+        Replica previous = null;
+        int examined = 0;
+        for (int step = 0; step < ring.pointCount() && examined < MAX_STEPS; step++) {
             Replica replica = ring.replicaAt(start + step);
-            if (replica != last) {
-                last = replica;
-                looked++;
+            if (replica != previous) {
+                previous = replica;
+                examined++;
                 if (isAvailable(replica, now)
-                        && (isPlaced || replica.affinityEntryCount() < cachedKeys)
+                        && (isEntryComplete || replica.affinityEntryCount() < cachedKeys)
                         && !request.hasAffinityTo(replica)
                         && isAllowed(request, replica, now)) {
                     return replica;
@@ -192,9 +193,9 @@
      * then removed from that entry, or else any ready replica within a bounded search from a random start.
      */
     private Replica selectUnderPressure(RequestInFlight request, long now) {
-        int looked = 0;
+        int examined = 0;
         AffinityEntry entry = affinityTable.oldest();
-        while (entry != null && looked < MAX_STEPS) {
+        while (entry != null && examined < MAX_STEPS) {
             for (int i = 0; i < entry.size(); i++) {
                 Replica replica = entry.get(i);
                 if (isReachable(replica, now) && isAllowed(request, replica, now)) {
@@ -203,7 +204,7 @@
                 }
             }
             entry = affinityTable.nextNewer(entry);
-            looked++;
+            examined++;
         }
         return selectLastResort(request, now);
     }
@@ -267,7 +268,8 @@
      * tokens are found cached anyway, as after a release, a short queue matters more than affinity.
      */
     private boolean isAvailable(Replica replica, long now) {
-        boolean keysStay = mechanisms.overload.isOverloaded() && mechanisms.promptCache.isHitRatioHigh();
-        return isReachable(replica, now) && (keysStay || mechanisms.load.hasCapacity(replica, fleet.readyCount(), now));
+        boolean prefersAffinity = mechanisms.overload.isOverloaded() && mechanisms.promptCache.isHitRatioHigh();
+        return isReachable(replica, now)
+                && (prefersAffinity || mechanisms.load.hasCapacity(replica, fleet.readyCount(), now));
     }
 }
--- a/src/main/java/magpiehub/routing/RequestInFlight.java
+++ b/src/main/java/magpiehub/routing/RequestInFlight.java
@@ -55,7 +55,7 @@
     }
 
     /** Returns the current number of replicas of its affinity key, at least 1. */
-    int affinityWidth() {
+    int affinityReplicaCount() {
         return affinityEntry == null ? 1 : Math.max(1, affinityEntry.size());
     }
 
--- a/src/main/java/magpiehub/routing/RetryPolicy.java
+++ b/src/main/java/magpiehub/routing/RetryPolicy.java
@@ -19,7 +19,7 @@
     private static final long QUICK_ERROR_MICROS = RoutingTick.PERIOD_MICROS;
 
     /** Minimum time to the deadline for a retry. */
-    private static final long LEAST_TIME_LEFT_MICROS = RoutingTick.PERIOD_MICROS;
+    private static final long MIN_TIME_LEFT_MICROS = RoutingTick.PERIOD_MICROS;
 
     private final ActiveSettings settings;
     private final OverloadDetector overload;
@@ -51,14 +51,14 @@
     private boolean isRetryable(RequestInFlight request, Attempt attempt, AttemptOutcome outcome) {
         return !request.isStreaming()
                 && outcome != AttemptOutcome.MOOT
-                && (outcome != AttemptOutcome.CANCELLED || attempt.isGivenUp())
+                && (outcome != AttemptOutcome.CANCELLED || attempt.isAbandoned())
                 && request.attemptCount()
                         < Math.min(
                                 MAX_ATTEMPTS, request.maxAttempts(settings.get().limits()));
     }
 
     private boolean isWorthwhile(RequestInFlight request, AttemptOutcome outcome, long now) {
-        if (request.request().deadline() - now < LEAST_TIME_LEFT_MICROS) {
+        if (request.request().deadline() - now < MIN_TIME_LEFT_MICROS) {
             return false;
         }
         RequestClass requestClass = classOf(request);
@@ -73,7 +73,7 @@
 
     private static double cost(Attempt attempt, AttemptOutcome outcome, long took) {
         // Nothing is executed at a lost zone, so an attempt that was abandoned there did not use any capacity.
-        if (outcome == AttemptOutcome.CONNECT_FAILED || attempt.isGivenUp()) {
+        if (outcome == AttemptOutcome.CONNECT_FAILED || attempt.isAbandoned()) {
             return 0;
         }
         return outcome != AttemptOutcome.FULL && took < QUICK_ERROR_MICROS ? QUICK_ERROR_COST : FULL_COST;
@@ -94,14 +94,14 @@
         }
         return requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                 && now - earlier.sentAt() < requestClass.deduplicationWindow()
-                && recognisesRepeat(
+                && recognizesRepeat(
                         requestClass.deduplicationScope(),
                         replica.endpoint(),
                         earlier.replica().endpoint());
     }
 
     /** Returns whether one replica recognizes the key of a request that the other may have executed. */
-    private static boolean recognisesRepeat(DeduplicationScope scope, Endpoint one, Endpoint other) {
+    private static boolean recognizesRepeat(DeduplicationScope scope, Endpoint one, Endpoint other) {
         return switch (scope) {
             case ALL -> true;
             case ZONE -> one.zone() == other.zone();
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -136,8 +136,8 @@
         if (settings.get().hasClass(details.classIndex())
                 && details.deadline() > now
                 && admission.admit(details, now)) {
-            int width = affinity.resolve(request, now);
-            sendOrEnd(request, selector.select(request, width, now));
+            int targetReplicaCount = affinity.resolve(request, now);
+            sendOrEnd(request, selector.select(request, targetReplicaCount, now));
         } else {
             end(request);
         }
@@ -251,7 +251,7 @@
             finish(request);
         } else if (!request.hasOpenAttempts()) {
             boolean retry = retries.acquireRetry(request, attempt, outcome, took, now);
-            sendOrEnd(request, retry ? selector.select(request, request.affinityWidth(), now) : null);
+            sendOrEnd(request, retry ? selector.select(request, request.affinityReplicaCount(), now) : null);
         }
     }
 
@@ -270,7 +270,7 @@
         Replica replica = attempt.replica();
         if (request.isServedOutsideAffinity() && entry != null && !entry.isSession() && replica.isReady()) {
             // The replica has the prefix's tokens cached now: it replaces the one at the back.
-            entry.addFirst(replica, request.affinityWidth());
+            entry.addFirst(replica, request.affinityReplicaCount());
         }
         promptCache.recordServed(request, attempt, cachedTokens, now);
     }
@@ -280,7 +280,7 @@
         advanceClock(time);
         Replica replica = fleet.find(id);
         if (replica != null) {
-            recorder.recordProbe(replica, outcome, took, report, now);
+            recorder.recordHealthCheck(replica, outcome, took, report, now);
         }
     }
 
@@ -295,7 +295,7 @@
         endpointLists.pollIfDue(now);
         slowStart.updateFleetCapacity(now);
         zoneFailover.tick(requests.values(), now);
-        healthChecker.checkSilentReplica(now);
+        healthChecker.checkIdleReplica(now);
         if (now - adjustedAt >= ADJUSTMENT_PERIOD_MICROS) {
             adjustedAt = now;
             admission.adjust();
--- a/src/main/java/magpiehub/routing/SlowStart.java
+++ b/src/main/java/magpiehub/routing/SlowStart.java
@@ -11,20 +11,20 @@
     private static final long NEVER = Long.MIN_VALUE;
 
     /** Fraction of the golden ratio: its multiples modulo 1 are evenly spread, and so are the thresholds. */
-    private static final double GOLDEN_SECTION = 0.6180339887;
+    private static final double GOLDEN_RATIO_FRACTION = 0.6180339887;
 
     /** Lower bound of the fleet's capacity per ready replica: while many warm up, shares at most double. */
-    private static final double LEAST_FLEET_CAPACITY = 0.5;
+    private static final double MIN_FLEET_CAPACITY_FRACTION = 0.5;
 
     /** Upper bound of the traffic as a fraction of that which makes a warming replica fail. */
-    private static final double SAFETY = Math.sqrt(0.5);
+    private static final double SAFETY_FACTOR = Math.sqrt(0.5);
 
     /** The warm-up of one replica, which only {@link SlowStart} accesses. */
     static final class WarmUp {
         private long startedAt = NEVER;
         private double tokens;
-        private long tokensAt;
-        private double firstThreshold;
+        private long tokensUpdatedAt;
+        private double initialThreshold;
     }
 
     private final ActiveSettings settings;
@@ -33,7 +33,7 @@
     /** Capacity of the ready replicas, in units of a replica at full capacity. */
     private double fleetCapacity;
     /** When {@link #fleetCapacity} was computed. */
-    private long fleetCapacityAt = NEVER / 2;
+    private long fleetCapacityUpdatedAt = NEVER / 2;
     /** Moving average of {@link #fleetCapacity} over the time constant of the traffic meter. */
     private double meanFleetCapacity;
 
@@ -43,14 +43,14 @@
         this.traffic = traffic;
     }
 
-    /** Starts the warm-up of a replica that started at {@code since}. */
-    void start(Replica replica, long since) {
+    /** Starts the warm-up of a replica that started at {@code startedAt}. */
+    void start(Replica replica, long startedAt) {
         WarmUp warmUp = replica.warmUp;
-        warmUp.startedAt = since;
-        warmUp.firstThreshold =
+        warmUp.startedAt = startedAt;
+        warmUp.initialThreshold =
                 settings.get().instanceIndex() / (double) settings.get().instanceCount()
-                        + SplitMix64.mixToUnitInterval(since ^ replica.hash());
-        warmUp.tokensAt = NEVER;
+                        + SplitMix64.mixToUnitInterval(startedAt ^ replica.hash());
+        warmUp.tokensUpdatedAt = NEVER;
     }
 
     boolean isWarmingUp(Replica replica) {
@@ -78,15 +78,15 @@
 
     /** Invalidates the fleet's capacity after a change of the fleet. */
     void invalidateFleetCapacity() {
-        fleetCapacityAt = NEVER / 2;
+        fleetCapacityUpdatedAt = NEVER / 2;
     }
 
     /** Computes the capacity of the ready replicas, at most once per tick. */
     void updateFleetCapacity(long now) {
-        if (now - fleetCapacityAt < RoutingTick.PERIOD_MICROS) {
+        if (now - fleetCapacityUpdatedAt < RoutingTick.PERIOD_MICROS) {
             return;
         }
-        fleetCapacityAt = now;
+        fleetCapacityUpdatedAt = now;
         fleetCapacity = 0;
         for (int i = 0; i < fleet.size(); i++) {
             Replica replica = fleet.get(i);
@@ -106,7 +106,7 @@
      */
     private double sharedCapacity(long now) {
         updateFleetCapacity(now);
-        double current = Math.max(fleetCapacity, LEAST_FLEET_CAPACITY * fleet.readyCount());
+        double current = Math.max(fleetCapacity, MIN_FLEET_CAPACITY_FRACTION * fleet.readyCount());
         return Math.max(1, Math.max(current, meanFleetCapacity));
     }
 
@@ -124,37 +124,37 @@
         }
         long window = (now - warmUp.startedAt)
                 / Math.max(1, settings.get().guarantees().overloadWindow());
-        earnTokens(replica, capacity, window, now);
-        return warmUp.tokens > (warmUp.firstThreshold + GOLDEN_SECTION * window) % 1;
+        refillTokens(replica, capacity, window, now);
+        return warmUp.tokens > (warmUp.initialThreshold + GOLDEN_RATIO_FRACTION * window) % 1;
     }
 
-    private void earnTokens(Replica replica, double capacity, long window, long now) {
+    private void refillTokens(Replica replica, double capacity, long window, long now) {
         WarmUp warmUp = replica.warmUp;
         Guarantees guarantees = settings.get().guarantees();
         // Attempts sent instead of requests received: under overload, clients retry several times.
         double rate = traffic.attemptsPerMicro(now);
         double share = capacity * replica.relativeSize() / sharedCapacity(now);
         double factor = guarantees.overloadFactor();
-        double cautious = share * cautionFactor(window, factor);
+        double limitedShare = share * shareFactor(window, factor);
         // A router with few requests spreads its keys by session, so no key can direct all routers to one replica.
-        double most = !traffic.isEstablished()
-                ? cautious * fleet.readyCount()
+        double maxTokens = !traffic.isEstablished()
+                ? limitedShare * fleet.readyCount()
                 : factor * share * rate * guarantees.overloadWindow();
         // Before its first token, a router counts as one that has been sending for a long time.
-        double earned = warmUp.tokensAt == NEVER
-                ? cautious * fleet.readyCount()
-                : warmUp.tokens + cautious * rate * (now - warmUp.tokensAt);
-        warmUp.tokens = Math.min(Math.min(1, most), earned);
-        warmUp.tokensAt = now;
+        double earned = warmUp.tokensUpdatedAt == NEVER
+                ? limitedShare * fleet.readyCount()
+                : warmUp.tokens + limitedShare * rate * (now - warmUp.tokensUpdatedAt);
+        warmUp.tokens = Math.min(Math.min(1, maxTokens), earned);
+        warmUp.tokensUpdatedAt = now;
     }
 
     /**
      * Returns the multiple of its share that a warming replica gets: the geometric mean of the share itself, with which
-     * it idles while the warm replicas are overloaded, and the multiple at which it fails, limited by {@link #SAFETY}.
-     * Within the first window, when a single burst may consume the tokens, it is as far below the share as it is above
-     * later.
+     * it idles while the warm replicas are overloaded, and the multiple at which it fails, limited by {@link
+     * #SAFETY_FACTOR}. Within the first window, when a single burst may consume the tokens, it is as far below the
+     * share as it is above later.
      */
-    private static double cautionFactor(long window, double overloadFactor) {
-        return Math.min(Math.sqrt(window == 0 ? 1 / overloadFactor : overloadFactor), SAFETY * overloadFactor);
+    private static double shareFactor(long window, double overloadFactor) {
+        return Math.min(Math.sqrt(window == 0 ? 1 / overloadFactor : overloadFactor), SAFETY_FACTOR * overloadFactor);
     }
 }
--- a/src/main/java/magpiehub/routing/TrafficMeter.java
+++ b/src/main/java/magpiehub/routing/TrafficMeter.java
@@ -9,7 +9,7 @@
     private static final double ESTABLISHED_COUNT = 30;
 
     /** Minimum time, in time constants, over which a rate is computed, so that it is defined from the start. */
-    private static final double SHORTEST_SPAN = 0.1;
+    private static final double MIN_SPAN = 0.1;
 
     private final DecayedCounter received;
     private final DecayedCounter sent;
@@ -50,7 +50,6 @@
      */
     double attemptsPerMicro(long now) {
         return sent.value()
-                / (TIME_CONSTANT_MICROS
-                        * -Math.expm1(Math.min(-SHORTEST_SPAN, (startedAt - now) / TIME_CONSTANT_MICROS)));
+                / (TIME_CONSTANT_MICROS * -Math.expm1(Math.min(-MIN_SPAN, (startedAt - now) / TIME_CONSTANT_MICROS)));
     }
 }
--- a/src/main/java/magpiehub/routing/ZoneAffinity.java
+++ b/src/main/java/magpiehub/routing/ZoneAffinity.java
@@ -7,10 +7,10 @@
  */
 final class ZoneAffinity {
     /** Initial fraction, before any latency is known. */
-    private static final double INITIAL_PART = 0.5;
+    private static final double INITIAL_FRACTION = 0.5;
 
     /** Upper bound of the fraction; the other keys keep measuring the other zones. */
-    private static final double MAX_PART = 0.95;
+    private static final double MAX_FRACTION = 0.95;
 
     /** Steps of the fraction, and the ratios of times to first token (own zone to others) at which they are taken. */
     private static final double STEP_UP = 0.03;
@@ -29,20 +29,22 @@
 
     private final ActiveSettings settings;
     private final FleetState fleet;
-    private double part;
-    private double maxPart;
+    private double ownZoneFraction;
+    private double maxOwnZoneFraction;
     private double ownZoneLatency = 1;
     private double otherZonesLatency = 1;
 
     ZoneAffinity(ActiveSettings settings, FleetState fleet) {
         this.settings = settings;
         this.fleet = fleet;
-        part = settings.get().crossZoneTrafficCosts() ? INITIAL_PART : 0;
+        ownZoneFraction = settings.get().crossZoneTrafficCosts() ? INITIAL_FRACTION : 0;
     }
 
     /** Returns the ring of a key: the own zone's for the fraction of the keys that stays. */
     HashRing ringFor(long key) {
-        return part > 0 && SplitMix64.mixToUnitInterval(key) < part ? fleet.ownZoneRing() : fleet.subsetRing();
+        return ownZoneFraction > 0 && SplitMix64.mixToUnitInterval(key) < ownZoneFraction
+                ? fleet.ownZoneRing()
+                : fleet.subsetRing();
     }
 
     /** Updates the bound of the fraction after a rebuild of the fleet. */
@@ -50,13 +52,13 @@
         // A zone with few replicas keeps fewer keys, since it also gets requests that other zones have no capacity for.
         int ready = Math.max(1, fleet.readyCount());
         int zoneCount = fleet.zoneCount();
-        double meanSpread = 0;
+        double zoneBalance = 0;
         for (int zone = 0; zone < zoneCount; zone++) {
-            meanSpread += Math.min(1, (double) fleet.readyInZone(zone) / ready * zoneCount);
+            zoneBalance += Math.min(1, (double) fleet.readyInZone(zone) / ready * zoneCount);
         }
-        meanSpread /= zoneCount;
-        maxPart = Math.min(MAX_PART, meanSpread * fleet.readyInOwnZone() * zoneCount / ready);
-        part = Math.min(part, maxPart);
+        zoneBalance /= zoneCount;
+        maxOwnZoneFraction = Math.min(MAX_FRACTION, zoneBalance * fleet.readyInOwnZone() * zoneCount / ready);
+        ownZoneFraction = Math.min(ownZoneFraction, maxOwnZoneFraction);
     }
 
     /** Records a time to first token by its ratio to the mean. */
@@ -72,7 +74,7 @@
     /** Changes the fraction by one step if the latencies require it. Called periodically. */
     void adjust() {
         if (settings.get().crossZoneTrafficCosts()) {
-            part = Math.max(0, Math.min(maxPart, part + step()));
+            ownZoneFraction = Math.max(0, Math.min(maxOwnZoneFraction, ownZoneFraction + step()));
         }
     }
 
--- a/src/main/java/magpiehub/routing/ZoneFailover.java
+++ b/src/main/java/magpiehub/routing/ZoneFailover.java
@@ -57,7 +57,7 @@
         }
         reportSilence(now);
         for (RequestInFlight request : List.copyOf(requests)) {
-            giveUpAttempts(request);
+            abandonAttempts(request);
         }
         for (int zone = 0; zone < fleet.zoneCount(); zone++) {
             forgetFailuresIfReopened(zone);
@@ -66,12 +66,12 @@
     }
 
     private void reportSilence(long now) {
-        long usual = (long) (OutlierDetector.SLOW_RATIO * latencies.longestMeanFirstToken());
-        long patience = Math.max(LoadTracker.FIRST_TOKEN_PATIENCE_MICROS, usual);
+        long slowFirstToken = (long) (OutlierDetector.SLOW_RATIO * latencies.longestMeanFirstToken());
+        long overdueAfter = Math.max(LoadTracker.FIRST_TOKEN_OVERDUE_MICROS, slowFirstToken);
         for (int i = 0; i < fleet.size(); i++) {
             for (Attempt attempt : load.possiblyAwaitingFirstToken(fleet.get(i))) {
                 long elapsed = now - attempt.sentAt();
-                if (attempt.awaitsFirstToken() && !attempt.isSilenceReported() && elapsed > patience) {
+                if (attempt.awaitsFirstToken() && !attempt.isSilenceReported() && elapsed > overdueAfter) {
                     attempt.markSilenceReported();
                     recorder.recordSilence(attempt.replica(), elapsed, now);
                 }
@@ -80,17 +80,17 @@
     }
 
     /** Cancels attempts that wait at a closed zone, except trials whose first token is not overdue. */
-    private void giveUpAttempts(RequestInFlight request) {
+    private void abandonAttempts(RequestInFlight request) {
         for (int number = 0; number < request.attemptCount(); number++) {
             Attempt attempt = request.findAttempt(number);
             long closedSince = zones.closedSince(fleet.validZone(attempt.zone()));
             if (closedSince != Long.MAX_VALUE
                     && !attempt.hasEnded()
-                    && !attempt.isGivenUp()
+                    && !attempt.isAbandoned()
                     && !request.isStreaming()
                     && (attempt.isSilenceReported() || attempt.sentAt() < closedSince)
                     && settings.get().limits().allowsCancellation()) {
-                attempt.markGivenUp();
+                attempt.markAbandoned();
                 actions.cancelAttempt(request.id(), number);
             }
         }
