--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -136,7 +136,7 @@
     private void submitWithEndpoints(String... endpointIds) throws InterruptedException {
         dispatcher.updateEndpoints(
                 EndpointListKind.SAVED,
-                Arrays.stream(endpointIds).map(RoutingPolicyFixture::server).toList());
+                Arrays.stream(endpointIds).map(RoutingPolicyFixture::endpoint).toList());
         dispatcher.submit(
                 new RoutingRequest("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false),
                 client,
--- a/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -12,7 +12,7 @@
         RoutingPolicyFixture actions = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1));
         long now = 2_000_000;
         RoutingPolicy policy = new RoutingPolicy(actions.settings, 7, actions, now);
-        policy.onEndpoints(now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("10.0.0.1:9000")));
+        policy.onEndpoints(now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.endpoint("10.0.0.1:9000")));
         policy.onRequest(
                 now, new RoutingRequest("a1", 0, 0, 17, 4, now + 4_000_000, 0, 1800, 1200, 256, false, false, false));
         assertEquals("10.0.0.1:9000", actions.replicaOf("a1"));
--- a/src/test/java/magpiehub/routing/EndpointPollScheduleTest.java
+++ b/src/test/java/magpiehub/routing/EndpointPollScheduleTest.java
@@ -11,7 +11,7 @@
     @Test
     void subscriptionIsAskedForInTimeAndAgainAfterErrors() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(8, true, true, List.of()));
-        router.policy.onEndpoints(router.now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.server("a")));
+        router.policy.onEndpoints(router.now, EndpointListKind.SAVED, List.of(RoutingPolicyFixture.endpoint("a")));
         router.advance(5 * SECOND);
         assertEquals(1, router.watchCount);
         router.policy.onEndpoints(router.now, EndpointListKind.ERROR, List.of());
--- a/src/test/java/magpiehub/routing/FleetStateTest.java
+++ b/src/test/java/magpiehub/routing/FleetStateTest.java
@@ -27,7 +27,7 @@
         router.policy.onEndpoints(
                 router.now,
                 EndpointListKind.CHANGES,
-                List.of(RoutingPolicyFixture.server(gone, EndpointState.DRAINING, 0)));
+                List.of(RoutingPolicyFixture.endpoint(gone, EndpointState.DRAINING, 0)));
         for (long k = 1; k <= 80; k++) {
             String now = router.serve(0, k);
             if (at.get(k).equals(gone)) {
@@ -54,7 +54,7 @@
         router.policy.onEndpoints(
                 router.now,
                 EndpointListKind.CHANGES,
-                List.of(RoutingPolicyFixture.server(home, EndpointState.DEAD, 0)));
+                List.of(RoutingPolicyFixture.endpoint(home, EndpointState.DEAD, 0)));
         assertNotEquals(home, router.serve(0, 7));
         assertEquals(1, router.policy.knownReplicaCount());
     }
--- a/src/test/java/magpiehub/routing/OutlierDetectorTest.java
+++ b/src/test/java/magpiehub/routing/OutlierDetectorTest.java
@@ -87,7 +87,7 @@
             router.policy.onEndpoints(
                     router.now,
                     EndpointListKind.CHANGES,
-                    List.of(RoutingPolicyFixture.server(
+                    List.of(RoutingPolicyFixture.endpoint(
                             replicaNames(8)[3], EndpointState.LIVE, cold ? router.now : 0)));
             int late = 0;
             for (int i = 0; i < 300; i++) {
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -75,7 +75,7 @@
             policy = new RoutingPolicy(RoutingPolicyFixture.settings(1, classes), seed, this, now);
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < replicas; i++) {
-                list.add(RoutingPolicyFixture.server("10.0.0." + i + ":" + random.nextInt(9000)));
+                list.add(RoutingPolicyFixture.endpoint("10.0.0." + i + ":" + random.nextInt(9000)));
             }
             policy.onEndpoints(now, EndpointListKind.COMPLETE, list);
         }
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -65,18 +65,18 @@
                 new RoutingCosts(0.03, 0.05, 0.002, 0.03, 0, 0));
     }
 
-    public static Endpoint server(String id) {
+    public static Endpoint endpoint(String id) {
         return new Endpoint(id, 0, 0, 0, EndpointState.LIVE, 1, 0);
     }
 
-    public static Endpoint server(String id, EndpointState state, long online) {
+    public static Endpoint endpoint(String id, EndpointState state, long online) {
         return new Endpoint(id, 0, 0, 0, state, 1, online);
     }
 
     public RoutingPolicyFixture list(String... ids) {
         List<Endpoint> l = new ArrayList<>();
         for (String id : ids) {
-            l.add(server(id));
+            l.add(endpoint(id));
         }
         policy.onEndpoints(now, EndpointListKind.COMPLETE, l);
         return this;
--- a/src/test/java/magpiehub/routing/SlowStartTest.java
+++ b/src/test/java/magpiehub/routing/SlowStartTest.java
@@ -25,7 +25,7 @@
         router.policy.onEndpoints(
                 router.now,
                 EndpointListKind.CHANGES,
-                List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, router.now)));
+                List.of(RoutingPolicyFixture.endpoint(cold, EndpointState.LIVE, router.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += router.serve(0, 5000 + i).equals(cold) ? 1 : 0;
@@ -70,7 +70,7 @@
         router.policy.onEndpoints(
                 router.now,
                 EndpointListKind.CHANGES,
-                List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, router.now)));
+                List.of(RoutingPolicyFixture.endpoint(cold, EndpointState.LIVE, router.now)));
         for (int window = 0; window < 4; window++) {
             int n = 0;
             for (int i = 0; i < 80; i++) {
@@ -112,7 +112,7 @@
             router.policy.onEndpoints(
                     router.now,
                     EndpointListKind.CHANGES,
-                    List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, router.now)));
+                    List.of(RoutingPolicyFixture.endpoint(cold, EndpointState.LIVE, router.now)));
             for (int i = 0; i < 4; i++) {
                 total += router.serve(0, 5000 + i).equals(cold) ? 1 : 0;
                 router.advance(SECOND / 2);
@@ -148,7 +148,7 @@
                     defaults.costs()));
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < fleet; i++) {
-                list.add(RoutingPolicyFixture.server(
+                list.add(RoutingPolicyFixture.endpoint(
                         replicaNames(fleet)[i], EndpointState.LIVE, i < warm ? 0 : router.now));
             }
             router.policy.onEndpoints(router.now, EndpointListKind.COMPLETE, list);
@@ -190,7 +190,7 @@
         router.policy.onEndpoints(
                 router.now,
                 EndpointListKind.CHANGES,
-                List.of(RoutingPolicyFixture.server(cold, EndpointState.LIVE, router.now)));
+                List.of(RoutingPolicyFixture.endpoint(cold, EndpointState.LIVE, router.now)));
         int early = 0;
         for (int i = 0; i < 80; i++) {
             early += router.serve(0, 5000 + i).equals(cold) ? 1 : 0;
