--- a/src/test/java/magpiehub/routing/AdmissionControllerTest.java
+++ b/src/test/java/magpiehub/routing/AdmissionControllerTest.java
@@ -7,13 +7,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which requests are shed under overload. */
+/** Tests which requests are shed under overload. */
 class AdmissionControllerTest {
     @Test
     void overloadShedsTheLeastValuableRequests() {
         RequestClass ordinary = RoutingPolicyFixture.requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
         RequestClass valuable = new RequestClass(
-                "dear",
+                "valuable",
                 Idempotency.IDEMPOTENT,
                 DeduplicationScope.ALL,
                 0,
@@ -27,29 +27,29 @@
                 0.3);
         RoutingPolicyFixture router =
                 new RoutingPolicyFixture(RoutingPolicyFixture.settings(1, ordinary, valuable)).list(replicaNames(4));
-        int[] refused = new int[2];
+        int[] rejected = new int[2];
         for (int i = 0; i < 400; i++) {
             int classIndex = i % 2;
             String id = router.submit(classIndex, 0, 0, i + 1);
-            if ("refused".equals(router.finalAnswers.get(id))) {
-                refused[classIndex]++;
+            if ("rejected".equals(router.finalAnswers.get(id))) {
+                rejected[classIndex]++;
             } else {
                 router.startStream(id, 2 * SECOND);
                 router.endAttempt(id, AttemptOutcome.OK);
             }
             router.advance(20_000);
         }
-        assertTrue(refused[0] > 60 && refused[0] > 2 * refused[1], refused[0] + " " + refused[1]);
+        assertTrue(rejected[0] > 60 && rejected[0] > 2 * rejected[1], rejected[0] + " " + rejected[1]);
     }
 
-    /** The rest of a broken stream is asked for by its client: it is never what overload control refuses. */
+    /** A request that continues a broken stream is never shed. */
     @Test
     void continuationsAreNotShed() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(4));
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 200; i++) {
             String id = router.submit(0, i + 1);
-            refused += "refused".equals(router.finalAnswers.get(id)) ? 1 : 0;
+            rejected += "rejected".equals(router.finalAnswers.get(id)) ? 1 : 0;
             if (router.replicaOf(id) != null) {
                 router.startStream(id, 2 * SECOND);
                 router.endAttempt(id, AttemptOutcome.OK);
@@ -57,7 +57,7 @@
             router.policy.onRequest(
                     router.now,
                     new RoutingRequest(
-                            "rest" + i,
+                            "continuation" + i,
                             0,
                             0,
                             1000 + i,
@@ -70,11 +70,11 @@
                             false,
                             false,
                             true));
-            assertEquals(null, router.finalAnswers.get("rest" + i));
-            router.startStream("rest" + i, 2 * SECOND);
-            router.endAttempt("rest" + i, AttemptOutcome.OK);
+            assertEquals(null, router.finalAnswers.get("continuation" + i));
+            router.startStream("continuation" + i, 2 * SECOND);
+            router.endAttempt("continuation" + i, AttemptOutcome.OK);
             router.advance(20_000);
         }
-        assertTrue(refused > 40, "under overload others are: " + refused);
+        assertTrue(rejected > 40, "other requests rejected under overload: " + rejected);
     }
 }
--- a/src/test/java/magpiehub/routing/AffinityResolverTest.java
+++ b/src/test/java/magpiehub/routing/AffinityResolverTest.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Over how many replicas a key is spread. */
+/** Tests over how many replicas a key is spread. */
 class AffinityResolverTest {
     @Test
     void lightPrefixHasOneReplicaAndHeavyOneSeveral() {
@@ -26,7 +26,7 @@
         for (int i = 0; i < 40; i++) {
             heavy.add(router.serve(6, 0));
         }
-        assertTrue(heavy.size() > 2 && heavy.size() <= 8, "deque of the heavy one: " + heavy.size());
+        assertTrue(heavy.size() > 2 && heavy.size() <= 8, "replicas of the heavy prefix: " + heavy.size());
     }
 
     @Test
@@ -38,9 +38,9 @@
         }
         String last = router.serve(6, 0);
         for (int i = 0; i < 6; i++) {
-            String at = router.serve(6, 0);
-            assertNotEquals(last, at);
-            last = at;
+            String replica = router.serve(6, 0);
+            assertNotEquals(last, replica);
+            last = replica;
         }
     }
 
@@ -56,7 +56,7 @@
         router.endAttempt(id, AttemptOutcome.OK);
         assertNotEquals(home, second);
         router.advance(8 * SECOND);
-        assertEquals(second, router.serve(5, 0), "the deque's one entry is the fallback now");
+        assertEquals(second, router.serve(5, 0), "the replica of the retry has replaced the failed one in the entry");
     }
 
     @Test
--- a/src/test/java/magpiehub/routing/AffinityTableTest.java
+++ b/src/test/java/magpiehub/routing/AffinityTableTest.java
@@ -12,15 +12,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The bounds of the affinity table. */
+/** Tests the bounds of the affinity table and its entries. */
 class AffinityTableTest {
     @Test
     void unusedEntriesAgeOut() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(40)).list(replicaNames(2));
-        // 16 keys a replica are one router's part here: both are full at 32, and a replica of the least recently
-        // used entry takes the request and leaves that entry.
+        // One router's share is 16 keys per replica here: both replicas are full at 32 keys. From then on, a replica of
+        // the least recently used entry serves the request and is removed from that entry.
         for (long k = 1; k <= 40; k++) {
-            assertTrue(router.serve(0, k) != null, "pressure still serves");
+            assertTrue(router.serve(0, k) != null, "requests are served although the replicas are full");
         }
         router.advance(70 * SECOND);
         Set<String> used = new HashSet<>();
@@ -38,23 +38,23 @@
     }
 
     @Test
-    void holdsTwentyThousandEntriesAndThenDropsTheLeastRecentlyUsed() {
+    void evictsTheLeastRecentlyUsedBeyondTwentyThousandEntries() {
         AffinityTable table = new AffinityTable();
         for (long key = 1; key <= 20_000; key++) {
             table.useSession(key, SECOND);
         }
         assertEquals(20_000, table.size());
         AffinityEntry first = table.useSession(1, SECOND);
-        assertEquals(2, table.oldest().key(), "used again: it is the newest now");
+        assertEquals(2, table.oldest().key(), "used again, so it is the most recently used");
         table.usePrefix(1, SECOND);
-        assertEquals(20_000, table.size(), "prefixes and sessions count together");
+        assertEquals(20_000, table.size(), "prefixes and sessions share the limit");
         assertEquals(3, table.oldest().key());
         assertEquals(4, table.nextNewer(table.oldest()).key());
         assertSame(first, table.useSession(1, SECOND));
     }
 
     @Test
-    void entriesGoThirtySecondsAfterTheirLastUse() {
+    void entriesExpireThirtySecondsAfterTheirLastUse() {
         AffinityTable table = new AffinityTable();
         Replica replica = replica("a");
         AffinityEntry idle = table.usePrefix(7, 0);
@@ -64,12 +64,12 @@
         assertEquals(1, replica.affinityEntryCount());
         table.usePrefix(8, 30 * SECOND + 1);
         assertEquals(1, table.size());
-        assertEquals(0, replica.affinityEntryCount(), "a replica no longer counts an entry that has gone");
+        assertEquals(0, replica.affinityEntryCount(), "an evicted entry is no longer counted by its replicas");
         assertNotSame(idle, table.usePrefix(7, 30 * SECOND + 1));
     }
 
     @Test
-    void theEntryInUseStaysHoweverSmallTheTable() {
+    void entryInUseIsNotEvictedHoweverSmallTheTable() {
         AffinityTable table = new AffinityTable(1);
         table.useSession(1, 0);
         AffinityEntry used = table.useSession(2, 100 * SECOND);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void newReplicasEnterAtTheFrontAndTheBackOnesLeave() {
+    void replicasAreAddedAtTheFrontAndRemovedAtTheBack() {
         AffinityEntry entry = new AffinityTable().usePrefix(7, 0);
         Replica a = replica("a");
         Replica b = replica("b");
@@ -86,7 +86,7 @@
         entry.addFirst(a, 2);
         entry.addFirst(b, 2);
         entry.addFirst(b, 2);
-        assertEquals(2, entry.size(), "a replica stands in an entry once");
+        assertEquals(2, entry.size(), "a replica is contained in an entry only once");
         entry.moveToBack(0);
         assertSame(a, entry.get(0));
         entry.addFirst(c, 2);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void entryIsConfirmedAnewAfterEachReplicaThatJoins() {
+    void entryMustBeConfirmedAgainAfterEachAddedReplica() {
         AffinityEntry entry = new AffinityTable().usePrefix(7, 0);
         entry.addFirst(replica("a"), 2);
         assertFalse(entry.isConfirmed());
--- a/src/test/java/magpiehub/routing/ConnectFailureZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ConnectFailureZoneHealthTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The plain zone health. */
+/** Tests the default zone health. */
 class ConnectFailureZoneHealthTest {
     @Test
-    void unreachableZoneIsLearntAtOnce() {
+    void unreachableZoneIsDetectedAfterFewFailures() {
         RoutingPolicyFixture router = withCosts(0, 20, 0, 0, WeightMeaning.NONE);
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -22,10 +22,10 @@
         for (long k = 1; k <= 60; k++) {
             String id = router.submit(0, k);
             while (router.finalAnswers.get(id) == null) {
-                String at = router.replicaOf(id);
-                boolean cut = Integer.parseInt(at.substring(7, at.indexOf(':'))) % 2 == 1;
-                failed += cut ? 1 : 0;
-                router.endAttempt(id, cut ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK);
+                String replica = router.replicaOf(id);
+                boolean unreachable = Integer.parseInt(replica.substring(7, replica.indexOf(':'))) % 2 == 1;
+                failed += unreachable ? 1 : 0;
+                router.endAttempt(id, unreachable ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK);
             }
             router.advance(5_000);
         }
--- a/src/test/java/magpiehub/routing/DecayedCounterTest.java
+++ b/src/test/java/magpiehub/routing/DecayedCounterTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Decay of counted events. */
+/** Tests the decay of counted events. */
 class DecayedCounterTest {
     @Test
     void olderEventsWeighLess() {
--- a/src/test/java/magpiehub/routing/DecisionDigestTest.java
+++ b/src/test/java/magpiehub/routing/DecisionDigestTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares all decisions over seeded scenarios with recorded digests. A difference means that a decision has
- * changed: where the code was only to be rearranged, find the step that changed it. The recorded digests are
- * replaced only together with a deliberate change of behaviour, in the same commit, which says so.
+ * Compares all decisions of seeded scenarios with recorded digests. A difference means that a decision has changed; if
+ * the change was meant as a refactoring, find the step that changed it. The recorded digests are replaced only together
+ * with an intended change of behaviour, in the same commit, whose message says so.
  */
 class DecisionDigestTest {
     private static final Path RECORDED = Path.of("src/test/resources/decision-digests.txt");
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -16,21 +16,23 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * A discrete-event simulation of one router and its fleet, drawn from a seed, that feeds the routing policy
- * with events and folds every action into one SHA-256 digest. Settings, traffic, faults, drains, restarts and
- * reloads are all drawn, so that each mechanism of the policy takes part. Times are in microseconds.
+ * A discrete-event simulation of one router and its fleet that is generated from a seed. It reports events to the
+ * routing policy and adds every action to a SHA-256 digest. Settings, traffic, faults, drains, restarts and reloads are
+ * random, so that each mechanism of the policy is exercised. Times are in microseconds.
  */
 final class DecisionScenario extends QuietActions {
     private static final long SECOND = 1_000_000;
-    private static final int STEPS_AFTERWARDS = 400;
+    private static final int FINAL_STEPS = 400;
 
-    /** What a stretch of the scenario brings; {@link Phase#CALM} is drawn twice as often as the others. */
+    /**
+     * The conditions of a phase of the scenario. Normal conditions have two constants, which doubles their frequency.
+     */
     private enum Phase {
-        CALM,
-        CALM_AGAIN,
-        QUIET,
+        NORMAL,
+        NORMAL_AGAIN,
+        LOW_TRAFFIC,
         OVERLOAD,
-        ZONE_CUT,
+        ZONE_UNREACHABLE,
         ERRORS,
         SLOW,
         HANG,
@@ -40,48 +42,48 @@
         RELOAD
     }
 
-    private static final class Attempt {
+    private static final class SimulatedAttempt {
         final SimulatedReplica replica;
         final long sentAt;
         boolean ended;
 
-        Attempt(SimulatedReplica replica, long sentAt) {
+        SimulatedAttempt(SimulatedReplica replica, long sentAt) {
             this.replica = replica;
             this.sentAt = sentAt;
         }
     }
 
-    private static final class Call {
+    private static final class SimulatedRequest {
         final RoutingRequest request;
-        final List<Attempt> attempts = new ArrayList<>();
+        final List<SimulatedAttempt> attempts = new ArrayList<>();
         boolean settled;
 
-        Call(RoutingRequest request) {
+        SimulatedRequest(RoutingRequest request) {
             this.request = request;
         }
     }
 
-    /** Something that happens at a time; of two at one time the one that was planned first comes first. */
-    private record Planned(long at, long order, Runnable event) {}
+    /** An event at a time; events at the same time are run in the order in which they were scheduled. */
+    private record ScheduledEvent(long at, long order, Runnable event) {}
 
     private final Random random;
     private final RandomSettings settingsSource;
     private final RoutingPolicy policy;
     private final MessageDigest digest = sha256();
-    private final PriorityQueue<Planned> agenda =
+    private final PriorityQueue<ScheduledEvent> eventQueue =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final Map<String, Call> calls = new HashMap<>();
+    private final Map<String, SimulatedRequest> requestsById = new HashMap<>();
     private final List<String> openIds = new ArrayList<>();
     private final Map<String, SimulatedReplica> replicas = new HashMap<>();
     private final List<SimulatedReplica> listed = new ArrayList<>();
     private RoutingSettings settings;
     private final double meanGap;
     private final boolean reportsLoad;
-    private Phase phase = Phase.CALM;
+    private Phase phase = Phase.NORMAL;
     private int target;
     private long now = SECOND;
     private long order;
-    private int requests;
+    private int requestCount;
     private int replicaCount;
     private int events;
 
@@ -92,7 +94,7 @@
         meanGap = 2_000 + random.nextInt(60_000);
         reportsLoad = random.nextBoolean();
         ZoneHealth zones =
-                seed % 3 == 0 && settings.zoneCount() > 1 ? plannedZones(seed) : new ConnectFailureZoneHealth();
+                seed % 3 == 0 && settings.zoneCount() > 1 ? failoverPlan(seed) : new ConnectFailureZoneHealth();
         policy = new RoutingPolicy(settings, seed, this, now, zones);
         int fleet = 4 + random.nextInt(28);
         for (int i = 0; i < fleet; i++) {
@@ -102,16 +104,16 @@
         nextArrival();
     }
 
-    /** Runs until so many events have been given, then some seconds of quiet and requests for known keys. */
-    String digestAfter(int wanted) {
-        while (events < wanted) {
+    /** Runs a number of events, then {@link #FINAL_STEPS} events under normal conditions; returns the digest. */
+    String digestAfter(int eventCount) {
+        while (events < eventCount) {
             if (events % 500 == 0) {
                 drawPhase();
             }
             step();
         }
-        phase = Phase.CALM;
-        for (int i = 0; i < STEPS_AFTERWARDS; i++) {
+        phase = Phase.NORMAL;
+        for (int i = 0; i < FINAL_STEPS; i++) {
             step();
         }
         record("known", policy.knownReplicaCount());
@@ -119,7 +121,7 @@
     }
 
     private void step() {
-        Planned next = agenda.poll();
+        ScheduledEvent next = eventQueue.poll();
         now = Math.max(now, next.at);
         events++;
         next.event.run();
@@ -129,8 +131,8 @@
         }
     }
 
-    private void plan(long delay, Runnable event) {
-        agenda.add(new Planned(now + Math.max(0, delay), order++, event));
+    private void schedule(long delay, Runnable event) {
+        eventQueue.add(new ScheduledEvent(now + Math.max(0, delay), order++, event));
     }
 
     private void record(Object... parts) {
@@ -146,7 +148,7 @@
     }
 
     // ---- Settings and the fleet -------------------------------------------------------------------------
-    private ZoneHealth plannedZones(long seed) {
+    private ZoneHealth failoverPlan(long seed) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < settings.zoneCount(); i++) {
             names.add("zone" + i);
@@ -205,35 +207,35 @@
         switch (phase) {
             case RELEASE -> {
                 for (int i = 0; i < listed.size() / 2; i++) {
-                    plan(i * 150_000L, this::replaceOne);
+                    schedule(i * 150_000L, this::replaceOne);
                 }
             }
-            case DRAIN -> plan(200_000, this::drainOne);
-            case RELOAD -> plan(200_000, this::reload);
+            case DRAIN -> schedule(200_000, this::drainOne);
+            case RELOAD -> schedule(200_000, this::reload);
             default -> {}
         }
     }
 
     private void replaceOne() {
-        SimulatedReplica gone = anyListed();
+        SimulatedReplica replaced = anyListed();
         if (random.nextBoolean()) {
-            gone.startedAt = now;
-            gone.state = EndpointState.LIVE;
-            listOne(gone);
+            replaced.startedAt = now;
+            replaced.state = EndpointState.LIVE;
+            listOne(replaced);
             return;
         }
-        gone.state = EndpointState.DRAINING;
-        listOne(gone);
+        replaced.state = EndpointState.DRAINING;
+        listOne(replaced);
         addReplica(now);
         listOne(listed.get(listed.size() - 1));
-        plan(SECOND, () -> remove(gone));
+        schedule(SECOND, () -> remove(replaced));
     }
 
     private void drainOne() {
         SimulatedReplica replica = anyListed();
         replica.state = EndpointState.DRAINING;
         listOne(replica);
-        plan(2 * SECOND, () -> {
+        schedule(2 * SECOND, () -> {
             replica.state = EndpointState.LIVE;
             replica.startedAt = random.nextBoolean() ? now : 0;
             listOne(replica);
@@ -259,13 +261,13 @@
 
     // ---- Traffic ----------------------------------------------------------------------------------------
     private void nextArrival() {
-        double gap = phase == Phase.OVERLOAD ? meanGap / 2 : phase == Phase.QUIET ? 25 * meanGap : meanGap;
-        plan((long) (-Math.log(1 - random.nextDouble()) * gap), this::arrive);
+        double gap = phase == Phase.OVERLOAD ? meanGap / 2 : phase == Phase.LOW_TRAFFIC ? 25 * meanGap : meanGap;
+        schedule((long) (-Math.log(1 - random.nextDouble()) * gap), this::arrive);
     }
 
     private void arrive() {
         nextArrival();
-        String id = "request" + requests++;
+        String id = "request" + requestCount++;
         long prefix = random.nextInt(3) == 0 ? 0 : 1 + (long) (Math.pow(random.nextDouble(), 3) * 40);
         long session = random.nextInt(4) == 0 ? 0 : 1 + (long) (Math.pow(random.nextDouble(), 2) * 400);
         long timeLeft = random.nextInt(50) == 0 ? 0 : 300_000 + random.nextInt(4_000_000);
@@ -273,7 +275,7 @@
                 ? 99
                 : random.nextInt(settings.classes().size());
         double prompt = 200 + random.nextInt(9_000);
-        Call call = new Call(new RoutingRequest(
+        SimulatedRequest simulated = new SimulatedRequest(new RoutingRequest(
                 id,
                 requestClass,
                 random.nextInt(3),
@@ -287,52 +289,54 @@
                 false,
                 false,
                 random.nextInt(20) == 0));
-        calls.put(id, call);
+        requestsById.put(id, simulated);
         openIds.add(id);
-        plan(timeLeft, () -> expire(call));
+        schedule(timeLeft, () -> expire(simulated));
         if (random.nextInt(40) == 0) {
-            plan(random.nextInt(1_000_000), () -> leave(call));
+            schedule(random.nextInt(1_000_000), () -> disconnect(simulated));
         }
-        policy.onRequest(now, call.request);
+        policy.onRequest(now, simulated.request);
         if (random.nextInt(200) == 0) {
-            policy.onRequest(now - 10, call.request);
+            policy.onRequest(now - 10, simulated.request);
         }
     }
 
-    private void expire(Call call) {
-        for (int i = 0; i < call.attempts.size() && !call.settled; i++) {
-            end(call, i, AttemptOutcome.TIMEOUT, false);
+    private void expire(SimulatedRequest simulated) {
+        for (int i = 0; i < simulated.attempts.size() && !simulated.settled; i++) {
+            end(simulated, i, AttemptOutcome.TIMEOUT, false);
         }
-        openIds.remove(call.request.id());
+        openIds.remove(simulated.request.id());
     }
 
-    private void leave(Call call) {
-        if (call.settled) {
+    private void disconnect(SimulatedRequest simulated) {
+        if (simulated.settled) {
             return;
         }
-        call.settled = true;
-        policy.onClientDisconnected(now, call.request.id());
+        simulated.settled = true;
+        policy.onClientDisconnected(now, simulated.request.id());
     }
 
     @Override
-    public void sendAttempt(String id, String server, long timeout) {
-        record("send", id, server, timeout);
-        Call call = calls.get(id);
-        SimulatedReplica replica = replicas.get(server);
-        int number = call.attempts.size();
-        call.attempts.add(new Attempt(replica, now));
+    public void sendAttempt(String id, String replicaId, long timeout) {
+        record("send", id, replicaId, timeout);
+        SimulatedRequest simulated = requestsById.get(id);
+        SimulatedReplica replica = replicas.get(replicaId);
+        int number = simulated.attempts.size();
+        simulated.attempts.add(new SimulatedAttempt(replica, now));
         replica.inFlight++;
         AttemptOutcome outcome = drawOutcome(replica);
-        long first = (long) (replica.pace * (30_000 + random.nextInt(40_000)) * slowness(replica));
+        long first = (long) (replica.latencyFactor * (30_000 + random.nextInt(40_000)) * slowness(replica));
         switch (outcome) {
             case OK, RESET, SPOILT -> {
                 if (outcome == AttemptOutcome.OK || random.nextInt(3) == 0) {
-                    plan(first, () -> begin(call, number));
+                    schedule(first, () -> begin(simulated, number));
                 }
-                plan(first + random.nextInt(600_000), () -> end(call, number, outcome, outcome == AttemptOutcome.OK));
+                schedule(
+                        first + random.nextInt(600_000),
+                        () -> end(simulated, number, outcome, outcome == AttemptOutcome.OK));
             }
-            case TIMEOUT -> plan(2 * SECOND, () -> end(call, number, outcome, false));
-            default -> plan(random.nextInt(80_000), () -> end(call, number, outcome, false));
+            case TIMEOUT -> schedule(2 * SECOND, () -> end(simulated, number, outcome, false));
+            default -> schedule(random.nextInt(80_000), () -> end(simulated, number, outcome, false));
         }
     }
 
@@ -341,10 +345,10 @@
     }
 
     private double slowness(SimulatedReplica replica) {
-        double cold = now - replica.startedAt < 5 * SECOND ? 2.5 : 1;
-        double busy = 1 + replica.inFlight / 8.0;
-        return cold
-                * busy
+        double warmUpFactor = now - replica.startedAt < 5 * SECOND ? 2.5 : 1;
+        double loadFactor = 1 + replica.inFlight / 8.0;
+        return warmUpFactor
+                * loadFactor
                 * (phase == Phase.OVERLOAD
                         ? 6 + random.nextInt(12)
                         : phase == Phase.SLOW && isTarget(replica) ? 12 : 1);
@@ -352,7 +356,7 @@
 
     private AttemptOutcome drawOutcome(SimulatedReplica replica) {
         int percent = random.nextInt(100);
-        if (phase == Phase.ZONE_CUT && replica.zone == target % settings.zoneCount()) {
+        if (phase == Phase.ZONE_UNREACHABLE && replica.zone == target % settings.zoneCount()) {
             return AttemptOutcome.CONNECT_FAILED;
         }
         if (phase == Phase.HANG && isTarget(replica)) {
@@ -373,33 +377,33 @@
         return AttemptOutcome.OK;
     }
 
-    private void begin(Call call, int number) {
-        Attempt attempt = call.attempts.get(number);
-        if (!attempt.ended && !call.settled) {
-            policy.onStreamStarted(now, call.request.id(), number, now - attempt.sentAt);
+    private void begin(SimulatedRequest simulated, int number) {
+        SimulatedAttempt attempt = simulated.attempts.get(number);
+        if (!attempt.ended && !simulated.settled) {
+            policy.onStreamStarted(now, simulated.request.id(), number, now - attempt.sentAt);
         }
     }
 
-    private void end(Call call, int number, AttemptOutcome outcome, boolean served) {
-        Attempt attempt = call.attempts.get(number);
+    private void end(SimulatedRequest simulated, int number, AttemptOutcome outcome, boolean served) {
+        SimulatedAttempt attempt = simulated.attempts.get(number);
         if (attempt.ended) {
             return;
         }
         attempt.ended = true;
         attempt.replica.inFlight--;
-        AttemptOutcome seen = call.settled && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
-        call.settled |= served;
-        long kept = random.nextInt(5) == 0
+        AttemptOutcome seen = simulated.settled && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
+        simulated.settled |= served;
+        long cachedTokens = random.nextInt(5) == 0
                 ? -1
-                : phase == Phase.RELEASE ? 0 : (long) (call.request.promptTokens() * random.nextDouble());
+                : phase == Phase.RELEASE ? 0 : (long) (simulated.request.promptTokens() * random.nextDouble());
         policy.onAttemptEnded(
                 now,
-                call.request.id(),
+                simulated.request.id(),
                 number,
                 seen,
                 now - attempt.sentAt,
-                call.settled,
-                kept,
+                simulated.settled,
+                cachedTokens,
                 drawLoad(attempt.replica));
     }
 
@@ -411,61 +415,61 @@
                 replica.inFlight,
                 Math.max(0, replica.inFlight - 10),
                 Double.NaN,
-                50 * replica.pace * slowness(replica),
+                50 * replica.latencyFactor * slowness(replica),
                 Double.NaN,
                 0,
                 Double.NaN,
                 Double.NaN);
     }
 
-    // ---- The policy's other actions ---------------------------------------------------------------------
+    // ---- Other actions of the policy --------------------------------------------------------------------
     @Override
     public void cancelAttempt(String id, int attempt) {
         record("cancel", id, attempt);
-        plan(1_000, () -> end(calls.get(id), attempt, AttemptOutcome.CANCELLED, false));
+        schedule(1_000, () -> end(requestsById.get(id), attempt, AttemptOutcome.CANCELLED, false));
     }
 
     @Override
     public void reject(String id, long retryAfter) {
         record("refuse", id, retryAfter);
-        calls.get(id).settled = true;
+        requestsById.get(id).settled = true;
     }
 
     @Override
     public void fail(String id) {
         record("fail", id);
-        calls.get(id).settled = true;
+        requestsById.get(id).settled = true;
     }
 
     @Override
     public void watchEndpoints() {
         record("watch");
-        plan(random.nextInt(1_500_000), () -> {
+        schedule(random.nextInt(1_500_000), () -> {
             if (random.nextInt(3) == 0) {
                 policy.onEndpoints(now, EndpointListKind.ERROR, List.of());
             } else {
                 listOne(anyListed());
             }
         });
-        plan(4 * SECOND, () -> policy.onEndpoints(now, EndpointListKind.ERROR, List.of()));
+        schedule(4 * SECOND, () -> policy.onEndpoints(now, EndpointListKind.ERROR, List.of()));
     }
 
     @Override
     public void setTimer(long at, long token) {
         record("timer", at, token);
-        plan(at - now, () -> policy.onTimer(now, token));
+        schedule(at - now, () -> policy.onTimer(now, token));
     }
 
     @Override
-    public void sendHealthCheck(String server) {
-        record("probe", server);
-        SimulatedReplica replica = replicas.get(server);
+    public void sendHealthCheck(String replicaId) {
+        record("probe", replicaId);
+        SimulatedReplica replica = replicas.get(replicaId);
         AttemptOutcome outcome = drawOutcome(replica);
         AttemptOutcome seen = outcome == AttemptOutcome.CONNECT_FAILED || outcome == AttemptOutcome.TIMEOUT
                 ? outcome
                 : AttemptOutcome.OK;
         long took = 2_000L + random.nextInt(20_000);
-        plan(took, () -> policy.onHealthCheckEnded(now, server, seen, took, drawLoad(replica)));
+        schedule(took, () -> policy.onHealthCheckEnded(now, replicaId, seen, took, drawLoad(replica)));
     }
 
     @Override
@@ -484,8 +488,8 @@
     }
 
     @Override
-    public void closeIdleConnections(String server) {
-        record("close", server);
+    public void closeIdleConnections(String replicaId) {
+        record("close", replicaId);
     }
 
     @Override
--- a/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
+++ b/src/test/java/magpiehub/routing/EmbeddingExampleTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The smallest host of a routing policy: one request from its arrival to its answer, and misuse. */
+/** Tests a minimal host of a routing policy: one request from arrival to answer, and misuse. */
 class EmbeddingExampleTest {
     @Test
     void oneRequestFromStartToEnd() {
@@ -18,18 +18,18 @@
         assertEquals("10.0.0.1:9000", actions.replicaOf("a1"));
         policy.onStreamStarted(now + 80_000, "a1", 0, 80_000);
         policy.onAttemptEnded(now + 900_000, "a1", 0, AttemptOutcome.OK, 900_000, true, 1200, null);
-        assertEquals(0, actions.finalAnswers.size(), "the stream itself was the answer");
+        assertEquals(0, actions.finalAnswers.size(), "the stream is the answer");
     }
 
     @Test
     void misuseHasADefinedResult() {
         RoutingPolicyFixture actions = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list("a");
         String id = actions.submit(9, 0, 0, 1);
-        assertEquals("refused", actions.finalAnswers.get(id), "a class out of range");
-        RoutingRequest twice =
+        assertEquals("rejected", actions.finalAnswers.get(id), "a class out of range");
+        RoutingRequest request =
                 new RoutingRequest("x", 0, 0, 1, 0, actions.now + 4_000_000, 0, 10, 0, 10, false, false, false);
-        actions.policy.onRequest(actions.now, twice);
-        actions.policy.onRequest(actions.now - 500_000, twice);
-        assertEquals(1, actions.attemptCounts.get("x"), "an id that is held already");
+        actions.policy.onRequest(actions.now, request);
+        actions.policy.onRequest(actions.now - 500_000, request);
+        assertEquals(1, actions.attemptCounts.get("x"), "an id of a request in flight");
     }
 }
--- a/src/test/java/magpiehub/routing/FleetStateTest.java
+++ b/src/test/java/magpiehub/routing/FleetStateTest.java
@@ -14,32 +14,32 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What endpoint lists change: who gets requests, sizes, and the subset where connections have a price. */
+/** Tests the effects of endpoint lists: eligible replicas, sizes, and the subset where connections have a cost. */
 class FleetStateTest {
     @Test
-    void drainingReplicaGetsNothingAndOthersKeepTheirKeys() {
+    void drainingReplicaGetsNoRequestsAndOthersKeepTheirKeys() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
-        Map<Long, String> at = new HashMap<>();
+        Map<Long, String> replicaByKey = new HashMap<>();
         for (long k = 1; k <= 80; k++) {
-            at.put(k, router.serve(0, k));
+            replicaByKey.put(k, router.serve(0, k));
         }
-        String gone = at.get(1L);
+        String draining = replicaByKey.get(1L);
         router.policy.onEndpoints(
                 router.now,
                 EndpointListKind.CHANGES,
-                List.of(RoutingPolicyFixture.endpoint(gone, EndpointState.DRAINING, 0)));
+                List.of(RoutingPolicyFixture.endpoint(draining, EndpointState.DRAINING, 0)));
         for (long k = 1; k <= 80; k++) {
-            String now = router.serve(0, k);
-            if (at.get(k).equals(gone)) {
-                assertNotEquals(gone, now);
+            String replica = router.serve(0, k);
+            if (replicaByKey.get(k).equals(draining)) {
+                assertNotEquals(draining, replica);
             } else {
-                assertEquals(at.get(k), now);
+                assertEquals(replicaByKey.get(k), replica);
             }
         }
     }
 
     @Test
-    void replicaMissingFromAFullListGetsNothing() {
+    void replicaMissingFromACompleteListGetsNoRequests() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(3));
         router.list("10.0.0.1:9000");
         for (long k = 1; k < 20; k++) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void deadReplicaIsForgotten() {
+    void deadReplicaIsRemoved() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list("a", "b");
         String home = router.serve(0, 7);
         router.policy.onEndpoints(
@@ -67,27 +67,31 @@
                 EndpointListKind.COMPLETE,
                 List.of(endpointOfSize(0, 3), endpointOfSize(1, 1), endpointOfSize(2, 1), endpointOfSize(3, 1)));
         router.policy.onEndpoints(router.now, EndpointListKind.CHANGES, List.of(endpointOfSize(0, 0.5)));
-        int big = 0;
+        int servedByLargest = 0;
         for (long k = 1; k <= 60; k++) {
-            big += router.serve(0, k).equals("10.0.0.0:9000") ? 1 : 0;
+            servedByLargest += router.serve(0, k).equals("10.0.0.0:9000") ? 1 : 0;
         }
-        assertTrue(big > 20, "half of the fleet's size, got " + big + " of 60");
+        assertTrue(
+                servedByLargest > 20,
+                "served by the replica with half of the fleet's size: " + servedByLargest + " of 60");
     }
 
     @Test
-    void routersKeepToFewReplicasWhereConnectionsHaveAPrice() {
-        Map<String, Integer> nodes = new HashMap<>();
-        for (int me = 0; me < 20; me++) {
+    void routersUseFewReplicasWhereConnectionsHaveACost() {
+        Map<String, Integer> routersByReplica = new HashMap<>();
+        for (int instanceIndex = 0; instanceIndex < 20; instanceIndex++) {
             RoutingPolicyFixture router =
-                    withCosts(me, 20, 0, 0.1, WeightMeaning.NONE).list(replicaNames(20));
+                    withCosts(instanceIndex, 20, 0, 0.1, WeightMeaning.NONE).list(replicaNames(20));
             Set<String> used = new HashSet<>();
             for (long k = 1; k <= 60; k++) {
                 used.add(router.serve(0, k));
             }
             assertTrue(used.size() <= 6, "used " + used.size());
-            used.forEach(r -> nodes.merge(r, 1, Integer::sum));
+            used.forEach(r -> routersByReplica.merge(r, 1, Integer::sum));
         }
-        assertEquals(20, nodes.size(), "every replica is somebody's");
-        assertTrue(nodes.values().stream().allMatch(n -> n >= 4 && n <= 8), "as many nodes each: " + nodes);
+        assertEquals(20, routersByReplica.size(), "every replica is used by a router");
+        assertTrue(
+                routersByReplica.values().stream().allMatch(n -> n >= 4 && n <= 8),
+                "routers per replica: " + routersByReplica);
     }
 }
--- a/src/test/java/magpiehub/routing/HashRingTest.java
+++ b/src/test/java/magpiehub/routing/HashRingTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Where keys lie on a ring, and what a change of its members moves. */
+/** Tests where keys are placed on a ring, and which keys a change of its members moves. */
 class HashRingTest {
     private static final int KEYS = 2_000;
 
@@ -27,19 +27,20 @@
     }
 
     @Test
-    void aReplicaThatLeavesMovesNoKeyButItsOwn() {
+    void removedReplicaMovesOnlyItsOwnKeys() {
         List<Replica> replicas = replicas(8);
         HashRing before = new HashRing(replicas);
-        Replica gone = replicas.get(3);
-        HashRing after = new HashRing(replicas.stream().filter(r -> r != gone).toList());
+        Replica removed = replicas.get(3);
+        HashRing after =
+                new HashRing(replicas.stream().filter(r -> r != removed).toList());
         for (long key = 0; key < KEYS; key++) {
             Replica owner = ownerOf(before, key);
-            if (owner != gone) {
+            if (owner != removed) {
                 assertSame(owner, ownerOf(after, key));
             }
         }
-        assertTrue(before.contains(gone));
-        assertFalse(after.contains(gone));
+        assertTrue(before.contains(removed));
+        assertFalse(after.contains(removed));
         assertEquals(7, after.replicaCount());
     }
 
@@ -56,7 +57,7 @@
     }
 
     @Test
-    void aReplicaHasPointsByItsSize() {
+    void replicaHasPointsInProportionToItsSize() {
         List<Replica> replicas = replicas(3);
         int even = new HashRing(replicas).pointCount();
         assertEquals(0, even % 3);
--- a/src/test/java/magpiehub/routing/HealthCheckerTest.java
+++ b/src/test/java/magpiehub/routing/HealthCheckerTest.java
@@ -6,17 +6,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which replicas are probed, and how often. */
+/** Tests which replicas get health checks, and how often. */
 class HealthCheckerTest {
     @Test
-    void silentReplicasAreProbedAtARateSharedByTheRouters() {
+    void idleReplicasAreCheckedAtARateSharedByTheRouters() {
         RoutingPolicyFixture one = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(10));
         one.advance(60 * SECOND);
         assertTrue(
-                one.probedReplicas.size() >= 20 && one.probedReplicas.size() <= 70,
-                "alone: " + one.probedReplicas.size());
+                one.checkedReplicas.size() >= 20 && one.checkedReplicas.size() <= 70,
+                "health checks of a single router: " + one.checkedReplicas.size());
         RoutingPolicyFixture many = new RoutingPolicyFixture(RoutingPolicyFixture.settings(10)).list(replicaNames(10));
         many.advance(60 * SECOND);
-        assertTrue(many.probedReplicas.size() <= 8, "one of ten: " + many.probedReplicas.size());
+        assertTrue(
+                many.checkedReplicas.size() <= 8,
+                "health checks of one of ten routers: " + many.checkedReplicas.size());
     }
 }
--- a/src/test/java/magpiehub/routing/LatencyEstimatorTest.java
+++ b/src/test/java/magpiehub/routing/LatencyEstimatorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Means that latencies are compared with. */
+/** Tests the means that latencies are compared with. */
 class LatencyEstimatorTest {
     private static LatencyEstimator estimator() {
         LatencyEstimator estimator = new LatencyEstimator();
@@ -26,18 +26,18 @@
         estimator.recordCompleteAnswer(1, 100_000);
         assertEquals(100_000, estimator.recordCompleteAnswer(1, 9_000_000), "the mean before it");
         assertEquals(115_000, estimator.meanCompleteAnswer(1), 1e-6);
-        assertEquals(0, estimator.meanCompleteAnswer(0), "classes are apart");
+        assertEquals(0, estimator.meanCompleteAnswer(0), "classes are independent");
     }
 
     @Test
-    void shortMeansAreNotDividedBy() {
+    void ratiosToShortMeansUseALowerBound() {
         LatencyEstimator estimator = estimator();
         assertEquals(0.05, estimator.recordFirstToken(0, 1_000));
         assertEquals(1, estimator.recordFirstToken(0, 20_000));
     }
 
     @Test
-    void newClassesLeaveKnownMeansAlone() {
+    void newClassesDoNotChangeExistingMeans() {
         LatencyEstimator estimator = estimator();
         estimator.recordFirstToken(1, 70_000);
         estimator.resize(3);
--- a/src/test/java/magpiehub/routing/LoadTrackerTest.java
+++ b/src/test/java/magpiehub/routing/LoadTrackerTest.java
@@ -11,37 +11,38 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When a replica is passed over for its load. */
+/** Tests when a replica is skipped because of its load. */
 class LoadTrackerTest {
     @Test
-    void replicaWithAnOverdueFirstTokenIsPassedOverUntilItComes() {
+    void replicaWithAnOverdueFirstTokenIsSkippedUntilItArrives() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
         String home = router.serve(0, 7);
-        String waits = router.submit(0, 7);
-        assertEquals(home, router.replicaOf(waits));
+        String waiting = router.submit(0, 7);
+        assertEquals(home, router.replicaOf(waiting));
         router.advance(300_000);
-        assertEquals(home, router.serve(0, 7), "what may begin at any moment is no sign");
+        assertEquals(home, router.serve(0, 7), "the first token is not overdue yet");
         router.advance(200_000);
         String id = router.submit(0, 7);
-        assertNotEquals(home, router.replicaOf(id), "a request waits there, and its node sends more");
-        router.startStream(waits, 100_000); // Told as short: this is not about replicas found slow by what they took.
-        assertEquals(home, router.replicaOf(router.submit(0, 7)), "begun: its place is right again");
+        assertNotEquals(home, router.replicaOf(id), "the first token is overdue");
+        router.startStream(waiting, 100_000); // A short time, so that the replica does not count as slow.
+        assertEquals(
+                home, router.replicaOf(router.submit(0, 7)), "the stream has started, so the replica is used again");
     }
 
     @Test
-    void replicaWithADeepQueueIsPassedOver() {
+    void replicaWithADeepQueueIsSkipped() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(10));
         Map<String, Integer> load = new HashMap<>();
         for (int i = 0; i < 30; i++) {
             load.merge(router.replicaOf(router.submit(0, 7)), 1, Integer::sum);
         }
-        assertTrue(load.size() > 1, "one key's requests that pile up spill");
+        assertTrue(load.size() > 1, "accumulating requests of one key go to other replicas as well");
         assertTrue(load.values().stream().allMatch(n -> n <= 10), load.toString());
     }
 
-    /** A report of waiting requests counts for a moment only: it is stale by then. */
+    /** A reported queue has an effect for a short time only, since the report becomes stale. */
     @Test
-    void aReplicaThatReportsAQueueIsPassedOverForAMoment() {
+    void replicaThatReportsAQueueIsSkippedForAShortTime() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
         String home = router.serve(0, 7);
         serveWithReport(router, router.submit(0, 7), loadReport(2, 30));
--- a/src/test/java/magpiehub/routing/OutlierDetectorTest.java
+++ b/src/test/java/magpiehub/routing/OutlierDetectorTest.java
@@ -13,10 +13,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Ejections and trials. */
+/** Tests ejections and trials. */
 class OutlierDetectorTest {
     @Test
-    void unreachableReplicaIsPassedOverThenTriedAgain() {
+    void unreachableReplicaIsEjectedAndTriedAgain() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(6));
         String home = router.serve(0, 7);
         String id = router.submit(0, 7);
@@ -25,12 +25,12 @@
         router.endAttempt(id, AttemptOutcome.OK);
         assertNotEquals(home, router.serve(0, 7), "ejected");
         router.advance(5 * SECOND);
-        boolean back = false;
+        boolean returned = false;
         for (int i = 0; i < 100; i++) {
             router.advance(SECOND / 10);
-            back |= router.serve(0, 7).equals(home);
+            returned |= router.serve(0, 7).equals(home);
         }
-        assertTrue(back, "half-open trial brings it back");
+        assertTrue(returned, "a successful trial ends the ejection");
     }
 
     @Test
@@ -42,62 +42,68 @@
         String slow = router.serve(0, 7);
         for (int i = 0; i < 4; i++) {
             String id = router.submit(0, 7);
-            boolean there = router.replicaOf(id).equals(slow);
-            router.startStream(id, there ? 2 * SECOND : 50_000);
+            boolean isSlowReplica = router.replicaOf(id).equals(slow);
+            router.startStream(id, isSlowReplica ? 2 * SECOND : 50_000);
             router.endAttempt(id, AttemptOutcome.OK);
         }
         assertNotEquals(slow, router.serve(0, 7));
-        RoutingPolicyFixture all = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(9));
+        RoutingPolicyFixture uniformlySlow =
+                new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(9));
         for (long k = 1; k <= 90; k++) {
-            all.serve(0, k);
+            uniformlySlow.serve(0, k);
         }
         for (long k = 1; k <= 200; k++) {
-            String id = all.submit(0, k);
-            all.startStream(id, 2 * SECOND);
-            all.endAttempt(id, AttemptOutcome.OK);
+            String id = uniformlySlow.submit(0, k);
+            uniformlySlow.startStream(id, 2 * SECOND);
+            uniformlySlow.endAttempt(id, AttemptOutcome.OK);
         }
         Set<String> after = new HashSet<>();
         for (long k = 1; k <= 200; k++) {
-            after.add(all.serve(0, k));
+            after.add(uniformlySlow.serve(0, k));
         }
-        assertTrue(after.size() >= 6, "a shared slowness leaves most of the fleet in: " + after.size());
+        assertTrue(after.size() >= 6, "replicas in use while all are slow: " + after.size());
     }
 
     @Test
-    void aLostConnectionEjectsNobodyButTwoDo() {
+    void oneLostConnectionDoesNotEjectButTwoDo() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
         String home = router.serve(0, 7);
         router.endAttempt(router.submit(0, 7), AttemptOutcome.RESET);
-        assertEquals(home, router.serve(0, 7), "it may have been the request's fault");
+        assertEquals(home, router.serve(0, 7), "a single lost connection may be caused by the request");
         router.endAttempt(router.submit(0, 7), AttemptOutcome.RESET);
-        assertNotEquals(home, router.replicaOf(router.submit(0, 7)), "twice in a short time");
+        assertNotEquals(home, router.replicaOf(router.submit(0, 7)), "two lost connections within a short time");
         RoutingPolicyFixture other = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
         home = other.serve(0, 7);
         other.endAttempt(other.submit(0, 7), AttemptOutcome.SPOILT);
         other.endAttempt(other.submit(0, 7), AttemptOutcome.SPOILT);
-        assertEquals(home, other.serve(0, 7), "what can't be read comes from any replica");
+        assertEquals(home, other.serve(0, 7), "two malformed responses do not eject");
     }
 
-    /** It reports that it is slow, though its first tokens come in time: it is ejected, unless it warms up. */
+    /**
+     * A replica that reports a high service time is ejected although its first tokens are in time, unless it warms up.
+     */
     @Test
     void loadReportsShowSlownessExceptOfAWarmingReplica() {
-        for (boolean cold : new boolean[] {false, true}) {
+        for (boolean warmingUp : new boolean[] {false, true}) {
             RoutingPolicyFixture router =
                     new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
             router.policy.onEndpoints(
                     router.now,
                     EndpointListKind.CHANGES,
                     List.of(RoutingPolicyFixture.endpoint(
-                            replicaNames(8)[3], EndpointState.LIVE, cold ? router.now : 0)));
-            int late = 0;
+                            replicaNames(8)[3], EndpointState.LIVE, warmingUp ? router.now : 0)));
+            int sentAfterReports = 0;
             for (int i = 0; i < 300; i++) {
                 String id = router.submit(0, 1000 + i);
                 boolean slow = router.replicaOf(id).equals(replicaNames(8)[3]);
-                late += slow && i >= 50 && i < 150 ? 1 : 0;
+                sentAfterReports += slow && i >= 50 && i < 150 ? 1 : 0;
                 serveWithReport(router, id, loadReport(0, slow ? 300 : 30));
                 router.advance(10_000);
             }
-            assertEquals(!cold, late == 0, "sent to it once it was known: " + late);
+            assertEquals(
+                    !warmingUp,
+                    sentAfterReports == 0,
+                    "sent to the slow replica after its reports: " + sentAfterReports);
         }
     }
 }
--- a/src/test/java/magpiehub/routing/OverloadControlTest.java
+++ b/src/test/java/magpiehub/routing/OverloadControlTest.java
@@ -9,13 +9,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Load shedding over drawn deployments: no router rejects everything, and no conversation is singled out. */
+/** Tests load shedding in random deployments: no router rejects everything, and rejections are spread evenly. */
 class OverloadControlTest {
     private static final long SECOND = RoutingPolicyFixture.SECOND;
     private static final long WINDOW = 4 * SECOND;
-    private static final int ENOUGH = 15;
+    private static final int MIN_REJECTIONS = 15;
 
-    /** A router with one to four classes of drawn value, after a long overload on all of them. */
+    /** Creates a router with one to four classes of random value after a long overload of all of them. */
     private static RoutingPolicyFixture overloaded(SplittableRandom random) {
         RequestClass[] classes = new RequestClass[1 + random.nextInt(4)];
         for (int i = 0; i < classes.length; i++) {
@@ -51,44 +51,48 @@
         return router;
     }
 
-    /** Once little comes, and of one class only, some of it is admitted: no router rejects
-     *  all of fifteen requests within 4 s, and after 10 s nothing is rejected any more. */
+    /**
+     * After the overload, with little traffic of a single class, some requests are admitted: no router rejects all of
+     * fifteen requests within 4 s, and nothing is rejected after 10 s.
+     */
     @Test
-    void aRouterWithLittleTrafficLeavesOverloadControl() {
-        int turnedAllAway = 0;
+    void routerWithLittleTrafficStopsShedding() {
+        int routersRejectingAll = 0;
         int routers = 60;
         for (int seed = 1; seed <= routers; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             RoutingPolicyFixture router = overloaded(random);
             int classIndex = random.nextInt(router.settings.classes().size());
-            ArrayDeque<Long> refusedInARow = new ArrayDeque<>();
+            ArrayDeque<Long> rejectedInARow = new ArrayDeque<>();
             boolean all = false;
             long from = router.now;
-            int late = 0;
+            int rejectedLate = 0;
             while (router.now < from + 20 * SECOND) {
                 String id = router.submit(classIndex, 0, 0, random.nextLong(1, 1L << 53));
                 if (router.finalAnswers.get(id) == null) {
-                    refusedInARow.clear();
+                    rejectedInARow.clear();
                     router.startStream(id, 50_000);
                     router.endAttempt(id, AttemptOutcome.OK);
                 } else {
-                    refusedInARow.addLast(router.now);
-                    late += router.now >= from + 10 * SECOND ? 1 : 0;
+                    rejectedInARow.addLast(router.now);
+                    rejectedLate += router.now >= from + 10 * SECOND ? 1 : 0;
                 }
-                all |= refusedInARow.size() >= ENOUGH
-                        && router.now - refusedInARow.getFirst() >= WINDOW - WINDOW / ENOUGH;
-                router.advance(WINDOW / ENOUGH);
+                all |= rejectedInARow.size() >= MIN_REJECTIONS
+                        && router.now - rejectedInARow.getFirst() >= WINDOW - WINDOW / MIN_REJECTIONS;
+                router.advance(WINDOW / MIN_REJECTIONS);
             }
-            turnedAllAway += all ? 1 : 0;
-            assertEquals(0, late, "seed " + seed + ": refused 10 s after the overload");
+            routersRejectingAll += all ? 1 : 0;
+            assertEquals(0, rejectedLate, "seed " + seed + ": rejected 10 s after the overload");
         }
-        assertEquals(0, turnedAllAway, "routers of " + routers + " that turned all away");
+        assertEquals(0, routersRejectingAll, "routers of " + routers + " that rejected all requests");
     }
 
-    /** Under overload the refusals of one class fall on conversations as chance has it: those of which all
-     *  turns are refused are no more than chance gives, and a little. */
+    /**
+     * Under overload, rejections of a class are independent of the conversation: the number of conversations of which
+     * all turns are rejected does not exceed the expected one by more than a margin.
+     */
     @Test
-    void noSetOfConversationsIsRefusedThroughout() {
+    void rejectionsAreSpreadOverConversations() {
         for (int seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             RoutingPolicyFixture router = overloaded(random);
@@ -96,7 +100,7 @@
             int conversations = 40;
             int turns = 5;
             long[] sessions = random.longs(conversations, 1, 1L << 53).toArray();
-            int[] refused = new int[conversations];
+            int[] rejectedTurns = new int[conversations];
             int all = 0;
             List<String> open = new ArrayList<>();
             for (int i = 0; i < turns * conversations; i++) {
@@ -105,7 +109,7 @@
                 if (router.finalAnswers.get(id) == null) {
                     open.add(id);
                 } else {
-                    refused[k]++;
+                    rejectedTurns[k]++;
                     all++;
                 }
                 if (open.size() > 4) {
@@ -117,7 +121,7 @@
             }
             double part = (double) all / (turns * conversations);
             int throughout = 0;
-            for (int r : refused) {
+            for (int r : rejectedTurns) {
                 throughout += r == turns ? 1 : 0;
             }
             double chance = Math.pow(part, turns);
--- a/src/test/java/magpiehub/routing/OverloadDetectorTest.java
+++ b/src/test/java/magpiehub/routing/OverloadDetectorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** From which part of bad answers the fleet counts as overloaded. */
+/** Tests from which fraction of bad answers the fleet counts as overloaded. */
 class OverloadDetectorTest {
     private static OverloadDetector after(int good, int bad) {
         OverloadDetector detector = new OverloadDetector();
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void overloadBeginsBeforeLoadIsShed() {
+    void overloadIsDetectedBeforeLoadIsShed() {
         assertFalse(after(17, 3).isOverloaded());
         OverloadDetector overloaded = after(16, 4);
         assertTrue(overloaded.isOverloaded());
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void fewAnswersSayNothing() {
+    void fewAnswersAreNotSignificant() {
         assertFalse(after(0, 2).isOverloaded());
         assertTrue(after(0, 3).isOverloaded());
         assertFalse(after(0, 3).needsLoadShedding());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aLateAnswerIsBadByTheValueThatItLost() {
+    void lateAnswerCountsAsBadByItsLostValue() {
         OverloadDetector detector = new OverloadDetector();
         for (int i = 0; i < 20; i++) {
             detector.recordFirstToken(0.5);
@@ -46,6 +46,6 @@
         detector.decay();
         detector.decay();
         detector.decay();
-        assertFalse(detector.needsLoadShedding(), "what is left is too little to tell");
+        assertFalse(detector.needsLoadShedding(), "too few answers remain after the decay");
     }
 }
--- a/src/test/java/magpiehub/routing/PromptCacheTrackerTest.java
+++ b/src/test/java/magpiehub/routing/PromptCacheTrackerTest.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What reports of cached tokens change. */
+/** Tests the effects of reported cache hits. */
 class PromptCacheTrackerTest {
     @Test
     void cacheMissMovesAPrefixButALostCacheDoesNotMoveAll() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(10));
         serveManySessions(router);
-        Map<Long, String> at = new HashMap<>();
+        Map<Long, String> replicaByPrefix = new HashMap<>();
         for (long k = 1; k <= 30; k++) {
-            at.put(k, router.serve(k, 0));
+            replicaByPrefix.put(k, router.serve(k, 0));
             router.serve(k, 0);
         }
         router.advance(2 * SECOND);
@@ -28,7 +28,7 @@
         }
         int stayed = 0;
         for (long k = 1; k <= 30; k++) {
-            stayed += router.serve(k, 0).equals(at.get(k)) ? 1 : 0;
+            stayed += router.serve(k, 0).equals(replicaByPrefix.get(k)) ? 1 : 0;
         }
         assertTrue(stayed >= 28, "stayed: " + stayed);
     }
--- a/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
+++ b/src/test/java/magpiehub/routing/PromptLengthFairnessTest.java
@@ -12,48 +12,48 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests with long prompts against the rest of their class, over drawn deployments in virtual time. A
- * replica reads one prompt after another, and a request is answered when its own has been read before its
- * deadline. Each request has one attempt.
+ * Compares requests with long prompts with the rest of their class, in random deployments in virtual time. A replica
+ * processes one prompt after another, and a request is answered if its prompt has been processed before its deadline.
+ * Each request has one attempt.
  */
 class PromptLengthFairnessTest {
     private static final long SECOND = 1_000_000;
     private static final long DEADLINE = 4 * SECOND;
-    private static final long DAY = 60 * SECOND;
+    private static final long DURATION = 60 * SECOND;
     private static final double TOKENS_PER_SECOND = 10_000;
     private static final double SHORTEST_PROMPT = 200;
     private static final double LONGEST_PROMPT = 8_000;
     private static final double MEAN_PROMPT =
             (LONGEST_PROMPT - SHORTEST_PROMPT) / Math.log(LONGEST_PROMPT / SHORTEST_PROMPT);
     private static final int DEPLOYMENTS = 20;
-    /** Classes with fewer requests are judged by their longest quarter, others by their longest tenth. */
-    private static final int MANY_REQUESTS = 400;
+    /** In classes with fewer requests the longest quarter of the prompts is compared, otherwise the longest tenth. */
+    private static final int LARGE_CLASS = 400;
 
-    /** One request and whether its first token came in time. */
-    private static final class Asked {
+    /** A request and whether its first token was in time. */
+    private static final class TrackedRequest {
         final RoutingRequest request;
         boolean answered;
 
-        Asked(RoutingRequest request) {
+        TrackedRequest(RoutingRequest request) {
             this.request = request;
         }
     }
 
-    private record Due(long at, Runnable event) {}
+    private record ScheduledEvent(long at, Runnable event) {}
 
-    /** One router, its replicas and its clients. */
-    private static final class Day extends QuietActions {
+    /** A simulation of one router, its replicas and its clients. */
+    private static final class Simulation extends QuietActions {
         final SplittableRandom random;
-        final PriorityQueue<Due> events = new PriorityQueue<>(Comparator.comparingLong(Due::at));
+        final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(Comparator.comparingLong(ScheduledEvent::at));
         final Map<String, Long> freeAt = new HashMap<>();
-        final Map<String, Asked> open = new HashMap<>();
-        final List<Asked> all = new ArrayList<>();
+        final Map<String, TrackedRequest> open = new HashMap<>();
+        final List<TrackedRequest> all = new ArrayList<>();
         final RequestClass[] classes;
         final int replicas;
         final RoutingPolicy policy;
         long now = 100 * SECOND;
 
-        Day(long seed) {
+        Simulation(long seed) {
             random = new SplittableRandom(seed);
             classes = new RequestClass[1 + random.nextInt(3)];
             for (int i = 0; i < classes.length; i++) {
@@ -80,24 +80,24 @@
             policy.onEndpoints(now, EndpointListKind.COMPLETE, list);
         }
 
-        /** Plays the day with traffic that takes a part of what the replicas can read. */
-        void play(double load) {
+        /** Runs the simulation with traffic that needs the given fraction of the capacity of the replicas. */
+        void run(double load) {
             double mean = SECOND * MEAN_PROMPT / (load * replicas * TOKENS_PER_SECOND);
-            long end = now + DAY;
+            long end = now + DURATION;
             for (long at = now; at < end; at += (long) (-mean * Math.log(1 - random.nextDouble()))) {
-                events.add(new Due(at, this::ask));
+                events.add(new ScheduledEvent(at, this::submit));
             }
             while (!events.isEmpty() && now < end + 2 * DEADLINE) {
-                Due next = events.poll();
+                ScheduledEvent next = events.poll();
                 now = Math.max(now, next.at);
                 next.event.run();
             }
         }
 
-        private void ask() {
+        private void submit() {
             double tokens = SHORTEST_PROMPT * Math.pow(LONGEST_PROMPT / SHORTEST_PROMPT, random.nextDouble());
             String id = "r" + all.size();
-            Asked asked = new Asked(new RoutingRequest(
+            TrackedRequest tracked = new TrackedRequest(new RoutingRequest(
                     id,
                     random.nextInt(classes.length),
                     0,
@@ -111,75 +111,75 @@
                     false,
                     false,
                     false));
-            all.add(asked);
-            open.put(id, asked);
-            policy.onRequest(now, asked.request);
+            all.add(tracked);
+            open.put(id, tracked);
+            policy.onRequest(now, tracked.request);
         }
 
         @Override
-        public void sendAttempt(String id, String server, long timeout) {
+        public void sendAttempt(String id, String replica, long timeout) {
             long sentAt = now;
             RoutingRequest r = open.get(id).request;
-            long begins = Math.max(now, freeAt.getOrDefault(server, 0L));
-            long read = begins + (long) (SECOND * r.promptTokens() / TOKENS_PER_SECOND);
-            if (read < r.deadline()) {
-                freeAt.put(server, read);
-                events.add(new Due(read, () -> served(id, sentAt)));
+            long startsAt = Math.max(now, freeAt.getOrDefault(replica, 0L));
+            long finishesAt = startsAt + (long) (SECOND * r.promptTokens() / TOKENS_PER_SECOND);
+            if (finishesAt < r.deadline()) {
+                freeAt.put(replica, finishesAt);
+                events.add(new ScheduledEvent(finishesAt, () -> finish(id, sentAt)));
             } else {
-                // A replica drops what nobody waits for any more before it has read it.
-                freeAt.put(server, Math.min(read, Math.max(begins, r.deadline())));
-                events.add(new Due(r.deadline(), () -> outcome(id, AttemptOutcome.TIMEOUT, sentAt)));
+                // A replica drops a request whose deadline has passed before its prompt is processed.
+                freeAt.put(replica, Math.min(finishesAt, Math.max(startsAt, r.deadline())));
+                events.add(new ScheduledEvent(r.deadline(), () -> end(id, AttemptOutcome.TIMEOUT, sentAt)));
             }
         }
 
-        private void served(String id, long sentAt) {
+        private void finish(String id, long sentAt) {
             open.get(id).answered = true;
             policy.onStreamStarted(now, id, 0, now - sentAt);
-            outcome(id, AttemptOutcome.OK, sentAt);
+            end(id, AttemptOutcome.OK, sentAt);
         }
 
-        private void outcome(String id, AttemptOutcome outcome, long sentAt) {
+        private void end(String id, AttemptOutcome outcome, long sentAt) {
             open.remove(id);
             policy.onAttemptEnded(now, id, 0, outcome, now - sentAt, true, -1, null);
         }
 
         @Override
         public void setTimer(long at, long token) {
-            events.add(new Due(at, () -> policy.onTimer(now, token)));
+            events.add(new ScheduledEvent(at, () -> policy.onTimer(now, token)));
         }
 
-        /** The answered part of the longest prompts of a class over that of the whole class. */
-        double longestAgainstAll(int cls) {
-            List<Asked> ofClass = new ArrayList<>(all);
-            ofClass.removeIf(a -> a.request.classIndex() != cls);
-            ofClass.sort(Comparator.comparingDouble(a -> -a.request.promptTokens()));
-            int longest = ofClass.size() / (ofClass.size() < MANY_REQUESTS ? 4 : 10);
+        /** Returns the answered fraction of the longest prompts of a class relative to that of the whole class. */
+        double longestRelativeToAll(int classIndex) {
+            List<TrackedRequest> ofClass = new ArrayList<>(all);
+            ofClass.removeIf(r -> r.request.classIndex() != classIndex);
+            ofClass.sort(Comparator.comparingDouble(r -> -r.request.promptTokens()));
+            int longest = ofClass.size() / (ofClass.size() < LARGE_CLASS ? 4 : 10);
             return answered(ofClass.subList(0, longest)) / answered(ofClass);
         }
 
-        private static double answered(List<Asked> some) {
-            return (double) some.stream().filter(a -> a.answered).count() / some.size();
+        private static double answered(List<TrackedRequest> requests) {
+            return (double) requests.stream().filter(r -> r.answered).count() / requests.size();
         }
     }
 
-    private static void longestPromptsGet(double least, double load) {
+    private static void assertLongestPromptsGet(double minRatio, double load) {
         for (int seed = 1; seed <= DEPLOYMENTS; seed++) {
-            Day day = new Day(seed);
-            day.play(load);
-            for (int cls = 0; cls < day.classes.length; cls++) {
-                double part = day.longestAgainstAll(cls);
-                assertTrue(part >= least, "seed " + seed + ", class " + cls + ": " + part);
+            Simulation simulation = new Simulation(seed);
+            simulation.run(load);
+            for (int classIndex = 0; classIndex < simulation.classes.length; classIndex++) {
+                double ratio = simulation.longestRelativeToAll(classIndex);
+                assertTrue(ratio >= minRatio, "seed " + seed + ", class " + classIndex + ": " + ratio);
             }
         }
     }
 
     @Test
-    void onAQuietDayTheLongestPromptsGetTwoThirdsOfTheirClassesShare() {
-        longestPromptsGet(2.0 / 3, 0.45);
+    void atLowLoadTheLongestPromptsGetTwoThirdsOfTheirClassesShare() {
+        assertLongestPromptsGet(2.0 / 3, 0.45);
     }
 
     @Test
     void underOverloadTheLongestPromptsGetHalfOfTheirClassesShare() {
-        longestPromptsGet(0.5, 1.2);
+        assertLongestPromptsGet(0.5, 1.2);
     }
 }
--- a/src/test/java/magpiehub/routing/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -1,9 +1,9 @@
 package magpiehub.routing;
 
-/** A host that carries nothing out; tests override what they look at. */
+/** A host that ignores all actions; tests override the actions that they examine. */
 public class QuietActions implements RoutingActions {
     @Override
-    public void sendAttempt(String id, String server, long timeout) {}
+    public void sendAttempt(String id, String replica, long timeout) {}
 
     @Override
     public void cancelAttempt(String id, int attempt) {}
@@ -21,7 +21,7 @@
     public void setTimer(long at, long token) {}
 
     @Override
-    public void sendHealthCheck(String server) {}
+    public void sendHealthCheck(String replica) {}
 
     @Override
     public void migrateStream(String id) {}
@@ -33,7 +33,7 @@
     public void unwatchEndpoints() {}
 
     @Override
-    public void closeIdleConnections(String server) {}
+    public void closeIdleConnections(String replica) {}
 
     @Override
     public void sendToPeer(int peer, byte[] payload) {}
--- a/src/test/java/magpiehub/routing/RandomEventsTest.java
+++ b/src/test/java/magpiehub/routing/RandomEventsTest.java
@@ -14,16 +14,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Seeded random events over many settings, with the rules checked after each action. */
+/** Feeds seeded random events under many settings and checks the rules for each action. */
 class RandomEventsTest {
     private static final long SECOND = RoutingPolicyFixture.SECOND;
 
-    /** A host that draws events and checks every action. */
-    private static final class World extends QuietActions {
-        private static final class Job {
+    /** A host that draws random events and checks every action. */
+    private static final class CheckingHost extends QuietActions {
+        private static final class TrackedRequest {
             RoutingRequest request;
             RequestClass requestClass;
-            boolean over;
+            boolean finished;
             final List<String> replicas = new ArrayList<>();
             final List<Long> sentAt = new ArrayList<>();
             final List<AttemptOutcome> ended = new ArrayList<>();
@@ -37,18 +37,18 @@
         final Random random;
         final RoutingSettings settings;
         final RoutingPolicy policy;
-        final Map<String, Job> jobs = new HashMap<>();
-        final List<Job> live = new ArrayList<>();
-        final Map<String, Endpoint> known = new HashMap<>();
+        final Map<String, TrackedRequest> trackedRequests = new HashMap<>();
+        final List<TrackedRequest> unfinished = new ArrayList<>();
+        final Map<String, Endpoint> currentEndpoints = new HashMap<>();
         final Set<String> everListed = new HashSet<>();
-        final Map<String, Integer> coldSends = new HashMap<>();
+        final Map<String, Integer> sendsToStartedReplicas = new HashMap<>();
         final List<Long> timers = new ArrayList<>();
         long now = SECOND;
         int requests;
         int sends;
-        int finals;
+        int finalAnswers;
 
-        World(long seed) {
+        CheckingHost(long seed) {
             random = new Random(seed);
             List<RequestClass> classes = new ArrayList<>();
             for (int i = 0; i < 1 + random.nextInt(4); i++) {
@@ -78,79 +78,83 @@
         }
 
         @Override
-        public void sendAttempt(String id, String server, long timeout) {
-            Job job = jobs.get(id);
-            assertNotNull(job, "sent what it did not get");
-            assertFalse(job.over, "sent after the final answer");
-            assertTrue(everListed.contains(server), "sent to a server never listed");
-            Endpoint endpoint = known.get(server);
+        public void sendAttempt(String id, String replica, long timeout) {
+            TrackedRequest tracked = trackedRequests.get(id);
+            assertNotNull(tracked, "sent an unknown request");
+            assertFalse(tracked.finished, "sent after the final answer");
+            assertTrue(everListed.contains(replica), "sent to a replica that was never listed");
+            Endpoint endpoint = currentEndpoints.get(replica);
             assertTrue(
-                    endpoint != null && endpoint.state() == EndpointState.LIVE, "sent to a draining or missing server");
-            assertTrue(job.replicas.size() < settings.limits().maxAttempts());
-            assertTrue(settings.limits().allowsParallelAttempts() || job.open() == 0, "two at once");
-            for (int i = 0; i < job.replicas.size(); i++) {
-                AttemptOutcome outcome = job.ended.get(i);
-                if (job.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                    endpoint != null && endpoint.state() == EndpointState.LIVE,
+                    "sent to a draining or missing replica");
+            assertTrue(tracked.replicas.size() < settings.limits().maxAttempts());
+            assertTrue(settings.limits().allowsParallelAttempts() || tracked.open() == 0, "two attempts in parallel");
+            for (int i = 0; i < tracked.replicas.size(); i++) {
+                AttemptOutcome outcome = tracked.ended.get(i);
+                if (tracked.requestClass.idempotency() == Idempotency.IDEMPOTENT
                         || (outcome != null && outcome.wasNeverExecuted())) {
                     continue;
                 }
                 assertEquals(
                         Idempotency.IDEMPOTENT_WITH_KEY,
-                        job.requestClass.idempotency(),
-                        "a side effect may happen twice");
-                assertTrue(now - job.sentAt.get(i) <= job.requestClass.deduplicationWindow(), "outside the window");
-                Endpoint was = everKnown.get(job.replicas.get(i));
+                        tracked.requestClass.idempotency(),
+                        "a request that is not idempotent may be executed twice");
                 assertTrue(
-                        job.requestClass.deduplicationScope() == DeduplicationScope.ALL
-                                || (job.requestClass.deduplicationScope() == DeduplicationScope.ZONE
-                                        && was.zone() == endpoint.zone())
-                                || (job.requestClass.deduplicationScope() == DeduplicationScope.CELL
-                                        && was.cell() == endpoint.cell()),
-                        "outside the group");
+                        now - tracked.sentAt.get(i) <= tracked.requestClass.deduplicationWindow(),
+                        "after the deduplication window");
+                Endpoint earlier = lastEndpoints.get(tracked.replicas.get(i));
+                assertTrue(
+                        tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL
+                                || (tracked.requestClass.deduplicationScope() == DeduplicationScope.ZONE
+                                        && earlier.zone() == endpoint.zone())
+                                || (tracked.requestClass.deduplicationScope() == DeduplicationScope.CELL
+                                        && earlier.cell() == endpoint.cell()),
+                        "outside the deduplication scope");
             }
             if (endpoint.startedAt() > 0
                     && now - endpoint.startedAt() < settings.guarantees().overloadWindow()) {
-                coldSends.merge(server + "@" + endpoint.startedAt(), 1, Integer::sum);
+                sendsToStartedReplicas.merge(replica + "@" + endpoint.startedAt(), 1, Integer::sum);
             }
-            job.replicas.add(server);
-            job.sentAt.add(now);
-            job.ended.add(null);
+            tracked.replicas.add(replica);
+            tracked.sentAt.add(now);
+            tracked.ended.add(null);
             sends++;
         }
 
-        private final Map<String, Endpoint> everKnown = new HashMap<>();
+        private final Map<String, Endpoint> lastEndpoints = new HashMap<>();
 
-        private void over(String id, boolean refused) {
-            Job job = jobs.get(id);
-            assertNotNull(job);
-            assertFalse(job.over, "two final answers");
-            for (int i = 0; refused && i < job.replicas.size(); i++) {
+        private void finished(String id, boolean rejected) {
+            TrackedRequest tracked = trackedRequests.get(id);
+            assertNotNull(tracked);
+            assertFalse(tracked.finished, "two final answers");
+            for (int i = 0; rejected && i < tracked.replicas.size(); i++) {
                 assertTrue(
-                        job.requestClass.idempotency() == Idempotency.IDEMPOTENT
-                                || (job.ended.get(i) != null && job.ended.get(i).wasNeverExecuted())
-                                || (job.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                        && job.requestClass.deduplicationScope() == DeduplicationScope.ALL),
-                        "refused what may have run");
+                        tracked.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                                || (tracked.ended.get(i) != null
+                                        && tracked.ended.get(i).wasNeverExecuted())
+                                || (tracked.requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                        && tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL),
+                        "rejected a request that may have been executed");
             }
-            assertEquals(-1, job.streamingAttempt, "ended a stream that runs");
-            job.over = true;
-            finals++;
+            assertEquals(-1, tracked.streamingAttempt, "ended a running stream");
+            tracked.finished = true;
+            finalAnswers++;
         }
 
         @Override
         public void reject(String id, long retryAfter) {
-            over(id, true);
+            finished(id, true);
         }
 
         @Override
         public void fail(String id) {
-            over(id, false);
+            finished(id, false);
         }
 
         @Override
         public void cancelAttempt(String id, int attempt) {
             assertTrue(settings.limits().allowsCancellation()
-                    && attempt < jobs.get(id).replicas.size());
+                    && attempt < trackedRequests.get(id).replicas.size());
         }
 
         @Override
@@ -159,33 +163,33 @@
         }
 
         @Override
-        public void sendHealthCheck(String server) {
-            assertTrue(settings.limits().allowsHealthChecks() && everListed.contains(server));
+        public void sendHealthCheck(String replica) {
+            assertTrue(settings.limits().allowsHealthChecks() && everListed.contains(replica));
         }
 
         @Override
         public void watchEndpoints() {
             assertTrue(settings.subscribesToEndpoints());
-            answers.add(now + random.nextInt(2_000_000));
+            watchAnswers.add(now + random.nextInt(2_000_000));
         }
 
-        private final List<Long> answers = new ArrayList<>();
+        private final List<Long> watchAnswers = new ArrayList<>();
 
         @Override
         public void migrateStream(String id) {
-            throw new AssertionError("not allowed here");
+            throw new AssertionError("not allowed by these settings");
         }
 
         @Override
         public void sendToPeer(int peer, byte[] payload) {
-            throw new AssertionError("not allowed here");
+            throw new AssertionError("not allowed by these settings");
         }
 
         private void list() {
             List<Endpoint> endpoints = new ArrayList<>();
             EndpointListKind kind = EndpointListKind.values()[random.nextInt(4)];
             if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
-                known.clear();
+                currentEndpoints.clear();
             }
             for (int i = random.nextInt(12); i > 0 && kind != EndpointListKind.ERROR; i--) {
                 String id = "s" + random.nextInt(12);
@@ -202,8 +206,8 @@
                         random.nextDouble() * 2,
                         random.nextInt(8) == 0 ? now : 0);
                 endpoints.add(endpoint);
-                known.put(id, endpoint);
-                everKnown.put(id, endpoint);
+                currentEndpoints.put(id, endpoint);
+                lastEndpoints.put(id, endpoint);
                 everListed.add(id);
             }
             policy.onEndpoints(now, kind, endpoints);
@@ -221,10 +225,10 @@
                 list();
             }
             if (random.nextInt(3) > 0) {
-                Job job = new Job();
+                TrackedRequest tracked = new TrackedRequest();
                 int classIndex = random.nextInt(settings.classes().size());
-                job.requestClass = settings.classes().get(classIndex);
-                job.request = new RoutingRequest(
+                tracked.requestClass = settings.classes().get(classIndex);
+                tracked.request = new RoutingRequest(
                         "q" + requests++,
                         classIndex,
                         random.nextInt(3),
@@ -238,44 +242,44 @@
                         false,
                         false,
                         false);
-                jobs.put(job.request.id(), job);
-                live.add(job);
-                policy.onRequest(now, job.request);
+                trackedRequests.put(tracked.request.id(), tracked);
+                unfinished.add(tracked);
+                policy.onRequest(now, tracked.request);
             }
-            for (int k = random.nextInt(4); k > 0 && !live.isEmpty(); k--) {
-                advance(live.get(random.nextInt(live.size())));
+            for (int k = random.nextInt(4); k > 0 && !unfinished.isEmpty(); k--) {
+                advance(unfinished.get(random.nextInt(unfinished.size())));
             }
-            for (Job job : new ArrayList<>(live)) {
-                if (now >= job.request.deadline() && !job.over && job.streamingAttempt < 0) {
-                    for (int i = 0; i < job.replicas.size(); i++) {
-                        if (job.ended.get(i) == null) {
-                            end(job, i, AttemptOutcome.TIMEOUT);
+            for (TrackedRequest tracked : new ArrayList<>(unfinished)) {
+                if (now >= tracked.request.deadline() && !tracked.finished && tracked.streamingAttempt < 0) {
+                    for (int i = 0; i < tracked.replicas.size(); i++) {
+                        if (tracked.ended.get(i) == null) {
+                            end(tracked, i, AttemptOutcome.TIMEOUT);
                         }
                     }
-                    assertTrue(job.over, "no answer at the deadline");
+                    assertTrue(tracked.finished, "no answer at the deadline");
                 }
-                if (job.over && job.open() == 0) {
-                    live.remove(job);
+                if (tracked.finished && tracked.open() == 0) {
+                    unfinished.remove(tracked);
                 }
             }
         }
 
-        private void advance(Job job) {
-            for (int i = 0; i < job.replicas.size(); i++) {
-                if (job.ended.get(i) != null || random.nextInt(3) == 0) {
+        private void advance(TrackedRequest tracked) {
+            for (int i = 0; i < tracked.replicas.size(); i++) {
+                if (tracked.ended.get(i) != null || random.nextInt(3) == 0) {
                     continue;
                 }
-                if (job.streamingAttempt < 0 && !job.over && random.nextInt(3) > 0) {
-                    job.streamingAttempt = i;
-                    policy.onStreamStarted(now, job.request.id(), i, now - job.sentAt.get(i));
-                } else if (job.streamingAttempt < 0 && !job.over && random.nextInt(10) == 0) {
-                    job.over = true;
-                    policy.onClientDisconnected(now, job.request.id());
+                if (tracked.streamingAttempt < 0 && !tracked.finished && random.nextInt(3) > 0) {
+                    tracked.streamingAttempt = i;
+                    policy.onStreamStarted(now, tracked.request.id(), i, now - tracked.sentAt.get(i));
+                } else if (tracked.streamingAttempt < 0 && !tracked.finished && random.nextInt(10) == 0) {
+                    tracked.finished = true;
+                    policy.onClientDisconnected(now, tracked.request.id());
                 } else {
                     end(
-                            job,
+                            tracked,
                             i,
-                            job.streamingAttempt == i
+                            tracked.streamingAttempt == i
                                     ? random.nextInt(8) == 0 ? AttemptOutcome.RESET : AttemptOutcome.OK
                                     : AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)]);
                 }
@@ -283,43 +287,46 @@
             }
         }
 
-        private void end(Job job, int i, AttemptOutcome outcome) {
-            AttemptOutcome told = job.over && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
-            job.ended.set(i, told);
-            boolean settles = told == AttemptOutcome.OK || job.streamingAttempt == i;
-            job.over |= settles;
-            if (settles) {
-                job.streamingAttempt = -1;
+        private void end(TrackedRequest tracked, int i, AttemptOutcome outcome) {
+            AttemptOutcome reported =
+                    tracked.finished && outcome == AttemptOutcome.OK ? AttemptOutcome.CANCELLED : outcome;
+            tracked.ended.set(i, reported);
+            boolean isSettled = reported == AttemptOutcome.OK || tracked.streamingAttempt == i;
+            tracked.finished |= isSettled;
+            if (isSettled) {
+                tracked.streamingAttempt = -1;
             }
-            policy.onAttemptEnded(now, job.request.id(), i, told, now - job.sentAt.get(i), job.over, 0, null);
+            policy.onAttemptEnded(
+                    now, tracked.request.id(), i, reported, now - tracked.sentAt.get(i), tracked.finished, 0, null);
         }
     }
 
     @Test
-    void rulesHoldOverManySettings() {
+    void rulesHoldUnderManySettings() {
         int sends = 0;
-        int finals = 0;
+        int finalAnswers = 0;
         for (long seed = 1; seed <= 150; seed++) {
-            World world = new World(seed);
+            CheckingHost host = new CheckingHost(seed);
             for (int i = 0; i < 1500; i++) {
-                world.step();
+                host.step();
             }
-            world.coldSends.forEach((who, n) -> assertTrue(n <= 12, who + " got " + n + " in its first moments"));
-            sends += world.sends;
-            finals += world.finals;
+            host.sendsToStartedReplicas.forEach((replicaStart, n) ->
+                    assertTrue(n <= 12, replicaStart + " got " + n + " attempts in its first window"));
+            sends += host.sends;
+            finalAnswers += host.finalAnswers;
         }
-        assertTrue(sends > 30_000 && finals > 10_000, sends + " sends, " + finals + " refused or failed");
+        assertTrue(sends > 30_000 && finalAnswers > 10_000, sends + " sends, " + finalAnswers + " rejected or failed");
     }
 
     @Test
-    void sameEventsSameActions() {
-        World a = new World(77);
-        World b = new World(77);
+    void sameEventsLeadToSameActions() {
+        CheckingHost a = new CheckingHost(77);
+        CheckingHost b = new CheckingHost(77);
         for (int i = 0; i < 3000; i++) {
             a.step();
             b.step();
         }
         assertEquals(a.sends, b.sends);
-        a.jobs.forEach((id, job) -> assertEquals(job.replicas, b.jobs.get(id).replicas));
+        a.trackedRequests.forEach((id, tracked) -> assertEquals(tracked.replicas, b.trackedRequests.get(id).replicas));
     }
 }
--- a/src/test/java/magpiehub/routing/RandomSettings.java
+++ b/src/test/java/magpiehub/routing/RandomSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws routing settings, and reloads of them, from a source of randomness that the caller shares. */
+/** Draws random routing settings and reloads of them from a generator that the caller shares. */
 final class RandomSettings {
     private static final long SECOND = RoutingPolicyFixture.SECOND;
 
@@ -14,7 +14,7 @@
         this.random = random;
     }
 
-    /** Settings of a site. */
+    /** Draws the settings of a site. */
     RoutingSettings draw() {
         int zones = 1 + random.nextInt(4);
         List<RequestClass> classes = new ArrayList<>();
@@ -25,7 +25,7 @@
                 ? List.of()
                 : List.of(new Tenant("first", 0.5, 1 + random.nextInt(20)), new Tenant("second", 0.5, 0));
         int instances = 1 + random.nextInt(random.nextBoolean() ? 4 : 60);
-        boolean priced = random.nextInt(4) == 0;
+        boolean connectionsCost = random.nextInt(4) == 0;
         return new RoutingSettings(
                 random.nextInt(instances),
                 instances,
@@ -46,7 +46,7 @@
                         1 + 3 * random.nextDouble(),
                         0.1 + 0.5 * random.nextDouble(),
                         SECOND / 2),
-                new RoutingCosts(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, priced ? 0.01 : 0, 0));
+                new RoutingCosts(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, connectionsCost ? 0.01 : 0, 0));
     }
 
     private RequestClass drawClass(String name) {
@@ -78,7 +78,7 @@
                 SECOND / 4);
     }
 
-    /** A reload: classes and tenants keep their places, limits and costs change, a class may be added. */
+    /** Draws a reload: classes and tenants keep their indexes, limits and costs change, a class may be added. */
     RoutingSettings drawReload(RoutingSettings current) {
         RoutingSettings other = draw();
         List<RequestClass> classes = new ArrayList<>(current.classes());
--- a/src/test/java/magpiehub/routing/ReplicaSelectorTest.java
+++ b/src/test/java/magpiehub/routing/ReplicaSelectorTest.java
@@ -10,23 +10,23 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where requests go by their keys, and when a key leaves its place. */
+/** Tests which replicas get the requests of a key, and when a key moves. */
 class ReplicaSelectorTest {
     @Test
     void knownSessionStaysAndNewOnesSpread() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
-        Map<Long, String> at = new HashMap<>();
+        Map<Long, String> replicaByKey = new HashMap<>();
         for (long k = 1; k <= 64; k++) {
-            at.put(k, router.serve(0, k));
+            replicaByKey.put(k, router.serve(0, k));
         }
-        assertTrue(new HashSet<>(at.values()).size() >= 7, "new keys spread over the fleet");
+        assertTrue(new HashSet<>(replicaByKey.values()).size() >= 7, "new keys spread over the fleet");
         for (long k = 1; k <= 64; k++) {
-            assertEquals(at.get(k), router.serve(0, k), "a known key stays");
+            assertEquals(replicaByKey.get(k), router.serve(0, k), "a known key stays");
         }
     }
 
     @Test
-    void routersBeginAtTheSameReplica() {
+    void routersSelectTheSameReplicaForAKey() {
         RoutingPolicyFixture firstRouter =
                 new RoutingPolicyFixture(RoutingPolicyFixture.settings(2)).list(replicaNames(8));
         RoutingPolicyFixture secondRouter =
@@ -40,17 +40,17 @@
     }
 
     @Test
-    void prefixAndSessionIdsAreApart() {
+    void prefixAndSessionIdsAreIndependent() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(16));
         int same = 0;
         for (long k = 1; k <= 40; k++) {
             same += router.serve(k, 0).equals(router.serve(0, k)) ? 1 : 0;
         }
-        assertTrue(same < 20, "the two id spaces share no mapping");
+        assertTrue(same < 20, "the same id maps to different replicas as prefix and as session");
     }
 
     @Test
-    void requestsWithNoIdsGoRoundTheFleet() {
+    void requestsWithoutKeysAreSpreadOverTheFleet() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(4));
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < 40; i++) {
@@ -70,26 +70,27 @@
                 router.endAttempt(id, AttemptOutcome.FULL);
             }
         }
-        assertEquals(home, router.replicaOf(router.submit(0, 7)), "full a moment ago, but its tokens are there");
+        assertEquals(
+                home, router.replicaOf(router.submit(0, 7)), "the replica was at capacity, but has the tokens cached");
         String id = router.submit(0, 8);
         router.endAttempt(id, AttemptOutcome.FULL);
-        assertEquals(1, router.attemptCounts.get(id), "no retry of full");
+        assertEquals(1, router.attemptCounts.get(id), "a rejection for lack of capacity is not retried");
     }
 
-    /** While the fleet is overloaded, a key stays where its tokens are cached, unless few are found cached. */
+    /** While the fleet is overloaded, a key stays at its replica unless few tokens are found cached. */
     @Test
     void anOverloadedFleetMovesKeysOnlyIfFewTokensAreCached() {
         assertEquals(true, staysWhileOverloaded(900));
         assertEquals(false, staysWhileOverloaded(100));
     }
 
-    private static boolean staysWhileOverloaded(long kept) {
+    private static boolean staysWhileOverloaded(long cachedTokens) {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(8));
         String home = router.serve(0, 7);
         for (int i = 0; i < 12; i++) {
             String id = router.submit(0, 100 + i);
-            router.startStream(id, 1_100_000); // Late, as all are.
-            router.serveWithCachedTokens(id, kept);
+            router.startStream(id, 1_100_000); // Late, like all first tokens here.
+            router.serveWithCachedTokens(id, cachedTokens);
         }
         assertEquals(home, router.replicaOf(router.submit(0, 7)));
         router.advance(410_000);
--- a/src/test/java/magpiehub/routing/RetryPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RetryPolicyTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts are repeated, and where. */
+/** Tests which attempts are retried, and where. */
 class RetryPolicyTest {
     @Test
     void fullAndFailedConnectionsFailOver() {
@@ -37,17 +37,20 @@
         router.endAttempt(id, AttemptOutcome.FULL);
         assertEquals(2, router.attemptCounts.get(id));
         router.endAttempt(id, AttemptOutcome.RESET);
-        assertEquals(2, router.attemptCounts.get(id), "it may have run");
-        assertEquals("failed", router.finalAnswers.get(id), "and may not be refused");
+        assertEquals(2, router.attemptCounts.get(id), "it may have been executed");
+        assertEquals("failed", router.finalAnswers.get(id), "a request that may have been executed is not rejected");
     }
 
-    /** What may be repeated, where, after which outcome, and how a request ends: all effects by all outcomes,
-     *  with deadlines from the shortest. A row names what a second attempt keeps to, and the last word. */
+    /**
+     * Tests for every idempotency and outcome, with short and long deadlines, whether and where an attempt is retried
+     * and what the final answer is. A row contains the replicas that a second attempt may go to after a possible
+     * execution, and the final answer after it.
+     */
     @Test
     void idempotencyByOutcome() {
         Object[][] rows = {
-            {Idempotency.IDEMPOTENT, DeduplicationScope.ALL, "anywhere", "refused"},
-            {Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL, "anywhere", "refused"},
+            {Idempotency.IDEMPOTENT, DeduplicationScope.ALL, "anywhere", "rejected"},
+            {Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL, "anywhere", "rejected"},
             {Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE, "zone", "failed"},
             {Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL, "cell", "failed"},
             {Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, "nowhere", "failed"},
@@ -70,49 +73,58 @@
     }
 
     private static void checkRetries(
-            Idempotency effect,
-            DeduplicationScope group,
-            String keeps,
-            String last,
+            Idempotency idempotency,
+            DeduplicationScope scope,
+            String allowedScope,
+            String finalAnswer,
             AttemptOutcome outcome,
             long deadline) {
-        String what = effect + " " + group + " " + outcome + " " + deadline;
+        String description = idempotency + " " + scope + " " + outcome + " " + deadline;
         RoutingPolicyFixture router = new RoutingPolicyFixture(
-                RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(effect, group)));
+                RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(idempotency, scope)));
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             list.add(new Endpoint("s" + i, i % 2, 0, i % 4, EndpointState.LIVE, 1, 0));
         }
         router.policy.onEndpoints(router.now, EndpointListKind.COMPLETE, list);
-        int repeated = 0;
+        int retried = 0;
         for (int n = 0; n < 24; n++) {
             String id = "x" + n;
             router.policy.onRequest(
                     router.now,
                     new RoutingRequest(
                             id, 0, 0, n + 1, 0, router.now + deadline, 0, 1000, 0, 100, false, false, false));
-            assertEquals(1, router.attemptCounts.get(id), what + ": one attempt, and none beside it");
+            assertEquals(1, router.attemptCounts.get(id), description + ": one attempt, none in parallel");
             int first = Integer.parseInt(router.replicaOf(id).substring(1));
             router.now += 10_000;
             router.endAttempt(id, outcome);
-            boolean mayHaveRun = !outcome.wasNeverExecuted();
+            boolean mayHaveBeenExecuted = !outcome.wasNeverExecuted();
             if (router.attemptCounts.get(id) > 1) {
-                repeated++;
-                assertEquals(2, router.attemptCounts.get(id), what);
+                retried++;
+                assertEquals(2, router.attemptCounts.get(id), description);
                 int second = Integer.parseInt(router.replicaOf(id).substring(1));
-                assertTrue(!mayHaveRun || !keeps.equals("nowhere"), what + " may have run");
-                assertTrue(!mayHaveRun || !keeps.equals("zone") || first % 2 == second % 2, what + ": zone");
-                assertTrue(!mayHaveRun || !keeps.equals("cell") || first % 4 == second % 4, what + ": cell");
+                assertTrue(
+                        !mayHaveBeenExecuted || !allowedScope.equals("nowhere"),
+                        description + " may have been executed");
+                assertTrue(
+                        !mayHaveBeenExecuted || !allowedScope.equals("zone") || first % 2 == second % 2,
+                        description + ": zone");
+                assertTrue(
+                        !mayHaveBeenExecuted || !allowedScope.equals("cell") || first % 4 == second % 4,
+                        description + ": cell");
                 router.now += 10_000;
                 router.endAttempt(id, AttemptOutcome.CANCELLED);
             }
-            String word = mayHaveRun || router.attemptCounts.get(id) > 1 ? last : "refused";
-            assertEquals(word, router.finalAnswers.get(id), what + " after " + router.attemptCounts.get(id));
+            String expectedAnswer = mayHaveBeenExecuted || router.attemptCounts.get(id) > 1 ? finalAnswer : "rejected";
+            assertEquals(
+                    expectedAnswer,
+                    router.finalAnswers.get(id),
+                    description + " after " + router.attemptCounts.get(id));
             router.advance(4 * SECOND);
         }
-        boolean again =
-                outcome != AttemptOutcome.CANCELLED && !(keeps.equals("nowhere") && !outcome.wasNeverExecuted());
-        assertEquals(again, repeated > 0, what + ": repeated " + repeated);
+        boolean expectsRetry =
+                outcome != AttemptOutcome.CANCELLED && !(allowedScope.equals("nowhere") && !outcome.wasNeverExecuted());
+        assertEquals(expectsRetry, retried > 0, description + ": number of retries: " + retried);
     }
 
     @Test
@@ -127,13 +139,16 @@
                         endpointInCell("c", 2), endpointInCell("d", 2)));
         for (long k = 1; k < 20; k++) {
             String id = router.submit(0, k);
-            boolean low = router.replicaOf(id).compareTo("b") <= 0;
+            boolean isFirstCell = router.replicaOf(id).compareTo("b") <= 0;
             router.endAttempt(id, AttemptOutcome.RESET);
             if (router.attemptCounts.get(id) == 2) {
-                assertEquals(low, router.replicaOf(id).compareTo("b") <= 0, "same cell");
+                assertEquals(isFirstCell, router.replicaOf(id).compareTo("b") <= 0, "same cell");
                 router.endAttempt(id, AttemptOutcome.RESET);
             }
-            assertEquals("failed", router.finalAnswers.get(id), "only group all may be refused once it may have run");
+            assertEquals(
+                    "failed",
+                    router.finalAnswers.get(id),
+                    "only requests with scope ALL may be rejected after a possible execution");
             router.advance(SECOND);
         }
     }
@@ -151,6 +166,6 @@
         router.advance(3 * SECOND);
         router.endAttempt(id, AttemptOutcome.RESET);
         assertEquals(1, router.attemptCounts.get(id));
-        assertEquals("refused", router.finalAnswers.get(id));
+        assertEquals("rejected", router.finalAnswers.get(id));
     }
 }
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** A routing policy under test with its host: feeds events and records actions. Times are in microseconds. */
+/** A routing policy under test and its host, which reports events and records actions. Times are in microseconds. */
 public final class RoutingPolicyFixture implements RoutingActions {
     public static final long SECOND = 1_000_000;
 
     /** An attempt that was sent. */
-    record Sent(String id, String server, long at, long timeout) {}
+    record Sent(String id, String replica, long at, long timeout) {}
 
     final List<Sent> sent = new ArrayList<>();
     final Map<String, Integer> attemptCounts = new HashMap<>();
     final Map<String, String> finalAnswers = new HashMap<>();
-    final List<String> probedReplicas = new ArrayList<>();
+    final List<String> checkedReplicas = new ArrayList<>();
     final List<String> cancelledAttempts = new ArrayList<>();
     final List<String> closedConnections = new ArrayList<>();
     final List<String> migratedStreams = new ArrayList<>();
@@ -25,7 +25,7 @@
     long now = SECOND;
     final RoutingSettings settings;
     final RoutingPolicy policy;
-    private int ids;
+    private int requestCount;
 
     RoutingPolicyFixture(RoutingSettings settings) {
         this(settings, new ConnectFailureZoneHealth());
@@ -36,8 +36,8 @@
         policy = new RoutingPolicy(settings, 42, this, now, zones);
     }
 
-    public static RequestClass requestClass(Idempotency effect, DeduplicationScope group) {
-        return new RequestClass("c", effect, group, 3 * SECOND, true, SECOND, 0, 0, 4 * SECOND, 60_000, 1, 0.3);
+    public static RequestClass requestClass(Idempotency idempotency, DeduplicationScope scope) {
+        return new RequestClass("c", idempotency, scope, 3 * SECOND, true, SECOND, 0, 0, 4 * SECOND, 60_000, 1, 0.3);
     }
 
     public static RoutingSettings settings(int instances, RequestClass... classes) {
@@ -45,7 +45,11 @@
     }
 
     public static RoutingSettings settings(
-            int instances, boolean parallel, boolean subscribe, List<Tenant> tenants, RequestClass... classes) {
+            int instances,
+            boolean allowsParallelAttempts,
+            boolean subscribes,
+            List<Tenant> tenants,
+            RequestClass... classes) {
         List<RequestClass> requestClasses = classes.length == 0
                 ? List.of(requestClass(Idempotency.IDEMPOTENT, DeduplicationScope.ALL))
                 : List.of(classes);
@@ -54,13 +58,13 @@
                 instances,
                 0,
                 2,
-                subscribe,
+                subscribes,
                 false,
                 WeightMeaning.NONE,
                 0.1,
                 requestClasses,
                 tenants,
-                new RoutingLimits(true, true, false, parallel, true, 6, 1000, 2 * SECOND, SECOND / 4),
+                new RoutingLimits(true, true, false, allowsParallelAttempts, true, 6, 1000, 2 * SECOND, SECOND / 4),
                 new Guarantees(20_000, 10 * SECOND, 20 * SECOND, 2 * SECOND, 2.5, 0.12, SECOND / 2),
                 new RoutingCosts(0.03, 0.05, 0.002, 0.03, 0, 0));
     }
@@ -69,26 +73,26 @@
         return new Endpoint(id, 0, 0, 0, EndpointState.LIVE, 1, 0);
     }
 
-    public static Endpoint endpoint(String id, EndpointState state, long online) {
-        return new Endpoint(id, 0, 0, 0, state, 1, online);
+    public static Endpoint endpoint(String id, EndpointState state, long startedAt) {
+        return new Endpoint(id, 0, 0, 0, state, 1, startedAt);
     }
 
-    public RoutingPolicyFixture list(String... ids) {
-        List<Endpoint> l = new ArrayList<>();
-        for (String id : ids) {
-            l.add(endpoint(id));
+    public RoutingPolicyFixture list(String... replicaIds) {
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (String id : replicaIds) {
+            endpoints.add(endpoint(id));
         }
-        policy.onEndpoints(now, EndpointListKind.COMPLETE, l);
+        policy.onEndpoints(now, EndpointListKind.COMPLETE, endpoints);
         return this;
     }
 
-    /** Sends a request in; returns its id. */
+    /** Submits a request; returns its id. */
     String submit(long prefix, long session) {
         return submit(0, 0, prefix, session);
     }
 
     String submit(int classIndex, int tenant, long prefix, long session) {
-        String id = "r" + ids++;
+        String id = "r" + requestCount++;
         policy.onRequest(
                 now,
                 new RoutingRequest(
@@ -108,11 +112,11 @@
         return id;
     }
 
-    /** The replica that the newest attempt of a request went to; null if it was not sent. */
+    /** Returns the replica that the latest attempt of a request was sent to; null if there was none. */
     String replicaOf(String id) {
         for (int i = sent.size() - 1; i >= 0; i--) {
             if (sent.get(i).id.equals(id)) {
-                return sent.get(i).server;
+                return sent.get(i).replica;
             }
         }
         return null;
@@ -123,47 +127,48 @@
     }
 
     void endAttempt(String id, AttemptOutcome outcome) {
-        boolean ok = outcome == AttemptOutcome.OK;
-        if (ok) {
+        boolean served = outcome == AttemptOutcome.OK;
+        if (served) {
             finalAnswers.merge(id, "ok", (a, b) -> a + "," + b);
         }
-        policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, outcome, 50_000, ok, 800, null);
+        policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, outcome, 50_000, served, 800, null);
     }
 
-    /** Serves a request whose replica found so many prompt tokens cached. */
+    /** Ends the latest attempt of a request with a complete answer and a number of cached prompt tokens. */
     void serveWithCachedTokens(String id, long tokens) {
         finalAnswers.merge(id, "ok", (a, b) -> a + "," + b);
         policy.onAttemptEnded(now, id, attemptCounts.get(id) - 1, AttemptOutcome.OK, 50_000, true, tokens, null);
     }
 
-    /** A request from start to end; returns where it was served. */
+    /** Submits a request and serves it completely; returns its replica. */
     String serve(long prefix, long session) {
         String id = submit(prefix, session);
-        String at = replicaOf(id);
+        String replica = replicaOf(id);
         startStream(id, 50_000);
         endAttempt(id, AttemptOutcome.OK);
-        return at;
+        return replica;
     }
 
-    void advance(long us) {
-        long end = now + us;
+    /** Advances the clock in steps of 100 ms and fires the timers that are due. */
+    void advance(long micros) {
+        long end = now + micros;
         while (now < end) {
             now = Math.min(end, now + 100_000);
-            List<Long> due = new ArrayList<>(timers);
+            List<Long> pending = new ArrayList<>(timers);
             timers.clear();
-            for (long t : due) {
-                if (t <= now) {
+            for (long time : pending) {
+                if (time <= now) {
                     policy.onTimer(now, 1);
                 } else {
-                    timers.add(t);
+                    timers.add(time);
                 }
             }
         }
     }
 
     @Override
-    public void sendAttempt(String id, String server, long timeout) {
-        sent.add(new Sent(id, server, now, timeout));
+    public void sendAttempt(String id, String replica, long timeout) {
+        sent.add(new Sent(id, replica, now, timeout));
         attemptCounts.merge(id, 1, Integer::sum);
     }
 
@@ -174,7 +179,7 @@
 
     @Override
     public void reject(String id, long retryAfter) {
-        finalAnswers.merge(id, "refused", (a, b) -> a + "," + b);
+        finalAnswers.merge(id, "rejected", (a, b) -> a + "," + b);
     }
 
     @Override
@@ -193,8 +198,8 @@
     }
 
     @Override
-    public void sendHealthCheck(String server) {
-        probedReplicas.add(server);
+    public void sendHealthCheck(String replica) {
+        checkedReplicas.add(replica);
     }
 
     @Override
@@ -204,22 +209,22 @@
 
     @Override
     public void fetchEndpoints() {
-        throw new AssertionError("the module never fetches");
+        throw new AssertionError("the policy must not fetch endpoint lists");
     }
 
     @Override
     public void unwatchEndpoints() {
-        throw new AssertionError("the module never gives its subscription up");
+        throw new AssertionError("the policy must not close its watch");
     }
 
     @Override
-    public void closeIdleConnections(String server) {
-        closedConnections.add(server);
+    public void closeIdleConnections(String replica) {
+        closedConnections.add(replica);
     }
 
     @Override
     public void sendToPeer(int peer, byte[] payload) {
-        throw new AssertionError("the module has no peers");
+        throw new AssertionError("the policy must not send peer messages");
     }
 
     @Override
@@ -227,8 +232,8 @@
         logs.add(text);
     }
 
-    // ---- Fixtures that several tests share ------------------------------------------------------------
-    /** The ids of so many replicas. */
+    // ---- Shared fixtures --------------------------------------------------------------------------------
+    /** Returns the ids of {@code count} replicas. */
     static String[] replicaNames(int count) {
         String[] names = new String[count];
         for (int i = 0; i < count; i++) {
@@ -237,12 +242,12 @@
         return names;
     }
 
-    /** A replica of a weight; even ones are in zone 0, odd ones in zone 1. */
-    static Endpoint endpointOfSize(int i, double weight) {
-        return new Endpoint("10.0.0." + i + ":9000", i % 2, 0, 0, EndpointState.LIVE, weight, 0);
+    /** Returns an endpoint with a weight; even indexes are in zone 0, odd ones in zone 1. */
+    static Endpoint endpointOfSize(int index, double weight) {
+        return new Endpoint("10.0.0." + index + ":9000", index % 2, 0, 0, EndpointState.LIVE, weight, 0);
     }
 
-    /** A router where crossing zones and keeping connections have a price. */
+    /** Creates a router where traffic between zones and connections have a cost. */
     static RoutingPolicyFixture withCosts(
             int instanceIndex, int instanceCount, double crossZone, double connection, WeightMeaning weights) {
         RoutingSettings defaults = settings(instanceCount);
@@ -262,7 +267,7 @@
                 new RoutingCosts(crossZone, 0, 0, 0, connection, 0)));
     }
 
-    /** Serves traffic of many sessions so that shares of traffic are believed. */
+    /** Serves requests of many sessions, so that shares of traffic are reliable. */
     static void serveManySessions(RoutingPolicyFixture router) {
         for (long session = 1; session <= 500; session++) {
             router.serve(0, 100_000 + session);
@@ -275,7 +280,7 @@
         return new LoadReport(absent, queue, absent, latencyMs, absent, 0, absent, absent);
     }
 
-    /** Serves a request's first attempt, which brings a load report. */
+    /** Serves a request's first attempt, whose answer contains a load report. */
     static void serveWithReport(RoutingPolicyFixture router, String id, LoadReport load) {
         router.startStream(id, 50_000);
         router.policy.onAttemptEnded(router.now, id, 0, AttemptOutcome.OK, 50_000, true, 800, load);
--- a/src/test/java/magpiehub/routing/RoutingPolicyTest.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyTest.java
@@ -9,15 +9,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The path of a request through the policy, and how each request ends. */
+/** Tests the path of a request through the policy, and its final answer. */
 class RoutingPolicyTest {
-    /** A retry that was allowed when its request came is not any more; a new class behind the old is
-     * served. */
+    /** A reload lowers the number of attempts of a request in flight and appends a class. */
     @Test
-    void newSettingsBindFromTheNextDecision() {
+    void newSettingsApplyFromTheNextDecision() {
         RoutingSettings settings = RoutingPolicyFixture.settings(1);
         RoutingPolicyFixture router = new RoutingPolicyFixture(settings).list(replicaNames(4));
-        String under = router.submit(0, 0);
+        String requestBeforeReload = router.submit(0, 0);
         RequestClass strict = new RequestClass(
                 "c",
                 Idempotency.NOT_IDEMPOTENT,
@@ -57,35 +56,35 @@
                                 limits.connectTimeout()),
                         settings.guarantees(),
                         settings.costs()));
-        router.endAttempt(under, AttemptOutcome.RESET);
-        assertEquals(2, router.attemptCounts.get(under), "its own class may be repeated");
-        router.endAttempt(under, AttemptOutcome.RESET);
-        assertEquals(2, router.attemptCounts.get(under), "two attempts are the most now");
-        assertEquals("refused", router.finalAnswers.get(under));
-        String fresh = router.submit(1, 0, 0, 0);
-        router.endAttempt(fresh, AttemptOutcome.RESET);
-        assertEquals(1, router.attemptCounts.get(fresh), "the stricter class is never repeated");
-        assertEquals("failed", router.finalAnswers.get(fresh));
+        router.endAttempt(requestBeforeReload, AttemptOutcome.RESET);
+        assertEquals(2, router.attemptCounts.get(requestBeforeReload), "its own class may be retried");
+        router.endAttempt(requestBeforeReload, AttemptOutcome.RESET);
+        assertEquals(2, router.attemptCounts.get(requestBeforeReload), "the new settings allow two attempts");
+        assertEquals("rejected", router.finalAnswers.get(requestBeforeReload));
+        String requestAfterReload = router.submit(1, 0, 0, 0);
+        router.endAttempt(requestAfterReload, AttemptOutcome.RESET);
+        assertEquals(1, router.attemptCounts.get(requestAfterReload), "the new class is never retried");
+        assertEquals("failed", router.finalAnswers.get(requestAfterReload));
         router.advance(SECOND);
     }
 
-    /** Its client has stopped waiting: an attempt could only waste a replica's work. */
+    /** The client no longer waits for the answer, so an attempt would only waste a replica's capacity. */
     @Test
-    void aRequestWithoutTimeLeftIsRejectedAndNotSent() {
+    void expiredRequestIsRejectedAndNotSent() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(4));
-        for (long late : new long[] {0, 1, SECOND}) {
-            String id = "late" + late;
+        for (long lateness : new long[] {0, 1, SECOND}) {
+            String id = "late" + lateness;
             router.policy.onRequest(
                     router.now,
-                    new RoutingRequest(id, 0, 0, 7, 0, router.now - late, 0, 1000, 800, 100, false, false, false));
-            assertEquals("refused", router.finalAnswers.get(id));
+                    new RoutingRequest(id, 0, 0, 7, 0, router.now - lateness, 0, 1000, 800, 100, false, false, false));
+            assertEquals("rejected", router.finalAnswers.get(id));
             assertNull(router.replicaOf(id));
         }
     }
 
-    /** More attempts, and attempts in parallel, are for requests that come after the reload. */
+    /** A reload that allows more attempts and parallel attempts applies only to requests that arrive after it. */
     @Test
-    void aRequestKeepsTheLimitsThatItCameUnder() {
+    void requestKeepsTheLimitsOfItsArrival() {
         RoutingSettings wide = RoutingPolicyFixture.settings(1, true, false, List.of());
         RoutingLimits limits = wide.limits();
         RoutingLimits narrow = new RoutingLimits(
@@ -113,38 +112,41 @@
                         wide.guarantees(),
                         wide.costs()))
                 .list(replicaNames(8));
-        String under = router.submit(0, 0);
+        String requestBeforeReload = router.submit(0, 0);
         router.policy.onSettings(router.now, wide);
-        router.endAttempt(under, AttemptOutcome.RESET);
-        router.endAttempt(under, AttemptOutcome.RESET);
-        assertEquals(2, router.attemptCounts.get(under));
-        assertEquals("refused", router.finalAnswers.get(under));
-        String fresh = router.submit(0, 0);
-        router.endAttempt(fresh, AttemptOutcome.RESET);
-        router.endAttempt(fresh, AttemptOutcome.RESET);
-        assertEquals(3, router.attemptCounts.get(fresh), "the new limit holds for what comes now");
+        router.endAttempt(requestBeforeReload, AttemptOutcome.RESET);
+        router.endAttempt(requestBeforeReload, AttemptOutcome.RESET);
+        assertEquals(2, router.attemptCounts.get(requestBeforeReload));
+        assertEquals("rejected", router.finalAnswers.get(requestBeforeReload));
+        String requestAfterReload = router.submit(0, 0);
+        router.endAttempt(requestAfterReload, AttemptOutcome.RESET);
+        router.endAttempt(requestAfterReload, AttemptOutcome.RESET);
+        assertEquals(
+                3,
+                router.attemptCounts.get(requestAfterReload),
+                "the new limit applies to requests that arrive after the reload");
     }
 
     @Test
-    void aRequestIsRejectedAtOnceWhereThereIsNoReplica() {
+    void requestIsRejectedImmediatelyWithoutReplicas() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1));
         String id = router.submit(1, 1);
         assertNull(router.replicaOf(id));
-        assertEquals("refused", router.finalAnswers.get(id));
+        assertEquals("rejected", router.finalAnswers.get(id));
     }
 
     @Test
-    void everyAttemptFailingEndsInOneAnswer() {
+    void requestWhoseAttemptsAllFailGetsOneAnswer() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(6));
         String id = router.submit(0, 7);
         for (int i = 0; i < 10 && router.finalAnswers.get(id) == null; i++) {
             router.endAttempt(id, AttemptOutcome.FULL);
         }
-        assertEquals("refused", router.finalAnswers.get(id));
+        assertEquals("rejected", router.finalAnswers.get(id));
     }
 
     @Test
-    void eventsForTheUnknownAreIgnored() {
+    void eventsOfUnknownRequestsAndReplicasAreIgnored() {
         RoutingPolicyFixture router = new RoutingPolicyFixture(RoutingPolicyFixture.settings(1)).list(replicaNames(2));
         router.policy.onStreamStarted(router.now, "x", 0, 1);
         router.policy.onAttemptEnded(router.now, "x", 0, AttemptOutcome.OK, 1, true, 0, null);
--- a/src/test/java/magpiehub/routing/ColdFleetTest.java
+++ b/src/test/java/magpiehub/routing/SlowStartFleetTest.java
@@ -10,42 +10,43 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Routers in virtual time and replicas that warm up: what all routers together send to one of them. */
-class ColdFleetTest {
+/** Simulates routers in virtual time and checks description all of them together send to a warming replica. */
+class SlowStartFleetTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
     private static final long WARM_UP = 9 * SECOND;
     private static final long OVERLOAD_WINDOW = SECOND;
     private static final double OVERLOAD_FACTOR = 4;
     private static final double INITIAL_CAPACITY = 0.3;
-    /** The part of the warm replicas' capacity that the traffic takes. */
+    /** Fraction of the warm replicas' capacity that the traffic needs. */
     private static final double LOAD = 0.6;
 
-    private record Planned(long at, Runnable what) {}
+    private record ScheduledEvent(long at, Runnable event) {}
 
+    /** The fleet, its routers and their traffic in virtual time. */
     private static final class Fleet {
         final SplittableRandom random;
         final List<Router> routers = new ArrayList<>();
         final List<Endpoint> replicas = new ArrayList<>();
         final Map<String, List<Long>> sent = new HashMap<>();
-        final PriorityQueue<Planned> agenda = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
         final double[] shares;
         final double requestsPerSecond;
         final List<Long> sessions = new ArrayList<>();
         long now = 100 * SECOND;
-        int ids;
+        int requestCount;
 
-        Fleet(int count, int engines, double requestsPerSecond, boolean even, long seed) {
+        Fleet(int count, int replicaCount, double requestsPerSecond, boolean even, long seed) {
             random = new SplittableRandom(seed);
             this.requestsPerSecond = requestsPerSecond;
             shares = new double[count];
             double sum = 0;
             for (int i = 0; i < count; i++) {
-                // Some get several times the mean, most get little.
+                // Uneven shares: few routers get several times the mean, most get little.
                 shares[i] = even ? 1 : 1.0 / (1 + i);
                 sum += shares[i];
             }
-            for (int i = 0; i < engines; i++) {
+            for (int i = 0; i < replicaCount; i++) {
                 replicas.add(new Endpoint("10.1.0." + i + ":" + seed, i % 2, 0, 0, EndpointState.LIVE, 1, 0));
             }
             for (int i = 0; i < count; i++) {
@@ -58,11 +59,11 @@
             return requestsPerSecond / replicas.size();
         }
 
-        void run(long us) {
-            for (long end = now + us; now < end; ) {
+        void run(long micros) {
+            for (long end = now + micros; now < end; ) {
                 now += STEP;
-                while (!agenda.isEmpty() && agenda.peek().at <= now) {
-                    agenda.poll().what.run();
+                while (!eventQueue.isEmpty() && eventQueue.peek().at <= now) {
+                    eventQueue.poll().event.run();
                 }
                 routers.forEach(Router::step);
                 for (double x = requestsPerSecond * STEP / SECOND; x > 0; x--) {
@@ -78,9 +79,9 @@
         }
 
         private long newSession() {
-            long s = random.nextLong();
-            sessions.add(s);
-            return s;
+            long session = random.nextLong();
+            sessions.add(session);
+            return session;
         }
 
         void submit(long session, boolean continuation) {
@@ -92,24 +93,28 @@
             routers.get(i).submit(session, continuation);
         }
 
-        /** Replicas restart, all routers get the list within a moment, and some of those restart as well. */
-        void restartReplicas(int count, boolean restarts) {
+        /**
+         * Restarts replicas; all routers get the new list within 300 ms, and optionally some routers restart as well.
+         */
+        void restartReplicas(int count, boolean restartsRouters) {
             for (int i = 0; i < count; i++) {
-                Endpoint w = replicas.get(i);
-                replicas.set(i, new Endpoint(w.id(), w.zone(), 0, 0, EndpointState.LIVE, 1, now));
+                Endpoint endpoint = replicas.get(i);
+                replicas.set(i, new Endpoint(endpoint.id(), endpoint.zone(), 0, 0, EndpointState.LIVE, 1, now));
             }
             List<Endpoint> list = List.copyOf(replicas);
             for (Router r : routers) {
-                agenda.add(new Planned(
+                eventQueue.add(new ScheduledEvent(
                         now + random.nextLong(300_000),
                         () -> r.policy.onEndpoints(now, EndpointListKind.COMPLETE, list)));
-                if (restarts && random.nextInt(10) < 7) {
-                    agenda.add(new Planned(now + 300_000 + random.nextLong(2 * SECOND), () -> r.start(list)));
+                if (restartsRouters && random.nextInt(10) < 7) {
+                    eventQueue.add(
+                            new ScheduledEvent(now + 300_000 + random.nextLong(2 * SECOND), () -> r.start(list)));
                 }
             }
         }
     }
 
+    /** A router whose attempts start after 60 ms and end after 500 ms; a few fail. */
     private static final class Router extends QuietActions {
         final Fleet fleet;
         final int instanceIndex;
@@ -161,7 +166,7 @@
         }
 
         void submit(long session, long prefix, boolean continuation) {
-            String id = "r" + fleet.ids++;
+            String id = "r" + fleet.requestCount++;
             RoutingRequest r = new RoutingRequest(
                     id, 0, 0, session, prefix, fleet.now + 4 * SECOND, 0, 1000, 0, 100, false, false, continuation);
             open.put(id, r);
@@ -174,22 +179,22 @@
             int n = attemptCounts.merge(id, 1, Integer::sum) - 1;
             RoutingPolicy recipient = policy;
             RoutingRequest r = open.get(id);
-            int how = fleet.random.nextInt(100);
-            if (how < 4) { // Fails, and is tried elsewhere.
-                AttemptOutcome outcome = how < 2 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-                fleet.agenda.add(new Planned(
+            int draw = fleet.random.nextInt(100);
+            if (draw < 4) { // Fails and is retried elsewhere.
+                AttemptOutcome outcome = draw < 2 ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
+                fleet.eventQueue.add(new ScheduledEvent(
                         fleet.now + 20_000,
                         () -> recipient.onAttemptEnded(fleet.now, id, n, outcome, 20_000, false, -1, null)));
                 return;
             }
-            fleet.agenda.add(
-                    new Planned(fleet.now + 60_000, () -> recipient.onStreamStarted(fleet.now, id, n, 60_000)));
-            boolean breaks = how < 8;
-            fleet.agenda.add(new Planned(fleet.now + 500_000, () -> {
+            fleet.eventQueue.add(
+                    new ScheduledEvent(fleet.now + 60_000, () -> recipient.onStreamStarted(fleet.now, id, n, 60_000)));
+            boolean breaks = draw < 8;
+            fleet.eventQueue.add(new ScheduledEvent(fleet.now + 500_000, () -> {
                 recipient.onAttemptEnded(
                         fleet.now, id, n, breaks ? AttemptOutcome.RESET : AttemptOutcome.OK, 500_000, true, 800, null);
                 if (breaks) {
-                    fleet.submit(r.sessionId(), true); // Its client asks for the rest.
+                    fleet.submit(r.sessionId(), true); // The client continues the stream.
                 }
             }));
         }
@@ -200,76 +205,80 @@
         }
     }
 
-    /** The capacity that is promised for an age, as a part of a warm replica's. */
+    /** Returns the guaranteed capacity at an age, as a fraction of a warm replica's. */
     private static double capacity(long age) {
         return Math.min(1, INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * age / WARM_UP);
     }
 
-    /** In every window that the rule looks at: the budget, and twice its root and two for chance. */
-    private static void assertWithinBudget(Fleet fleet, String replica, long since, String what) {
-        List<Long> at = fleet.sent.getOrDefault(replica, List.of());
-        for (int from = 0, to = 0; from < at.size(); from++) {
-            if (at.get(from) < since) {
+    /** Checks the limit in every window, with a margin for chance of twice its square root plus two. */
+    private static void assertWithinLimit(Fleet fleet, String replica, long since, String description) {
+        List<Long> sentAt = fleet.sent.getOrDefault(replica, List.of());
+        for (int from = 0, to = 0; from < sentAt.size(); from++) {
+            if (sentAt.get(from) < since) {
                 continue;
             }
-            while (to < at.size() && at.get(to) < at.get(from) + OVERLOAD_WINDOW) {
+            while (to < sentAt.size() && sentAt.get(to) < sentAt.get(from) + OVERLOAD_WINDOW) {
                 to++;
             }
             double n = OVERLOAD_FACTOR
-                    * capacity(at.get(from) - since)
+                    * capacity(sentAt.get(from) - since)
                     * fleet.requestsPerReplica()
                     / LOAD
                     * OVERLOAD_WINDOW
                     / SECOND;
             assertTrue(
                     to - from <= n + 2 * Math.sqrt(n) + 2,
-                    what + ": " + (to - from) + " in a window that allows " + n + ", " + (at.get(from) - since) / 1000
-                            + " ms after the start");
+                    description + ": " + (to - from) + " in a window that allows " + n + ", "
+                            + (sentAt.get(from) - since) / 1000 + " ms after the start");
         }
         long last = since;
-        for (long t : at) {
-            // Of chance alone, one in three thousand times of this length has none.
+        for (long t : sentAt) {
+            // By chance alone, one in three thousand intervals of this length has no request.
             assertTrue(
                     t - last <= 8 * SECOND / (INITIAL_CAPACITY * fleet.requestsPerReplica()),
-                    what + ": unused for " + (t - last) / 1000 + " ms");
+                    description + ": unused for " + (t - last) / 1000 + " ms");
             last = t;
         }
     }
 
+    /** Returns the attempts that a warming replica gets by its capacity during its warm-up. */
     private static double fairShare(Fleet fleet) {
         return fleet.requestsPerReplica() * (INITIAL_CAPACITY + 1) / 2 * WARM_UP / SECOND;
     }
 
     @Test
-    void theSumOfAllRoutersStaysWithinTheBudget() {
+    void allRoutersTogetherStayWithinTheLimit() {
         for (int routers : new int[] {3, 12, 30, 100}) {
-            double got = 0;
-            double due = 0;
+            double sent = 0;
+            double expected = 0;
             for (int seed = 1; seed <= 20; seed++) {
-                int engines = routers <= 12 ? 12 : 48;
-                Fleet fleet = new Fleet(routers, engines, 6.0 * engines, seed % 2 == 0, seed);
+                int replicaCount = routers <= 12 ? 12 : 48;
+                Fleet fleet = new Fleet(routers, replicaCount, 6.0 * replicaCount, seed % 2 == 0, seed);
                 fleet.run(15 * SECOND);
                 fleet.sent.clear();
                 long since = fleet.now;
-                int cold = seed % 4 < 2 ? 1 : engines * 2 / 5;
-                fleet.restartReplicas(cold, seed % 3 == 0);
+                int warming = seed % 4 < 2 ? 1 : replicaCount * 2 / 5;
+                fleet.restartReplicas(warming, seed % 3 == 0);
                 fleet.run(WARM_UP);
-                for (int i = 0; i < cold; i++) {
+                for (int i = 0; i < warming; i++) {
                     String id = fleet.replicas.get(i).id();
-                    assertWithinBudget(fleet, id, since, routers + " routers, seed " + seed + ", " + cold + " cold");
-                    got += fleet.sent.getOrDefault(id, List.of()).size();
-                    due += fairShare(fleet);
+                    assertWithinLimit(
+                            fleet, id, since, routers + " routers, seed " + seed + ", " + warming + " warming");
+                    sent += fleet.sent.getOrDefault(id, List.of()).size();
+                    expected += fairShare(fleet);
                 }
             }
-            assertTrue(got >= 0.6 * due, routers + " routers send cold servers " + got / due + " of their due");
+            assertTrue(
+                    sent >= 0.6 * expected,
+                    routers + " routers send warming replicas " + sent / expected + " of their fair share");
         }
     }
 
-    /** Little and uneven traffic: no router sends any one replica a request in ten seconds. */
+    /** With little and uneven traffic, a router sends a single replica less than one request in ten seconds. */
     @Test
-    void routersThatSendLittleUseAColdServerTogether() {
-        double got = 0;
-        double due = 0;
+    void routersWithLittleTrafficUseAWarmingReplicaTogether() {
+        double sent = 0;
+        double expected = 0;
         for (int seed = 1; seed <= 20; seed++) {
             Fleet fleet = new Fleet(100, 60, 70, seed % 2 == 0, seed);
             fleet.run(15 * SECOND);
@@ -278,28 +287,31 @@
             fleet.restartReplicas(24, false);
             fleet.run(WARM_UP);
             for (int i = 0; i < 24; i++) {
-                assertWithinBudget(fleet, fleet.replicas.get(i).id(), since, "seed " + seed);
-                got += fleet.sent
+                assertWithinLimit(fleet, fleet.replicas.get(i).id(), since, "seed " + seed);
+                sent += fleet.sent
                         .getOrDefault(fleet.replicas.get(i).id(), List.of())
                         .size();
-                due += fairShare(fleet);
+                expected += fairShare(fleet);
             }
         }
-        assertTrue(got >= 0.6 * due, "of their due: " + got / due);
+        assertTrue(sent >= 0.6 * expected, "fraction of the fair share: " + sent / expected);
     }
 
-    /** The hard case: thirty routers that send one warming replica their first requests in one moment,
-     *  since no other is left, or since all of them have the first requests of one new prefix. */
+    /**
+     * The worst case: thirty routers send their first requests to one warming replica at the same time, because no
+     * other replica is left or because all of them get the first requests of the same new prefix.
+     */
     @Test
     void firstRequestsOfThirtyRoutersInOneWindow() {
         for (int seed = 1; seed <= 20; seed++) {
             for (long after : new long[] {100_000, 2 * SECOND, 5 * SECOND, 8 * SECOND}) {
                 for (boolean prefix : new boolean[] {false, true}) {
-                    // With two a second each, keys are spread by session or not: either on half of the seeds.
+                    // With two requests per second per router keys are not spread by session, with the lower rate they
+                    // are; half of the seeds use each.
                     Fleet fleet = new Fleet(30, 12, seed % 2 == 0 ? 60 : 40, true, seed);
                     fleet.run(40 * SECOND);
-                    String cold = fleet.replicas.get(0).id();
-                    long key = prefix ? prefixPlacedAt(fleet, cold) : 0;
+                    String warming = fleet.replicas.get(0).id();
+                    long key = prefix ? prefixPlacedAt(fleet, warming) : 0;
                     long since = fleet.now;
                     fleet.restartReplicas(1, false);
                     fleet.run(400_000);
@@ -307,13 +319,13 @@
                     List<Endpoint> one = new ArrayList<>();
                     for (Endpoint s : fleet.replicas) {
                         one.add(
-                                s.id().equals(cold)
+                                s.id().equals(warming)
                                         ? s
                                         : new Endpoint(
                                                 s.id(), s.zone(), 0, 0, EndpointState.DRAINING, 1, s.startedAt()));
                     }
                     fleet.sent.clear();
-                    fleet.agenda.clear();
+                    fleet.eventQueue.clear();
                     for (Router r : fleet.routers) {
                         if (!prefix) {
                             r.policy.onEndpoints(fleet.now, EndpointListKind.CHANGES, one);
@@ -321,23 +333,23 @@
                         r.submit(fleet.newSession(), key, false);
                         r.submit(fleet.newSession(), key, false);
                     }
-                    int n = fleet.sent.getOrDefault(cold, List.of()).size();
-                    double may = OVERLOAD_FACTOR
+                    int n = fleet.sent.getOrDefault(warming, List.of()).size();
+                    double limit = OVERLOAD_FACTOR
                             * capacity(fleet.now - since)
                             * fleet.requestsPerReplica()
                             / LOAD
                             * OVERLOAD_WINDOW
                             / SECOND;
                     assertTrue(
-                            n <= may + 2 * Math.sqrt(may) + 2,
-                            n + " at once, " + may + " allowed " + (fleet.now - since) / 1000
+                            n <= limit + 2 * Math.sqrt(limit) + 2,
+                            n + " at the same time, " + limit + " allowed " + (fleet.now - since) / 1000
                                     + " ms after the start, seed " + seed + ", prefix " + prefix);
                 }
             }
         }
     }
 
-    /** A prefix that routers of both zones place at a replica first. */
+    /** Returns a prefix that routers of both zones assign to the replica. */
     private static long prefixPlacedAt(Fleet fleet, String replica) {
         for (long key = 1; key < 5000; key++) {
             fleet.sent.clear();
@@ -347,6 +359,6 @@
                 return key;
             }
         }
-        throw new AssertionError("no prefix leads to " + replica);
+        throw new AssertionError("no prefix is assigned to " + replica);
     }
 }
--- a/src/test/java/magpiehub/routing/TenantQuotasTest.java
+++ b/src/test/java/magpiehub/routing/TenantQuotasTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are beyond their tenant's quota. */
+/** Tests which requests are over their tenant's quota. */
 class TenantQuotasTest {
     private static TenantQuotas quotas(int instances, Tenant... tenants) {
         return new TenantQuotas(
@@ -23,20 +23,20 @@
     }
 
     @Test
-    void aBucketHoldsTwoSecondsAndTwoMore() {
+    void bucketHoldsTheTokensOfTwoSecondsAndTwoMore() {
         TenantQuotas quotas = quotas(1, new Tenant("t", 1, 5));
         assertEquals(12, withinQuota(quotas, 0, 100, 60 * SECOND));
         assertEquals(5, withinQuota(quotas, 0, 100, 61 * SECOND));
     }
 
     @Test
-    void eachRouterCountsItsPart() {
+    void eachRouterAppliesItsShareOfAQuota() {
         TenantQuotas quotas = quotas(10, new Tenant("t", 1, 5));
         assertEquals(3, withinQuota(quotas, 0, 100, 60 * SECOND));
     }
 
     @Test
-    void unknownTenantsAndThoseWithoutAQuotaAreNeverOver() {
+    void unknownTenantsAndTenantsWithoutAQuotaAreNeverOverQuota() {
         TenantQuotas quotas = quotas(1, new Tenant("t", 1, 0));
         assertFalse(quotas.isOverQuota(0, SECOND));
         assertFalse(quotas.isOverQuota(-1, SECOND));
--- a/src/test/java/magpiehub/routing/ZoneHealthTest.java
+++ b/src/test/java/magpiehub/routing/ZoneHealthTest.java
@@ -11,53 +11,53 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** How the policy serves a ZoneHealth that plans for the loss of a zone. */
+/** Tests how the policy drives a {@link ZoneHealth} that plans for the loss of a zone. */
 class ZoneHealthTest {
-    /** Zones that stand as the test says. */
+    /** A zone health whose state the test sets. */
     private static final class ScriptedZones implements ZoneHealth {
-        final double[] share = {1, 1};
-        final long[] shut = {Long.MAX_VALUE, Long.MAX_VALUE};
+        final double[] acceptedFraction = {1, 1};
+        final long[] closedSince = {Long.MAX_VALUE, Long.MAX_VALUE};
         final List<String> evidence = new ArrayList<>();
-        int checks;
-        boolean tries;
+        int dueHealthChecks;
+        boolean trialDue;
 
         @Override
         public void setZoneCount(int zones) {}
 
         @Override
-        public void recordEvidence(long now, int zone, String replica, ZoneEvidence sign, long took, double ratio) {
-            evidence.add(replica + " " + sign);
+        public void recordEvidence(long now, int zone, String replica, ZoneEvidence kind, long took, double ratio) {
+            evidence.add(replica + " " + kind);
         }
 
         @Override
         public void forgetReplica(String replica) {
-            evidence.add(replica + " fresh");
+            evidence.add(replica + " forgotten");
         }
 
         @Override
         public void setReplicaCount(long now, int zone, int live) {}
 
         @Override
-        public boolean accepts(long now, int zone, double place) {
-            return place < share[zone];
+        public boolean accepts(long now, int zone, double position) {
+            return position < acceptedFraction[zone];
         }
 
         @Override
         public long closedSince(int zone) {
-            return shut[zone];
+            return closedSince[zone];
         }
 
         @Override
         public boolean acquireTrial(long now, int zone) {
-            boolean t = tries && shut[zone] != Long.MAX_VALUE;
-            tries &= !t;
-            return t;
+            boolean isTrial = trialDue && closedSince[zone] != Long.MAX_VALUE;
+            trialDue &= !isTrial;
+            return isTrial;
         }
 
         @Override
         public int acquireHealthChecks(int zone) {
-            int n = zone == 1 ? checks : 0;
-            checks -= n;
+            int n = zone == 1 ? dueHealthChecks : 0;
+            dueHealthChecks -= n;
             return n;
         }
 
@@ -67,15 +67,15 @@
         }
 
         void closeSecondZone(long now) {
-            share[1] = 0;
-            shut[1] = now;
+            acceptedFraction[1] = 0;
+            closedSince[1] = now;
         }
     }
 
     private final ScriptedZones zones = new ScriptedZones();
     private RoutingPolicyFixture router = router(true);
 
-    private RoutingPolicyFixture router(boolean probes) {
+    private RoutingPolicyFixture router(boolean allowsHealthChecks) {
         RoutingSettings settings = RoutingPolicyFixture.settings(1, true, true, List.of());
         RoutingLimits limits = settings.limits();
         RoutingPolicyFixture fixture = new RoutingPolicyFixture(
@@ -92,7 +92,7 @@
                         List.of(),
                         new RoutingLimits(
                                 limits.allowsCancellation(),
-                                probes,
+                                allowsHealthChecks,
                                 false,
                                 false,
                                 true,
@@ -111,7 +111,7 @@
         return fixture;
     }
 
-    /** A request that went to the second zone. */
+    /** Submits requests until one is sent to the second zone; returns its id. */
     private String requestInSecondZone() {
         for (int i = 1; i < 200; i++) {
             String id = router.submit(0, i * 7919L);
@@ -121,43 +121,45 @@
             router.startStream(id, 50_000);
             router.endAttempt(id, AttemptOutcome.OK);
         }
-        throw new AssertionError("nothing goes there");
+        throw new AssertionError("no request was sent to the second zone");
     }
 
     @Test
-    void whatWaitsAtALostZoneIsGivenUpAndGoesElsewhereAtOnce() {
+    void attemptsAtALostZoneAreCancelledAndRetriedElsewhere() {
         String id = requestInSecondZone();
         zones.closeSecondZone(router.now + 1);
         router.advance(100_000);
-        assertEquals(List.of(id + "/0"), router.cancelledAttempts, "given up once");
+        assertEquals(List.of(id + "/0"), router.cancelledAttempts, "cancelled once");
         router.endAttempt(id, AttemptOutcome.CANCELLED);
         assertTrue(router.replicaOf(id).startsWith("a"), router.replicaOf(id));
         assertNull(router.finalAnswers.get(id));
     }
 
-    /** An attempt that is stopped before its first byte since its replica drains tells nothing of its
-     *  zone. */
+    /** An attempt that is stopped before its first byte because its replica drains is no evidence about its zone. */
     @Test
-    void aReplicaThatDrainsUnderAnAttemptIsNoSignOfALostZone() {
+    void connectFailureAtADrainingReplicaIsNoZoneEvidence() {
         String id = requestInSecondZone();
-        String at = router.replicaOf(id);
+        String replica = router.replicaOf(id);
         zones.evidence.clear();
         router.policy.onEndpoints(
-                router.now, EndpointListKind.CHANGES, List.of(new Endpoint(at, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
+                router.now,
+                EndpointListKind.CHANGES,
+                List.of(new Endpoint(replica, 1, 0, 0, EndpointState.DRAINING, 1, 0)));
         router.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
-        assertEquals(List.of(at + " fresh"), zones.evidence, "only that it is another one now");
-        assertNotEquals(at, router.replicaOf(id), "the request goes elsewhere");
+        assertEquals(
+                List.of(replica + " forgotten"), zones.evidence, "only the evidence about the replica is discarded");
+        assertNotEquals(replica, router.replicaOf(id), "the request is retried elsewhere");
     }
 
     @Test
-    void whatTheHostCancelledByItselfIsNotTriedAgain() {
+    void attemptCancelledByTheHostIsNotRetried() {
         String id = requestInSecondZone();
         router.endAttempt(id, AttemptOutcome.CANCELLED);
-        assertEquals("refused", router.finalAnswers.get(id));
+        assertEquals("rejected", router.finalAnswers.get(id));
     }
 
     @Test
-    void aStreamThatHasBegunAtALostZoneIsLeftAlone() {
+    void startedStreamAtALostZoneIsNotCancelled() {
         String id = requestInSecondZone();
         router.startStream(id, 50_000);
         zones.closeSecondZone(router.now + 1);
@@ -166,7 +168,7 @@
     }
 
     @Test
-    void silenceIsToldOnceWhileItLasts() {
+    void silenceIsReportedOnce() {
         String id = requestInSecondZone();
         router.advance(3 * RoutingPolicyFixture.SECOND);
         assertEquals(
@@ -177,9 +179,9 @@
     }
 
     @Test
-    void aZoneTakesTheSamePartOfTheConversationsAtEachStepAndMoreLater() {
+    void recoveringZoneKeepsItsConversationsAndGetsMore() {
         Set<Long> before = new HashSet<>();
-        zones.share[1] = 0.25;
+        zones.acceptedFraction[1] = 0.25;
         for (long session = 1; session <= 200; session++) {
             if (router.serve(0, session * 7919).startsWith("b")) {
                 before.add(session);
@@ -189,58 +191,59 @@
             assertEquals(
                     before.contains(session),
                     router.serve(0, session * 7919).startsWith("b"),
-                    "its next turn goes where it was");
+                    "the next turn of a conversation goes to the same zone");
         }
-        zones.share[1] = 1;
+        zones.acceptedFraction[1] = 1;
         Set<Long> later = new HashSet<>();
-        RoutingPolicyFixture fresh = router(true);
+        RoutingPolicyFixture other = router(true);
         for (long session = 1; session <= 200; session++) {
-            if (fresh.serve(0, session * 7919).startsWith("b")) {
+            if (other.serve(0, session * 7919).startsWith("b")) {
                 later.add(session);
             }
         }
-        assertTrue(later.containsAll(before), "those of a smaller step are among them");
+        assertTrue(later.containsAll(before), "a larger fraction includes the conversations of a smaller one");
         assertNotEquals(before.size(), later.size());
     }
 
     @Test
-    void healthChecksAreAskedOfTheZoneAndTrialsTooWhereTheyMayBe() {
-        zones.checks = 3;
+    void healthChecksAndTrialsAreSentToTheZone() {
+        zones.dueHealthChecks = 3;
         router.advance(50_000);
         router.advance(50_000);
         assertEquals(
                 3,
-                router.probedReplicas.stream()
+                router.checkedReplicas.stream()
                         .filter(p -> p.startsWith("b"))
                         .distinct()
                         .count());
         zones.closeSecondZone(router.now);
-        zones.tries = true;
-        router.probedReplicas.clear();
+        zones.trialDue = true;
+        router.checkedReplicas.clear();
         router.advance(100_000);
-        assertEquals(1, router.probedReplicas.size());
-        router.policy.onHealthCheckEnded(router.now, router.probedReplicas.get(0), AttemptOutcome.OK, 1_000, null);
-        assertTrue(zones.evidence.contains(router.probedReplicas.get(0) + " ANSWERED"));
-        router.policy.onHealthCheckEnded(router.now, router.probedReplicas.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
-        assertTrue(zones.evidence.contains(router.probedReplicas.get(0) + " SILENCE"));
+        assertEquals(1, router.checkedReplicas.size());
+        router.policy.onHealthCheckEnded(router.now, router.checkedReplicas.get(0), AttemptOutcome.OK, 1_000, null);
+        assertTrue(zones.evidence.contains(router.checkedReplicas.get(0) + " ANSWERED"));
+        router.policy.onHealthCheckEnded(
+                router.now, router.checkedReplicas.get(0), AttemptOutcome.TIMEOUT, 1_000, null);
+        assertTrue(zones.evidence.contains(router.checkedReplicas.get(0) + " SILENCE"));
     }
 
     @Test
-    void whereThereAreNoHealthChecksOneRequestIsTheTrial() {
+    void requestIsTheTrialWithoutHealthChecks() {
         router = router(false);
         zones.closeSecondZone(router.now);
-        zones.tries = true;
+        zones.trialDue = true;
         String trial = router.submit(0, 5);
         assertTrue(router.replicaOf(trial).startsWith("b"));
-        assertTrue(router.replicaOf(router.submit(0, 6)).startsWith("a"), "one");
+        assertTrue(router.replicaOf(router.submit(0, 6)).startsWith("a"), "only one trial");
         router.advance(200_000);
-        assertEquals(List.of(), router.cancelledAttempts, "it has its time");
+        assertEquals(List.of(), router.cancelledAttempts, "the first token of the trial is not overdue yet");
         router.advance(RoutingPolicyFixture.SECOND);
-        assertEquals(List.of(trial + "/0"), router.cancelledAttempts, "silent, it is given up");
+        assertEquals(List.of(trial + "/0"), router.cancelledAttempts, "the first token of the trial is overdue");
     }
 
     @Test
-    void aZoneThatIsBackIsMetAsIfNothingHadBeenLearntMeanwhile() {
+    void reopenedZoneStartsWithoutEarlierFailures() {
         for (int i = 0; i < 4; i++) {
             String id = requestInSecondZone();
             router.endAttempt(id, AttemptOutcome.CONNECT_FAILED);
@@ -248,11 +251,11 @@
         zones.closeSecondZone(router.now);
         router.advance(100_000);
         zones.evidence.clear();
-        zones.share[1] = 1;
-        zones.shut[1] = Long.MAX_VALUE;
+        zones.acceptedFraction[1] = 1;
+        zones.closedSince[1] = Long.MAX_VALUE;
         router.advance(100_000);
         assertEquals(
-                List.of("b4 fresh", "b5 fresh", "b6 fresh", "b7 fresh"),
+                List.of("b4 forgotten", "b5 forgotten", "b6 forgotten", "b7 forgotten"),
                 zones.evidence.stream().sorted().toList());
         requestInSecondZone();
     }
