--- a/src/main/java/magpiehub/routing/OutcomeRecorder.java
+++ b/src/main/java/magpiehub/routing/OutcomeRecorder.java
@@ -78,7 +78,7 @@
                 recordAnswer(replica, ZoneEvidence.ERROR, took, now);
             }
             case RESET -> {
-                recordEvidence(replica, ZoneEvidence.BROKEN, took, NEUTRAL_LATENCY_RATIO, now);
+                recordEvidence(replica, ZoneEvidence.CONNECTION_LOST, took, NEUTRAL_LATENCY_RATIO, now);
                 outliers.recordConnectionLost(replica, now);
             }
             case SPOILT -> outliers.recordMalformedResponse(replica, now);
--- a/src/main/java/magpiehub/routing/ZoneEvidence.java
+++ b/src/main/java/magpiehub/routing/ZoneEvidence.java
@@ -7,7 +7,7 @@
     /** No connection could be opened. */
     NO_CONNECTION,
     /** The connection was lost during a request. */
-    BROKEN,
+    CONNECTION_LOST,
     /** No first token arrived for much longer than usual. */
     SILENCE,
     /** It answered with an error, so it is reachable. */
--- a/src/main/java/magpiehub/sites/SiteHealthTracker.java
+++ b/src/main/java/magpiehub/sites/SiteHealthTracker.java
@@ -146,7 +146,7 @@
             onAnswer(now, sentAt, sites[index], latencyRatio >= settings.slowRatio());
         } else {
             // A connection that breaks under a request says that the replica is not there.
-            boolean isBroken = evidence == ZoneEvidence.BROKEN;
+            boolean isBroken = evidence == ZoneEvidence.CONNECTION_LOST;
             onFailure(now, sentAt, sites[index], replica, isBroken ? ZoneEvidence.NO_CONNECTION : evidence);
         }
         evaluateAll(now);
