--- a/src/main/java/magpiehub/routing/AffinityResolver.java
+++ b/src/main/java/magpiehub/routing/AffinityResolver.java
@@ -50,7 +50,7 @@
 
     /** Returns how many replicas the key's share of this router's traffic needs. */
     private double neededReplicas(AffinityEntry entry) {
-        return traffic.isEstablished()
+        return traffic.isReliable()
                 ? SPREAD_FACTOR * entry.demand() / traffic.requestCount() * fleet.readyCount()
                 : Double.MAX_VALUE;
     }
--- a/src/main/java/magpiehub/routing/FleetState.java
+++ b/src/main/java/magpiehub/routing/FleetState.java
@@ -143,7 +143,7 @@
     }
 
     private void buildRings(List<Replica> ready, List<Replica> ownZoneReady) {
-        boolean subset = settings.get().connectionsCost();
+        boolean subset = settings.get().hasConnectionCosts();
         int instance = settings.get().instanceIndex();
         fullRing = new HashRing(ready);
         subsetRing = subset ? new HashRing(subset(ready, instance)) : fullRing;
@@ -182,7 +182,7 @@
     }
 
     /** Returns whether the replica gets regular traffic, so that its idle connections are worth keeping. */
-    boolean isOnOwnRings(Replica replica) {
+    boolean getsRegularTraffic(Replica replica) {
         return ownZoneRing.contains(replica) || subsetRing.contains(replica);
     }
 
--- a/src/main/java/magpiehub/routing/ReplicaSelector.java
+++ b/src/main/java/magpiehub/routing/ReplicaSelector.java
@@ -5,7 +5,7 @@
  * one with capacity on the ring from the key's position, a busy one that has the tokens cached, any that is allowed.
  */
 final class ReplicaSelector {
-    /** Maximum number of replicas examined on a ring, or of entries under pressure, before falling back. */
+    /** Maximum number of replicas examined on a ring, and of affinity entries examined in the fallback. */
     private static final int MAX_STEPS = 6;
 
     /** Maximum number of replicas examined from a random start before selection fails. */
@@ -95,7 +95,7 @@
         if (next != null) {
             return next;
         }
-        return busy != null ? busy : selectUnderPressure(request, now);
+        return busy != null ? busy : selectFallback(request, now);
     }
 
     private static long conversation(RoutingRequest request) {
@@ -192,7 +192,7 @@
      * Selects a replica when all are at capacity or busy: one of the least recently used affinity entries, which is
      * then removed from that entry, or else any ready replica within a bounded search from a random start.
      */
-    private Replica selectUnderPressure(RequestInFlight request, long now) {
+    private Replica selectFallback(RequestInFlight request, long now) {
         int examined = 0;
         AffinityEntry entry = affinityTable.oldest();
         while (entry != null && examined < MAX_STEPS) {
--- a/src/main/java/magpiehub/routing/RoutingPolicy.java
+++ b/src/main/java/magpiehub/routing/RoutingPolicy.java
@@ -137,18 +137,18 @@
                 && details.deadline() > now
                 && admission.admit(details, now)) {
             int targetReplicaCount = affinity.resolve(request, now);
-            sendOrEnd(request, selector.select(request, targetReplicaCount, now));
+            sendOrFinish(request, selector.select(request, targetReplicaCount, now));
         } else {
-            end(request);
+            rejectOrFail(request);
         }
     }
 
-    /** Sends an attempt to the selected replica, or ends the request if none was found. */
-    private void sendOrEnd(RequestInFlight request, Replica replica) {
+    /** Sends an attempt to the selected replica, or gives the final answer if none was found. */
+    private void sendOrFinish(RequestInFlight request, Replica replica) {
         if (replica != null) {
             send(request, replica);
         } else {
-            end(request);
+            rejectOrFail(request);
         }
     }
 
@@ -163,7 +163,7 @@
     }
 
     /** Gives the final answer if there is no further attempt: rejected if a retry is safe, otherwise failed. */
-    private void end(RequestInFlight request) {
+    private void rejectOrFail(RequestInFlight request) {
         if (retries.mayReject(request)) {
             actions.reject(request.id(), 0);
         } else {
@@ -251,7 +251,7 @@
             finish(request);
         } else if (!request.hasOpenAttempts()) {
             boolean retry = retries.acquireRetry(request, attempt, outcome, took, now);
-            sendOrEnd(request, retry ? selector.select(request, request.affinityReplicaCount(), now) : null);
+            sendOrFinish(request, retry ? selector.select(request, request.affinityReplicaCount(), now) : null);
         }
     }
 
@@ -260,7 +260,7 @@
         request.endAttempt(attempt);
         load.recordEnded(attempt);
         outliers.recordEnded(attempt);
-        if (settings.get().connectionsCost() && load.inFlight(replica) == 0 && !fleet.isOnOwnRings(replica)) {
+        if (settings.get().hasConnectionCosts() && load.inFlight(replica) == 0 && !fleet.getsRegularTraffic(replica)) {
             actions.closeIdleConnections(replica.id());
         }
     }
--- a/src/main/java/magpiehub/routing/RoutingSettings.java
+++ b/src/main/java/magpiehub/routing/RoutingSettings.java
@@ -41,12 +41,12 @@
     }
 
     /** Returns whether sending to another zone has a cost and there is more than one zone. */
-    boolean crossZoneTrafficCosts() {
+    boolean hasCrossZoneCosts() {
         return costs.crossZone() > 0 && zoneCount > 1;
     }
 
     /** Returns whether connections have a cost, so that a router should use few replicas. */
-    boolean connectionsCost() {
+    boolean hasConnectionCosts() {
         return costs.connection() + costs.handshake() > 0;
     }
 }
--- a/src/main/java/magpiehub/routing/SlowStart.java
+++ b/src/main/java/magpiehub/routing/SlowStart.java
@@ -137,7 +137,7 @@
         double factor = guarantees.overloadFactor();
         double limitedShare = share * shareFactor(window, factor);
         // A router with few requests spreads its keys by session, so no key can direct all routers to one replica.
-        double maxTokens = !traffic.isEstablished()
+        double maxTokens = !traffic.isReliable()
                 ? limitedShare * fleet.readyCount()
                 : factor * share * rate * guarantees.overloadWindow();
         // Before its first token, a router counts as one that has been sending for a long time.
--- a/src/main/java/magpiehub/routing/TrafficMeter.java
+++ b/src/main/java/magpiehub/routing/TrafficMeter.java
@@ -6,7 +6,7 @@
     static final double TIME_CONSTANT_MICROS = 20_000_000;
 
     /** Requests from which shares of traffic are reliable; until then keys are spread by session. */
-    private static final double ESTABLISHED_COUNT = 30;
+    private static final double MIN_RELIABLE_COUNT = 30;
 
     /** Minimum time, in time constants, over which a rate is computed, so that it is defined from the start. */
     private static final double MIN_SPAN = 0.1;
@@ -35,8 +35,8 @@
     }
 
     /** Returns whether enough requests were received for a key's share of them to be reliable. */
-    boolean isEstablished() {
-        return received.value() >= ESTABLISHED_COUNT;
+    boolean isReliable() {
+        return received.value() >= MIN_RELIABLE_COUNT;
     }
 
     /** Returns when the last attempt was sent, or when the router started if there was none. */
--- a/src/main/java/magpiehub/routing/ZoneAffinity.java
+++ b/src/main/java/magpiehub/routing/ZoneAffinity.java
@@ -37,7 +37,7 @@
     ZoneAffinity(ActiveSettings settings, FleetState fleet) {
         this.settings = settings;
         this.fleet = fleet;
-        ownZoneFraction = settings.get().crossZoneTrafficCosts() ? INITIAL_FRACTION : 0;
+        ownZoneFraction = settings.get().hasCrossZoneCosts() ? INITIAL_FRACTION : 0;
     }
 
     /** Returns the ring of a key: the own zone's for the fraction of the keys that stays. */
@@ -73,7 +73,7 @@
 
     /** Changes the fraction by one step if the latencies require it. Called periodically. */
     void adjust() {
-        if (settings.get().crossZoneTrafficCosts()) {
+        if (settings.get().hasCrossZoneCosts()) {
             ownZoneFraction = Math.max(0, Math.min(maxOwnZoneFraction, ownZoneFraction + step()));
         }
     }
--- a/src/test/java/magpiehub/routing/RandomSettings.java
+++ b/src/test/java/magpiehub/routing/RandomSettings.java
@@ -25,7 +25,7 @@
                 ? List.of()
                 : List.of(new Tenant("first", 0.5, 1 + random.nextInt(20)), new Tenant("second", 0.5, 0));
         int instances = 1 + random.nextInt(random.nextBoolean() ? 4 : 60);
-        boolean connectionsCost = random.nextInt(4) == 0;
+        boolean hasConnectionCosts = random.nextInt(4) == 0;
         return new RoutingSettings(
                 random.nextInt(instances),
                 instances,
@@ -46,7 +46,7 @@
                         1 + 3 * random.nextDouble(),
                         0.1 + 0.5 * random.nextDouble(),
                         SECOND / 2),
-                new RoutingCosts(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, connectionsCost ? 0.01 : 0, 0));
+                new RoutingCosts(random.nextBoolean() ? 0.03 : 0, 0.05, 0.002, 0.03, hasConnectionCosts ? 0.01 : 0, 0));
     }
 
     private RequestClass drawClass(String name) {
