--- a/src/main/java/magpiehub/routing/SlowStart.java
+++ b/src/main/java/magpiehub/routing/SlowStart.java
@@ -149,10 +149,10 @@
     }
 
     /**
-     * Returns the multiple of its share that a warming replica gets: the geometric mean of the share itself, with which
-     * it idles while the warm replicas are overloaded, and the multiple at which it fails, limited by {@link
-     * #SAFETY_FACTOR}. Within the first window, when a single burst may consume the tokens, it is as far below the
-     * share as it is above later.
+     * Returns the multiple of its share that a warming replica gets, limited by {@link #SAFETY_FACTOR}: the geometric
+     * mean of the share itself, with which it idles while the warm replicas are overloaded, and the multiple at which
+     * it fails. Within the first window, when a single burst may consume the tokens, it is as far below the share as it
+     * is above later.
      */
     private static double shareFactor(long window, double overloadFactor) {
         return Math.min(Math.sqrt(window == 0 ? 1 / overloadFactor : overloadFactor), SAFETY_FACTOR * overloadFactor);
--- a/src/test/java/magpiehub/routing/DecisionScenario.java
+++ b/src/test/java/magpiehub/routing/DecisionScenario.java
@@ -24,9 +24,7 @@
     private static final long SECOND = 1_000_000;
     private static final int FINAL_STEPS = 400;
 
-    /**
-     * The conditions of a phase of the scenario. Normal conditions have two constants, which doubles their frequency.
-     */
+    /** The conditions of a phase; normal conditions have two constants, which doubles their frequency. */
     private enum Phase {
         NORMAL,
         NORMAL_AGAIN,
@@ -309,11 +307,10 @@
     }
 
     private void disconnect(SimulatedRequest simulated) {
-        if (simulated.settled) {
-            return;
+        if (!simulated.settled) {
+            simulated.settled = true;
+            policy.onClientDisconnected(now, simulated.request.id());
         }
-        simulated.settled = true;
-        policy.onClientDisconnected(now, simulated.request.id());
     }
 
     @Override
@@ -328,12 +325,11 @@
         long first = (long) (replica.latencyFactor * (30_000 + random.nextInt(40_000)) * slowness(replica));
         switch (outcome) {
             case OK, RESET, SPOILT -> {
-                if (outcome == AttemptOutcome.OK || random.nextInt(3) == 0) {
+                boolean served = outcome == AttemptOutcome.OK;
+                if (served || random.nextInt(3) == 0) {
                     schedule(first, () -> begin(simulated, number));
                 }
-                schedule(
-                        first + random.nextInt(600_000),
-                        () -> end(simulated, number, outcome, outcome == AttemptOutcome.OK));
+                schedule(first + random.nextInt(600_000), () -> end(simulated, number, outcome, served));
             }
             case TIMEOUT -> schedule(2 * SECOND, () -> end(simulated, number, outcome, false));
             default -> schedule(random.nextInt(80_000), () -> end(simulated, number, outcome, false));
