--- a/src/test/java/magpiehub/routing/SlowStartFleetTest.java
+++ b/src/test/java/magpiehub/routing/SlowStartFleetTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Simulates routers in virtual time and checks description all of them together send to a warming replica. */
+/** Simulates routers in virtual time and checks what all of them together send to a warming replica. */
 class SlowStartFleetTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
@@ -306,8 +306,8 @@
         for (int seed = 1; seed <= 20; seed++) {
             for (long after : new long[] {100_000, 2 * SECOND, 5 * SECOND, 8 * SECOND}) {
                 for (boolean prefix : new boolean[] {false, true}) {
-                    // With two requests per second per router keys are not spread by session, with the lower rate they
-                    // are; half of the seeds use each.
+                    // With two requests per second per router, keys are not spread by session; with the lower rate,
+                    // they are. Half of the seeds use each.
                     Fleet fleet = new Fleet(30, 12, seed % 2 == 0 ? 60 : 40, true, seed);
                     fleet.run(40 * SECOND);
                     String warming = fleet.replicas.get(0).id();
--- a/src/test/java/magpiehub/routing/SlowStartTest.java
+++ b/src/test/java/magpiehub/routing/SlowStartTest.java
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void manyRoutersTogetherStayUnderTheBudget() {
+    void manyRoutersTogetherStayUnderTheLimit() {
         int routers = 20;
         int total = 0;
         for (int instanceIndex = 0; instanceIndex < routers; instanceIndex++) {
