--- a/src/main/java/magpiehub/routing/ZoneAffinity.java
+++ b/src/main/java/magpiehub/routing/ZoneAffinity.java
@@ -1,64 +1,67 @@
 package magpiehub.routing;
 
 /**
- * Decides which part of the affinity keys stays in the router's own zone where traffic between zones has a price. The
- * part grows while first tokens come as fast from the own zone as from the others, and shrinks while they come later.
+ * Decides which fraction of the affinity keys stays in the router's own zone where traffic between zones has a cost.
+ * The fraction grows while first tokens arrive as fast from the own zone as from the others, and shrinks while they are
+ * slower.
  */
 final class ZoneAffinity {
-    /** The part at the start, before anything is known. */
-    private static final double INITIAL_PART = 0.5;
+    /** Initial fraction, before any latency is known. */
+    private static final double INITIAL_FRACTION = 0.5;
 
-    /** The most that ever stays: a few keys go on measuring the other zones. */
-    private static final double MAX_PART = 0.95;
+    /** Upper bound of the fraction; the other keys keep measuring the other zones. */
+    private static final double MAX_FRACTION = 0.95;
 
-    /** Steps of the part, and the ratios of first-token times, own to other zones, at which it takes them. */
+    /** Steps of the fraction, and the ratios of times to first token (own zone to others) at which they are taken. */
     private static final double STEP_UP = 0.03;
 
     private static final double STEP_DOWN = 0.06;
     private static final double STEP_UP_BELOW = 1.1;
     private static final double STEP_DOWN_ABOVE = 1.3;
 
-    /** Weights of the newest ratio; the other zones' first tokens are fewer. */
+    /** Weights of the newest ratio; the other zones have fewer first tokens. */
     private static final double OWN_ZONE_WEIGHT = 0.03;
 
     private static final double OTHER_ZONES_WEIGHT = 0.1;
 
-    /** A ratio counts as this at most. */
+    /** Upper bound of a latency ratio. */
     private static final double MAX_RATIO = 4;
 
     private final ActiveSettings settings;
     private final FleetState fleet;
-    private double part;
-    private double maxPart;
+    private double ownZoneFraction;
+    private double maxOwnZoneFraction;
     private double ownZoneLatency = 1;
     private double otherZonesLatency = 1;
 
     ZoneAffinity(ActiveSettings settings, FleetState fleet) {
         this.settings = settings;
         this.fleet = fleet;
-        part = settings.get().crossZoneTrafficCosts() ? INITIAL_PART : 0;
+        ownZoneFraction = settings.get().hasCrossZoneCosts() ? INITIAL_FRACTION : 0;
     }
 
-    /** The ring on which a key is placed: the own zone's for the part of the keys that stays. */
+    /** Returns the ring of a key: the own zone's for the fraction of the keys that stays. */
     HashRing ringFor(long key) {
-        return part > 0 && SplitMix64.mixToUnitInterval(key) < part ? fleet.ownZoneRing() : fleet.subsetRing();
+        return ownZoneFraction > 0 && SplitMix64.mixToUnitInterval(key) < ownZoneFraction
+                ? fleet.ownZoneRing()
+                : fleet.subsetRing();
     }
 
-    /** Bounds the part after a rebuild of the fleet. */
+    /** Updates the bound of the fraction after a rebuild of the fleet. */
     void updateFleet() {
-        // A zone with few replicas keeps fewer keys; what others spill lands there too.
+        // A zone with few replicas keeps fewer keys, since it also gets requests that other zones have no capacity for.
         int ready = Math.max(1, fleet.readyCount());
         int zoneCount = fleet.zoneCount();
-        double meanSpread = 0;
+        double zoneBalance = 0;
         for (int zone = 0; zone < zoneCount; zone++) {
-            meanSpread += Math.min(1, (double) fleet.readyInZone(zone) / ready * zoneCount);
+            zoneBalance += Math.min(1, (double) fleet.readyInZone(zone) / ready * zoneCount);
         }
-        meanSpread /= zoneCount;
-        maxPart = Math.min(MAX_PART, meanSpread * fleet.readyInOwnZone() * zoneCount / ready);
-        part = Math.min(part, maxPart);
+        zoneBalance /= zoneCount;
+        maxOwnZoneFraction = Math.min(MAX_FRACTION, zoneBalance * fleet.readyInOwnZone() * zoneCount / ready);
+        ownZoneFraction = Math.min(ownZoneFraction, maxOwnZoneFraction);
     }
 
-    /** Records a time to the first token by its ratio to the mean. */
+    /** Records a time to first token by its ratio to the mean. */
     void recordFirstToken(Replica replica, double ratio) {
         double capped = Math.min(MAX_RATIO, ratio);
         if (fleet.isInOwnZone(replica)) {
@@ -68,10 +71,10 @@
         }
     }
 
-    /** Moves the part by one step, if there is reason to. Called periodically. */
+    /** Changes the fraction by one step if the latencies require it. Called periodically. */
     void adjust() {
-        if (settings.get().crossZoneTrafficCosts()) {
-            part = Math.max(0, Math.min(maxPart, part + step()));
+        if (settings.get().hasCrossZoneCosts()) {
+            ownZoneFraction = Math.max(0, Math.min(maxOwnZoneFraction, ownZoneFraction + step()));
         }
     }
 
