--- a/src/main/java/magpiehub/concurrent/ActorThreadPool.java
+++ b/src/main/java/magpiehub/concurrent/ActorThreadPool.java
@@ -4,26 +4,26 @@
 import java.util.ArrayList;
 
 /**
- * The threads on which the actors without a thread of their own take their turns, in the order in which the turns were
- * handed in. The pool keeps few threads, since each thread that stops and continues costs the process CPU time. A turn
- * may block on a peer that does not read; therefore one thread is added when all have been busy for a while, and
- * threads that are in a blocking call for long are not counted among the few.
+ * A shared thread pool for actors that have no thread of their own. Turns run in the order in which they were
+ * submitted. The pool is kept small, because every context switch costs CPU time. A turn may block on a peer that does
+ * not read, so a thread is added when all threads have been busy for {@link #STALLED_AFTER_NANOS}, and threads that
+ * have been in a blocking call for {@link #BLOCKED_AFTER_NANOS} do not count towards the core size.
  *
- * <p>That one actor never runs on two threads at once is ensured by its {@link Mailbox}.
+ * <p>The {@link Mailbox} of an actor ensures that the actor never runs on two threads at once.
  *
  * <p><b>Locking.</b> The monitor of {@link #pendingTurns} guards all fields, and idle threads wait on it. No turn runs
  * while it is held.
  */
 public final class ActorThreadPool {
-    /** Threads that are kept; more are added only under the conditions of {@link #addWorkerIfStalled}. */
+    /** The threads that are kept alive; more are started only by {@link #addWorkerIfStalled}. */
     private static final int CORE_THREADS = 4;
 
     private static final int MAX_THREADS = 1024;
-    /** How long all threads have to be busy before one is added. */
+    /** A thread is added when no thread has become free for this long. */
     private static final long STALLED_AFTER_NANOS = 20_000_000;
-    /** How long a thread beyond the core stays idle before it ends. */
+    /** How long a thread beyond the core size may be idle before it exits. */
     private static final long KEEP_ALIVE_NANOS = 2_000_000_000;
-    /** A thread that has been in a blocking call for longer waits for its peer, and does not count as a core thread. */
+    /** A thread in a blocking call for longer than this counts as blocked and not towards the core size. */
     private static final long BLOCKED_AFTER_NANOS = 3_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -31,11 +31,11 @@
     private final ArrayDeque<Runnable> pendingTurns = new ArrayDeque<>();
     private final ArrayList<Worker> workers = new ArrayList<>();
     private int idleWorkers;
-    /** When a thread last took a turn or was added: if long ago, all threads are busy with turns that last. */
+    /** When a thread last started a turn or was added. If that is long ago, all threads are in long-running turns. */
     private long lastProgressNanos = System.nanoTime();
 
     private static final class Worker extends Thread {
-        /** When the current blocking call began; 0 outside of one. Written by the worker itself alone. */
+        /** When the current blocking call began; 0 if there is none. Written only by this thread. */
         private volatile long blockingSinceNanos;
 
         Worker(Runnable body) {
@@ -50,16 +50,16 @@
     }
 
     /**
-     * To be called on a pool's thread right before a call that may wait for a peer, such as a write to its socket;
-     * keeps peers that do not read from occupying all threads. Has no effect on other threads.
+     * Marks the current pool thread as being in a call that may wait for a peer, such as a write to its socket, so that
+     * peers that do not read cannot occupy the whole pool. Has no effect on threads outside of a pool.
      */
     public static void enterBlockingCall() {
         if (Thread.currentThread() instanceof Worker worker) {
-            worker.blockingSinceNanos = System.nanoTime() | 1; // Never 0, which means that there is no such call.
+            worker.blockingSinceNanos = System.nanoTime() | 1; // Never 0, which means no call in progress.
         }
     }
 
-    /** To be called when the call announced by {@link #enterBlockingCall} has returned or thrown. */
+    /** Ends what {@link #enterBlockingCall} began; to be called when the call has returned or thrown. */
     public static void exitBlockingCall() {
         if (Thread.currentThread() instanceof Worker worker) {
             worker.blockingSinceNanos = 0;
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Adds a thread if turns are pending and all threads are busy for long. To be called regularly: all threads may be
-     * blocked while nobody hands in another turn.
+     * Adds a thread if turns are pending and all threads have been busy for too long. To be called periodically, since
+     * all threads may be blocked while no further turn is submitted.
      */
     public void checkForStall() {
         synchronized (pendingTurns) {
@@ -91,9 +91,10 @@
     }
 
     /**
-     * With the monitor held: adds a thread if there are fewer than the core, or none has taken a turn for a while, or
-     * so many are blocked that the rest is fewer than the core. The pending turns wait if there is no memory for a
-     * thread, unless there is none at all.
+     * Adds a thread if the pool is below its core size, if no thread has started a turn for
+     * {@link #STALLED_AFTER_NANOS}, or if fewer threads than the core size are unblocked. If there is no memory for
+     * another thread, the pending turns wait for the existing ones; the error is thrown only if there are none. The
+     * caller holds the monitor.
      */
     private void addWorkerIfStalled() {
         long nowNanos = System.nanoTime();
@@ -110,7 +111,7 @@
             workers.add(worker);
             lastProgressNanos = nowNanos;
         } catch (OutOfMemoryError e) {
-            // Sound: the list holds started threads only, and those that there are will take the pending turns.
+            // The list holds only started threads, so the pool is consistent and they will run the pending turns.
             if (workers.isEmpty()) {
                 throw e;
             }
@@ -133,7 +134,7 @@
         }
     }
 
-    /** Waits for the next turn; null once this thread was idle for long and is not needed for the core. */
+    /** Waits for the next turn. Returns null if this thread is beyond the core size and its idle time is over. */
     private Runnable nextTurn() {
         synchronized (pendingTurns) {
             long untilNanos = System.nanoTime() + KEEP_ALIVE_NANOS;
@@ -147,7 +148,7 @@
                 try {
                     pendingTurns.wait(waitMillis(leftNanos));
                 } catch (InterruptedException e) {
-                    untilNanos = System.nanoTime(); // Nobody interrupts these threads; the conditions are tested again.
+                    untilNanos = System.nanoTime(); // Not expected; the loop tests its conditions again.
                 } finally {
                     idleWorkers--;
                 }
@@ -158,7 +159,7 @@
         }
     }
 
-    /** How long to wait at once; a core thread, whose time is over, waits on for the usual time. */
+    /** The timeout of one wait. A core thread whose idle time is over waits for another full interval. */
     private static long waitMillis(long leftNanos) {
         return leftNanos <= 0 ? KEEP_ALIVE_NANOS / NANOS_PER_MILLI : leftNanos / NANOS_PER_MILLI + 1;
     }
--- a/src/main/java/magpiehub/concurrent/CachedThreadPool.java
+++ b/src/main/java/magpiehub/concurrent/CachedThreadPool.java
@@ -3,16 +3,16 @@
 import java.util.ArrayDeque;
 
 /**
- * Platform threads with small stacks for work that blocks, such as reading one connection to its end. A thread that has
- * finished waits a while for more work before it ends: where connections come and go by the hundred a second, starting
- * and ending a thread for each costs more than serving it, and ended threads may pile up faster than the system takes
- * them back. The number of threads is not bounded; whoever submits work has to bound that.
+ * An unbounded pool of platform threads with small stacks, for blocking work such as reading one connection until it
+ * closes. An idle thread is kept for a while and reused: with hundreds of connections a second, starting a thread for
+ * each costs more than serving it, and exited threads can accumulate faster than the system reclaims them. Callers
+ * have to bound the amount of work that they submit.
  *
- * <p>Safe for use from any thread.
+ * <p>Thread-safe.
  *
- * <p><b>Locking.</b> The monitor of {@link #idleWorkers} guards that queue. Each worker has a monitor of its own for
- * the hand-over of work, which is taken before that of the queue, never after. A worker that was removed from the
- * queue is given work exactly once, by whoever removed it, or ends, if it removed itself.
+ * <p><b>Locking.</b> The monitor of {@link #idleWorkers} guards that queue. Each worker has its own monitor for handing
+ * over work; it is acquired before the monitor of the queue, never after. A worker that is removed from the queue
+ * receives work exactly once, from the thread that removed it, or exits if it removed itself.
  */
 public final class CachedThreadPool {
     private static final long DEFAULT_KEEP_ALIVE_MICROS = 2_000_000;
@@ -21,19 +21,19 @@
 
     private final String threadName;
     private final long keepAliveNanos;
-    /** Workers that wait for work, the longest waiting first; the last is used first, so that the others may end. */
+    /** Idle workers, longest idle first. The last one is reused first, so that the others can time out. */
     private final ArrayDeque<Worker> idleWorkers = new ArrayDeque<>();
 
-    /** A pool without threads, with the usual time to wait for more work. */
+    /** Creates an empty pool with the default keep-alive time. */
     public CachedThreadPool(String threadName) {
         this(threadName, DEFAULT_KEEP_ALIVE_MICROS);
     }
 
     /**
-     * A pool without threads.
+     * Creates an empty pool.
      *
-     * @param threadName the name of all its threads
-     * @param keepAliveMicros how long a thread waits for more work before it ends
+     * @param threadName the name of all threads of the pool
+     * @param keepAliveMicros how long an idle thread waits for work before it exits
      */
     public CachedThreadPool(String threadName, long keepAliveMicros) {
         this.threadName = threadName;
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Starts the work at once, on an idle thread or a new one.
+     * Starts the work immediately, on an idle thread or a new one.
      *
-     * @throws OutOfMemoryError if a new thread is needed and can't be started; the work has not been started then
+     * @throws OutOfMemoryError if a new thread is needed and cannot be started; the work has not run in that case
      */
     public void execute(Runnable work) {
         Worker idleWorker;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** The body of one thread. */
+    /** The run loop of one thread. */
     private final class Worker implements Runnable {
         /** Guards {@link #nextWork}; the worker waits on it. */
         private final Object monitor = new Object();
@@ -75,11 +75,11 @@
                     work.run();
                 }
             } catch (InterruptedException e) {
-                Thread.currentThread().interrupt(); // Nobody interrupts a worker between two pieces of work.
+                Thread.currentThread().interrupt(); // Not expected: idle workers are not interrupted.
             }
         }
 
-        /** Gives work to this worker; for the thread that has removed it from the idle ones. */
+        /** Hands work to this worker. Only for the thread that removed it from the idle queue. */
         void handOver(Runnable work) {
             synchronized (monitor) {
                 nextWork = work;
@@ -87,7 +87,7 @@
             }
         }
 
-        /** Becomes idle and returns the next work, or null once none has come in time. */
+        /** Joins the idle queue and waits for work. Returns null if the keep-alive time passes without any. */
         private Runnable awaitWork() throws InterruptedException {
             long untilNanos = System.nanoTime() + keepAliveNanos;
             synchronized (monitor) {
@@ -102,7 +102,7 @@
                     } else if (removeFromIdle()) {
                         return null;
                     } else {
-                        monitor.wait(); // Another thread has removed it already, and is about to hand work over.
+                        monitor.wait(); // Another thread has removed this worker and is about to hand over work.
                     }
                 }
                 return nextWork;
--- a/src/main/java/magpiehub/concurrent/Mailbox.java
+++ b/src/main/java/magpiehub/concurrent/Mailbox.java
@@ -3,25 +3,25 @@
 import java.util.ArrayDeque;
 
 /**
- * An actor's queue of messages, first in, first out, bounded by the bytes of the messages' payload. The actor either
- * has a thread of its own, which waits in {@link #take}, or is given turns on a shared {@link ActorThreadPool} through
- * {@link #attach}, which suits actors that are many and mostly idle.
+ * The FIFO message queue of an actor, bounded by the total payload size of the queued messages. The actor either has a
+ * thread of its own, which waits in {@link #take}, or is scheduled in turns on a shared {@link ActorThreadPool} through
+ * {@link #attach}, which suits large numbers of mostly idle actors.
  *
  * <p>A message is never dropped silently: {@link #post} returns false if the message does not fit or the mailbox is
- * closed, and the caller has to end the peer that the message concerns.
+ * closed, and the caller has to close the connection that the message belongs to.
  *
  * <p><b>Threads.</b> Any thread may post or close. {@link #take} and {@link #poll} are for the actor, that is for one
- * thread at a time. Posting never blocks, but for {@link #postBlocking}.
+ * thread at a time. Of the methods that post, only {@link #postBlocking} blocks.
  *
- * <p><b>Locking.</b> The monitor of {@link #queue} guards all other fields. No foreign code runs while it is held, but
- * for the clock; in particular a turn is handed to the pool after it was released, so that the pool's monitor is never
- * taken inside of it. All waits on the monitor are woken by {@code notifyAll}, since the actor, which waits for
- * messages, and a reader, which waits for capacity, may wait at the same time.
+ * <p><b>Locking.</b> The monitor of {@link #queue} guards all other fields. Apart from the clock, no code outside this
+ * class runs while it is held; in particular, a turn is submitted to the pool after the monitor was released, so that
+ * the pool's monitor is never acquired inside of it. Waiting threads are woken by {@code notifyAll}, because the actor
+ * (waiting for messages) and a reader (waiting for capacity) may wait at the same time.
  *
  * @param <M> the type of the messages
  */
 public final class Mailbox<M> {
-    /** Most mailboxes belong to connections, which are many and have few messages waiting. */
+    /** Small, since most mailboxes belong to connections: there are many of them, with few messages queued. */
     private static final int INITIAL_CAPACITY = 4;
 
     private record Entry<T>(T message, int bytes) {}
@@ -33,14 +33,14 @@
     private boolean closed;
     private ActorThreadPool threadPool;
     private Runnable turn;
-    /** Whether a turn is running or was handed to the pool. */
+    /** Whether a turn is running or has been submitted to the pool. */
     private boolean turnActive;
 
     /**
-     * An empty mailbox.
+     * Creates an empty mailbox.
      *
-     * @param clock what {@link #take} waits by
-     * @param maxBytes how many bytes of payload may be queued; with 0, messages without payload still fit
+     * @param clock the clock for the time-outs of {@link #take}
+     * @param maxBytes the capacity in payload bytes; with 0, only messages without payload fit
      */
     public Mailbox(MonotonicClock clock, long maxBytes) {
         this.clock = clock;
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Gives the actor turns on a pool's threads: {@code actorTurn} is called when a message was posted, and again until
-     * the mailbox is empty, but never twice at the same time. A turn has to {@link #poll} and must not throw. To be
-     * called before the first message is posted.
+     * Schedules the actor on a thread pool: {@code actorTurn} is called after a message was posted, and again until the
+     * mailbox is empty, but never concurrently. A turn has to call {@link #poll} and must not throw. To be called
+     * before the first message is posted.
      */
     public void attach(ActorThreadPool pool, Runnable actorTurn) {
         synchronized (queue) {
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Adds a message that has no payload. It fits however full the mailbox is; such messages have to be few, bounded by
-     * the number of things that they start or end.
+     * Adds a message without payload. It fits regardless of the capacity, so the number of such messages has to be
+     * bounded by other means, such as the number of requests that they start or end.
      *
      * @return false if the mailbox is closed
      */
@@ -70,9 +70,10 @@
     }
 
     /**
-     * Adds a message whose payload has so many bytes.
+     * Adds a message with a payload of the given size.
      *
-     * @return false if the message does not fit or the mailbox is closed; the peer that it concerns is to be ended then
+     * @return false if the message does not fit or the mailbox is closed; the caller then has to close the connection
+     *     that the message belongs to
      */
     public boolean post(M message, int bytes) {
         boolean startTurn;
@@ -89,9 +90,8 @@
     }
 
     /**
-     * Waits until there is capacity for a message, then adds it. Meant for the thread that reads from one peer: while
-     * it waits, only what that peer sends is held back. A message larger than the whole mailbox is added once the
-     * mailbox is empty.
+     * Waits until there is capacity for a message, then adds it. For the thread that reads from one peer: waiting
+     * applies back-pressure to that peer alone. A message larger than the capacity is added once no payload is queued.
      *
      * @return false if the mailbox is closed
      */
@@ -112,7 +112,7 @@
         return true;
     }
 
-    /** Returns the next message, waiting for it until the clock has reached a time; null if none has come by then. */
+    /** Waits for the next message until the clock reaches {@code untilMicros}; returns null if there is none. */
     public M take(long untilMicros) throws InterruptedException {
         synchronized (queue) {
             while (queue.isEmpty() && clock.micros() < untilMicros) {
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Refuses all messages from now on. Those that are queued can still be taken. */
+    /** Rejects all further messages. Queued messages can still be taken. */
     public void close() {
         synchronized (queue) {
             closed = true;
@@ -137,7 +137,7 @@
         }
     }
 
-    /** With the monitor held: adds a message. Returns whether the caller has to hand a turn to the pool. */
+    /** Adds a message. Returns whether the caller has to submit a turn to the pool. The caller holds the monitor. */
     private boolean enqueue(M message, int bytes) {
         queuedBytes += bytes;
         queue.add(new Entry<>(message, bytes));
@@ -145,7 +145,7 @@
         return claimTurn();
     }
 
-    /** With the monitor held: removes the next message, or returns null. */
+    /** Removes the next message, or returns null. The caller holds the monitor. */
     private M dequeue() {
         Entry<M> entry = queue.poll();
         if (entry == null) {
@@ -156,14 +156,14 @@
         return entry.message;
     }
 
-    /** With the monitor held: whether the actor runs on a pool and has no turn yet; it has one from then on. */
+    /** Claims the turn if the actor runs on a pool and no turn is active. The caller holds the monitor. */
     private boolean claimTurn() {
         boolean claimed = turn != null && !turnActive;
         turnActive |= claimed;
         return claimed;
     }
 
-    /** On a thread of the pool: runs turns until no message has arrived during the last one. */
+    /** Runs turns on a pool thread until the mailbox is empty after one. */
     private void runTurns() {
         while (true) {
             turn.run();
--- a/src/main/java/magpiehub/concurrent/MonotonicClock.java
+++ b/src/main/java/magpiehub/concurrent/MonotonicClock.java
@@ -1,11 +1,11 @@
 package magpiehub.concurrent;
 
 /**
- * A clock in whole microseconds that never goes backward, and the waits that are measured by it. Safe for use from any
- * thread. Tests provide clocks of their own.
+ * A monotonic clock with microsecond resolution, and timed waits based on it. Implementations are thread-safe. Tests
+ * supply simulated clocks.
  */
 public interface MonotonicClock {
-    /** The system's monotonic clock. It starts far from 0, which the routing policy reads as "long ago". */
+    /** The system's monotonic clock. It starts far from 0, because the routing policy takes 0 for a time long past. */
     MonotonicClock SYSTEM = new MonotonicClock() {
         private static final long START_MICROS = 1_000_000_000_000L;
         private static final long NANOS_PER_MICRO = 1000;
@@ -18,22 +18,21 @@
         }
     };
 
-    /** The time now. */
+    /** The current time in microseconds. */
     long micros();
 
     /**
-     * Waits on a monitor that the caller holds, until notified or until this clock may have reached a time. May return
-     * early, as {@link Object#wait()} may, and up to one millisecond late, since it waits by whole milliseconds: to be
+     * Waits on a monitor that the caller holds, until notified or until this clock reaches a deadline. May return
+     * early, like {@link Object#wait()}, or up to one millisecond late, because it waits in whole milliseconds; to be
      * called in a loop that tests the condition and the time.
      *
-     * <p>A monitor is used in place of a {@link java.util.concurrent.locks.Condition}: when a timed wait on a
-     * Condition is over while the signalling thread is suspended between two steps of its signal, the waiting thread
-     * polls without pause until that thread runs on. It never does where threads of a real-time scheduling class share
-     * one core.
+     * <p>Uses a monitor instead of a {@link java.util.concurrent.locks.Condition}: if a timed wait on a Condition
+     * expires while the signalling thread is preempted in the middle of its signal, the waiting thread spins until that
+     * thread continues. It never continues if both are real-time threads that share one core.
      *
-     * @param untilMicros the time; {@link Long#MAX_VALUE} waits for a notification alone
+     * @param untilMicros the deadline; with {@link Long#MAX_VALUE}, waits for a notification only
      */
-    @SuppressWarnings("WaitNotInLoop") // The loop, with its condition, is the caller's.
+    @SuppressWarnings("WaitNotInLoop") // The caller loops and tests the condition.
     default void await(Object monitor, long untilMicros) throws InterruptedException {
         monitor.wait(untilMicros == Long.MAX_VALUE ? 0 : Math.max(1, (untilMicros - micros() + 999) / 1000));
     }
--- a/src/main/java/magpiehub/concurrent/package-info.java
+++ b/src/main/java/magpiehub/concurrent/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Actors and their threads: the mailbox through which an actor receives its messages, the pool on which actors without
- * a thread of their own run, a pool for work that blocks, and the clock that all waits are measured by.
+ * Concurrency utilities: actor mailboxes, the thread pool for actors without a thread of their own, a thread pool for
+ * blocking work, and the monotonic clock for all timed waits.
  *
- * <p>Each class says which monitor guards what. The package imports no other package of the project.
+ * <p>Each class documents which monitor guards which state. The package depends on no other package of the project.
  */
 package magpiehub.concurrent;
--- a/src/test/java/magpiehub/concurrent/ActorThreadPoolTest.java
+++ b/src/test/java/magpiehub/concurrent/ActorThreadPoolTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Few threads for short turns, and more where turns block. */
+/** Tests that short turns use only the core threads and that threads are added when turns block. */
 @Timeout(60)
 class ActorThreadPoolTest {
     private static final int CORE_THREADS = 4;
@@ -25,20 +25,20 @@
         }
     }
 
-    /** Occupies all threads of the core; returns once their turns have begun. */
-    private void blockCore(Runnable turn) throws InterruptedException {
-        CountDownLatch begun = new CountDownLatch(CORE_THREADS);
+    /** Occupies all core threads with {@code turn}; returns once the turns have started. */
+    private void occupyCoreThreads(Runnable turn) throws InterruptedException {
+        CountDownLatch started = new CountDownLatch(CORE_THREADS);
         for (int i = 0; i < CORE_THREADS; i++) {
             pool.execute(() -> {
-                begun.countDown();
+                started.countDown();
                 turn.run();
             });
         }
-        assertTrue(begun.await(30, TimeUnit.SECONDS));
+        assertTrue(started.await(30, TimeUnit.SECONDS));
     }
 
     @Test
-    void turnsOneAfterAnotherUseTheCoreThreadsAlone() throws InterruptedException {
+    void sequentialTurnsUseOnlyCoreThreads() throws InterruptedException {
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 1000; i++) {
             CountDownLatch done = new CountDownLatch(1);
@@ -52,18 +52,18 @@
     }
 
     @Test
-    void aTurnWaitsWhileAllThreadsAreBusyUntilAStallIsFound() throws InterruptedException {
-        blockCore(this::awaitRelease);
+    void submittingATurnAddsAThreadIfThePoolIsStalled() throws InterruptedException {
+        occupyCoreThreads(this::awaitRelease);
         CountDownLatch done = new CountDownLatch(1);
         Thread.sleep(100);
         pool.execute(done::countDown);
-        assertTrue(done.await(30, TimeUnit.SECONDS), "a stall of 100 ms adds a thread");
+        assertTrue(done.await(30, TimeUnit.SECONDS), "a thread is added after a stall of 100 ms");
         release.countDown();
     }
 
     @Test
-    void aStallIsFoundWhileNobodyHandsInTurns() throws InterruptedException {
-        blockCore(this::awaitRelease);
+    void aStallIsDetectedWithoutFurtherSubmissions() throws InterruptedException {
+        occupyCoreThreads(this::awaitRelease);
         CountDownLatch done = new CountDownLatch(2);
         pool.execute(done::countDown);
         pool.execute(done::countDown);
@@ -73,10 +73,10 @@
         release.countDown();
     }
 
-    /** A busy thread that took its turn just now is no stall; that the others wait for their peers adds a thread. */
+    /** The pool is not stalled, as one thread has just started a turn; a thread is added because the others block. */
     @Test
-    void threadsInABlockingCallAreNotCountedAsCoreThreads() throws InterruptedException {
-        blockCore(() -> {
+    void blockedThreadsDoNotCountTowardsTheCoreSize() throws InterruptedException {
+        occupyCoreThreads(() -> {
             ActorThreadPool.enterBlockingCall();
             awaitRelease();
             ActorThreadPool.exitBlockingCall();
@@ -90,7 +90,7 @@
         assertTrue(busy.await(30, TimeUnit.SECONDS));
         CountDownLatch done = new CountDownLatch(1);
         pool.execute(done::countDown);
-        assertTrue(done.await(30, TimeUnit.SECONDS), "waits for the busy thread");
+        assertTrue(done.await(30, TimeUnit.SECONDS), "the turn must not wait for the busy thread");
         release.countDown();
     }
 }
--- a/src/test/java/magpiehub/concurrent/CachedThreadPoolTest.java
+++ b/src/test/java/magpiehub/concurrent/CachedThreadPoolTest.java
@@ -11,35 +11,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Threads are reused, each for one piece of work at a time, and no work is lost between two of them. */
+/** Tests the reuse and expiry of threads, and that no work is lost or run twice. */
 @Timeout(60)
 class CachedThreadPoolTest {
     private static final long LONG_KEEP_ALIVE_MICROS = 30_000_000;
 
-    /** Runs so many pieces of work one after another; returns the threads that ran them. */
-    private static Set<Thread> oneByOne(CachedThreadPool pool, int pieces) throws InterruptedException {
+    /** Runs {@code tasks} tasks sequentially; returns the threads that ran them. */
+    private static Set<Thread> runSequentially(CachedThreadPool pool, int tasks) throws InterruptedException {
         Set<Thread> threads = ConcurrentHashMap.newKeySet();
-        for (int i = 0; i < pieces; i++) {
+        for (int i = 0; i < tasks; i++) {
             CountDownLatch done = new CountDownLatch(1);
             pool.execute(() -> {
                 threads.add(Thread.currentThread());
                 done.countDown();
             });
-            assertTrue(done.await(30, TimeUnit.SECONDS), "piece " + i + " was lost");
+            assertTrue(done.await(30, TimeUnit.SECONDS), "task " + i + " was not run");
         }
         return threads;
     }
 
     @Test
-    void aThreadThatHasFinishedTakesTheNextWork() throws InterruptedException {
-        // A thread may still be on its way back to the idle ones when the next work comes.
-        assertTrue(oneByOne(new CachedThreadPool("t", LONG_KEEP_ALIVE_MICROS), 1000)
+    void anIdleThreadIsReused() throws InterruptedException {
+        // A thread may not be idle again yet when the next task is submitted, so a few more threads are allowed.
+        assertTrue(runSequentially(new CachedThreadPool("t", LONG_KEEP_ALIVE_MICROS), 1000)
                         .size()
                 < 100);
     }
 
     @Test
-    void workThatBlocksHoldsUpNoOther() throws InterruptedException {
+    void blockingWorkDoesNotDelayOtherWork() throws InterruptedException {
         CachedThreadPool pool = new CachedThreadPool("t", LONG_KEEP_ALIVE_MICROS);
         CountDownLatch all = new CountDownLatch(50);
         for (int i = 0; i < 50; i++) {
@@ -56,16 +56,16 @@
     }
 
     @Test
-    void aThreadEndsOnceNothingHasComeForAWhile() throws InterruptedException {
-        for (Thread t : oneByOne(new CachedThreadPool("t", 1000), 1)) {
+    void anIdleThreadExitsAfterTheKeepAliveTime() throws InterruptedException {
+        for (Thread t : runSequentially(new CachedThreadPool("t", 1000), 1)) {
             t.join(30_000);
             assertEquals(Thread.State.TERMINATED, t.getState());
         }
     }
 
-    /** Work that is submitted at the moment at which an idle thread ends is run, and once. */
+    /** A race: work submitted while an idle thread times out must be run exactly once. */
     @Test
-    void workThatCrossesTheEndOfAThreadIsDoneOnce() throws InterruptedException {
+    void workSubmittedWhileAThreadExitsRunsExactlyOnce() throws InterruptedException {
         CachedThreadPool pool = new CachedThreadPool("t", 0);
         AtomicInteger done = new AtomicInteger();
         CountDownLatch all = new CountDownLatch(20_000);
--- a/src/test/java/magpiehub/concurrent/MailboxTest.java
+++ b/src/test/java/magpiehub/concurrent/MailboxTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The order and the bound of messages, the end of a mailbox, and an actor's turns on a pool. */
+/** Tests the order of messages, the capacity, closing, and an actor's turns on a thread pool. */
 @Timeout(60)
 class MailboxTest {
     private static final int CAPACITY = 10;
 
     private final Mailbox<String> mailbox = new Mailbox<>(MonotonicClock.SYSTEM, CAPACITY);
 
-    /** Posts with {@link Mailbox#postBlocking} on a thread of its own, and returns once that thread waits. */
-    private CompletableFuture<Boolean> postAndWait(String message, int bytes) throws InterruptedException {
+    /** Calls {@link Mailbox#postBlocking} on another thread; returns once that thread waits for capacity. */
+    private CompletableFuture<Boolean> startBlockedPost(String message, int bytes) throws InterruptedException {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         Thread poster = DaemonThreads.newThread("poster", () -> {
             try {
@@ -31,7 +31,7 @@
         });
         poster.start();
         while (poster.getState() != Thread.State.WAITING) {
-            assertFalse(result.isDone(), "posted without a wait");
+            assertFalse(result.isDone(), "posted without waiting for capacity");
             Thread.sleep(1);
         }
         return result;
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void whatDoesNotFitIsRefusedUntilBytesAreTaken() {
+    void messagesBeyondTheCapacityAreRejectedUntilBytesAreTaken() {
         assertTrue(mailbox.post("six", 6));
         assertFalse(mailbox.post("five", 5));
         assertTrue(mailbox.post("four", 4));
@@ -61,14 +61,14 @@
     }
 
     @Test
-    void takeReturnsNullOnceTheTimeHasCome() throws InterruptedException {
+    void takeReturnsNullAtTheDeadline() throws InterruptedException {
         long until = MonotonicClock.SYSTEM.micros() + 20_000;
         assertNull(mailbox.take(until));
         assertTrue(MonotonicClock.SYSTEM.micros() >= until);
     }
 
     @Test
-    void aClosedMailboxRefusesMessagesAndKeepsThoseThatItHas() {
+    void aClosedMailboxRejectsMessagesAndKeepsQueuedOnes() {
         mailbox.post("before");
         mailbox.close();
         assertFalse(mailbox.post("after"));
@@ -77,9 +77,9 @@
     }
 
     @Test
-    void aReaderWaitsForCapacity() throws Exception {
+    void postBlockingWaitsForCapacity() throws Exception {
         mailbox.post("full", CAPACITY);
-        CompletableFuture<Boolean> posted = postAndWait("next", 1);
+        CompletableFuture<Boolean> posted = startBlockedPost("next", 1);
         assertEquals("full", mailbox.poll());
         assertTrue(posted.get(30, TimeUnit.SECONDS));
         assertEquals("next", mailbox.poll());
@@ -88,7 +88,7 @@
     @Test
     void aMessageLargerThanTheMailboxIsPostedOnceItIsEmpty() throws Exception {
         mailbox.post("small", 1);
-        CompletableFuture<Boolean> posted = postAndWait("large", CAPACITY + 1);
+        CompletableFuture<Boolean> posted = startBlockedPost("large", CAPACITY + 1);
         assertEquals("small", mailbox.poll());
         assertTrue(posted.get(30, TimeUnit.SECONDS));
         assertFalse(mailbox.post("one", 1));
@@ -97,16 +97,16 @@
     }
 
     @Test
-    void closingEndsTheWaitOfAReader() throws Exception {
+    void closingUnblocksPostBlocking() throws Exception {
         mailbox.post("full", CAPACITY);
-        CompletableFuture<Boolean> posted = postAndWait("next", 1);
+        CompletableFuture<Boolean> posted = startBlockedPost("next", 1);
         mailbox.close();
         assertFalse(posted.get(30, TimeUnit.SECONDS));
     }
 
-    /** Several threads post while turns run; each message is handled once, and no two turns overlap. */
+    /** Several threads post while turns run; every message must be handled, and no two turns may overlap. */
     @Test
-    void turnsOnAPoolHandleAllMessagesOneTurnAtATime() throws InterruptedException {
+    void turnsOnAThreadPoolNeverOverlapAndHandleAllMessages() throws InterruptedException {
         int posters = 4;
         int messagesEach = 20_000;
         CountDownLatch unhandled = new CountDownLatch(posters * messagesEach);
@@ -129,12 +129,12 @@
                     })
                     .start();
         }
-        assertTrue(unhandled.await(30, TimeUnit.SECONDS), "lost: " + unhandled.getCount());
+        assertTrue(unhandled.await(30, TimeUnit.SECONDS), "messages not handled: " + unhandled.getCount());
         assertEquals(0, overlaps.get());
     }
 
     @Test
-    void aTurnThatLeavesMessagesIsCalledAgain() throws InterruptedException {
+    void aTurnIsRepeatedUntilTheMailboxIsEmpty() throws InterruptedException {
         CountDownLatch unhandled = new CountDownLatch(3);
         mailbox.attach(new ActorThreadPool(), () -> {
             mailbox.poll();
@@ -143,6 +143,6 @@
         mailbox.post("first");
         mailbox.post("second");
         mailbox.post("third");
-        assertTrue(unhandled.await(30, TimeUnit.SECONDS), "lost: " + unhandled.getCount());
+        assertTrue(unhandled.await(30, TimeUnit.SECONDS), "messages not handled: " + unhandled.getCount());
     }
 }
