--- a/src/main/java/magpiehub/telemetry/EventCounters.java
+++ b/src/main/java/magpiehub/telemetry/EventCounters.java
@@ -5,16 +5,16 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Named counters that only grow. Any thread. */
+/** Named counters that only increase. Thread-safe. */
 final class EventCounters {
     private final Map<String, LongAdder> counters = new ConcurrentHashMap<>();
 
-    /** Adds one to a counter, which begins at 0. */
+    /** Adds one to a counter, which starts at 0. */
     void increment(String name) {
         counters.computeIfAbsent(name, key -> new LongAdder()).increment();
     }
 
-    /** All counters in the order of their names, each as a line of name, blank and value. */
+    /** All counters sorted by name, one {@code name value} pair per line. */
     String toLines() {
         StringBuilder lines = new StringBuilder();
         new TreeMap<>(counters)
@@ -23,7 +23,7 @@
         return lines.toString();
     }
 
-    /** All counters in the order of their names, each name followed by its value. */
+    /** All counters sorted by name, as alternating names and values. */
     String[] toNamesAndValues() {
         Map<String, LongAdder> sorted = new TreeMap<>(counters);
         String[] namesAndValues = new String[2 * sorted.size()];
--- a/src/main/java/magpiehub/telemetry/SyslogEventLog.java
+++ b/src/main/java/magpiehub/telemetry/SyslogEventLog.java
@@ -10,26 +10,25 @@
 import magpiehub.concurrent.MonotonicClock;
 
 /**
- * Writes events as RFC 5424 messages and keeps the counters. Any thread.
+ * Logs events as RFC 5424 messages and keeps the counters in memory. Thread-safe.
  *
- * <p>A thread of its own writes the lines, so that a reader of standard error who has stopped reading blocks nobody
- * else. Lines that wait for it take a bounded amount of memory; beyond that, lines are dropped and counted as
- * {@code log_lines_dropped}.
+ * <p>A dedicated thread writes the lines, so that no other thread blocks if the consumer of the output stops reading.
+ * The memory of queued lines is bounded; beyond the bound, lines are dropped and counted as {@code log_lines_dropped}.
  */
 public final class SyslogEventLog implements EventLog {
-    /** What the lines that wait to be written may take. */
-    private static final int MAX_WAITING_BYTES = 256 * 1024;
-    /** The most that UTF-8 takes for a character of a {@code String}. */
+    /** The capacity of the queue of unwritten lines. */
+    private static final int MAX_QUEUED_BYTES = 256 * 1024;
+    /** The most bytes that UTF-8 needs for one {@code char} of a {@code String}. */
     private static final int MAX_BYTES_PER_CHAR = 3;
-    /** How long {@link #flush} waits for the writing thread. */
+    /** How long {@link #flush} waits for the writer thread. */
     private static final long FLUSH_TIMEOUT_S = 1;
 
-    /** What the writing thread is sent. */
+    /** A message to the writer thread. */
     private sealed interface Message permits Line, FlushMarker {}
 
     private record Line(String text) implements Message {}
 
-    /** Counted down once all lines before it are written. */
+    /** Its latch is counted down once all earlier lines are written. */
     private record FlushMarker(CountDownLatch written) implements Message {}
 
     private final PrintStream output;
@@ -39,17 +38,17 @@
     private volatile boolean started;
 
     /**
-     * A log whose lines wait until {@link #start} is called.
+     * Creates a log that queues its lines until {@link #start} is called.
      *
-     * @param routerName what stands as the host of each line
+     * @param routerName the HOSTNAME of each message
      */
     public SyslogEventLog(PrintStream output, String routerName, long processId) {
         this.output = output;
         this.formatter = new SyslogFormatter(routerName, processId);
-        this.messages = new Mailbox<>(MonotonicClock.SYSTEM, MAX_WAITING_BYTES);
+        this.messages = new Mailbox<>(MonotonicClock.SYSTEM, MAX_QUEUED_BYTES);
     }
 
-    /** Starts the thread that writes the lines. */
+    /** Starts the writer thread. */
     public void start() {
         started = true;
         DaemonThreads.newThread("log", this::writeUntilInterrupted).start();
@@ -76,9 +75,9 @@
     }
 
     /**
-     * Waits until all lines so far are written, for the exit: also the one that the writing thread has taken but not
-     * written yet, or the last line could be lost. Where that thread has not started or makes no progress, the caller
-     * writes the lines that still wait.
+     * Waits until all lines logged so far are written, including the one that the writer thread may have dequeued but
+     * not written yet; without this, the last line could be lost at process exit. If the writer thread has not started
+     * or makes no progress, the caller writes the queued lines itself.
      */
     public void flush() {
         CountDownLatch written = new CountDownLatch(1);
@@ -101,7 +100,7 @@
         counters.increment(name);
     }
 
-    /** All counters in the order of their names, each as a line of name, blank and value. */
+    /** All counters sorted by name, one {@code name value} pair per line. */
     public String counters() {
         return counters.toLines();
     }
--- a/src/main/java/magpiehub/telemetry/SyslogFormatter.java
+++ b/src/main/java/magpiehub/telemetry/SyslogFormatter.java
@@ -5,28 +5,28 @@
 import java.time.format.DateTimeFormatter;
 
 /**
- * Formats events as RFC 5424 messages, one a line: header, structured data, no free text. Characters that would end a
- * name, a value or the message early are replaced or escaped. Immutable.
+ * Formats events as RFC 5424 messages, one per line, with a header and structured data but no MSG part. Characters that
+ * would terminate a name, a value or the message early are replaced or escaped. Immutable.
  */
 final class SyslogFormatter {
-    /** Facility local0. */
+    /** The facility local0. */
     private static final int FACILITY = 16;
-    /** The priority of a message is its facility times this, plus its severity. */
+    /** PRIVAL is the facility times this, plus the severity. */
     private static final int SEVERITIES_PER_FACILITY = 8;
 
     private static final int WARNING = 4;
     private static final int INFORMATIONAL = 6;
     private static final String APP_NAME = "magpiehub";
-    /** The program's name with the enterprise number that RFC 5612 sets aside for examples and documentation. */
+    /** The program name with the enterprise number that RFC 5612 reserves for documentation. */
     private static final String SD_ID = "magpiehub@32473";
-    /** What stands for an absent part of a message. */
-    private static final String NIL = "-";
+    /** RFC 5424's NILVALUE, for an absent field. */
+    private static final String NIL_VALUE = "-";
 
     private static final int MAX_HOSTNAME_LENGTH = 255;
-    /** RFC 5424's limit for MSGID and SD-NAME. */
+    /** RFC 5424's length limit for MSGID and SD-NAME. */
     private static final int MAX_NAME_LENGTH = 32;
 
-    private static final int USUAL_LINE_LENGTH = 160;
+    private static final int TYPICAL_LINE_LENGTH = 160;
     private static final char DELETE = 0x7f;
     private static final DateTimeFormatter TIMESTAMP =
             DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSSSSS'Z'").withZone(ZoneOffset.UTC);
@@ -35,21 +35,21 @@
     private final long processId;
 
     /**
-     * A formatter for the messages of one process.
+     * Creates a formatter for the messages of one process.
      *
-     * @param host what stands as HOSTNAME: the router's name
+     * @param host the HOSTNAME, which is the router's name
      */
     SyslogFormatter(String host, long processId) {
         this.host = cleanName(host, MAX_HOSTNAME_LENGTH);
         this.processId = processId;
     }
 
-    /** The message for an event, with its line end; a name without a value is left out. */
+    /** Formats an event as one line, including the line terminator. A trailing name without a value is omitted. */
     String format(Instant time, String event, String... namesAndValues) {
-        StringBuilder line = new StringBuilder(USUAL_LINE_LENGTH);
+        StringBuilder line = new StringBuilder(TYPICAL_LINE_LENGTH);
         appendHeader(line, time, event);
         if (namesAndValues.length < 2) {
-            return line.append(NIL).append('\n').toString();
+            return line.append(NIL_VALUE).append('\n').toString();
         }
         line.append('[').append(SD_ID);
         for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
@@ -71,7 +71,7 @@
         line.append(' ');
     }
 
-    /** Events that report a fault are warnings; their names say so. */
+    /** Events whose names denote a fault are warnings. */
     private static int severity(String event) {
         boolean isFault = event.endsWith("exception")
                 || event.contains("fail")
@@ -81,7 +81,7 @@
         return isFault ? WARNING : INFORMATIONAL;
     }
 
-    /** Escapes what would end a value early; control characters, of which some would end the line, become blanks. */
+    /** Escapes characters that would terminate the value; replaces control characters, such as newlines, by spaces. */
     private static void appendEscaped(StringBuilder line, String value) {
         for (int i = 0; i < value.length(); i++) {
             char c = value.charAt(i);
@@ -93,13 +93,13 @@
         }
     }
 
-    /** A name in printable ASCII, cut to a length, without what has a meaning in a header or a parameter's name. */
+    /** Truncates a name and replaces all but printable ASCII and the delimiters of headers and parameters. */
     private static String cleanName(String name, int maxLength) {
         StringBuilder clean = new StringBuilder();
         for (int i = 0; i < name.length() && clean.length() < maxLength; i++) {
             char c = name.charAt(i);
             clean.append(c <= ' ' || c >= DELETE || c == '=' || c == ']' || c == '"' ? '_' : c);
         }
-        return clean.length() == 0 ? NIL : clean.toString();
+        return clean.length() == 0 ? NIL_VALUE : clean.toString();
     }
 }
--- a/src/test/java/magpiehub/telemetry/SyslogEventLogTest.java
+++ b/src/test/java/magpiehub/telemetry/SyslogEventLogTest.java
@@ -5,29 +5,29 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Log lines follow RFC 5424's grammar: nothing ends a value, a name or the message early. */
+/** Tests that log lines conform to RFC 5424 whatever names and values contain, and the counters. */
 class SyslogEventLogTest {
-    private static final Instant AT = Instant.parse("2026-12-01T10:00:00.5Z");
+    private static final Instant TIMESTAMP = Instant.parse("2026-12-01T10:00:00.5Z");
     private final SyslogFormatter formatter = new SyslogFormatter("n 3", 7);
     private final SyslogEventLog log = new SyslogEventLog(System.err, "n 3", 7);
 
     @Test
-    void valuesAreEscapedAndNamesAreClean() {
+    void valuesAreEscapedAndInvalidCharactersInNamesAreReplaced() {
         assertEquals(
                 "<134>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 li_st "
                         + "[magpiehub@32473 a_b_=\"q\\\"\\\\\\] \u00e9\" c=\"\"]\n",
-                formatter.format(AT, "li st", "a=b]", "q\"\\]\n\u00e9", "c", ""));
+                formatter.format(TIMESTAMP, "li st", "a=b]", "q\"\\]\n\u00e9", "c", ""));
     }
 
     @Test
-    void failuresAreWarningsAndNoDataIsADash() {
+    void failuresAreWarningsAndAbsentDataIsTheNilValue() {
         assertEquals(
                 "<132>1 2026-12-01T10:00:00.500000Z n_3 magpiehub 7 engine-error -\n",
-                formatter.format(AT, "engine-error"));
+                formatter.format(TIMESTAMP, "engine-error"));
     }
 
     @Test
-    void countersAreListedByName() {
+    void countersAreSortedByName() {
         log.count("taken");
         log.count("answered_served");
         log.count("taken");
