--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -17,20 +17,20 @@
 import magpiehub.telemetry.EventLog;
 import org.junit.jupiter.api.Test;
 
-/** The dispatcher, on a clock that the test sets, with ports that record the order of calls. */
+/** Tests the dispatcher on a simulated clock, with ports that record the order of calls. */
 class RequestDispatcherTest {
     private final List<String> calls = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
     private boolean fleetFails;
     private boolean policyFails;
     private boolean clientGone;
-    private boolean clientLeavesDuringTurn;
+    private boolean clientDisconnectsDuringTurn;
     private int watches;
     private long now = 1_000_000;
     private final ClientCallback client = new ClientCallback() {
         @Override
         public void reject(long retryAfterMicros) {
-            calls.add("refuse at " + now + (retryAfterMicros > 0 ? "" : " with no time to return"));
+            calls.add("reject at " + now + (retryAfterMicros > 0 ? "" : " without Retry-After"));
         }
 
         @Override
@@ -40,7 +40,7 @@
 
         @Override
         public void migrate() {
-            calls.add("move");
+            calls.add("migrate");
         }
 
         @Override
@@ -52,7 +52,7 @@
         @Override
         public AttemptHandle startAttempt(Attempt attempt) {
             if (fleetFails) {
-                throw new IllegalStateException("made to fail");
+                throw new IllegalStateException("injected fault in the fleet");
             }
             attempts.add(attempt);
             calls.add("start " + attempt.endpointId());
@@ -93,9 +93,9 @@
     private final EventLog eventLog = new EventLog() {
         @Override
         public void count(String name) {
-            clientGone |= clientLeavesDuringTurn && name.equals("taken");
+            clientGone |= clientDisconnectsDuringTurn && name.equals("taken");
             if (name.equals("sent") && policyFails) {
-                throw new IllegalStateException("made to fail inside the module's turn");
+                throw new IllegalStateException("injected fault while the policy handles an event");
             }
         }
 
@@ -126,7 +126,7 @@
                 base.costs());
     }
 
-    /** More turns than the messages and timers of a step need. */
+    /** Runs more turns than any step of a test posts messages and sets timers. */
     private void runTurns() throws InterruptedException {
         for (int i = 0; i < 8; i++) {
             dispatcher.runTurn(now);
@@ -140,13 +140,13 @@
         dispatcher.submit(
                 new RoutingRequest("r", 0, 0, 7, 0, now + 400_000, 0, 10, 0, 10, false, false, false),
                 client,
-                "work",
+                "payload",
                 4);
         runTurns();
     }
 
     @Test
-    void aRequestThatThePolicyFailsOnIsAnsweredShortlyAfterItsDeadline() throws InterruptedException {
+    void aRequestOnWhichThePolicyThrowsFailsShortlyAfterItsDeadline() throws InterruptedException {
         policyFails = true;
         submitWithEndpoints("a");
         now += 400_000;
@@ -158,34 +158,34 @@
     }
 
     @Test
-    void aFaultOfTheFleetIsAnAttemptThatNeverRan() throws InterruptedException {
+    void anExceptionFromTheFleetCountsAsAConnectFailure() throws InterruptedException {
         fleetFails = true;
         submitWithEndpoints("a");
-        assertEquals(List.of("refuse at 1000000"), calls);
+        assertEquals(List.of("reject at 1000000"), calls);
     }
 
     @Test
-    void atTheDeadlineTheConnectionIsClosedBeforeTheAnswer() throws InterruptedException {
+    void atTheDeadlineTheConnectionIsClosedBeforeTheRequestIsAnswered() throws InterruptedException {
         submitWithEndpoints("a", "b");
         now += 400_000;
         runTurns();
         String first = attempts.get(0).endpointId();
-        assertEquals(List.of("start " + first, "abort " + first, "refuse at 1400000"), calls);
-        assertEquals(null, attempts.get(0).payload(), "the body is let go");
+        assertEquals(List.of("start " + first, "abort " + first, "reject at 1400000"), calls);
+        assertEquals(null, attempts.get(0).payload(), "the payload is released");
     }
 
     @Test
-    void noRetryAfterIsNamedWhereTheSiteForbidsIt() throws InterruptedException {
+    void noRetryAfterIsSentIfTheSiteDisablesIt() throws InterruptedException {
         dispatcher.updateSettings(
                 settings(true, new RoutingLimits(true, true, false, false, false, 6, 1000, 0, 250_000)));
         fleetFails = true;
         submitWithEndpoints("a");
-        assertEquals(List.of("refuse at 1000000 with no time to return"), calls);
+        assertEquals(List.of("reject at 1000000 without Retry-After"), calls);
     }
 
-    /** The watch is opened at the start, and again a while after each failure. */
+    /** The watch is opened initially, and again 250 ms after a failure. */
     @Test
-    void aWatchIsKeptOpenWhereEndpointListsArePushed() throws InterruptedException {
+    void theWatchIsReopenedAtSitesThatPushTheEndpointList() throws InterruptedException {
         dispatcher.updateSettings(
                 settings(false, RoutingPolicyFixture.settings(1).limits()));
         runTurns();
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void eventsAfterTheAnswerChangeNothing() throws InterruptedException {
+    void reportsAfterTheFinalAnswerAreIgnored() throws InterruptedException {
         submitWithEndpoints("a");
         now += 400_000;
         runTurns();
@@ -209,20 +209,20 @@
         dispatcher.attemptEnded(attempts.get(0), AttemptOutcome.OK, 5, null);
         dispatcher.clientGone("r");
         runTurns();
-        assertEquals(List.of("start a", "abort a", "refuse at 1400000"), calls);
+        assertEquals(List.of("start a", "abort a", "reject at 1400000"), calls);
     }
 
-    /** The message that says so is still in a mailbox: nothing is started, and what is in progress is closed once. */
+    /** While the ClientGone message is queued, no attempt is started, and a request in progress is closed only once. */
     @Test
-    void nothingBeginsForAClientThatHasGone() throws InterruptedException {
+    void noAttemptIsStartedForAClientThatIsGone() throws InterruptedException {
         clientGone = true;
         submitWithEndpoints("a", "b");
-        assertEquals(List.of(), calls, "before it was taken");
+        assertEquals(List.of(), calls, "the client was gone before the request was admitted");
         clientGone = false;
         submitWithEndpoints("a", "b");
         String first = attempts.get(0).endpointId();
         clientGone = true;
-        assertEquals(null, attempts.get(0).payload(), "a connection that comes up now is for nobody");
+        assertEquals(null, attempts.get(0).payload(), "a connection that is established now must not send the request");
         dispatcher.attemptEnded(attempts.get(0), AttemptOutcome.ERROR, -1, null);
         runTurns();
         dispatcher.clientGone("r");
@@ -230,48 +230,48 @@
         assertEquals(List.of("start " + first), calls, "no second attempt, and no answer");
         clientGone = false;
         submitWithEndpoints("a", "b");
-        assertEquals(2, attempts.size(), "the id is free again");
+        assertEquals(2, attempts.size(), "the id can be used again");
     }
 
-    /** The client leaves while the policy decides: the decision is not carried out, and no attempt stays open. */
+    /** The client disconnects during the policy's turn: the action has no effect, and no attempt stays open. */
     @Test
-    void whatIsDecidedWhileAClientLeavesIsNotCarriedOut() throws InterruptedException {
-        clientLeavesDuringTurn = true;
+    void actionsDecidedWhileTheClientDisconnectsAreNotExecuted() throws InterruptedException {
+        clientDisconnectsDuringTurn = true;
         submitWithEndpoints("a");
         assertEquals(List.of(), calls);
         assertEquals(0, dispatcher.openRequests());
-        clientLeavesDuringTurn = false;
+        clientDisconnectsDuringTurn = false;
         clientGone = false;
         submitWithEndpoints("a");
         assertEquals(List.of("start a"), calls);
     }
 
-    /** A request that was half read at SIGTERM may be complete only then; the process is killed soon after. */
+    /** A request that was partly read at SIGTERM may complete during the shutdown; the process is killed soon after. */
     @Test
-    void aRequestThatComesAfterTheShutdownIsRefusedAndNotSent() throws InterruptedException {
+    void aRequestSubmittedAfterTheShutdownIsRejectedAndNotSent() throws InterruptedException {
         dispatcher.shutDown(true);
         submitWithEndpoints("a");
-        assertEquals(List.of("refuse at 1000000"), calls);
+        assertEquals(List.of("reject at 1000000"), calls);
         assertEquals(0, dispatcher.openRequests());
     }
 
-    /** What may have had effects is not rejected as if it had none. */
+    /** A request that may have had side effects must not be rejected, since clients retry rejected requests. */
     @Test
-    void atTheShutdownOnlyWhatMayBeRepeatedIsRefused() throws InterruptedException {
-        for (Idempotency effect : Idempotency.values()) {
-            for (DeduplicationScope group : DeduplicationScope.values()) {
+    void atTheShutdownOnlyRequestsThatAreSafeToRetryAreRejected() throws InterruptedException {
+        for (Idempotency idempotency : Idempotency.values()) {
+            for (DeduplicationScope scope : DeduplicationScope.values()) {
                 calls.clear();
                 dispatcher = newDispatcher(
-                        RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(effect, group)));
+                        RoutingPolicyFixture.settings(1, RoutingPolicyFixture.requestClass(idempotency, scope)));
                 submitWithEndpoints("a");
                 dispatcher.shutDown(false);
                 runTurns();
-                boolean retryIsSafe = effect == Idempotency.IDEMPOTENT
-                        || (effect == Idempotency.IDEMPOTENT_WITH_KEY && group == DeduplicationScope.ALL);
+                boolean retryIsSafe = idempotency == Idempotency.IDEMPOTENT
+                        || (idempotency == Idempotency.IDEMPOTENT_WITH_KEY && scope == DeduplicationScope.ALL);
                 assertEquals(
-                        List.of("start a", "abort a", (retryIsSafe ? "refuse" : "fail") + " at 1000000"),
+                        List.of("start a", "abort a", (retryIsSafe ? "reject" : "fail") + " at 1000000"),
                         calls,
-                        effect + " " + group);
+                        idempotency + " " + scope);
             }
         }
     }
@@ -285,6 +285,6 @@
         runTurns();
         dispatcher.shutDown(true);
         runTurns();
-        assertEquals(List.of("start a", "grant a", "abort a", "move"), calls);
+        assertEquals(List.of("start a", "grant a", "abort a", "migrate"), calls);
     }
 }
--- a/src/test/java/magpiehub/dispatch/TimerQueueTest.java
+++ b/src/test/java/magpiehub/dispatch/TimerQueueTest.java
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void eventsAreDueFromTheirTimeOnInTheOrderOfTime() {
+    void eventsAreReturnedInOrderOfDueTimeOnceDue() {
         timers.schedule(300, "third");
         timers.schedule(100, "first");
         timers.schedule(200, "second");
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void eventsOfOneTimeKeepTheOrderInWhichTheyWereScheduled() {
+    void eventsWithTheSameDueTimeKeepTheirSchedulingOrder() {
         for (int i = 0; i < 100; i++) {
             timers.schedule(500, "event " + i);
         }
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aTimeInThePastIsDueAtOnce() {
+    void anEventScheduledInThePastIsDueImmediately() {
         timers.schedule(-5, "overdue");
         assertEquals("overdue", timers.pollDue(0));
     }
