--- a/src/main/java/magpiehub/streaming/BufferBudget.java
+++ b/src/main/java/magpiehub/streaming/BufferBudget.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * One byte budget for the buffers of all streams together. A byte counts once, from the moment it has come from the
- * upstream until the client's socket has taken it.
+ * The shared byte budget for the buffers of all streams. A byte counts once, from when it is received from the upstream
+ * until the client's socket accepts it.
  *
- * <p>A stream <em>keeps up</em> while it buffers no more than {@link #KEEPING_UP_BYTES}, or has buffered more for less
- * than {@link #LAG_GRACE_MICROS}; otherwise it is <em>lagging</em>. Where bytes run short, a stream that keeps up is
- * never ended. Of the lagging ones the worst is, by buffered bytes times the time it has been lagging.
+ * <p>A stream is <em>lagging</em> if it has buffered more than {@link #LAG_THRESHOLD_BYTES} for at least
+ * {@link #LAG_GRACE_MICROS}. When the budget is exhausted, the lagging stream with the largest product of buffered
+ * bytes and lag time is selected to be ended; a stream that is not lagging is never ended.
  *
- * <p>A state machine without I/O or a clock of its own. Not thread-safe: an instance belongs to one lock or one thread.
+ * <p>Does no I/O and takes the time as a parameter. Not thread-safe: callers serialize access to an instance.
  *
- * @param <T> what the user keeps for a stream, see {@link StreamBuffer#owner}
+ * @param <T> the type that identifies a stream's owner, see {@link StreamBuffer#owner}
  */
 public final class BufferBudget<T> {
-    /** What a stream that keeps up may buffer: a few events, and what one write takes (bytes). */
-    public static final int KEEPING_UP_BYTES = 48 * 1024;
-    /** A client that fell behind only now has not had the time to catch up (us). */
+    /** The buffer size up to which a stream is not lagging: a few events plus the size of one write. */
+    public static final int LAG_THRESHOLD_BYTES = 48 * 1024;
+    /** How long a stream may exceed the threshold before it counts as lagging, so that the client can catch up. */
     public static final long LAG_GRACE_MICROS = 500_000;
-    /** What is reserved for each stream when a new one asks to be admitted (bytes). */
+    /** The minimum that is reserved for each stream that is not lagging when a new one is admitted. */
     static final int RESERVED_BYTES = 8 * 1024;
-    /** What a stream may buffer even though the budget is spent, so that each one moves (bytes). */
-    static final int MIN_SHARE_BYTES = KEEPING_UP_BYTES / 4;
+    /** What a stream may buffer even if the budget is exhausted, so that every stream makes progress. */
+    static final int MIN_SHARE_BYTES = LAG_THRESHOLD_BYTES / 4;
 
     private final long totalBytes;
     private final List<StreamBuffer<T>> openBuffers = new ArrayList<>();
@@ -31,35 +31,37 @@
     private long maxBufferedBytes;
 
     /**
-     * A budget that no stream uses yet.
+     * Creates an unused budget.
      *
-     * @throws IllegalArgumentException if it is too small for one stream that keeps up
+     * @throws IllegalArgumentException if it is smaller than {@link #LAG_THRESHOLD_BYTES}
      */
     public BufferBudget(long totalBytes) {
-        if (totalBytes < KEEPING_UP_BYTES) {
-            throw new IllegalArgumentException("a budget smaller than the buffer of one stream that keeps up");
+        if (totalBytes < LAG_THRESHOLD_BYTES) {
+            throw new IllegalArgumentException(
+                    "buffer budget of " + totalBytes + " bytes is below the minimum of " + LAG_THRESHOLD_BYTES);
         }
         this.totalBytes = totalBytes;
     }
 
-    /** Bytes that all streams buffer now. */
+    /** The bytes that all streams currently buffer. */
     public long bufferedBytes() {
         return bufferedBytes;
     }
 
-    /** The most bytes that all streams ever buffered at once. */
+    /** The peak of {@link #bufferedBytes}. */
     public long maxBufferedBytes() {
         return maxBufferedBytes;
     }
 
-    /** The size of the budget (bytes). */
+    /** The size of the budget in bytes. */
     public long totalBytes() {
         return totalBytes;
     }
 
     /**
-     * Whether one more stream may begin: what the streams that keep up buffer, or a little for each of them and for the
-     * new one, must fit. What lagging streams buffer does not count: capacity is gained by ending them.
+     * Whether one more stream may be admitted. The buffered bytes of the streams that are not lagging, but at least
+     * {@link #RESERVED_BYTES} for each of them and for the new one, must fit into the budget. Lagging streams do not
+     * count, since they can be ended to free capacity.
      */
     public boolean hasCapacityForStream(long nowMicros) {
         long reserved = RESERVED_BYTES;
@@ -72,7 +74,7 @@
     /**
      * Opens the buffer of a new stream.
      *
-     * @param maxBytes what it may buffer at most before its upstream has to wait
+     * @param maxBytes the buffer size at which the stream's upstream has to wait
      */
     public StreamBuffer<T> open(T owner, long maxBytes, long nowMicros) {
         StreamBuffer<T> buffer = new StreamBuffer<>(owner, maxBytes, nowMicros);
@@ -80,13 +82,13 @@
         return buffer;
     }
 
-    /** Whether the upstream's next bytes may be read now; if not, the upstream waits. */
+    /** Whether more bytes may be received from the stream's upstream; if not, the upstream has to wait. */
     public boolean hasCapacity(StreamBuffer<T> buffer) {
         return buffer.isClosed()
                 || (!buffer.isFull() && (bufferedBytes < totalBytes || buffer.bufferedBytes() < MIN_SHARE_BYTES));
     }
 
-    /** Records bytes that have come from the upstream. */
+    /** Records bytes received from the upstream. */
     public void receive(StreamBuffer<T> buffer, int bytes, long nowMicros) {
         if (buffer.isClosed()) {
             return;
@@ -97,7 +99,7 @@
     }
 
     /**
-     * Records bytes that the client's socket has taken.
+     * Records bytes that the client's socket has accepted.
      *
      * @throws IllegalStateException if they are more than the stream has buffered
      */
@@ -109,7 +111,7 @@
     }
 
     /**
-     * Releases bytes that the client will never see: those of an attempt that was not the one answered with.
+     * Releases bytes that are not forwarded to the client, because they belong to an attempt that was not selected.
      *
      * @throws IllegalStateException if they are more than the stream has buffered
      */
@@ -120,7 +122,7 @@
         }
     }
 
-    /** Ends a stream and releases what it buffered. Does nothing the second time. */
+    /** Closes a stream's buffer and releases its bytes. Has no effect on a buffer that is already closed. */
     public void close(StreamBuffer<T> buffer) {
         if (!buffer.isClosed()) {
             buffer.close();
@@ -129,20 +131,20 @@
         }
     }
 
-    /** The stream to end because the budget is spent; null if it is not, or if all streams keep up. */
+    /** The stream to end because the budget is exhausted; null if it is not, or if no stream is lagging. */
     public StreamBuffer<T> selectVictim(long nowMicros) {
         if (bufferedBytes < totalBytes) {
             return null;
         }
-        StreamBuffer<T> worst = null;
-        double worstLag = 0;
+        StreamBuffer<T> victim = null;
+        double maxLag = 0;
         for (StreamBuffer<T> buffer : openBuffers) {
             double lag = (double) buffer.bufferedBytes() * buffer.laggingMicros(nowMicros);
-            if (lag > worstLag) {
-                worstLag = lag;
-                worst = buffer;
+            if (lag > maxLag) {
+                maxLag = lag;
+                victim = buffer;
             }
         }
-        return worst;
+        return victim;
     }
 }
--- a/src/main/java/magpiehub/streaming/FlowController.java
+++ b/src/main/java/magpiehub/streaming/FlowController.java
@@ -9,22 +9,22 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Flow control between the upstreams' connections and the clients': bounds what streams buffer, makes the upstream's
- * reader wait where a client is slow, ends the client that lags most when the budget is spent, and gives each stream
- * one outcome.
+ * Flow control between upstream and client connections: bounds the bytes that streams buffer, applies back-pressure to
+ * the upstream of a slow client, disconnects the client that lags most when the budget is exhausted, and records one
+ * outcome for each stream.
  *
  * <p>Thread-safe. One lock guards the {@link BufferBudget}, the {@link StallDetector}, the {@link StreamOutcomeCounts}
- * and the fields of each {@link StreamFlow} that are not volatile. Nothing blocks under the lock but the wait in
- * {@link #reserveCapacity}, which releases it; sockets are touched only outside of it. Only the reader of the very
- * upstream whose bytes have no room ever waits.
+ * and the non-volatile fields of each {@link StreamFlow}. The only wait under the lock is in {@link #reserveCapacity},
+ * which releases it; sockets are used only outside of it. Back-pressure affects only the reader thread of the upstream
+ * whose bytes exceed the capacity.
  */
 public final class FlowController {
-    /** How long an upstream's reader waits for capacity before it looks again unasked (us). */
-    private static final long RECHECK_MICROS = 1_000_000;
+    /** How often a reader that waits for capacity checks again without having been notified. */
+    private static final long RECHECK_INTERVAL_MICROS = 1_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** Guards what the class comment names; upstreams' readers wait on it for capacity. */
+    /** Guards the state named in the class comment. Reader threads wait on it for capacity. */
     private final Object lock = new Object();
 
     private final MonotonicClock clock;
@@ -37,7 +37,7 @@
     private volatile List<Tenant> tenants;
     private int waitingReaders;
 
-    /** Flow control for a site's classes and tenants. */
+    /** Creates flow control for the request classes and tenants of a site. */
     public FlowController(StreamLimits limits, SiteSettings site, MonotonicClock clock, EventLog log) {
         updateSettings(limits, site);
         this.clock = clock;
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Replaces the settings. Classes and tenants must keep their indexes. The budget and the stall detector stay as
-     * they were at the start.
+     * Replaces the settings. Classes and tenants must keep their indexes. The budget and the stall detector keep their
+     * initial limits.
      */
     public void updateSettings(StreamLimits newLimits, SiteSettings site) {
         limits = newLimits;
@@ -56,12 +56,12 @@
         tenants = site.routing().tenants();
     }
 
-    /** The limits in force. */
+    /** The current limits. */
     public StreamLimits limits() {
         return limits;
     }
 
-    /** The most that one stream may buffer, over all classes (bytes). */
+    /** The largest buffer limit of a stream over all classes, in bytes. */
     public long maxBufferBytes() {
         return limits.maxBufferBytes();
     }
@@ -70,12 +70,12 @@
         return limits.classes().get(flow.classIndex);
     }
 
-    // ---- The client's side ----
+    // ---- Client side ----
 
     /**
      * Admits a request that may become a stream.
      *
-     * @return the stream, which {@link #endStream} must end; null if there is no capacity for one more
+     * @return the stream, which has to be ended by {@link #endStream}; null if there is no capacity for another stream
      */
     public StreamFlow openStream(int classIndex, int tenantIndex, String requestId, StreamClient client) {
         synchronized (lock) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Records that the client's socket has taken so many of the stream's bytes. */
+    /** Records that the client's socket has accepted further bytes of the stream. */
     public void recordDelivered(StreamFlow flow, long bytes) {
         synchronized (lock) {
             budget.deliver(flow.buffer, bytes, clock.micros());
@@ -98,10 +98,10 @@
     }
 
     /**
-     * Checks whether the client's socket has taken nothing for too long. If so, {@code cause} is noted for the stream's
-     * outcome, and the caller is to close the connection.
+     * Checks whether the client's socket has accepted no bytes for too long. If so, {@code cause} is recorded for the
+     * stream's outcome, and the caller has to close the connection.
      *
-     * @param maxStallMicros the longest stall allowed, where it is shorter than that of the stream's class
+     * @param maxStallMicros the longest stall allowed, if it is shorter than the limit of the stream's class
      */
     public boolean isClientStalled(StreamFlow flow, long nowMicros, long maxStallMicros, StreamOutcome cause) {
         synchronized (lock) {
@@ -109,15 +109,16 @@
                     && flow.buffer.stalledMicros(nowMicros)
                             > Math.min(maxStallMicros, limitsOf(flow).clientStallMicros());
             if (stalled) {
-                flow.noteDisconnect(cause);
+                flow.recordDisconnectCause(cause);
             }
             return stalled;
         }
     }
 
     /**
-     * Ends a stream and releases its buffer. Where its client was cut off, the cause noted then is the outcome. A
-     * request that never became a stream has no outcome.
+     * Ends a stream and releases its buffer. If the router disconnected the client, the cause recorded at that time
+     * replaces a reported {@link StreamOutcome#CLIENT_DISCONNECTED}. A request that never became a stream has no
+     * outcome.
      */
     public void endStream(StreamFlow flow, StreamOutcome reported) {
         StreamOutcome outcome;
@@ -141,7 +142,7 @@
             budget.close(flow.buffer);
             notifyWaitingReaders();
         }
-        log.count(outcome.counter());
+        log.count(outcome.counterName());
         if (outcome != StreamOutcome.COMPLETE || limits.logsComplete()) {
             logEnd(flow, outcome, now);
         }
@@ -169,9 +170,9 @@
                 Long.toString(lastEvent == 0 ? -1 : (nowMicros - lastEvent) / MICROS_PER_MILLI));
     }
 
-    // ---- The upstream's side ----
+    // ---- Upstream side ----
 
-    /** Records that the stream of an upstream is the one that the client gets. */
+    /** Records that the response stream of this upstream is forwarded to the client. */
     public void startStream(StreamFlow flow, String upstreamId) {
         synchronized (lock) {
             if (flow.upstreamId == null && !flow.abandoned) {
@@ -184,8 +185,8 @@
     }
 
     /**
-     * Counts bytes that have come from an upstream's socket, and waits first until there is capacity for them. If the
-     * budget is spent then, the client that lags most is disconnected. For the upstream's own reader thread.
+     * Waits until there is capacity for bytes read from an upstream's socket, and then counts them. If this exhausts
+     * the budget, the client that lags most is disconnected. To be called on the upstream's reader thread.
      */
     public void reserveCapacity(StreamFlow flow, int bytes) throws InterruptedException {
         StreamFlow victim = null;
@@ -198,8 +199,8 @@
             StreamBuffer<StreamFlow> victimBuffer = budget.selectVictim(now);
             if (victimBuffer != null) {
                 victim = victimBuffer.owner();
-                victim.noteDisconnect(StreamOutcome.CLIENT_LAGGING);
-                // Its bytes are released here: no second client is cut off for them.
+                victim.recordDisconnectCause(StreamOutcome.CLIENT_LAGGING);
+                // Its bytes are released now, so that no second client is disconnected for them.
                 budget.close(victimBuffer);
                 notifyWaitingReaders();
             }
@@ -210,15 +211,16 @@
     }
 
     /**
-     * Called under the lock. The flow is marked as waiting without a gap from the first look to the last: whoever asks
-     * in between would take an upstream that is not read from for a silent one.
+     * Waits for capacity; the caller holds the lock. The flow stays marked as waiting from the first check to the last:
+     * otherwise {@link #silenceDeadline}, when called in between, would treat an upstream that is not being read from
+     * as silent.
      */
     private void awaitCapacity(StreamFlow flow) throws InterruptedException {
         waitingReaders++;
         flow.waitingForCapacity = true;
         try {
             while (!budget.hasCapacity(flow.buffer)) {
-                clock.await(lock, clock.micros() + RECHECK_MICROS);
+                clock.await(lock, clock.micros() + RECHECK_INTERVAL_MICROS);
             }
         } finally {
             waitingReaders--;
@@ -227,7 +229,7 @@
         }
     }
 
-    /** Releases bytes that had come: the client does not get their attempt's stream. */
+    /** Releases received bytes of an attempt whose stream is not forwarded to the client. */
     public void discard(StreamFlow flow, long bytes) {
         if (bytes > 0) {
             synchronized (lock) {
@@ -237,7 +239,7 @@
         }
     }
 
-    /** Called under the lock. */
+    /** The caller holds the lock. */
     private void notifyWaitingReaders() {
         if (waitingReaders > 0) {
             lock.notifyAll();
@@ -245,9 +247,9 @@
     }
 
     /**
-     * Records an event on a stream that the client gets.
+     * Records an event of a stream that is forwarded to the client.
      *
-     * @param gapMicros the time since the event before it
+     * @param gapMicros the time since the previous event
      */
     public void recordEvent(StreamFlow flow, String upstreamId, long gapMicros, long nowMicros) {
         flow.lastEventMicros = nowMicros;
@@ -259,11 +261,11 @@
     }
 
     /**
-     * Until when a stream may be silent (us on the clock).
+     * The time until which a stream may be silent.
      *
-     * @param clientResumes whether its client asks for the rest of a stream that broke
-     * @param lastByteMicros when its upstream last sent an event or a comment on it
-     * @param lastEventMicros when it last sent an event
+     * @param clientResumes whether the client resumes a broken stream elsewhere
+     * @param lastByteMicros when the upstream last sent an event or a comment
+     * @param lastEventMicros when the upstream last sent an event
      */
     public long silenceDeadline(
             StreamFlow flow,
@@ -273,7 +275,7 @@
             long lastEventMicros,
             long nowMicros) {
         if (flow.waitingForCapacity) {
-            return Math.max(nowMicros, lastByteMicros) + RECHECK_MICROS;
+            return Math.max(nowMicros, lastByteMicros) + RECHECK_INTERVAL_MICROS;
         }
         long stallLimit = limits.stall().maxMicros();
         if (limits.stall().isAdaptive()) {
@@ -282,27 +284,27 @@
             }
         }
         StreamLimits.ClassLimits classLimits = limitsOf(flow);
-        long maxSilence = clientResumes ? stallLimit : Math.max(stallLimit, classLimits.holdMicros());
+        long maxSilence = clientResumes ? stallLimit : Math.max(stallLimit, classLimits.nonResumableSilenceMicros());
         return Math.min(
                 Math.max(lastByteMicros, flow.waitedUntilMicros) + maxSilence,
-                Math.max(lastEventMicros, flow.waitedUntilMicros) + classLimits.commentsMicros());
+                Math.max(lastEventMicros, flow.waitedUntilMicros) + classLimits.commentsOnlyMicros());
     }
 
-    /** Forgets an upstream that is no longer in the endpoint list. */
+    /** Drops the statistics of an upstream that is no longer in the endpoint list. */
     public void removeUpstream(String upstreamId) {
         synchronized (lock) {
             stallDetector.removeUpstream(upstreamId);
         }
     }
 
-    /** Forgets all upstreams but those of a complete endpoint list. */
+    /** Drops the statistics of all upstreams except those of a complete endpoint list. */
     public void retainUpstreams(Set<String> upstreamIds) {
         synchronized (lock) {
             stallDetector.retainUpstreams(upstreamIds);
         }
     }
 
-    /** The gauges in the text form of {@code /counters}: a name and a value per line. */
+    /** The gauges in the text format of {@code /counters}, one {@code name value} pair per line. */
     public String metrics() {
         synchronized (lock) {
             return "streams_open " + outcomes.open() + "\nstreams_bytes_held " + budget.bufferedBytes()
--- a/src/main/java/magpiehub/streaming/GapHistogram.java
+++ b/src/main/java/magpiehub/streaming/GapHistogram.java
@@ -1,16 +1,16 @@
 package magpiehub.streaming;
 
 /**
- * Counts of the gaps between events, in buckets a quarter of an octave wide. All counts are halved now and then, so
- * that old gaps are forgotten. Only quantiles are asked for, which bursts (many events in one read) can't move far.
+ * A histogram of the gaps between events, with four buckets per octave. All counts are halved repeatedly, so that old
+ * gaps lose weight. Only quantiles are queried, since bursts (many events in one read) have little influence on them.
  */
 final class GapHistogram {
-    /** Shorter gaps come of a burst and say nothing about the upstream's pace (us); the first bucket begins here. */
+    /** Shorter gaps occur in bursts and do not reflect the upstream's pace. The first bucket starts here. */
     static final long MIN_GAP_MICROS = 500;
 
     private static final int BUCKETS = 80;
     private static final int BUCKETS_PER_OCTAVE = 4;
-    /** With fewer gaps than this no quantile is known. */
+    /** Quantiles are unknown with fewer gaps than this. */
     private static final int MIN_SAMPLES = 40;
 
     private final int[] counts = new int[BUCKETS];
@@ -18,7 +18,7 @@
     private int total;
 
     /**
-     * An empty histogram.
+     * Creates an empty histogram.
      *
      * @param halvingThreshold the number of gaps at which all counts are halved
      */
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The gap that a fraction of all stay below (us), to a quarter of an octave; 0 if too few are known. */
+    /** A quantile of the gaps in microseconds, with the resolution of a bucket; 0 if there are too few gaps. */
     long quantile(double fraction) {
         if (total < MIN_SAMPLES) {
             return 0;
@@ -60,6 +60,6 @@
                 return (long) (MIN_GAP_MICROS * Math.pow(2, (i + 1) / (double) BUCKETS_PER_OCTAVE));
             }
         }
-        throw new AssertionError("a fraction above 1");
+        throw new AssertionError("quantile fraction above 1: " + fraction);
     }
 }
--- a/src/main/java/magpiehub/streaming/StallDetector.java
+++ b/src/main/java/magpiehub/streaming/StallDetector.java
@@ -5,29 +5,29 @@
 import java.util.Set;
 
 /**
- * Learns from the gaps between events how long a silence of each upstream is normal, and says from when on it is a
- * stall. The limit is a multiple of the upstream's own slowest gaps. Where the fleet as a whole has become slower, all
- * limits grow with it: a slowdown that all upstreams share is no stall.
+ * Derives, from the gaps between events, for how long each upstream may be silent before it counts as stalled. The
+ * limit is a multiple of a high quantile of the upstream's own gaps. If the fleet as a whole becomes slower, all limits
+ * are extended accordingly: a slowdown that all upstreams share is not a stall.
  *
- * <p>A state machine without I/O or a clock of its own. Not thread-safe: an instance belongs to one lock or one thread.
+ * <p>Does no I/O and takes the time as a parameter. Not thread-safe: callers serialize access to an instance.
  */
 public final class StallDetector {
-    /** An upstream's histogram is halved at so many gaps. */
+    /** The number of gaps at which the histogram of an upstream is halved. */
     private static final int UPSTREAM_HALVING_THRESHOLD = 2048;
-    /** The histogram of the fleet's pace of now is halved at so many gaps. */
+    /** The number of gaps at which the histogram of the fleet's recent pace is halved. */
     private static final int RECENT_HALVING_THRESHOLD = 512;
-    /** The histogram of the fleet's usual pace is halved at so many gaps: much later than the recent one. */
+    /** The same for the histogram of the fleet's usual pace, which covers a much longer period than the recent one. */
     private static final int USUAL_HALVING_THRESHOLD = 65_536;
-    /** The most by which a slowdown of the whole fleet lengthens the limits. */
+    /** The largest factor by which a slowdown of the whole fleet extends the limits. */
     private static final double MAX_FLEET_SLOWDOWN = 4;
-    /** The part of an upstream's gaps that stay below its slowest normal one. */
+    /** The quantile of an upstream's gaps that counts as its slowest normal gap. */
     private static final double SLOWEST_GAP_QUANTILE = 0.99;
 
     private static final double MEDIAN = 0.5;
 
     private static final class Upstream {
         private final GapHistogram gaps = new GapHistogram(UPSTREAM_HALVING_THRESHOLD);
-        /** When an event last came on any of its streams (us). */
+        /** When an event was last received on any of the upstream's streams. */
         private long lastEventMicros;
 
         private int openStreams;
@@ -38,12 +38,12 @@
     private final GapHistogram usualGaps = new GapHistogram(USUAL_HALVING_THRESHOLD);
     private final GapHistogram recentGaps = new GapHistogram(RECENT_HALVING_THRESHOLD);
 
-    /** A detector that has learned nothing yet. */
+    /** Creates a detector without statistics. */
     public StallDetector(StallLimits limits) {
         this.limits = limits;
     }
 
-    /** Records that a stream has begun on an upstream. */
+    /** Records the start of a stream on an upstream. */
     public void startStream(String upstreamId, long nowMicros) {
         if (!limits.isAdaptive()) {
             return;
@@ -53,7 +53,7 @@
         upstream.lastEventMicros = nowMicros;
     }
 
-    /** Records that a stream is over on an upstream. */
+    /** Records the end of a stream on an upstream. */
     public void endStream(String upstreamId) {
         Upstream upstream = upstreams.get(upstreamId);
         if (upstream != null && upstream.openStreams > 0) {
@@ -64,7 +64,7 @@
     /**
      * Records an event.
      *
-     * @param gapMicros the time since the event before it on the same stream
+     * @param gapMicros the time since the previous event on the same stream
      */
     public void recordEvent(String upstreamId, long gapMicros, long nowMicros) {
         Upstream upstream = upstreams.computeIfAbsent(upstreamId, id -> new Upstream());
@@ -76,17 +76,17 @@
         }
     }
 
-    /** Forgets an upstream that is no longer in the endpoint list. */
+    /** Drops the statistics of an upstream that is no longer in the endpoint list. */
     public void removeUpstream(String upstreamId) {
         upstreams.remove(upstreamId);
     }
 
-    /** Forgets all upstreams but these. */
+    /** Drops the statistics of all upstreams except these. */
     public void retainUpstreams(Set<String> upstreamIds) {
         upstreams.keySet().retainAll(upstreamIds);
     }
 
-    /** How many times slower than usual the whole fleet is now; 1 if it is not. */
+    /** The ratio of the fleet's recent median gap to its usual one, from 1 to {@link #MAX_FLEET_SLOWDOWN}. */
     public double fleetSlowdown() {
         long usual = usualGaps.quantile(MEDIAN);
         long recent = recentGaps.quantile(MEDIAN);
@@ -94,8 +94,8 @@
     }
 
     /**
-     * How long a stream on this upstream may be silent before that is a stall (us). An upstream whose other streams go
-     * on is given twice as long: one stream may wait behind the prompt of another.
+     * How long a stream on this upstream may be silent before it counts as stalled. The limit is doubled for an
+     * upstream whose other streams make progress: one stream may be waiting for the prompt of another to be processed.
      */
     public long limitMicros(String upstreamId, long nowMicros) {
         Upstream upstream = upstreams.get(upstreamId);
--- a/src/main/java/magpiehub/streaming/StallLimits.java
+++ b/src/main/java/magpiehub/streaming/StallLimits.java
@@ -1,14 +1,14 @@
 package magpiehub.streaming;
 
 /**
- * How long an upstream may be silent on a stream before that counts as a stall.
+ * How long an upstream may be silent on a stream before it counts as stalled.
  *
- * @param minMicros the limit is never shorter than this
- * @param maxMicros the limit is never longer than this
- * @param factor the limit as a multiple of the gap between events that 99 of 100 of the upstream's gaps stay below
+ * @param minMicros the lower bound of the limit
+ * @param maxMicros the upper bound of the limit
+ * @param factor the limit as a multiple of the 99th percentile of the upstream's gaps between events
  */
 public record StallLimits(long minMicros, long maxMicros, double factor) {
-    /** Whether limits are learned from the upstreams' gaps between events; if not, {@link #maxMicros} alone counts. */
+    /** Whether the limit adapts to the upstream's gaps between events; otherwise it is {@link #maxMicros}. */
     public boolean isAdaptive() {
         return minMicros < maxMicros;
     }
--- a/src/main/java/magpiehub/streaming/StreamBuffer.java
+++ b/src/main/java/magpiehub/streaming/StreamBuffer.java
@@ -1,23 +1,23 @@
 package magpiehub.streaming;
 
 /**
- * The bytes of one stream that have come from its upstream and that its client's socket has not taken yet. Changed by
- * the {@link BufferBudget} that opened it, under the same lock.
+ * Accounts for the bytes of one stream that have been received from its upstream but not yet accepted by its client's
+ * socket. Modified only by the {@link BufferBudget} that opened it, under the same lock.
  *
- * @param <T> what the budget's user keeps for a stream
+ * @param <T> the type that identifies the stream's owner
  */
 public final class StreamBuffer<T> {
-    /** Stands for "not lagging" in {@link #laggingSince}. */
+    /** The value of {@link #aboveThresholdSinceMicros} while the buffer is at or below the threshold. */
     private static final long NEVER = Long.MAX_VALUE;
 
     private final T owner;
     private final long maxBytes;
     private long bufferedBytes;
     private long deliveredBytes;
-    /** When the client's socket last took bytes, or when the first of those that wait came (us). */
+    /** When the client's socket last accepted bytes, or when the buffer last became non-empty. */
     private long lastProgressMicros;
 
-    private long laggingSince = NEVER;
+    private long aboveThresholdSinceMicros = NEVER;
     private boolean closed;
 
     StreamBuffer(T owner, long maxBytes, long nowMicros) {
@@ -26,31 +26,33 @@
         this.lastProgressMicros = nowMicros;
     }
 
-    /** What was given to {@link BufferBudget#open}. */
+    /** The owner that was passed to {@link BufferBudget#open}. */
     T owner() {
         return owner;
     }
 
-    /** Bytes that the client's socket has not taken. */
+    /** The bytes received from the upstream that the client's socket has not accepted. */
     public long bufferedBytes() {
         return bufferedBytes;
     }
 
-    /** Bytes that the client's socket has taken. */
+    /** The bytes that the client's socket has accepted. */
     public long deliveredBytes() {
         return deliveredBytes;
     }
 
-    /** How long the client has taken nothing although bytes wait (us); 0 if none wait. */
+    /** How long the client's socket has accepted nothing although bytes are buffered; 0 if none are. */
     public long stalledMicros(long nowMicros) {
         return bufferedBytes == 0 || closed ? 0 : Math.max(0, nowMicros - lastProgressMicros);
     }
 
-    /** How long this stream has been lagging (us); 0 if it keeps up, see {@link BufferBudget}. */
+    /** How long this stream has exceeded the lag threshold; 0 if it is not lagging, see {@link BufferBudget}. */
     long laggingMicros(long nowMicros) {
-        return laggingSince == NEVER || nowMicros - laggingSince < BufferBudget.LAG_GRACE_MICROS
-                ? 0
-                : nowMicros - laggingSince;
+        if (aboveThresholdSinceMicros == NEVER) {
+            return 0;
+        }
+        long aboveThresholdMicros = nowMicros - aboveThresholdSinceMicros;
+        return aboveThresholdMicros < BufferBudget.LAG_GRACE_MICROS ? 0 : aboveThresholdMicros;
     }
 
     boolean isClosed() {
@@ -70,8 +72,8 @@
             lastProgressMicros = nowMicros;
         }
         bufferedBytes += bytes;
-        if (bufferedBytes > BufferBudget.KEEPING_UP_BYTES && laggingSince == NEVER) {
-            laggingSince = nowMicros;
+        if (bufferedBytes > BufferBudget.LAG_THRESHOLD_BYTES && aboveThresholdSinceMicros == NEVER) {
+            aboveThresholdSinceMicros = nowMicros;
         }
     }
 
@@ -81,14 +83,14 @@
         lastProgressMicros = nowMicros;
     }
 
-    /** Guards against counting a byte twice, which would let the budget overrun unseen. */
+    /** Removes bytes; throws if there are too few, since counting a byte twice would exceed the budget unnoticed. */
     void remove(long bytes) {
         if (bytes < 0 || bytes > bufferedBytes) {
-            throw new IllegalStateException(bytes + " bytes taken of " + bufferedBytes);
+            throw new IllegalStateException("cannot remove " + bytes + " of " + bufferedBytes + " buffered bytes");
         }
         bufferedBytes -= bytes;
-        if (bufferedBytes <= BufferBudget.KEEPING_UP_BYTES) {
-            laggingSince = NEVER;
+        if (bufferedBytes <= BufferBudget.LAG_THRESHOLD_BYTES) {
+            aboveThresholdSinceMicros = NEVER;
         }
     }
 }
--- a/src/main/java/magpiehub/streaming/StreamClient.java
+++ b/src/main/java/magpiehub/streaming/StreamClient.java
@@ -1,7 +1,7 @@
 package magpiehub.streaming;
 
-/** The client's connection of a stream, for the decision of the {@link FlowController} to end it. Any thread. */
+/** The client connection of a stream, which the {@link FlowController} may close. Thread-safe. */
 public interface StreamClient {
-    /** Closes the connection at once, whoever may be blocked in a write to it. Does not block. */
+    /** Closes the connection immediately, even if a thread is blocked in a write to it. Does not block. */
     void disconnect();
 }
--- a/src/main/java/magpiehub/streaming/StreamFlow.java
+++ b/src/main/java/magpiehub/streaming/StreamFlow.java
@@ -1,8 +1,8 @@
 package magpiehub.streaming;
 
 /**
- * One stream as the {@link FlowController} sees it, from the client's request to the stream's one outcome. Opaque to
- * others. Fields that are not volatile are guarded by the controller's lock.
+ * The state that the {@link FlowController} keeps for one stream, from the client's request to the stream's outcome.
+ * Opaque to other packages. Non-volatile fields are guarded by the controller's lock.
  */
 public final class StreamFlow {
     final int classIndex;
@@ -10,20 +10,20 @@
     final String requestId;
     final StreamClient client;
     StreamBuffer<StreamFlow> buffer;
-    /** The upstream whose stream the client gets; null until one is chosen. */
+    /** The upstream whose stream is forwarded to the client; null until one is selected. */
     String upstreamId;
-    /** Over before it became a stream: a stream that starts in the same moment is not counted. */
+    /** Whether the request ended before it became a stream; a stream that starts concurrently is not counted. */
     boolean abandoned;
 
     StreamOutcome outcome;
-    /** Why the client's connection was cut, before the stream's end is reported; null if it was not. */
+    /** Why the router disconnected the client; null if it did not. */
     private StreamOutcome disconnectCause;
 
-    /** When the last event came (us); 0 before the first. */
+    /** When the last event was received; 0 before the first. */
     volatile long lastEventMicros;
-    /** The upstream's reader waits for capacity: the upstream is not silent, it is not read from. */
+    /** Whether the upstream's reader waits for capacity, so that the upstream must not be treated as silent. */
     volatile boolean waitingForCapacity;
-    /** When that wait last ended (us): what the upstream sent meanwhile is only read from then on. */
+    /** When the last wait for capacity ended. What the upstream sent during the wait is read only after it. */
     volatile long waitedUntilMicros;
 
     StreamFlow(int classIndex, int tenantIndex, String requestId, StreamClient client) {
@@ -33,12 +33,12 @@
         this.client = client;
     }
 
-    /** Notes why the client's connection is cut; the first cause stands. */
-    void noteDisconnect(StreamOutcome cause) {
+    /** Records why the router disconnects the client; the first cause is kept. */
+    void recordDisconnectCause(StreamOutcome cause) {
         disconnectCause = disconnectCause == null ? cause : disconnectCause;
     }
 
-    /** The outcome to record: a client that was cut off looks as if it had left by itself. */
+    /** The outcome to record: a client that the router disconnected is reported as if it had disconnected itself. */
     StreamOutcome resolve(StreamOutcome reported) {
         return disconnectCause != null && reported == StreamOutcome.CLIENT_DISCONNECTED ? disconnectCause : reported;
     }
--- a/src/main/java/magpiehub/streaming/StreamLimitsReader.java
+++ b/src/main/java/magpiehub/streaming/StreamLimitsReader.java
@@ -15,8 +15,8 @@
 import magpiehub.streaming.StreamLimits.ClassLimits;
 
 /**
- * Reads {@link StreamLimits} from {@code deploy/streams.json}. An unknown key, a wrong type or a value out of bounds is
- * a {@link ConfigurationException} with the names of the file and the key.
+ * Reads {@link StreamLimits} from {@code deploy/streams.json}. Throws a {@link ConfigurationException} that names the
+ * file and the key if a key is unknown, a value has the wrong type, or a value is out of bounds.
  */
 public final class StreamLimitsReader {
     private static final long MICROS_PER_MILLI = 1000;
@@ -24,10 +24,11 @@
 
     private static final long DAY_MS = 86_400_000;
     private static final long MIN_TIME_MS = 100;
-    /** The part of the heap that buffers may take by default, and at most. */
+    /** By default, buffers may take this fraction of the heap: one eighth. */
     private static final long DEFAULT_HEAP_DIVISOR = 8;
-
+    /** Buffers may be configured to take at most this fraction of the heap: one half. */
     private static final long MAX_HEAP_DIVISOR = 2;
+
     private static final long MIN_DEFAULT_BUDGET_KB = 1024;
     private static final long MIN_BUDGET_KB = 256;
     private static final long MAX_SEND_BUFFER_KB = 4096;
@@ -48,15 +49,15 @@
 
     private StreamLimitsReader() {}
 
-    /** The limits without a file. */
+    /** The limits that apply without a file. */
     public static StreamLimits defaults(List<RequestClass> classes, long maxHeapBytes) {
         return parse(new ConfigurationObject(Map.of(), "streams.json"), classes, maxHeapBytes);
     }
 
     /**
-     * Reads the limits from a file; the {@link #defaults} if there is no such file.
+     * Reads the limits from a file, or returns the {@link #defaults} if the file does not exist.
      *
-     * @param maxHeapBytes the heap's limit, which bounds the budget
+     * @param maxHeapBytes the maximum heap size, which bounds the budget
      */
     public static StreamLimits read(Path file, List<RequestClass> classes, long maxHeapBytes) throws IOException {
         if (!Files.exists(file)) {
@@ -70,7 +71,7 @@
         }
     }
 
-    /** Reads the limits from the file's object. */
+    /** Parses the limits from the JSON object of the file. */
     public static StreamLimits parse(ConfigurationObject file, List<RequestClass> classes, long maxHeapBytes) {
         CheckedObject top = new CheckedObject(file, "");
         long heapKb = maxHeapBytes / DEFAULT_HEAP_DIVISOR / BYTES_PER_KB;
@@ -86,7 +87,7 @@
         StallLimits stall = parseStall(top);
         ClassLimits common = parseClass(top, DEFAULT_CLASS_LIMITS);
         Map<String, ClassLimits> overrides = parseOverrides(file.object("classes"), classes, common);
-        top.requireNoOthers(Set.of("half_close", "log_whole", "classes"));
+        top.requireNoOtherKeys(Set.of("half_close", "log_whole", "classes"));
         List<ClassLimits> byIndex = new ArrayList<>();
         for (RequestClass requestClass : classes) {
             byIndex.add(overrides.getOrDefault(requestClass.name(), common));
@@ -108,11 +109,11 @@
         Map<String, ClassLimits> overrides = new LinkedHashMap<>();
         for (String name : byName.map().keySet()) {
             if (classes.stream().noneMatch(known -> known.name().equals(name))) {
-                throw new ConfigurationException("classes." + name + " is not a class of this site's");
+                throw new ConfigurationException("classes." + name + " is not a class of this site");
             }
             CheckedObject object = new CheckedObject(byName.object(name), "classes." + name + ".");
             overrides.put(name, parseClass(object, common));
-            object.requireNoOthers(Set.of());
+            object.requireNoOtherKeys(Set.of());
         }
         return overrides;
     }
@@ -122,11 +123,11 @@
                 object.number("buffer_kb", defaults.bufferBytes() / BYTES_PER_KB, MIN_BUFFER_KB, MAX_BUFFER_KB)
                         * BYTES_PER_KB,
                 object.millis("pause_ms", defaults.clientStallMicros()),
-                object.millis("hold_ms", defaults.holdMicros()),
-                object.millis("comments_ms", defaults.commentsMicros()));
+                object.millis("hold_ms", defaults.nonResumableSilenceMicros()),
+                object.millis("comments_ms", defaults.commentsOnlyMicros()));
     }
 
-    /** An object whose numbers are checked against bounds, and which knows the keys that were read. */
+    /** A JSON object whose numbers are checked against bounds; records the keys that have been read. */
     private static final class CheckedObject {
         private final ConfigurationObject object;
         private final String path;
@@ -137,7 +138,7 @@
             this.path = path;
         }
 
-        /** The whole number under a key, within bounds that belong to it. */
+        /** The integer for a key; throws if it is out of bounds. */
         long number(String key, long defaultValue, long min, long max) {
             readKeys.add(key);
             double value = object.number(key, (double) defaultValue);
@@ -147,13 +148,13 @@
             return (long) value;
         }
 
-        /** The time under a key, in microseconds; the key gives it in milliseconds. */
+        /** The time for a key, converted from milliseconds to microseconds. */
         long millis(String key, long defaultMicros) {
             return number(key, defaultMicros / MICROS_PER_MILLI, MIN_TIME_MS, DAY_MS) * MICROS_PER_MILLI;
         }
 
-        /** Guards against a key with a typing error: it would be ignored in silence. */
-        void requireNoOthers(Set<String> alsoKnown) {
+        /** Throws if there is any other key, so that a misspelled key is not silently ignored. */
+        void requireNoOtherKeys(Set<String> alsoKnown) {
             for (String key : object.map().keySet()) {
                 if (!readKeys.contains(key) && !alsoKnown.contains(key)) {
                     throw new ConfigurationException(path + key + " is not a setting of this file");
--- a/src/main/java/magpiehub/streaming/StreamOutcomeCounts.java
+++ b/src/main/java/magpiehub/streaming/StreamOutcomeCounts.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * Counts how streams end, and sees to it that each has exactly one outcome: the first one reported stands. A second
- * one that differs is a fault, and is counted too. Not thread-safe: an instance belongs to one lock or one thread.
+ * Counts streams by outcome and ensures that each has exactly one: the first outcome reported is kept. A second one
+ * that differs is an error and is counted as a conflict. Not thread-safe: callers serialize access to an instance.
  */
 public final class StreamOutcomeCounts {
     private final Map<StreamOutcome, Long> counts = new EnumMap<>(StreamOutcome.class);
     private long started;
     private long conflicts;
 
-    /** Records that a stream has begun. */
+    /** Records the start of a stream. */
     public void recordStart() {
         started++;
     }
@@ -20,12 +20,12 @@
     /**
      * Records the outcome of a stream.
      *
-     * @param previous the outcome that the stream has already, or null
-     * @return whether this outcome stands
+     * @param previous the outcome that the stream already has, or null
+     * @return whether the outcome was recorded
      */
     public boolean recordEnd(StreamOutcome previous, StreamOutcome outcome) {
         if (previous != null) {
-            // Both sides of a stream may report the same event; two reports that differ are looked into.
+            // Both sides of a stream may report the same end; only different outcomes are a conflict.
             conflicts += previous == outcome ? 0 : 1;
             return false;
         }
@@ -33,17 +33,17 @@
         return true;
     }
 
-    /** How many streams ended so. */
+    /** The number of streams with this outcome. */
     public long count(StreamOutcome outcome) {
         return counts.getOrDefault(outcome, 0L);
     }
 
-    /** Second outcomes that were reported, each different from the first. */
+    /** The number of second outcomes that differed from the first. */
     public long conflicts() {
         return conflicts;
     }
 
-    /** Streams without an outcome as yet. */
+    /** The number of streams that have started but have no outcome yet. */
     public long open() {
         return started - counts.values().stream().mapToLong(Long::longValue).sum();
     }
--- a/src/test/java/magpiehub/streaming/BufferBudgetTest.java
+++ b/src/test/java/magpiehub/streaming/BufferBudgetTest.java
@@ -12,51 +12,51 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The buffer budget, driven directly. */
+/** Tests the admission of streams, the selection of the victim, and the byte counts of the buffer budget. */
 class BufferBudgetTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     @Test
-    void theStreamThatLagsMostIsTheVictimAndNeverOneThatKeepsUp() {
+    void theVictimIsTheStreamThatLagsMostAndNeverOneThatIsNotLagging() {
         BufferBudget<Object> budget = new BufferBudget<>(1 << 20);
-        StreamBuffer<Object> stuck = budget.open("stuck", 1 << 20, 0);
+        StreamBuffer<Object> stalled = budget.open("stalled", 1 << 20, 0);
         StreamBuffer<Object> slow = budget.open("slow", 1 << 20, 0);
-        StreamBuffer<Object> fine = budget.open("fine", 1 << 20, 0);
-        budget.receive(stuck, 500_000, 0);
-        budget.receive(slow, 540_000, 3 * SECOND);
-        assertNull(budget.selectVictim(3 * SECOND), "nothing is short");
-        budget.receive(fine, 20_000, 4 * SECOND);
-        assertSame(stuck, budget.selectVictim(4 * SECOND));
-        budget.close(stuck);
-        assertNull(budget.selectVictim(4 * SECOND));
+        StreamBuffer<Object> prompt = budget.open("prompt", 1 << 20, 0);
+        budget.receive(stalled, 500_000, 0);
+        budget.receive(slow, 540_000, 3 * SECOND_MICROS);
+        assertNull(budget.selectVictim(3 * SECOND_MICROS), "the budget is not exhausted");
+        budget.receive(prompt, 20_000, 4 * SECOND_MICROS);
+        assertSame(stalled, budget.selectVictim(4 * SECOND_MICROS));
+        budget.close(stalled);
+        assertNull(budget.selectVictim(4 * SECOND_MICROS));
         budget.close(slow);
-        assertTrue(budget.hasCapacity(fine));
-        // The budget is spent and all keep up: their upstreams wait, none is ended.
-        List<StreamBuffer<Object>> keepingUp = new ArrayList<>();
+        assertTrue(budget.hasCapacity(prompt));
+        // The budget is exhausted and no stream is lagging: the upstreams wait, and no stream is ended.
+        List<StreamBuffer<Object>> notLagging = new ArrayList<>();
         for (int i = 0; budget.bufferedBytes() < budget.totalBytes(); i++) {
-            keepingUp.add(budget.open(i, 1 << 20, 5 * SECOND));
-            budget.receive(keepingUp.get(i), 40_000, 5 * SECOND);
+            notLagging.add(budget.open(i, 1 << 20, 5 * SECOND_MICROS));
+            budget.receive(notLagging.get(i), 40_000, 5 * SECOND_MICROS);
         }
-        assertNull(budget.selectVictim(60 * SECOND));
-        assertFalse(budget.hasCapacity(keepingUp.get(0)));
+        assertNull(budget.selectVictim(60 * SECOND_MICROS));
+        assertFalse(budget.hasCapacity(notLagging.get(0)));
     }
 
     @Test
-    void newStreamsAreRejectedBeforeTheBudgetIsOverrun() {
-        BufferBudget<Object> budget = new BufferBudget<>(10 * BufferBudget.KEEPING_UP_BYTES);
+    void newStreamsAreRejectedBeforeTheBudgetIsExceeded() {
+        BufferBudget<Object> budget = new BufferBudget<>(10 * BufferBudget.LAG_THRESHOLD_BYTES);
         int streams = 0;
         for (; budget.hasCapacityForStream(0); streams++) {
             budget.open(streams, 1 << 20, 0);
         }
-        assertEquals(10 * BufferBudget.KEEPING_UP_BYTES / BufferBudget.RESERVED_BYTES, streams);
-        BufferBudget<Object> other = new BufferBudget<>(10 * BufferBudget.KEEPING_UP_BYTES);
-        other.receive(other.open("large", 1 << 20, 0), 10 * BufferBudget.KEEPING_UP_BYTES - 1, 0);
-        assertFalse(other.hasCapacityForStream(0), "what one in step holds counts as it is");
-        assertTrue(other.hasCapacityForStream(SECOND), "for one that stays behind, room is made");
+        assertEquals(10 * BufferBudget.LAG_THRESHOLD_BYTES / BufferBudget.RESERVED_BYTES, streams);
+        BufferBudget<Object> other = new BufferBudget<>(10 * BufferBudget.LAG_THRESHOLD_BYTES);
+        other.receive(other.open("large", 1 << 20, 0), 10 * BufferBudget.LAG_THRESHOLD_BYTES - 1, 0);
+        assertFalse(other.hasCapacityForStream(0), "all bytes of a stream that is not lagging count");
+        assertTrue(other.hasCapacityForStream(SECOND_MICROS), "a lagging stream does not count, since it can be ended");
     }
 
     @Test
-    void everyByteIsCountedOnce() {
+    void everyByteIsCountedExactlyOnce() {
         SplittableRandom random = new SplittableRandom(8);
         BufferBudget<Object> budget = new BufferBudget<>(4 << 20);
         List<StreamBuffer<Object>> open = new ArrayList<>();
@@ -86,22 +86,27 @@
             long sum =
                     open.stream().mapToLong(StreamBuffer<Object>::bufferedBytes).sum();
             assertEquals(sum, budget.bufferedBytes());
-            assertTrue(sum <= budget.totalBytes() + open.size() * (BufferBudget.MIN_SHARE_BYTES + 30_000L), "overrun");
+            assertTrue(
+                    sum <= budget.totalBytes() + open.size() * (BufferBudget.MIN_SHARE_BYTES + 30_000L),
+                    "budget exceeded by more than the minimum shares");
         }
         StreamBuffer<Object> buffer = budget.open("", 1, 0);
         assertThrows(IllegalStateException.class, () -> budget.deliver(buffer, 1, 0));
     }
 
     @Test
-    void aClientIsStalledOnceItTakesNothingThoughBytesWait() {
+    void aClientIsStalledWhileItAcceptsNothingAlthoughBytesAreBuffered() {
         BufferBudget<Object> budget = new BufferBudget<>(1 << 20);
         StreamBuffer<Object> buffer = budget.open("", 1 << 20, 0);
-        assertEquals(0, buffer.stalledMicros(100 * SECOND), "nothing waits");
-        budget.receive(buffer, 100, 100 * SECOND);
-        assertEquals(2 * SECOND, buffer.stalledMicros(102 * SECOND), "the time before bytes came is not the reader's");
-        budget.deliver(buffer, 1, 103 * SECOND);
-        assertEquals(SECOND, buffer.stalledMicros(104 * SECOND));
-        budget.deliver(buffer, 99, 105 * SECOND);
-        assertEquals(0, buffer.stalledMicros(200 * SECOND));
+        assertEquals(0, buffer.stalledMicros(100 * SECOND_MICROS), "nothing is buffered");
+        budget.receive(buffer, 100, 100 * SECOND_MICROS);
+        assertEquals(
+                2 * SECOND_MICROS,
+                buffer.stalledMicros(102 * SECOND_MICROS),
+                "the time before bytes were buffered does not count");
+        budget.deliver(buffer, 1, 103 * SECOND_MICROS);
+        assertEquals(SECOND_MICROS, buffer.stalledMicros(104 * SECOND_MICROS));
+        budget.deliver(buffer, 99, 105 * SECOND_MICROS);
+        assertEquals(0, buffer.stalledMicros(200 * SECOND_MICROS));
     }
 }
--- a/src/test/java/magpiehub/streaming/FaultyClients.java
+++ b/src/test/java/magpiehub/streaming/FaultyClients.java
@@ -13,26 +13,26 @@
 import magpiehub.http.HttpHead;
 import magpiehub.http.HttpReader;
 
-/** Clients of the router, each with one stream and the fault that is injected into it. */
+/** Clients of the router, each of which requests one stream and behaves as the injected fault requires. */
 final class FaultyClients {
-    private static final int SLOW_CLIENT_RECEIVE_BUFFER = 8 * 1024;
+    private static final int FAULTY_CLIENT_RECEIVE_BUFFER_BYTES = 8 * 1024;
     private static final int READ_TIMEOUT_MS = 30_000;
     private static final int SECONDS_WITHOUT_READING = 7;
-    private static final int EVENTS_BEFORE_LEAVING = 5;
+    private static final int EVENTS_BEFORE_DISCONNECT = 5;
 
     private final int port;
     private final ScriptedUpstreams upstreams;
     private final long pauseMs;
-    private final AtomicInteger wrongBytes = new AtomicInteger();
+    private final AtomicInteger corruptedStreams = new AtomicInteger();
     private final AtomicInteger rejected = new AtomicInteger();
     private final AtomicInteger streams = new AtomicInteger();
     private final AtomicInteger openStreams = new AtomicInteger();
     private final AtomicInteger maxOpenStreams = new AtomicInteger();
 
     /**
-     * Clients of the router at a port.
+     * Creates clients of the router that listens on {@code port}.
      *
-     * @param pauseMs how long a client that pauses takes nothing
+     * @param pauseMs how long a client that pauses does not read
      */
     FaultyClients(int port, ScriptedUpstreams upstreams, long pauseMs) {
         this.port = port;
@@ -40,29 +40,29 @@
         this.pauseMs = pauseMs;
     }
 
-    /** Streams whose bytes were not those sent. */
-    int wrongBytes() {
-        return wrongBytes.get();
+    /** The number of streams whose received bytes differed from those sent. */
+    int corruptedStreams() {
+        return corruptedStreams.get();
     }
 
-    /** Requests that were not answered with a stream. */
+    /** The number of requests that were not answered with a stream. */
     int rejected() {
         return rejected.get();
     }
 
-    /** Requests that were answered with a stream. */
+    /** The number of requests that were answered with a stream. */
     int streams() {
         return streams.get();
     }
 
-    /** The most streams that were open at once. */
+    /** The peak number of concurrent streams. */
     int maxOpenStreams() {
         return maxOpenStreams.get();
     }
 
     /**
-     * Sends a request and reads its stream as the fault says. Gaps between events (us) are added to {@code gaps},
-     * unless null.
+     * Sends a request and reads its stream with the given fault. The gaps between events, in microseconds, are added to
+     * {@code gaps} unless it is null.
      */
     void run(String id, StreamFault fault, ConcurrentLinkedQueue<Long> gaps) {
         try (Socket socket = new Socket()) {
@@ -85,13 +85,13 @@
                 openStreams.decrementAndGet();
             }
         } catch (IOException | InterruptedException e) {
-            // Cut off, which the router counts.
+            // The router closed the connection, and counts why.
         }
     }
 
     private void connect(Socket socket, StreamFault fault) throws IOException {
         if (fault != StreamFault.NONE) {
-            socket.setReceiveBufferSize(SLOW_CLIENT_RECEIVE_BUFFER);
+            socket.setReceiveBufferSize(FAULTY_CLIENT_RECEIVE_BUFFER_BYTES);
         }
         socket.setTcpNoDelay(true);
         socket.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port));
@@ -105,38 +105,38 @@
                 .getBytes(UTF_8);
     }
 
-    /** Thrown by a client that leaves in the middle of its stream. */
-    private static final class ClientLeavesException extends IOException {
+    /** Thrown to stop reading when the client disconnects in the middle of its stream. */
+    private static final class ClientDisconnectsException extends IOException {
         private static final long serialVersionUID = 1L;
     }
 
     private void read(
             Socket socket, HttpReader in, HttpHead head, String id, StreamFault fault, ConcurrentLinkedQueue<Long> gaps)
             throws IOException, InterruptedException {
-        if (fault == StreamFault.STOPS_READING || fault == StreamFault.BYTE_A_SECOND) {
+        if (fault == StreamFault.CLIENT_STOPS_READING || fault == StreamFault.CLIENT_READS_SLOWLY) {
             readSlowly(socket, fault);
             return;
         }
-        if (fault == StreamFault.PAUSES) {
+        if (fault == StreamFault.CLIENT_PAUSES) {
             TimeUnit.MILLISECONDS.sleep(pauseMs);
         }
         ByteArrayOutputStream received = new ByteArrayOutputStream();
         try {
             readEvents(in, head, fault, gaps, received);
-        } catch (ClientLeavesException e) {
-            leave(socket, id, fault);
+        } catch (ClientDisconnectsException e) {
+            disconnect(socket, id, fault);
             return;
         } catch (IOException e) {
-            check(received, fault, false);
+            verify(received, fault, false);
             return;
         }
-        check(received, fault, true);
+        verify(received, fault, true);
     }
 
     private static void readSlowly(Socket socket, StreamFault fault) throws IOException, InterruptedException {
         for (int i = 0; i < SECONDS_WITHOUT_READING; i++) {
             TimeUnit.MILLISECONDS.sleep(1000);
-            if (fault == StreamFault.BYTE_A_SECOND) {
+            if (fault == StreamFault.CLIENT_READS_SLOWLY) {
                 socket.getInputStream().read();
             }
         }
@@ -158,26 +158,26 @@
             }
             lastEventNanos[0] = now;
             received.writeBytes(event);
-            boolean leaves = fault == StreamFault.LEAVES || fault == StreamFault.RESETS;
-            if (++events[0] == EVENTS_BEFORE_LEAVING && leaves) {
-                throw new ClientLeavesException();
+            boolean disconnects = fault == StreamFault.CLIENT_CLOSES || fault == StreamFault.CLIENT_RESETS;
+            if (++events[0] == EVENTS_BEFORE_DISCONNECT && disconnects) {
+                throw new ClientDisconnectsException();
             }
         });
     }
 
-    private void leave(Socket socket, String id, StreamFault fault) throws IOException, InterruptedException {
-        // The upstream has written all that it will by then, and is silent.
+    private void disconnect(Socket socket, String id, StreamFault fault) throws IOException, InterruptedException {
+        // By then the upstream has written everything up to its silence.
         TimeUnit.MILLISECONDS.sleep(10L * ScriptedStream.EVENT_MS);
-        upstreams.clientLeaves(id);
-        if (fault == StreamFault.RESETS) {
+        upstreams.recordClientDisconnect(id);
+        if (fault == StreamFault.CLIENT_RESETS) {
             socket.setSoLinger(true, 0);
         }
         socket.close();
     }
 
-    private void check(ByteArrayOutputStream received, StreamFault fault, boolean complete) {
+    private void verify(ByteArrayOutputStream received, StreamFault fault, boolean complete) {
         if (!ScriptedStream.matches(received.toByteArray(), fault, complete)) {
-            wrongBytes.incrementAndGet();
+            corruptedStreams.incrementAndGet();
         }
     }
 }
--- a/src/test/java/magpiehub/streaming/FlowControllerTest.java
+++ b/src/test/java/magpiehub/streaming/FlowControllerTest.java
@@ -12,31 +12,31 @@
 import magpiehub.telemetry.SyslogEventLog;
 import org.junit.jupiter.api.Test;
 
-/** Races between the two sides of a stream; a simulated clock forces the moments between two steps under the lock. */
+/** Tests races between the two sides of a stream. A simulated clock forces interleavings within a wait for capacity. */
 class FlowControllerTest {
-    private static final long SECOND = 1_000_000;
-    private static final long PAUSE = 10 * SECOND;
-    private static final int BUFFER = 64 * 1024;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long PAUSE_MICROS = 10 * SECOND_MICROS;
+    private static final int BUFFER_BYTES = 64 * 1024;
 
-    /** Time passes only in waits; at each reading the upstream's actor checks whether the stream is silent. */
+    /** A clock that advances only in waits and runs a callback at each reading and during each wait. */
     private static final class RacingClock implements MonotonicClock {
-        private long now = 1000 * SECOND;
-        private Runnable atEachReading = () -> {};
-        private Runnable whileWaiting = () -> {};
+        private long now = 1000 * SECOND_MICROS;
+        private Runnable onRead = () -> {};
+        private Runnable onWait = () -> {};
 
         @Override
         public long micros() {
-            Runnable check = atEachReading;
-            atEachReading = () -> {}; // The check reads the clock itself.
-            check.run();
-            atEachReading = check;
+            Runnable callback = onRead;
+            onRead = () -> {}; // The callback reads the clock, too.
+            callback.run();
+            onRead = callback;
             return now;
         }
 
         @Override
-        public void await(Object monitor, long until) {
-            now += SECOND;
-            whileWaiting.run();
+        public void await(Object monitor, long deadline) {
+            now += SECOND_MICROS;
+            onWait.run();
         }
     }
 
@@ -45,12 +45,15 @@
         return SiteSettingsParser.parse(ConfigurationObject.parse(settings, "site"));
     }
 
-    /** The client pauses, and goes on: at no moment in between is its upstream taken for silent. */
+    /**
+     * While a client pauses, its upstream is not read from. A check at any moment of the pause, from the first wait for
+     * capacity to its end, must not find the upstream silent.
+     */
     @Test
-    void anUpstreamThatIsNotReadFromIsNeverSilent() throws Exception {
+    void anUpstreamThatIsNotReadFromDoesNotCountAsSilent() throws Exception {
         RacingClock clock = new RacingClock();
         SiteSettings site = readSite();
-        String json = "{\"buffer_kb\":" + BUFFER / 1024 + ",\"pause_ms\":" + 2 * PAUSE / 1000 + "}";
+        String json = "{\"buffer_kb\":" + BUFFER_BYTES / 1024 + ",\"pause_ms\":" + 2 * PAUSE_MICROS / 1000 + "}";
         StreamLimits limits = StreamLimitsReader.parse(
                 ConfigurationObject.parse(json.getBytes(UTF_8), "streams"),
                 site.routing().classes(),
@@ -58,25 +61,25 @@
         FlowController controller = new FlowController(limits, site, clock, new SyslogEventLog(System.err, "test", 1));
         StreamFlow flow = controller.openStream(0, 0, "r", () -> {});
         controller.startStream(flow, "e");
-        long lastByteAt = clock.now;
-        long largest = controller.maxBufferBytes();
-        controller.reserveCapacity(flow, (int) largest);
+        long lastByteMicros = clock.now;
+        long maxBufferBytes = controller.maxBufferBytes();
+        controller.reserveCapacity(flow, (int) maxBufferBytes);
         long[] checks = {0};
-        clock.atEachReading = () -> {
+        clock.onRead = () -> {
             checks[0]++;
-            long until = controller.silenceDeadline(flow, "e", true, lastByteAt, lastByteAt, clock.now);
+            long deadline = controller.silenceDeadline(flow, "e", true, lastByteMicros, lastByteMicros, clock.now);
             assertTrue(
-                    until > clock.now || clock.now == lastByteAt,
-                    "silent " + (clock.now - until) + " us ago, " + (clock.now - lastByteAt) / SECOND
-                            + " s into the pause");
+                    deadline > clock.now || clock.now == lastByteMicros,
+                    "silence deadline passed " + (clock.now - deadline) + " us ago, "
+                            + (clock.now - lastByteMicros) / SECOND_MICROS + " s into the pause");
         };
-        clock.whileWaiting = () -> {
-            if (clock.now >= lastByteAt + PAUSE) {
-                controller.recordDelivered(flow, largest);
+        clock.onWait = () -> {
+            if (clock.now >= lastByteMicros + PAUSE_MICROS) {
+                controller.recordDelivered(flow, maxBufferBytes);
             }
         };
         controller.reserveCapacity(flow, 1);
-        assertTrue(clock.now >= lastByteAt + PAUSE, "the pause is over");
-        assertTrue(checks[0] > PAUSE / SECOND, "looks: " + checks[0]);
+        assertTrue(clock.now >= lastByteMicros + PAUSE_MICROS, "the wait lasts deadline the end of the pause");
+        assertTrue(checks[0] > PAUSE_MICROS / SECOND_MICROS, "silence checks: " + checks[0]);
     }
 }
--- a/src/test/java/magpiehub/streaming/RouterUnderTest.java
+++ b/src/test/java/magpiehub/streaming/RouterUnderTest.java
@@ -22,11 +22,11 @@
 import magpiehub.concurrent.DaemonThreads;
 import magpiehub.http.Sockets;
 
-/** The router as a process with the platform's heap, and a discovery service that never reports a change. */
+/** Runs the router as a process with the heap size of the platform, and a discovery service without any updates. */
 final class RouterUnderTest implements AutoCloseable {
-    /** How long a client's socket may take nothing (ms). */
+    /** How long a client's socket may accept nothing. */
     static final long CLIENT_STALL_MS = 4_000;
-    /** How long an upstream may be silent (ms). */
+    /** How long an upstream may be silent. */
     private static final long SILENCE_MS = 2_500;
 
     private static final int START_TIMEOUT_SECONDS = 20;
@@ -41,24 +41,24 @@
     private volatile String lastCountersLine = "";
     private volatile int port;
 
-    /** Starts a router for these upstreams and waits until it listens. */
+    /** Starts a router with these upstreams as its endpoint list and waits until it listens. */
     RouterUnderTest(Path folder, ScriptedUpstreams upstreams) throws IOException {
         Path configuration = writeConfiguration(folder, upstreams);
         process = launch(folder, configuration);
-        // A run that is stopped from outside leaves no router behind.
+        // Kills the router if this process is terminated.
         Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
         DaemonThreads.newThread("discovery", this::serveDiscovery).start();
         DaemonThreads.newThread("log", this::readLog).start();
         try {
             if (!started.await(START_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-                throw new IOException("the router did not start");
+                throw new IOException("the router did not start within " + START_TIMEOUT_SECONDS + " s");
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
     }
 
-    /** Where it listens. */
+    /** The port on which the router listens. */
     int port() {
         return port;
     }
@@ -124,7 +124,7 @@
                 DaemonThreads.newThread("watch", () -> sendHeartbeats(socket)).start();
             }
         } catch (IOException e) {
-            // The run is over.
+            // The server socket was closed at the end of the run.
         }
     }
 
@@ -140,7 +140,7 @@
     }
 
     private void readLog() {
-        boolean echoes = System.getenv("PROOF_LOG") != null;
+        boolean echo = System.getenv("PROOF_LOG") != null;
         try (BufferedReader log = process.inputReader()) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
                 if (line.contains(" started ")) {
@@ -150,19 +150,19 @@
                 if (line.contains(" counters ")) {
                     lastCountersLine = line;
                 }
-                if (echoes) {
+                if (echo) {
                     System.err.println(line);
                 }
             }
         } catch (IOException e) {
-            // The log's end.
+            // The process has ended.
         } finally {
             logEnded.countDown();
         }
     }
 
-    /** The most memory that the process ever had (KB). */
-    long maxMemoryKb() throws IOException {
+    /** The peak resident set size of the process. */
+    long peakMemoryKb() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmHWM:")) {
                 return Long.parseLong(line.replaceAll("\\D", ""));
@@ -171,7 +171,7 @@
         return 0;
     }
 
-    /** What {@code /counters} says now. */
+    /** The current values of {@code /counters}. */
     Map<String, Long> counters() throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(READ_TIMEOUT_MS);
@@ -189,19 +189,19 @@
         }
     }
 
-    /** Sends SIGTERM; false if the process does not end in time. */
+    /** Sends SIGTERM; returns false if the process does not exit in time. */
     boolean terminate() throws InterruptedException {
         process.toHandle().destroy();
         return process.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** The streams that had an outcome, by the counters that the router logged at its end. */
+    /** The number of streams with an outcome, from the counters that the router logged at its exit. */
     long outcomesAtExit() throws InterruptedException {
         logEnded.await(LOG_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         long sum = 0;
         for (StreamOutcome outcome : StreamOutcome.values()) {
             Matcher matcher =
-                    Pattern.compile(" " + outcome.counter() + "=\"(\\d+)\"").matcher(lastCountersLine);
+                    Pattern.compile(" " + outcome.counterName() + "=\"(\\d+)\"").matcher(lastCountersLine);
             sum += matcher.find() ? Long.parseLong(matcher.group(1)) : 0;
         }
         return sum;
--- a/src/test/java/magpiehub/streaming/SchedulingDelay.java
+++ b/src/test/java/magpiehub/streaming/SchedulingDelay.java
@@ -4,30 +4,30 @@
 import magpiehub.concurrent.DaemonThreads;
 
 /**
- * The longest that this machine keeps a thread waiting for a core. Times are measured here by threads that wait for a
- * core themselves, so a bound on a time holds beyond this. On a machine with cores to spare it is a millisecond.
+ * Measures the longest delay with which this machine schedules a runnable thread. The threads that measure times in
+ * this test are subject to the same delay, so it is added to bounds on times. With idle cores it is a millisecond.
  */
 final class SchedulingDelay {
     private volatile long maxMicros;
 
-    /** Starts a thread that sleeps and measures for as long as the process lives. */
+    /** Starts a thread that repeatedly sleeps and measures its oversleep until the process exits. */
     void startMeasuring() {
-        DaemonThreads.newThread("lateness", this::measure).start();
+        DaemonThreads.newThread("scheduling-delay", this::measure).start();
     }
 
     private void measure() {
         try {
             while (true) {
-                long begun = System.nanoTime();
+                long startNanos = System.nanoTime();
                 TimeUnit.MILLISECONDS.sleep(1);
-                maxMicros = Math.max(maxMicros, (System.nanoTime() - begun) / 1000 - 1000);
+                maxMicros = Math.max(maxMicros, (System.nanoTime() - startNanos) / 1000 - 1000);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The longest delay so far (us). */
+    /** The longest delay so far. */
     long maxMicros() {
         return maxMicros;
     }
--- a/src/test/java/magpiehub/streaming/ScriptedStream.java
+++ b/src/test/java/magpiehub/streaming/ScriptedStream.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.TimeUnit;
 import magpiehub.http.HttpWriter;
 
-/** The numbered events of a stream, so that what a client got is compared with what was sent, to the byte. */
+/** Writes streams of numbered events, and compares the bytes that a client received with those sent. */
 final class ScriptedStream {
-    /** The time between two events (ms). */
+    /** The time between two events. */
     static final int EVENT_MS = 50;
 
     private static final int EVENTS = 80;
@@ -32,20 +32,20 @@
         return text.getBytes(UTF_8);
     }
 
-    /** All events of the complete stream that a fault is injected into. */
+    /** All events of the stream for a fault, as if the fault did not occur. */
     static List<byte[]> events(StreamFault fault) {
         int count =
                 switch (fault) {
-                    case LARGE -> 20;
-                    case PAUSES, BYTE_A_SECOND, STOPS_READING -> 12;
+                    case LARGE_EVENTS -> 20;
+                    case CLIENT_PAUSES, CLIENT_READS_SLOWLY, CLIENT_STOPS_READING -> 12;
                     case NONE -> EVENTS;
                     default -> 10;
                 };
         int size =
                 switch (fault) {
-                    case LARGE -> 100_000;
-                    case PAUSES -> 15_000;
-                    case BYTE_A_SECOND, STOPS_READING -> 60_000;
+                    case LARGE_EVENTS -> 100_000;
+                    case CLIENT_PAUSES -> 15_000;
+                    case CLIENT_READS_SLOWLY, CLIENT_STOPS_READING -> 60_000;
                     default -> 40;
                 };
         List<byte[]> events = new ArrayList<>();
@@ -57,41 +57,46 @@
     }
 
     /**
-     * Writes a stream as far as its fault lets it come.
+     * Writes a stream up to the point of its fault.
      *
-     * @return whether the stream is to be ended in order
+     * @return whether the response is to be ended with the last chunk
      */
     static boolean write(StreamFault fault, OutputStream out) throws IOException, InterruptedException {
         List<byte[]> events = events(fault);
         int complete = events.size();
         int written =
                 switch (fault) {
-                    case BEFORE_TOKEN, LEAVES, RESETS, DRIBBLES, COMMENTS, BREAKS -> complete - 4;
-                    case BEFORE_USAGE -> complete - 2;
-                    case BEFORE_DONE -> complete - 1;
+                    case SILENT_BEFORE_LAST_TOKEN,
+                            CLIENT_CLOSES,
+                            CLIENT_RESETS,
+                            PARTIAL_EVENT,
+                            COMMENTS_ONLY,
+                            UPSTREAM_DISCONNECTS -> complete - 4;
+                    case SILENT_BEFORE_USAGE -> complete - 2;
+                    case SILENT_BEFORE_DONE -> complete - 1;
                     default -> complete;
                 };
         for (int i = 0; i < written; i++) {
             writeChunk(out, events.get(i));
-            if (fault != StreamFault.LARGE) {
+            if (fault != StreamFault.LARGE_EVENTS) {
                 TimeUnit.MILLISECONDS.sleep(EVENT_MS);
             }
         }
         switch (fault) {
-            case DRIBBLES -> dribble(out);
-            case COMMENTS -> comment(out);
-            case BREAKS -> throw new IOException("breaks");
+            case PARTIAL_EVENT -> writePartialEvent(out);
+            case COMMENTS_ONLY -> writeComments(out);
+            case UPSTREAM_DISCONNECTS -> throw new IOException("injected disconnect");
             default -> {}
         }
-        return written == complete && fault != StreamFault.BEFORE_LAST_CHUNK;
+        return written == complete && fault != StreamFault.SILENT_BEFORE_LAST_CHUNK;
     }
 
     private static void writeChunk(OutputStream out, byte[] bytes) throws IOException {
         out.write(new HttpWriter().appendChunk(bytes).take());
     }
 
-    /** An event that comes byte by byte and has no end. */
-    private static void dribble(OutputStream out) throws IOException, InterruptedException {
+    /** Writes an event byte by byte, without its end. */
+    private static void writePartialEvent(OutputStream out) throws IOException, InterruptedException {
         out.write("40\r\n".getBytes(UTF_8));
         for (int i = 0; i < 30; i++) {
             out.write("data: dribble dribble dribble drib".charAt(i));
@@ -99,7 +104,7 @@
         }
     }
 
-    private static void comment(OutputStream out) throws IOException, InterruptedException {
+    private static void writeComments(OutputStream out) throws IOException, InterruptedException {
         for (int i = 0; i < 40; i++) {
             writeChunk(out, COMMENT);
             TimeUnit.MILLISECONDS.sleep(200);
@@ -107,16 +112,16 @@
     }
 
     /**
-     * Whether what came is what was sent.
+     * Whether the received bytes match those sent.
      *
-     * @param complete whether the response was said to be complete: then all must be there, else a beginning of it
+     * @param complete whether the response ended as complete; if so, all bytes are required, otherwise a prefix of them
      */
     static boolean matches(byte[] received, StreamFault fault, boolean complete) {
         ByteArrayOutputStream events = new ByteArrayOutputStream();
         events(fault).forEach(events::writeBytes);
         byte[] sent = events.toByteArray();
         byte[] compared = received;
-        if (fault == StreamFault.COMMENTS) {
+        if (fault == StreamFault.COMMENTS_ONLY) {
             compared = new String(received, UTF_8)
                     .replace(new String(COMMENT, UTF_8), "")
                     .getBytes(UTF_8);
--- a/src/test/java/magpiehub/streaming/ScriptedUpstreams.java
+++ b/src/test/java/magpiehub/streaming/ScriptedUpstreams.java
@@ -17,19 +17,19 @@
 import magpiehub.http.HttpReader;
 
 /**
- * Upstreams on loopback that write the stream which the id of a request asks for. They measure how soon they learn
- * that a client has gone.
+ * Upstreams on loopback that write the stream for the fault named in the request id. They measure how soon they detect
+ * that a client has disconnected.
  */
 final class ScriptedUpstreams implements AutoCloseable {
     private static final int BACKLOG = 512;
 
     private final List<ServerSocket> servers = new ArrayList<>();
-    /** When clients left (ns), by the ids of their requests; until the upstream has seen the end. */
-    private final Map<String, Long> leftAtNanos = new ConcurrentHashMap<>();
+    /** When clients disconnected, by request id; removed once the upstream detects it. */
+    private final Map<String, Long> disconnectedAtNanos = new ConcurrentHashMap<>();
 
     private final ConcurrentLinkedQueue<Long> disconnectDelays = new ConcurrentLinkedQueue<>();
 
-    /** Starts so many upstreams. */
+    /** Starts {@code count} upstreams. */
     ScriptedUpstreams(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The upstreams in the form of the endpoint list. */
+    /** The upstreams as members of a JSON endpoint list. */
     String endpointsJson() {
         StringBuilder endpoints = new StringBuilder();
         for (int i = 0; i < servers.size(); i++) {
@@ -53,12 +53,12 @@
         return endpoints.toString();
     }
 
-    /** Records that the client of a request leaves now. */
-    void clientLeaves(String requestId) {
-        leftAtNanos.put(requestId, System.nanoTime());
+    /** Records that the client of a request disconnects now. */
+    void recordClientDisconnect(String requestId) {
+        disconnectedAtNanos.put(requestId, System.nanoTime());
     }
 
-    /** How long after their clients had left upstreams learned of it, in ascending order (us). */
+    /** The sorted delays, in microseconds, with which upstreams detected that their clients had disconnected. */
     long[] disconnectDelays() {
         return disconnectDelays.stream().mapToLong(Long::longValue).sorted().toArray();
     }
@@ -68,7 +68,7 @@
             try {
                 Socket socket = server.accept();
                 socket.setTcpNoDelay(true);
-                DaemonThreads.newThread("engine", () -> serve(socket)).start();
+                DaemonThreads.newThread("upstream", () -> serve(socket)).start();
             } catch (IOException e) {
                 return;
             }
@@ -87,16 +87,16 @@
                 OutputStream out = socket.getOutputStream();
                 out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
                 if (!ScriptedStream.write(fault, out)) {
-                    // Nothing more from here: what remains is to see the router close the connection.
+                    // Nothing more is sent; wait until the router closes the connection.
                     int next = socket.getInputStream().read();
-                    throw new IOException("after silence " + next);
+                    throw new IOException("connection closed during silence, read " + next);
                 }
                 out.write("0\r\n\r\n".getBytes(UTF_8));
             }
         } catch (IOException | InterruptedException e) {
-            Long left = leftAtNanos.remove(id);
-            if (left != null) {
-                disconnectDelays.add((System.nanoTime() - left) / 1000);
+            Long disconnected = disconnectedAtNanos.remove(id);
+            if (disconnected != null) {
+                disconnectDelays.add((System.nanoTime() - disconnected) / 1000);
             }
         }
     }
--- a/src/test/java/magpiehub/streaming/StreamFaultRun.java
+++ b/src/test/java/magpiehub/streaming/StreamFaultRun.java
@@ -13,23 +13,25 @@
 import magpiehub.concurrent.DaemonThreads;
 
 /**
- * Randomized fault test of streams: the router as a process, scripted upstreams and clients on loopback, hundreds of
- * streams at once, and faults that a seed chooses. {@link StreamFaultReport} holds the bounds.
+ * Randomized fault injection into streams: the router runs as a process between scripted upstreams and clients on
+ * loopback, with hundreds of concurrent streams. The seed determines the faults. {@link StreamFaultReport} defines the
+ * bounds.
  *
- * <p>{@code StreamFaultRun SEED [HEALTHY FAULTY]}; the last line says ok or short.
+ * <p>Usage: {@code StreamFaultRun SEED [HEALTHY FAULTY]}. The last line of the output ends with {@code ok} if all
+ * bounds held, otherwise with {@code short}.
  */
 public final class StreamFaultRun {
     private static final int UPSTREAMS = 24;
     private static final int DEFAULT_HEALTHY = 220;
     private static final int DEFAULT_FAULTY = 300;
     private static final int MAX_WARM_UP_STREAMS = 20;
-    private static final int MAX_HEALTHY_BESIDE_CROWD = 60;
-    /** How often it is checked whether all streams have ended, and how often at most. */
-    private static final int DRAIN_CHECK_MS = 100;
+    private static final int MAX_HEALTHY_DURING_MASS_STALL = 60;
+    /** The interval between checks whether all streams have ended. */
+    private static final int DRAIN_CHECK_INTERVAL_MS = 100;
 
     private static final int MAX_DRAIN_CHECKS = 100;
-    /** Between the starts of two clients (us). */
-    private static final int CLIENT_START_MICROS = 1500;
+    /** The interval between the starts of two clients. */
+    private static final int CLIENT_START_INTERVAL_MICROS = 1500;
 
     private final SplittableRandom random;
     private final ScriptedUpstreams upstreams;
@@ -44,12 +46,12 @@
         this.clients = new FaultyClients(router.port(), upstreams, RouterUnderTest.CLIENT_STALL_MS / 2);
     }
 
-    /** Runs the test, appends its line to {@code line}, and returns whether every bound held. */
+    /** Runs the test, appends its results to {@code line}, and returns whether all bounds held. */
     static boolean run(long seed, int healthy, int faulty, StringBuilder line) throws Exception {
         Path folder = Files.createTempDirectory("proof-streams");
         try (ScriptedUpstreams upstreams = new ScriptedUpstreams(UPSTREAMS);
                 RouterUnderTest router = new RouterUnderTest(folder, upstreams)) {
-            StreamFaultReport report = new StreamFaultRun(seed, upstreams, router).play(seed, healthy, faulty);
+            StreamFaultReport report = new StreamFaultRun(seed, upstreams, router).runPhases(seed, healthy, faulty);
             report.appendTo(line);
             List<String> violations = report.violations();
             if (!violations.isEmpty()) {
@@ -59,54 +61,54 @@
         }
     }
 
-    private StreamFaultReport play(long seed, int healthy, int faulty) throws Exception {
+    private StreamFaultReport runPhases(long seed, int healthy, int faulty) throws Exception {
         schedulingDelay.startMeasuring();
-        playStreams("w", Math.min(MAX_WARM_UP_STREAMS, healthy), 0); // Compiled before anything is measured.
-        long[] gapsAlone = playStreams("a", healthy, 0);
-        long memoryAloneKb = router.maxMemoryKb();
-        long[] gapsBesideFaults = playStreams("b", healthy, faulty);
-        int rejectedBeforeCrowd = clients.rejected();
-        // Hundreds stop reading at once: what the budget has no room for then is rejected.
-        long[] gapsBesideCrowd =
-                playStreams("s", Math.min(MAX_HEALTHY_BESIDE_CROWD, healthy), faulty, StreamFault.STOPS_READING);
+        runStreams("w", Math.min(MAX_WARM_UP_STREAMS, healthy), 0); // Warms up the JIT compiler.
+        long[] baselineGaps = runStreams("a", healthy, 0);
+        long baselineMemoryKb = router.peakMemoryKb();
+        long[] gapsDuringFaults = runStreams("b", healthy, faulty);
+        int rejectedBeforeMassStall = clients.rejected();
+        // Hundreds of clients stop reading simultaneously; requests beyond the buffer budget are rejected then.
+        long[] gapsDuringMassStall = runStreams(
+                "s", Math.min(MAX_HEALTHY_DURING_MASS_STALL, healthy), faulty, StreamFault.CLIENT_STOPS_READING);
         Map<String, Long> counters = awaitStreamsEnded();
-        long memoryKb = router.maxMemoryKb();
+        long peakMemoryKb = router.peakMemoryKb();
         int streamsBeforeShutdown = clients.streams();
-        long outcomesAtShutdown = playShutdown(healthy / 4, faulty / 4);
+        long outcomesAtShutdown = runShutdown(healthy / 4, faulty / 4);
         return new StreamFaultReport(
                 seed,
                 healthy,
                 faulty,
                 counters,
                 clients,
-                gapsAlone,
-                gapsBesideFaults,
-                gapsBesideCrowd,
+                baselineGaps,
+                gapsDuringFaults,
+                gapsDuringMassStall,
                 upstreams.disconnectDelays(),
                 schedulingDelay.maxMicros(),
-                rejectedBeforeCrowd,
+                rejectedBeforeMassStall,
                 streamsBeforeShutdown,
                 outcomesAtShutdown,
-                memoryAloneKb,
-                memoryKb);
+                baselineMemoryKb,
+                peakMemoryKb);
     }
 
     private Map<String, Long> awaitStreamsEnded() throws Exception {
         Map<String, Long> counters = router.counters();
         for (int i = 0; i < MAX_DRAIN_CHECKS && counters.getOrDefault("streams_open", 0L) > 0; i++) {
-            TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_MS);
+            TimeUnit.MILLISECONDS.sleep(DRAIN_CHECK_INTERVAL_MS);
             counters = router.counters();
         }
         return counters;
     }
 
     /**
-     * Plays so many healthy streams beside so many faulty ones.
+     * Runs healthy and faulty streams concurrently.
      *
-     * @param only the fault of all faulty streams; none for all kinds
-     * @return the gaps between the events of the healthy ones, in ascending order (us)
+     * @param only the fault of all faulty streams; if absent, all kinds of faults
+     * @return the gaps between the events of the healthy streams, in microseconds and ascending order
      */
-    private long[] playStreams(String name, int healthy, int faulty, StreamFault... only) throws InterruptedException {
+    private long[] runStreams(String name, int healthy, int faulty, StreamFault... only) throws InterruptedException {
         ConcurrentLinkedQueue<Long> gaps = new ConcurrentLinkedQueue<>();
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < healthy + faulty; i++) {
@@ -118,7 +120,7 @@
         Collections.shuffle(threads, new Random(random.nextLong()));
         for (Thread thread : threads) {
             thread.start();
-            TimeUnit.MICROSECONDS.sleep(CLIENT_START_MICROS);
+            TimeUnit.MICROSECONDS.sleep(CLIENT_START_INTERVAL_MICROS);
         }
         for (Thread thread : threads) {
             thread.join();
@@ -126,31 +128,31 @@
         return gaps.stream().mapToLong(Long::longValue).sorted().toArray();
     }
 
-    /** Each fault comes at least once; which others there are, the seed says. */
+    /** Returns each fault once, and after that random faults. */
     private StreamFault chooseFault(int index) {
         StreamFault[] faults = StreamFault.values();
-        int kinds = faults.length - 1; // All but NONE, the first.
+        int kinds = faults.length - 1; // All except NONE, which is the first.
         return faults[1 + (index < kinds ? index : random.nextInt(kinds))];
     }
 
-    /** Sends SIGTERM in the middle of all faults; returns the outcomes counted by the end, -1 if there is no end. */
-    private long playShutdown(int healthy, int faulty) throws InterruptedException {
-        Thread lastStreams = DaemonThreads.newThread("last", () -> {
+    /** Sends SIGTERM while streams run; returns the number of outcomes counted at exit, or -1 without an exit. */
+    private long runShutdown(int healthy, int faulty) throws InterruptedException {
+        Thread streams = DaemonThreads.newThread("shutdown-streams", () -> {
             try {
-                playStreams("t", healthy, faulty);
+                runStreams("t", healthy, faulty);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        lastStreams.start();
+        streams.start();
         TimeUnit.MILLISECONDS.sleep(700 + random.nextInt(1500));
-        boolean ended = router.terminate();
-        lastStreams.join();
+        boolean exited = router.terminate();
+        streams.join();
         long outcomes = router.outcomesAtExit();
-        return ended ? outcomes : -1;
+        return exited ? outcomes : -1;
     }
 
-    /** Runs the test with the seed and the scale of the arguments; the exit status says whether every bound held. */
+    /** Runs the test with the seed and the scale of the arguments; the exit status is 0 if all bounds held. */
     public static void main(String[] args) throws Exception {
         StringBuilder line = new StringBuilder();
         boolean ok = run(
--- a/src/test/java/magpiehub/streaming/StreamLimitsReaderTest.java
+++ b/src/test/java/magpiehub/streaming/StreamLimitsReaderTest.java
@@ -15,9 +15,9 @@
 import magpiehub.routing.RequestClass;
 import org.junit.jupiter.api.Test;
 
-/** The settings of streams, with defaults and errors. */
+/** Tests the parsing of stream limits: defaults, overrides by class, and error messages. */
 class StreamLimitsReaderTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private static final List<RequestClass> CLASSES = List.of(requestClass("chat"), requestClass("bulk"));
 
@@ -35,12 +35,13 @@
     }
 
     @Test
-    void errorsNameTheKeyThatIsWrong() throws Exception {
+    void limitsAreParsedAndErrorsNameTheInvalidKey() throws Exception {
         StreamLimits limits = parse("{\"pause_ms\":20000,\"classes\":{\"bulk\":{\"buffer_kb\":2048}}}");
-        assertEquals(20 * SECOND, limits.classes().get(0).clientStallMicros());
+        assertEquals(20 * SECOND_MICROS, limits.classes().get(0).clientStallMicros());
         assertEquals(512 << 10, limits.classes().get(0).bufferBytes());
         assertEquals(2 << 20, limits.classes().get(1).bufferBytes());
-        assertEquals(20 * SECOND, limits.classes().get(1).clientStallMicros(), "as for all");
+        assertEquals(
+                20 * SECOND_MICROS, limits.classes().get(1).clientStallMicros(), "classes inherit the common limits");
         assertEquals(8 << 20, limits.budgetBytes(), "an eighth of the heap");
         assertFalse(limits.stall().isAdaptive());
         assertTrue(parse("{\"silence_ms\":4000,\"stall_least_ms\":800}").stall().isAdaptive());
--- a/src/test/java/magpiehub/streaming/StreamOutcomeCountsTest.java
+++ b/src/test/java/magpiehub/streaming/StreamOutcomeCountsTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The counts of outcomes, driven directly. */
+/** Tests that each stream has exactly one outcome and that conflicting outcomes are counted. */
 class StreamOutcomeCountsTest {
     @Test
     void eachStreamHasOneOutcome() {
@@ -15,7 +15,7 @@
         assertEquals(1, outcomes.open());
         assertTrue(outcomes.recordEnd(null, StreamOutcome.COMPLETE));
         assertFalse(outcomes.recordEnd(StreamOutcome.COMPLETE, StreamOutcome.COMPLETE));
-        assertEquals(0, outcomes.conflicts(), "the same word from both sides is no fault");
+        assertEquals(0, outcomes.conflicts(), "the same outcome from both sides is not a conflict");
         assertFalse(outcomes.recordEnd(StreamOutcome.COMPLETE, StreamOutcome.CLIENT_DISCONNECTED));
         assertEquals(1, outcomes.conflicts());
         assertEquals(0, outcomes.open());
