--- a/src/main/java/magpiehub/dispatch/Attempt.java
+++ b/src/main/java/magpiehub/dispatch/Attempt.java
@@ -66,8 +66,8 @@
         return over;
     }
 
-    void grant() {
-        handle.grant();
+    void startForwarding() {
+        handle.startForwarding();
     }
 
     /** Closes the attempt's connection; the attempt is over only after {@link #markOver}. */
--- a/src/main/java/magpiehub/dispatch/AttemptHandle.java
+++ b/src/main/java/magpiehub/dispatch/AttemptHandle.java
@@ -8,7 +8,7 @@
     /** A no-op handle for an attempt that has not been passed to an upstream or is over. */
     AttemptHandle NONE = new AttemptHandle() {
         @Override
-        public void grant() {}
+        public void startForwarding() {}
 
         @Override
         public void abort() {}
@@ -18,7 +18,7 @@
      * Starts forwarding the attempt's response stream to the client: events received so far immediately, later ones as
      * they arrive. Before this call, no part of the response may reach the client.
      */
-    void grant();
+    void startForwarding();
 
     /**
      * Closes the attempt's connection before returning, so that the request is never in progress on two upstreams. Has
--- a/src/main/java/magpiehub/dispatch/RequestDispatcher.java
+++ b/src/main/java/magpiehub/dispatch/RequestDispatcher.java
@@ -167,7 +167,7 @@
 
     /**
      * Reports the first event of an attempt's response stream. The stream must not be forwarded to the client before
-     * {@link AttemptHandle#grant} is called.
+     * {@link AttemptHandle#startForwarding} is called.
      */
     public void streamStarted(Attempt attempt) {
         mailbox.post(new DispatcherMessage.StreamStarted(attempt));
--- a/src/main/java/magpiehub/dispatch/RequestLifecycle.java
+++ b/src/main/java/magpiehub/dispatch/RequestLifecycle.java
@@ -78,7 +78,7 @@
             return;
         }
         request.markStreaming(attempt);
-        attempt.grant();
+        attempt.startForwarding();
         long nowMicros = clock.nowMicros();
         policy.onStreamStarted(nowMicros, request.id(), attempt.number(), attempt.elapsedMicros(nowMicros));
     }
--- a/src/main/java/magpiehub/upstream/UpstreamAttempt.java
+++ b/src/main/java/magpiehub/upstream/UpstreamAttempt.java
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void grant() {
+    public void startForwarding() {
         connection.post(new ConnectionMessage.StreamGranted(this));
     }
 
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -58,8 +58,8 @@
             calls.add("start " + attempt.endpointId());
             return new AttemptHandle() {
                 @Override
-                public void grant() {
-                    calls.add("grant " + attempt.endpointId());
+                public void startForwarding() {
+                    calls.add("startForwarding " + attempt.endpointId());
                 }
 
                 @Override
@@ -285,6 +285,6 @@
         runTurns();
         dispatcher.shutDown(true);
         runTurns();
-        assertEquals(List.of("start a", "grant a", "abort a", "migrate"), calls);
+        assertEquals(List.of("start a", "startForwarding a", "abort a", "migrate"), calls);
     }
 }
