--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -143,7 +143,7 @@
     /** Cuts the connection if its client has read nothing of a stream for longer than its request's class allows. */
     void cutIfStalled(long nowMicros, long leastMicros, StreamOutcome ending) {
         StreamFlow flow = actor.responseFlow();
-        if (flow != null && services.streams().isClientStalled(flow, nowMicros, leastMicros, ending)) {
+        if (flow != null && services.streams().detectClientStall(flow, nowMicros, leastMicros, ending)) {
             disconnect();
         }
     }
--- a/src/main/java/magpiehub/streaming/FlowController.java
+++ b/src/main/java/magpiehub/streaming/FlowController.java
@@ -103,7 +103,7 @@
      *
      * @param maxStallMicros the longest stall allowed, if it is shorter than the limit of the stream's class
      */
-    public boolean isClientStalled(StreamFlow flow, long nowMicros, long maxStallMicros, StreamOutcome cause) {
+    public boolean detectClientStall(StreamFlow flow, long nowMicros, long maxStallMicros, StreamOutcome cause) {
         synchronized (lock) {
             boolean stalled = flow.outcome == null
                     && flow.buffer.stalledMicros(nowMicros)
