--- a/src/main/java/magpiehub/concurrent/ActorThreadPool.java
+++ b/src/main/java/magpiehub/concurrent/ActorThreadPool.java
@@ -15,7 +15,7 @@
  * while it is held.
  */
 public final class ActorThreadPool {
-    /** The threads that are kept alive; more are started only by {@link #addWorkerIfStalled}. */
+    /** The number of threads that are kept alive; more are started only by {@link #addWorkerIfStalled}. */
     private static final int CORE_THREADS = 4;
 
     private static final int MAX_THREADS = 1024;
--- a/src/main/java/magpiehub/dispatch/DispatcherMessage.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherMessage.java
@@ -64,7 +64,7 @@
     /** An attempt is over. {@code cachedTokens} is -1 and {@code load} null if the upstream reported none. */
     record AttemptEnded(Attempt attempt, AttemptOutcome outcome, long cachedTokens, LoadReport load)
             implements DispatcherMessage {
-        /** The end of an attempt of which the upstream has reported no cached tokens and no load. */
+        /** The end of an attempt that the dispatcher cancelled or could not start; the upstream reported nothing. */
         static AttemptEnded withoutReport(Attempt attempt, AttemptOutcome outcome) {
             return new AttemptEnded(attempt, outcome, RequestDispatcher.CACHED_TOKENS_UNKNOWN, null);
         }
--- a/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
+++ b/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
@@ -157,7 +157,7 @@
         fleet.closeIdleConnections(endpointId);
     }
 
-    /** Not supported: messages between routers are not transmitted. The counter shows that the policy sent one. */
+    /** Not supported: messages between routers are not sent. The counter shows that the policy tried to send one. */
     @Override
     public void sendToPeer(int peer, byte[] payload) {
         eventLog.count("peer_messages_not_sent");
--- a/src/test/java/magpiehub/streaming/FlowControllerTest.java
+++ b/src/test/java/magpiehub/streaming/FlowControllerTest.java
@@ -79,7 +79,7 @@
             }
         };
         controller.reserveCapacity(flow, 1);
-        assertTrue(clock.now >= lastByteMicros + PAUSE_MICROS, "the wait lasts deadline the end of the pause");
+        assertTrue(clock.now >= lastByteMicros + PAUSE_MICROS, "the wait lasts until the end of the pause");
         assertTrue(checks[0] > PAUSE_MICROS / SECOND_MICROS, "silence checks: " + checks[0]);
     }
 }
--- a/src/test/java/magpiehub/streaming/RouterUnderTest.java
+++ b/src/test/java/magpiehub/streaming/RouterUnderTest.java
@@ -140,6 +140,7 @@
     }
 
     private void readLog() {
+        // Set PROOF_LOG to copy the router's log to standard error.
         boolean echo = System.getenv("PROOF_LOG") != null;
         try (BufferedReader log = process.inputReader()) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
--- a/src/test/java/magpiehub/streaming/ScriptedStream.java
+++ b/src/test/java/magpiehub/streaming/ScriptedStream.java
@@ -22,7 +22,7 @@
     private static final byte[] USAGE =
             ("data: {" + "\"choices\":[],\"usage\":{\"prompt_tokens\":5,\"completion_tokens\":9}}\n\n").getBytes(UTF_8);
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(UTF_8);
-    private static final byte[] COMMENT = ": still here\n\n".getBytes(UTF_8);
+    private static final byte[] COMMENT = ": keep-alive\n\n".getBytes(UTF_8);
 
     private ScriptedStream() {}
 
@@ -99,7 +99,7 @@
     private static void writePartialEvent(OutputStream out) throws IOException, InterruptedException {
         out.write("40\r\n".getBytes(UTF_8));
         for (int i = 0; i < 30; i++) {
-            out.write("data: dribble dribble dribble drib".charAt(i));
+            out.write("data: partial partial partial part".charAt(i));
             TimeUnit.MILLISECONDS.sleep(200);
         }
     }
