--- a/src/main/java/magpiehub/simulator/RouterEvent.java
+++ b/src/main/java/magpiehub/simulator/RouterEvent.java
@@ -56,7 +56,7 @@
     record ClientGone(String requestId) implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
-            policy.onClientGone(nowMicros, requestId);
+            policy.onClientDisconnected(nowMicros, requestId);
         }
     }
 
@@ -73,7 +73,7 @@
             implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
-            policy.onProbeResult(nowMicros, replicaId, outcome, tookMicros, loadReport);
+            policy.onHealthCheckEnded(nowMicros, replicaId, outcome, tookMicros, loadReport);
         }
     }
 
