--- a/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void onProbeCompleted(DispatcherMessage.ProbeCompleted message) {
+    public void onHealthCheckEnded(DispatcherMessage.HealthCheckEnded message) {
         long nowMicros = clock.nowMicros();
         long roundTripMicros = nowMicros - message.sentAtMicros();
         policy.onHealthCheckEnded(nowMicros, message.endpointId(), message.outcome(), roundTripMicros, message.load());
--- a/src/main/java/magpiehub/dispatch/DispatcherMessage.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherMessage.java
@@ -23,7 +23,7 @@
 
         void onAttemptEnded(AttemptEnded message);
 
-        void onProbeCompleted(ProbeCompleted message);
+        void onHealthCheckEnded(HealthCheckEnded message);
 
         void onEndpointsUpdated(EndpointsUpdated message);
 
@@ -76,11 +76,11 @@
     }
 
     /** A health check has succeeded or failed. */
-    record ProbeCompleted(String endpointId, AttemptOutcome outcome, long sentAtMicros, LoadReport load)
+    record HealthCheckEnded(String endpointId, AttemptOutcome outcome, long sentAtMicros, LoadReport load)
             implements DispatcherMessage {
         @Override
         public void deliverTo(Handler handler) {
-            handler.onProbeCompleted(this);
+            handler.onHealthCheckEnded(this);
         }
     }
 
--- a/src/main/java/magpiehub/dispatch/RequestDispatcher.java
+++ b/src/main/java/magpiehub/dispatch/RequestDispatcher.java
@@ -189,8 +189,8 @@
      * @param sentAtMicros when the health check was sent, on the dispatcher's clock
      * @param load the upstream's load report, or null if it sent none
      */
-    public void probeCompleted(String endpointId, AttemptOutcome outcome, long sentAtMicros, LoadReport load) {
-        mailbox.post(new DispatcherMessage.ProbeCompleted(endpointId, outcome, sentAtMicros, load));
+    public void healthCheckEnded(String endpointId, AttemptOutcome outcome, long sentAtMicros, LoadReport load) {
+        mailbox.post(new DispatcherMessage.HealthCheckEnded(endpointId, outcome, sentAtMicros, load));
     }
 
     /** Reports endpoints from service discovery; {@code endpoints} is empty if discovery has failed. */
--- a/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
+++ b/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
@@ -149,7 +149,7 @@
     @Override
     public void sendHealthCheck(String endpointId) {
         eventLog.count("probes");
-        fleet.probe(endpointId);
+        fleet.sendHealthCheck(endpointId);
     }
 
     @Override
--- a/src/main/java/magpiehub/dispatch/UpstreamFleet.java
+++ b/src/main/java/magpiehub/dispatch/UpstreamFleet.java
@@ -13,8 +13,8 @@
      */
     AttemptHandle startAttempt(Attempt attempt);
 
-    /** Sends a health check, whose result is reported to {@link RequestDispatcher#probeCompleted}. */
-    void probe(String endpointId);
+    /** Sends a health check, whose result is reported to {@link RequestDispatcher#healthCheckEnded}. */
+    void sendHealthCheck(String endpointId);
 
     /** Closes the idle connections to an endpoint. */
     void closeIdleConnections(String endpointId);
--- a/src/main/java/magpiehub/upstream/HealthProbe.java
+++ b/src/main/java/magpiehub/upstream/HealthProbe.java
@@ -43,7 +43,7 @@
         } catch (IOException | RuntimeException e) {
             outcome = sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
         }
-        context.dispatcher().probeCompleted(endpointId, outcome, sentAtMicros, load);
+        context.dispatcher().healthCheckEnded(endpointId, outcome, sentAtMicros, load);
     }
 
     private AttemptOutcome exchange(Socket socket, LoadReportParser loadReports) throws IOException {
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -168,7 +168,7 @@
     }
 
     @Override
-    public void probe(String endpointId) {
+    public void sendHealthCheck(String endpointId) {
         assert isDispatcherThread();
         HealthProbe probe = new HealthProbe(context, endpointId, context.clock().micros());
         DaemonThreads.newThread("probe", probe).start();
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public void probe(String endpointId) {}
+        public void sendHealthCheck(String endpointId) {}
 
         @Override
         public void closeIdleConnections(String endpointId) {}
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -76,7 +76,7 @@
     void aHealthCheckOfAnEngineThatDrainsIsNotSent() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             startRouter(upstream, false);
-            dispatcher.execute(() -> pool.probe("e"));
+            dispatcher.execute(() -> pool.sendHealthCheck("e"));
             upstream.setSoTimeout(300);
             assertThrows(SocketTimeoutException.class, upstream::accept);
         }
@@ -92,7 +92,7 @@
             second.connect(upstream.getLocalSocketAddress());
             startRouter(upstream, true);
             submit(null);
-            dispatcher.execute(() -> pool.probe("e"));
+            dispatcher.execute(() -> pool.sendHealthCheck("e"));
             awaitCounter("engine_connects 1\n");
             long now = MonotonicClock.SYSTEM.micros();
             pool.setEndpointsValidUntil(now);
