--- a/src/main/java/magpiehub/dispatch/Attempt.java
+++ b/src/main/java/magpiehub/dispatch/Attempt.java
@@ -36,12 +36,12 @@
 
     /**
      * The payload that was passed to {@link RequestDispatcher#submit}; null once the request has its final answer or
-     * its client is gone. To be called immediately before the request is written to the upstream: the message that
-     * cancels the attempt may still be queued in a mailbox, and no work may be started for a client that is gone.
+     * its client has disconnected. To be called immediately before the request is written to the upstream: the message
+     * that cancels the attempt may still be queued in a mailbox, and no work may be started for a disconnected client.
      */
     public Object payload() {
         ClientCallback client = request.client();
-        return client == null || client.isClientGone() ? null : request.payload();
+        return client == null || client.isClientDisconnected() ? null : request.payload();
     }
 
     OpenRequest request() {
--- a/src/main/java/magpiehub/dispatch/ClientCallback.java
+++ b/src/main/java/magpiehub/dispatch/ClientCallback.java
@@ -20,7 +20,7 @@
 
     /**
      * Whether the client has closed its connection. True as soon as the end of its input has been read, which is before
-     * the dispatcher handles {@link RequestDispatcher#clientGone}. Thread-safe.
+     * the dispatcher handles {@link RequestDispatcher#clientDisconnected}. Thread-safe.
      */
-    boolean isClientGone();
+    boolean isClientDisconnected();
 }
--- a/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
@@ -43,8 +43,8 @@
     }
 
     @Override
-    public void onClientGone(DispatcherMessage.ClientGone message) {
-        lifecycle.clientGone(message.requestId());
+    public void onClientDisconnected(DispatcherMessage.ClientDisconnected message) {
+        lifecycle.clientDisconnected(message.requestId());
     }
 
     @Override
--- a/src/main/java/magpiehub/dispatch/DispatcherMessage.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherMessage.java
@@ -17,7 +17,7 @@
     interface Handler {
         void onRequestSubmitted(RequestSubmitted message);
 
-        void onClientGone(ClientGone message);
+        void onClientDisconnected(ClientDisconnected message);
 
         void onStreamStarted(StreamStarted message);
 
@@ -46,10 +46,10 @@
     }
 
     /** The client of a request has closed its connection. */
-    record ClientGone(String requestId) implements DispatcherMessage {
+    record ClientDisconnected(String requestId) implements DispatcherMessage {
         @Override
         public void deliverTo(Handler handler) {
-            handler.onClientGone(this);
+            handler.onClientDisconnected(this);
         }
     }
 
--- a/src/main/java/magpiehub/dispatch/RequestDispatcher.java
+++ b/src/main/java/magpiehub/dispatch/RequestDispatcher.java
@@ -161,8 +161,8 @@
     }
 
     /** Reports that the client of a request has closed its connection. */
-    public void clientGone(String requestId) {
-        mailbox.post(new DispatcherMessage.ClientGone(requestId));
+    public void clientDisconnected(String requestId) {
+        mailbox.post(new DispatcherMessage.ClientDisconnected(requestId));
     }
 
     /**
--- a/src/main/java/magpiehub/dispatch/RequestLifecycle.java
+++ b/src/main/java/magpiehub/dispatch/RequestLifecycle.java
@@ -10,8 +10,8 @@
 /**
  * The lifecycle of requests from submission to the final answer: translates reports from clients, upstreams and timers
  * into events for the routing policy. Two things are done without consulting the policy, as they require no decision:
- * answering a request that the policy has left open past its deadline, and cancelling the attempts of a client that is
- * gone. Confined to the dispatcher's thread.
+ * answering a request that the policy has left open past its deadline, and cancelling the attempts of a disconnected
+ * client. Confined to the dispatcher's thread.
  */
 final class RequestLifecycle {
     /**
@@ -47,7 +47,7 @@
 
     /** Admits a request and passes it to the policy, or answers it immediately. */
     void submit(RoutingRequest request, ClientCallback client, Object payload) {
-        if (client.isClientGone()) {
+        if (client.isClientDisconnected()) {
             eventLog.count("taken");
             eventLog.count(RequestResult.ABANDONED.counterName());
             return;
@@ -90,9 +90,9 @@
         }
         attempt.markOver();
         OpenRequest request = attempt.request();
-        if (!request.isStreaming() && !request.isAnswered() && request.client().isClientGone()) {
-            // The ClientGone message is still queued; handle it first, so that the policy does not retry.
-            clientGone(request.id());
+        if (!request.isStreaming() && !request.isAnswered() && request.client().isClientDisconnected()) {
+            // The ClientDisconnected message is still queued; handle it first, so that the policy does not retry.
+            clientDisconnected(request.id());
         }
         boolean settled = request.isAnswered() || request.streaming() == attempt || outcome == AttemptOutcome.OK;
         eventLog.count("attempt_" + outcome.name().toLowerCase(Locale.ROOT));
@@ -120,8 +120,8 @@
         };
     }
 
-    /** Closes a request whose client is gone and cancels its attempts, so that upstreams do no useless work. */
-    void clientGone(String requestId) {
+    /** Closes the request of a disconnected client and cancels its attempts, so that upstreams do no useless work. */
+    void clientDisconnected(String requestId) {
         OpenRequest request = requests.find(requestId);
         if (request == null || request.isAnswered()) {
             return;
--- a/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
+++ b/src/main/java/magpiehub/dispatch/RoutingActionExecutor.java
@@ -49,9 +49,9 @@
         requests.cancelAttempts(request);
         long deadlineMicros = attemptDeadlineMicros(request, timeoutMicros);
         Attempt attempt = request.addAttempt(endpointId, clock.nowMicros(), deadlineMicros);
-        if (request.client().isClientGone()) {
+        if (request.client().isClientDisconnected()) {
             // The message is handled in a later turn, which also ends the attempt.
-            mailbox.post(new DispatcherMessage.ClientGone(requestId));
+            mailbox.post(new DispatcherMessage.ClientDisconnected(requestId));
             return;
         }
         eventLog.count("sent");
--- a/src/main/java/magpiehub/downstream/ClientExchange.java
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public boolean isClientGone() {
+    public boolean isClientDisconnected() {
         return connection.isClientGone();
     }
 
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -100,7 +100,7 @@
         requests.releaseAll();
         endStreams(ending);
         if (current != null) {
-            services.dispatcher().clientGone(current.requestId());
+            services.dispatcher().clientDisconnected(current.requestId());
         }
     }
 
--- a/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
+++ b/src/test/java/magpiehub/dispatch/RequestDispatcherTest.java
@@ -23,7 +23,7 @@
     private final List<Attempt> attempts = new ArrayList<>();
     private boolean fleetFails;
     private boolean policyFails;
-    private boolean clientGone;
+    private boolean clientDisconnected;
     private boolean clientDisconnectsDuringTurn;
     private int watches;
     private long now = 1_000_000;
@@ -44,8 +44,8 @@
         }
 
         @Override
-        public boolean isClientGone() {
-            return clientGone;
+        public boolean isClientDisconnected() {
+            return clientDisconnected;
         }
     };
     private final UpstreamFleet fleet = new UpstreamFleet() {
@@ -93,7 +93,7 @@
     private final EventLog eventLog = new EventLog() {
         @Override
         public void count(String name) {
-            clientGone |= clientDisconnectsDuringTurn && name.equals("taken");
+            clientDisconnected |= clientDisconnectsDuringTurn && name.equals("taken");
             if (name.equals("sent") && policyFails) {
                 throw new IllegalStateException("injected fault while the policy handles an event");
             }
@@ -207,28 +207,28 @@
         runTurns();
         dispatcher.streamStarted(attempts.get(0));
         dispatcher.attemptEnded(attempts.get(0), AttemptOutcome.OK, 5, null);
-        dispatcher.clientGone("r");
+        dispatcher.clientDisconnected("r");
         runTurns();
         assertEquals(List.of("start a", "abort a", "reject at 1400000"), calls);
     }
 
-    /** While the ClientGone message is queued, no attempt is started, and a request in progress is closed only once. */
+    /** While the ClientDisconnected message is queued, no attempt starts, and an open request is closed only once. */
     @Test
-    void noAttemptIsStartedForAClientThatIsGone() throws InterruptedException {
-        clientGone = true;
+    void noAttemptIsStartedForADisconnectedClient() throws InterruptedException {
+        clientDisconnected = true;
         submitWithEndpoints("a", "b");
-        assertEquals(List.of(), calls, "the client was gone before the request was admitted");
-        clientGone = false;
+        assertEquals(List.of(), calls, "the client disconnected before the request was admitted");
+        clientDisconnected = false;
         submitWithEndpoints("a", "b");
         String first = attempts.get(0).endpointId();
-        clientGone = true;
+        clientDisconnected = true;
         assertEquals(null, attempts.get(0).payload(), "a connection that is established now must not send the request");
         dispatcher.attemptEnded(attempts.get(0), AttemptOutcome.ERROR, -1, null);
         runTurns();
-        dispatcher.clientGone("r");
+        dispatcher.clientDisconnected("r");
         runTurns();
         assertEquals(List.of("start " + first), calls, "no second attempt, and no answer");
-        clientGone = false;
+        clientDisconnected = false;
         submitWithEndpoints("a", "b");
         assertEquals(2, attempts.size(), "the id can be used again");
     }
@@ -241,7 +241,7 @@
         assertEquals(List.of(), calls);
         assertEquals(0, dispatcher.openRequests());
         clientDisconnectsDuringTurn = false;
-        clientGone = false;
+        clientDisconnected = false;
         submitWithEndpoints("a");
         assertEquals(List.of("start a"), calls);
     }
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -236,7 +236,7 @@
         }
 
         @Override
-        public boolean isClientGone() {
+        public boolean isClientDisconnected() {
             return clientGone;
         }
     };
