--- a/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
+++ b/src/main/java/magpiehub/dispatch/DispatcherEventHandler.java
@@ -6,8 +6,7 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * One method for each kind of message and timer event of the dispatcher: passes it on to the part that it concerns.
- * Belongs to the dispatcher's thread.
+ * Routes each kind of message and timer event to the component that handles it. Confined to the dispatcher's thread.
  */
 final class DispatcherEventHandler implements DispatcherMessage.Handler, TimerEvent.Handler {
     private final RequestLifecycle lifecycle;
@@ -44,8 +43,8 @@
     }
 
     @Override
-    public void onClientGone(DispatcherMessage.ClientGone message) {
-        lifecycle.clientGone(message.requestId());
+    public void onClientDisconnected(DispatcherMessage.ClientDisconnected message) {
+        lifecycle.clientDisconnected(message.requestId());
     }
 
     @Override
@@ -59,7 +58,7 @@
     }
 
     @Override
-    public void onProbeCompleted(DispatcherMessage.ProbeCompleted message) {
+    public void onHealthCheckEnded(DispatcherMessage.HealthCheckEnded message) {
         long nowMicros = clock.nowMicros();
         long roundTripMicros = nowMicros - message.sentAtMicros();
         policy.onHealthCheckEnded(nowMicros, message.endpointId(), message.outcome(), roundTripMicros, message.load());
--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -156,7 +156,7 @@
      */
     void disconnectIfStalled(long nowMicros, long maxStallMicros, StreamOutcome cause) {
         StreamFlow flow = actor.responseFlow();
-        if (flow != null && services.streams().isClientStalled(flow, nowMicros, maxStallMicros, cause)) {
+        if (flow != null && services.streams().detectClientStall(flow, nowMicros, maxStallMicros, cause)) {
             disconnect();
         }
     }
