--- a/src/main/java/magpiehub/discovery/EndpointEntryParser.java
+++ b/src/main/java/magpiehub/discovery/EndpointEntryParser.java
@@ -19,15 +19,15 @@
  * Parses and writes the entries of endpoint lists. The platform's discovery and the registries use the same
  * field names.
  *
- * <p>A strict parser rejects an entry that routers of other versions might read differently, and leaves the
- * rest of the list alone. Thread-safe.
+ * <p>A strict parser rejects an entry that routers of other versions might interpret differently; the other entries
+ * of the list are not affected. Thread-safe.
  */
 public final class EndpointEntryParser implements EndpointFieldNames {
     private static final int MAX_ENTRY_BYTES = 64 * 1024;
     private static final long MICROS_PER_MILLI = 1000;
 
     private final Supplier<SiteSettings> site;
-    /** Monotonic time less Unix time (us), taken once: an entry read twice must give the same start time. */
+    /** Monotonic time minus Unix time. Computed once, so that an entry read twice gives the same start time. */
     private final long monotonicOffsetMicros;
 
     private final boolean strict;
@@ -39,16 +39,16 @@
     }
 
     /** A parser for the platform's entries, which are trusted; {@code nowMicros} is monotonic. */
-    public static EndpointEntryParser platform(Supplier<SiteSettings> site, long nowMicros) {
+    public static EndpointEntryParser lenient(Supplier<SiteSettings> site, long nowMicros) {
         return new EndpointEntryParser(site, nowMicros, false);
     }
 
-    /** A parser for entries that people and scripts write, which are validated one by one. */
+    /** A parser for entries written by operators and scripts, each of which is validated. */
     public static EndpointEntryParser strict(Supplier<SiteSettings> site, long nowMicros) {
         return new EndpointEntryParser(site, nowMicros, true);
     }
 
-    /** Starts an entry whose fields come one by one. */
+    /** Starts an entry whose fields are set one at a time. */
     public EndpointEntryBuilder newEntry() {
         return new EndpointEntryBuilder(this);
     }
@@ -57,7 +57,7 @@
         return site.get();
     }
 
-    /** A string, number or boolean as a text; for arrays and objects a text that is no valid value. */
+    /** A string, number or boolean as a string; for arrays and objects a string that is not a valid value. */
     public static String scalar(JsonParser parser) throws IOException {
         if (parser.currentToken().isScalarValue()) {
             return parser.getText();
@@ -67,11 +67,11 @@
     }
 
     /**
-     * Parses one entry from a JSON text, for example
+     * Parses one entry from a JSON document, for example
      * {@code {"id":"s-1","host_port":"10.1.0.18:8080","locality":"a","phase":"Ready","size":1.0}}.
      *
-     * @param defaultId the id where the text names none; may be null
-     * @throws ConfigurationException naming the field that is wrong
+     * @param defaultId the id if the document contains none; may be null
+     * @throws ConfigurationException if the document or a field is invalid; the message names the field
      */
     public EndpointEntry read(byte[] json, String defaultId) throws IOException {
         if (json.length > MAX_ENTRY_BYTES) {
@@ -83,7 +83,7 @@
             }
             EndpointEntryBuilder entry = newEntry().readObject(parser);
             if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
-                throw new ConfigurationException("must be one whole object");
+                throw new ConfigurationException("must be exactly one complete object");
             }
             return entry.build(defaultId);
         }
@@ -122,15 +122,15 @@
             case "Gone" -> EndpointState.DEAD;
             default -> {
                 if (strict) {
-                    throw new ConfigurationException("phase is none of Ready, Terminating, Gone: " + phase);
+                    throw new ConfigurationException("phase must be Ready, Terminating or Gone: " + phase);
                 }
-                // Guards against sending requests to an endpoint in a phase that this program does not know.
+                // Avoids sending requests to an endpoint in a phase that this version does not know.
                 yield EndpointState.DRAINING;
             }
         };
     }
 
-    /** A start time in Unix milliseconds on the monotonic clock (us); 0, for none, stays 0. */
+    /** Converts a start time from Unix milliseconds to monotonic microseconds; 0 stands for none and stays 0. */
     @Override
     public long startedAtMicros(double unixMillis) {
         return unixMillis <= 0 ? 0 : Math.max(1, Math.round(unixMillis * MICROS_PER_MILLI) + monotonicOffsetMicros);
@@ -151,7 +151,7 @@
         json.writeEndObject();
     }
 
-    /** The inverse of {@link #startedAtMicros}, cut to whole milliseconds. */
+    /** The inverse of {@link #startedAtMicros}, truncated to whole milliseconds. */
     private double unixMillis(long onlineSinceMicros) {
         if (onlineSinceMicros == 0) {
             return 0;
@@ -160,7 +160,7 @@
         return (double) wholeMillis;
     }
 
-    /** Writes the name of a zone or machine type, or its index where the settings have no name for it. */
+    /** Writes the name of a zone or machine type, or its index if the settings have no name for it. */
     private static void writeName(JsonGenerator json, String field, List<String> names, int index) throws IOException {
         if (index < names.size()) {
             json.writeStringField(field, names.get(index));
--- a/src/main/java/magpiehub/discovery/platform/CallFailure.java
+++ b/src/main/java/magpiehub/discovery/platform/CallFailure.java
@@ -5,13 +5,13 @@
 import java.net.NoRouteToHostException;
 import java.net.SocketTimeoutException;
 
-/** What the end of a call to discovery shows of discovery. */
+/** What a failed call indicates about the state of discovery. */
 enum CallFailure {
-    /** Nothing listens there: discovery is down. */
+    /** The connection was refused: discovery is down. */
     REFUSED,
-    /** No answer, or not the one that was asked for: discovery is down, or has too many callers, or the path is cut. */
+    /** No response, or not the expected one: discovery is down or overloaded, or the network path is interrupted. */
     UNANSWERED,
-    /** This machine could not make the call, which shows nothing of discovery. */
+    /** This machine could not make the call, which says nothing about discovery. */
     LOCAL;
 
     private static final String REFUSED_MESSAGE = "Connection refused";
@@ -19,7 +19,7 @@
     /** The failure of a call whose connection could not be opened. */
     static CallFailure ofConnect(IOException failure) {
         if (failure instanceof ConnectException) {
-            // The library has one type for refusals and for timeouts that the system reports.
+            // ConnectException stands both for refusals and for timeouts that the operating system reports.
             return String.valueOf(failure.getMessage()).startsWith(REFUSED_MESSAGE) ? REFUSED : UNANSWERED;
         }
         boolean unanswered = failure instanceof SocketTimeoutException || failure instanceof NoRouteToHostException;
--- a/src/main/java/magpiehub/discovery/platform/EndpointListLease.java
+++ b/src/main/java/magpiehub/discovery/platform/EndpointListLease.java
@@ -1,68 +1,71 @@
 package magpiehub.discovery.platform;
 
 /**
- * Says until when the endpoint list may be used without another sign that it is current. What discovery has counts as
- * received after a while, whether or not it arrived: a list that was not confirmed for longer may name replicas that
- * must get nothing any more.
+ * The time until which the endpoint list may be used without another confirmation that it is current. A change at
+ * discovery is deemed to have been received after a fixed delay, whether or not it arrived, so a list that has not
+ * been confirmed for longer may contain replicas that must not receive requests any more.
  *
- * <p>While discovery can't be reached, no change counts as received, and the lease is renewed: the last list is the
- * best that there is. One failed call does not show that, for it may have waited in discovery's queue for too long. A
- * list from before this start has no lease, since nobody knows its age.
+ * <p>While discovery is unreachable, no change is deemed to have been received, and the lease is renewed, because the
+ * last list is the best one available. A single failed call does not prove that discovery is unreachable, since the
+ * call may have waited in discovery's queue for too long. A list saved before this start has no lease, because its age
+ * is unknown.
  *
  * <p>A state machine without I/O and without a clock; an instance belongs to one thread.
  */
 final class EndpointListLease {
-    /** What {@link #validUntilMicros} returns before the first sign. */
+    /** Returned by {@link #validUntilMicros} before the lease is first renewed. */
     static final long NEVER_VALID = Long.MIN_VALUE;
 
-    /** A change counts as received this long after discovery had it and could be reached (us). */
-    private static final long NOTIFICATION_MICROS = 6_000_000;
+    /** A change is deemed to have been received this long after discovery had it and was reachable. */
+    private static final long MAX_NOTIFICATION_DELAY_MICROS = 6_000_000;
 
-    /** From reading the clock to the first byte on the wire: the process may be held up in between (us). */
-    private static final long WRITE_DELAY_MICROS = 500_000;
+    /** Allowance for delays of the process between reading the clock and writing the first byte of a request. */
+    private static final long MAX_WRITE_DELAY_MICROS = 500_000;
 
-    /** Losses in a row, of the watch or of calls, after which discovery counts as down. */
-    private static final int LOSSES_WHEN_DOWN = 2;
+    /** Consecutive failures, of the watch or of calls, after which discovery is considered down. */
+    private static final int FAILURES_UNTIL_DOWN = 2;
 
     private long renewedAtMicros = NEVER_VALID;
-    private int losses;
+    private int consecutiveFailures;
 
-    /** The list is known to be current. */
-    void recordCurrent(long nowMicros) {
+    /** Records that the list was confirmed to be current. */
+    void recordConfirmed(long nowMicros) {
         renewedAtMicros = nowMicros;
-        losses = 0;
+        consecutiveFailures = 0;
     }
 
-    /** The watch that kept the list current was ended by the other side, as when discovery goes down. */
+    /** Records that the peer ended the watch that kept the list current, as happens when discovery goes down. */
     void recordWatchLost() {
-        losses++;
+        consecutiveFailures++;
     }
 
-    /** A call has failed. */
+    /** Records that a call failed. */
     void recordCallFailed(long nowMicros, CallFailure failure) {
         if (failure == CallFailure.LOCAL) {
             return;
         }
-        losses = failure == CallFailure.REFUSED ? LOSSES_WHEN_DOWN : losses + 1;
+        consecutiveFailures = failure == CallFailure.REFUSED ? FAILURES_UNTIL_DOWN : consecutiveFailures + 1;
         if (isDiscoveryDown()) {
             renewedAtMicros = nowMicros;
         }
     }
 
-    /** Whether discovery counts as down. */
+    /** Whether discovery is considered down. */
     boolean isDiscoveryDown() {
-        return losses >= LOSSES_WHEN_DOWN;
+        return consecutiveFailures >= FAILURES_UNTIL_DOWN;
     }
 
     /**
-     * The time from which on nothing may be sent by the list.
+     * The time from which no request may be sent on the basis of the list.
      *
-     * @param stopSendingWithinMicros the time that the site gives to stop sending to a replica that leaves
+     * @param stopSendingWithinMicros the time that the site allows for stopping to send to a replica that leaves
      */
     long validUntilMicros(long stopSendingWithinMicros) {
         if (renewedAtMicros == NEVER_VALID) {
             return NEVER_VALID;
         }
-        return renewedAtMicros + NOTIFICATION_MICROS + Math.max(0, stopSendingWithinMicros - WRITE_DELAY_MICROS);
+        return renewedAtMicros
+                + MAX_NOTIFICATION_DELAY_MICROS
+                + Math.max(0, stopSendingWithinMicros - MAX_WRITE_DELAY_MICROS);
     }
 }
--- a/src/main/java/magpiehub/discovery/platform/PlatformCallReader.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformCallReader.java
@@ -17,12 +17,12 @@
 import magpiehub.http.HttpReader;
 
 /**
- * Makes the calls to discovery, each on a thread of its own, and posts what they deliver to the actor. A
- * response is a sequence of JSON values, however they are laid out and cut into chunks; blank lines between
- * them are heartbeats.
+ * Makes the calls to discovery, each on its own thread, and posts the received updates to the actor. A response is a
+ * sequence of JSON values with any whitespace and any division into chunks; blank lines between the values are
+ * heartbeats.
  */
 final class PlatformCallReader {
-    /** One list at most: the longest that the platform has is a hundredth of it. */
+    /** The maximum size of one list. The longest list of the platform is a hundredth of it. */
     private static final int MAX_LIST_BYTES = 4 << 20;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
@@ -38,7 +38,7 @@
         this.actor = actor;
     }
 
-    /** Makes a call and posts what it delivers; returns after {@link PlatformMessage.CallEnded} was posted. */
+    /** Makes a call and posts its updates; returns after posting {@link PlatformMessage.CallEnded}. */
     void run(PlatformCall call, String target) {
         String reason = "ended";
         boolean malformed = false;
@@ -97,11 +97,11 @@
 
     private void post(PlatformMessage message, int bytes) throws IOException {
         if (!actor.post(message, bytes)) {
-            throw new IOException("mailbox full");
+            throw new IOException("the mailbox of the discovery actor is full");
         }
     }
 
-    /** The bytes of a response. Bounds the size of each value, and posts blanks between them as heartbeats. */
+    /** The body of a response. Limits the size of each value and posts whitespace between values as heartbeats. */
     private final class ValueInputStream extends FilterInputStream {
         private final PlatformCall call;
         private boolean insideValue;
@@ -121,7 +121,7 @@
             }
             valueBytes += Math.max(0, count);
             if (valueBytes > MAX_LIST_BYTES) {
-                throw new ConfigurationException("a list of over " + MAX_LIST_BYTES + " bytes");
+                throw new ConfigurationException("list is larger than " + MAX_LIST_BYTES + " bytes");
             }
             return count;
         }
--- a/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -35,15 +35,14 @@
 import magpiehub.upstream.UpstreamPool;
 
 /**
- * The client of the platform's discovery. It calls discovery when the dispatcher requests it, and passes what
- * is received through an {@link EndpointListState}, which keeps the order of revisions. {@link WatchScheduler}
- * decides which calls are open. Lists are believed as they stand.
+ * The client of the platform's discovery. It calls discovery when the dispatcher requests it and passes received
+ * updates through an {@link EndpointListState}, which enforces the order of revisions. {@link WatchScheduler} decides
+ * which calls are open. Received lists are trusted: there is no flap damping, and removals need no confirmation.
  *
- * <p>An actor: the public methods only post messages, unless they say otherwise, and may be called from any
- * thread.
+ * <p>An actor: the public methods only post messages, unless documented otherwise, and may be called from any thread.
  */
 public final class PlatformDiscovery implements EndpointSource {
-    /** Different causes of malformed lists that are logged, each once. */
+    /** The number of different causes of malformed lists that are logged, each of them once. */
     private static final int MAX_LOGGED_CAUSES = 32;
 
     private static final int MAILBOX_BYTES = 8 << 20;
@@ -61,25 +60,25 @@
     private final EndpointListState list = new EndpointListState();
     private final WatchScheduler watches;
     private final Set<String> loggedCauses = new HashSet<>();
-    /** The call for the list alone that is open; null for none. */
+    /** The open call that reads the list once; null for none. */
     private PlatformCall listCall;
 
-    private long listCallFailsAtMicros = Long.MAX_VALUE;
-    /** The address whose revisions the list's position is one of. */
+    private long listCallTimesOutAtMicros = Long.MAX_VALUE;
+    /** The address that the list, and so its revision, was received from. */
     private String listAddress;
 
     private final EndpointListLease lease = new EndpointListLease();
 
-    /** Whether a list is known that names a live endpoint, or that discovery has delivered. */
-    private volatile boolean known;
-    /** Until when the list may be used; the lease's. */
+    /** Whether there is a list that discovery has delivered, or a saved one that contains a live endpoint. */
+    private volatile boolean hasList;
+    /** The time until which the list may be used, as last returned by the lease. */
     private volatile long validUntilMicros = EndpointListLease.NEVER_VALID;
-    /** Opened when a list is known and may be used for the first time. */
-    private final CountDownLatch firstKnown = new CountDownLatch(1);
-    /** Whether the lease has run out, or never begun, and the log says so. */
-    private boolean unconfirmed = true;
+    /** Released when there is a list that may be used for the first time. */
+    private final CountDownLatch firstUsableList = new CountDownLatch(1);
+    /** Whether the lease has expired, which was logged, or has not started yet. */
+    private boolean leaseExpired = true;
 
-    /** A client of the discovery at an address. */
+    /** Creates a client of the discovery at an address. */
     public PlatformDiscovery(
             String address,
             Supplier<SiteSettings> site,
@@ -91,7 +90,7 @@
                 .start());
     }
 
-    /** The same with an executor that runs each call on a thread of its own, or throws if there is none. */
+    /** Creates a client with an executor that runs each call on its own thread, or throws if it can't start one. */
     PlatformDiscovery(
             String address,
             Supplier<SiteSettings> site,
@@ -103,7 +102,7 @@
         this.watches = new WatchScheduler(address, new WatchTransport(), seed);
         this.listAddress = address;
         this.site = site;
-        this.entryParser = EndpointEntryParser.platform(site, clock.micros());
+        this.entryParser = EndpointEntryParser.lenient(site, clock.micros());
         this.publisher = new EndpointListPublisher(upstreams);
         this.clock = clock;
         this.log = log;
@@ -130,12 +129,12 @@
 
     @Override
     public boolean hasUsableList() {
-        return known && clock.micros() < validUntilMicros;
+        return hasList && clock.micros() < validUntilMicros;
     }
 
     @Override
     public void awaitUsableList(long timeoutMillis) throws InterruptedException {
-        boolean inTime = firstKnown.await(timeoutMillis, TimeUnit.MILLISECONDS);
+        boolean inTime = firstUsableList.await(timeoutMillis, TimeUnit.MILLISECONDS);
         if (!inTime) {
             log.log("list-not-known", "waited_ms", Long.toString(timeoutMillis));
         }
@@ -156,7 +155,7 @@
         mailbox.post(new PlatformMessage.ListRequested());
     }
 
-    /** The overlay; its listener is to be set before the start. */
+    /** The overlay; its consumer of listed ids must be set before the start. */
     @Override
     public MaintenanceOverlay maintenanceOverlay() {
         return publisher.overlay();
@@ -169,22 +168,22 @@
     }
 
     /** Changes discovery's address. */
-    public void changeAddress(String to) {
-        mailbox.post(new PlatformMessage.AddressChanged(to));
+    public void changeAddress(String address) {
+        mailbox.post(new PlatformMessage.AddressChanged(address));
     }
 
     private void run() {
         try {
             while (true) {
-                runTurn();
+                processNext();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits for a message or a timer, and handles it. */
-    private void runTurn() throws InterruptedException {
+    /** Waits for the next message or timer and handles it. */
+    private void processNext() throws InterruptedException {
         try {
             PlatformMessage message = mailbox.take(nextTimerMicros());
             long now = clock.micros();
@@ -194,7 +193,7 @@
                 handle(message, now);
             }
         } catch (RuntimeException | OutOfMemoryError e) {
-            // Ends this turn only; a call that is left without a reader by it times out.
+            // The actor continues with the next message. A call that was left without a reader times out.
             log.count("discovery_exceptions");
             log.log("discovery-exception", "error", e.toString());
         }
@@ -222,19 +221,19 @@
     }
 
     private long nextTimerMicros() {
-        long next = Math.min(watches.nextTimerMicros(), listCall == null ? Long.MAX_VALUE : listCallFailsAtMicros);
-        return unconfirmed ? next : Math.min(next, validUntilMicros);
+        long next = Math.min(watches.nextTimerMicros(), listCall == null ? Long.MAX_VALUE : listCallTimesOutAtMicros);
+        return leaseExpired ? next : Math.min(next, validUntilMicros);
     }
 
     private void onTimer(long now) {
-        if (listCall != null && listCallFailsAtMicros <= now) {
+        if (listCall != null && listCallTimesOutAtMicros <= now) {
             onListCallFailed("silent");
         }
         watches.onTimer(now);
         publishLease(now);
     }
 
-    /** Publishes a lease that was renewed, and logs when it has run out and when there is one again. */
+    /** Publishes the lease if it was renewed, and logs when it expires and when it becomes valid again. */
     private void publishLease(long now) {
         long until = lease.validUntilMicros(site.get().routing().guarantees().stopSendingWithin());
         if (until != validUntilMicros) {
@@ -242,13 +241,13 @@
             publisher.deliverValidity(until);
         }
         boolean expired = now >= until;
-        if (known && !expired) {
-            firstKnown.countDown();
+        if (hasList && !expired) {
+            firstUsableList.countDown();
         }
-        if (expired == unconfirmed) {
+        if (expired == leaseExpired) {
             return;
         }
-        unconfirmed = expired;
+        leaseExpired = expired;
         if (expired) {
             log.count("lists_unconfirmed");
             log.log("list-unconfirmed", "discovery", watches.address());
@@ -265,12 +264,12 @@
         }
     }
 
-    /** Whether what a call delivers still counts. */
+    /** Whether data that a call delivers is still accepted. */
     private boolean isOpen(PlatformCall call) {
         return call.watch ? watches.isOpen(call) : call == listCall;
     }
 
-    /** Opens and closes the calls of the watches. */
+    /** Opens and closes watch calls. */
     private final class WatchTransport implements WatchScheduler.Transport {
         @Override
         public PlatformCall open(String address) {
@@ -291,7 +290,7 @@
         }
 
         @Override
-        public void onGivenUp(WatchScheduler.Call call) {
+        public void onAbandoned(WatchScheduler.Call call) {
             recordFailure((PlatformCall) call);
         }
 
@@ -310,17 +309,17 @@
     }
 
     private String watchTarget(PlatformCall call) {
-        // Revisions of another address count for nothing there.
+        // A revision received from one address means nothing at another.
         boolean resumes = list.position().isKnown() && listAddress.equals(call.address);
         return LIST_TARGET + "?follow=1"
                 + (resumes ? "&since=" + list.position().revision() : "");
     }
 
     private void requestList(long now) {
-        // One at a time: a second one would be another call in discovery's queue.
+        // At most one at a time, because each call takes another place in discovery's queue.
         closeListCall();
         listCall = new PlatformCall(false, watches.address(), now);
-        listCallFailsAtMicros = now + WatchScheduler.TIMEOUT_MICROS;
+        listCallTimesOutAtMicros = now + WatchScheduler.TIMEOUT_MICROS;
         startCall(listCall, LIST_TARGET);
     }
 
@@ -336,7 +335,8 @@
         try {
             readerThreads.execute(() -> reader.run(call, target));
         } catch (OutOfMemoryError e) {
-            // No thread is left. A failed call is followed by another in time, one that never ends is not.
+            // No thread could be started. The call is reported as ended, so that the dispatcher retries in time; a call
+            // without a reader would stay open until its timeout.
             mailbox.post(new PlatformMessage.CallEnded(call, e.toString(), false));
         }
     }
@@ -349,12 +349,12 @@
         boolean applied = apply(call, update);
         call.awaitsFirstData = false;
         if (applied && (!call.watch || watches.isReliable(call))) {
-            lease.recordCurrent(now);
+            lease.recordConfirmed(now);
         }
         if (!call.watch) {
             closeListCall();
         } else if (watches.lacksReliableWatch()) {
-            // The update counts, but the newer watch has failed: the dispatcher is to go on requesting one.
+            // The update is applied, but the newer watch has failed, so the dispatcher must keep requesting one.
             publisher.deliverError();
         }
     }
@@ -364,11 +364,12 @@
             watches.onData(call, now);
         }
         if (call.watch && watches.isReliable(call)) {
-            lease.recordCurrent(now);
+            lease.recordConfirmed(now);
         }
         log.count("discovery_beats");
         if (call.watch && call.awaitsFirstData) {
-            // A heartbeat alone says that nothing has changed since the revision that the watch started from.
+            // A heartbeat before any update means that nothing has changed since the revision that the watch resumed
+            // from.
             call.awaitsFirstData = false;
             publish(EndpointListKind.CHANGES, List.of());
         }
@@ -426,9 +427,10 @@
         publish(EndpointListKind.SAVED, list.entries());
     }
 
-    /** Applies a list or a change, unless a newer one has been; returns whether it was applied. */
+    /** Applies a list or a change unless a newer one was already applied; returns whether it was applied. */
     private boolean apply(PlatformCall call, PlatformListUpdate update) {
-        // A complete list that opens a watch is taken as it is: discovery may have begun its count anew.
+        // The first complete list of a call is applied whatever its revision: discovery may have restarted its
+        // numbering.
         ListUpdateResult result = update.complete()
                 ? list.applyCompleteList(update.position(), null, update.items(), call.awaitsFirstData)
                 : list.applyChanges(update.position(), update.items());
@@ -460,13 +462,13 @@
         return changes;
     }
 
-    /** The entry of an endpoint that is gone, of which only the id is known. */
+    /** The entry of a removed endpoint, of which only the id is known. */
     private static EndpointEntry removedEntry(String id) {
         return new EndpointEntry(new Endpoint(id, 0, 0, 0, EndpointState.DEAD, 1, 0), null);
     }
 
     private void publish(EndpointListKind kind, List<EndpointEntry> entries) {
-        known |= kind != EndpointListKind.SAVED
+        hasList |= kind != EndpointListKind.SAVED
                 || entries.stream().anyMatch(entry -> entry.endpoint().state() == EndpointState.LIVE);
         publisher.deliver(kind, entries);
     }
--- a/src/main/java/magpiehub/discovery/platform/PlatformListUpdate.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformListUpdate.java
@@ -15,16 +15,16 @@
 import magpiehub.routing.EndpointState;
 
 /**
- * A complete list or a set of changes as discovery writes it.
+ * A complete list or a set of changes, as sent by discovery.
  *
- * @param revision the list's revision; -1 where it names none
+ * @param revision the list's revision; -1 if discovery sent none
  * @param complete whether it is a complete list
  */
 record PlatformListUpdate(long revision, boolean complete, List<EndpointEntry> entries) {
     /**
-     * Parses the JSON object that the parser stands at the start of.
+     * Parses the JSON object whose start the parser is positioned at.
      *
-     * @throws ConfigurationException if it is no list
+     * @throws ConfigurationException if it is not a valid list
      */
     static PlatformListUpdate parse(JsonParser json, EndpointEntryParser entryParser) throws IOException {
         if (json.currentToken() != JsonToken.START_OBJECT) {
@@ -44,7 +44,7 @@
             }
         }
         if (entries == null && complete) {
-            // Guards against emptying the list in force by an answer that names no endpoints at all.
+            // Prevents a response without any members field from emptying the current list.
             throw new ConfigurationException("members is missing");
         }
         return new PlatformListUpdate(revision, complete, entries == null ? List.of() : entries);
@@ -55,7 +55,7 @@
         return new ListPosition("", 0, revision);
     }
 
-    /** The entries by the endpoints' ids, which are their keys. */
+    /** The entries as list items; their keys are the endpoint ids. */
     List<ListItem> items() {
         List<ListItem> items = new ArrayList<>(entries.size());
         for (EndpointEntry entry : entries) {
--- a/src/main/java/magpiehub/discovery/platform/PlatformMessage.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformMessage.java
@@ -4,19 +4,19 @@
 
 /** A message to the actor of {@link PlatformDiscovery}. */
 sealed interface PlatformMessage {
-    /** The dispatcher wants a watch. */
+    /** The dispatcher has requested a watch. */
     record WatchRequested() implements PlatformMessage {}
 
-    /** The dispatcher wants no watch any more. */
+    /** The dispatcher has cancelled the watch. */
     record WatchCancelled() implements PlatformMessage {}
 
-    /** The dispatcher wants the list once. */
+    /** The dispatcher has requested the list once. */
     record ListRequested() implements PlatformMessage {}
 
-    /** Discovery is at another address. */
+    /** The address of discovery has changed. */
     record AddressChanged(String address) implements PlatformMessage {}
 
-    /** The operators' maintenance changed. */
+    /** The operators' maintenance has changed. */
     record MaintenanceChanged(MaintenanceUpdate update) implements PlatformMessage {}
 
     /** A call has delivered a list or a change. */
--- a/src/main/java/magpiehub/discovery/platform/WatchScheduler.java
+++ b/src/main/java/magpiehub/discovery/platform/WatchScheduler.java
@@ -4,42 +4,42 @@
 import java.util.SplittableRandom;
 
 /**
- * Schedules the watches of the platform's endpoint list: which calls are open, and which of them counts. One
- * watch is established, that is, has delivered data; calls that are to replace it are pending. A call that may
- * hang for good always gets another one beside it, so that a list that can be had is in force within 6 s. A
- * failed call is not repeated here: the dispatcher backs off and requests the next one.
+ * Schedules the watch calls for the platform's endpoint list: decides which calls are open and which of them is in
+ * use. At most one watch is established, that is, has delivered data; calls that may replace it are pending. A call
+ * that may be hanging is hedged with another call, so that a list that discovery can deliver is in use within 6 s.
+ * Failed calls are not retried here: the dispatcher backs off and requests the next one.
  *
  * <p>A state machine without I/O and without a clock; an instance belongs to one thread.
  */
 final class WatchScheduler {
     /**
-     * Discovery writes at least an empty line each 2 s. A watch that is late by a quarter of that is followed
-     * by another, somewhere within the next {@link #LATE_SPREAD_MICROS}, so that the routers of a fleet whose
-     * watches fall silent together do not call in one moment.
+     * Discovery sends at least an empty line every 2 s. A watch whose heartbeat is late by a quarter of that is hedged
+     * with another call, after a random delay of up to {@link #HEARTBEAT_JITTER_MICROS}, so that routers whose watches
+     * fall silent together do not call discovery at the same moment.
      */
-    private static final long LATE_MICROS = 2_500_000;
+    private static final long HEARTBEAT_LATE_MICROS = 2_500_000;
 
-    private static final long LATE_SPREAD_MICROS = 1_500_000;
+    private static final long HEARTBEAT_JITTER_MICROS = 1_500_000;
     /**
-     * A call that has delivered nothing is followed by another one beside it after this time. It stays open, for
-     * its answer may wait in discovery's queue, and its place there is not to be lost.
+     * A call that has delivered no data is hedged with another call after this time plus jitter. It stays open, so
+     * that it keeps its place in discovery's queue.
      */
-    private static final long FIRST_DATA_MICROS = 2_000_000;
+    private static final long FIRST_DATA_LATE_MICROS = 2_000_000;
 
-    private static final long FIRST_DATA_SPREAD_MICROS = 500_000;
+    private static final long FIRST_DATA_JITTER_MICROS = 500_000;
     /**
-     * Pending calls at most: beyond, the oldest is closed. It has then waited longer than discovery lets calls
-     * wait.
+     * The maximum number of pending calls. The oldest is closed to open another one; by then it has waited longer than
+     * discovery lets calls wait.
      */
     private static final int MAX_PENDING = 2;
-    /** A call that delivers nothing for this time has failed. */
+    /** A call that delivers no data for this time has failed. */
     static final long TIMEOUT_MICROS = 5_000_000;
 
-    /** One call; the transport extends it. */
+    /** One call; extended by the transport. */
     static class Call {
         final String address;
-        private long failsAtMicros;
-        /** When another call is opened beside it; {@link Long#MAX_VALUE} once that was done. */
+        private long timesOutAtMicros;
+        /** When the call is hedged with another one; {@link Long#MAX_VALUE} once that has been done. */
         private long lateAtMicros;
 
         Call(String address) {
@@ -51,29 +51,29 @@
         }
     }
 
-    /** Opens and closes the calls, and is told how they fare. */
+    /** Opens and closes the calls, and is notified of their failures. */
     interface Transport {
         /** Opens a call to an address. */
         Call open(String address);
 
         void close(Call call);
 
-        /** A call has delivered nothing for too long; another one is opened beside it. */
+        /** A call has delivered no data for too long and is hedged with another one. */
         void onLate(Call call, boolean established);
 
-        /** A call that has waited for longer than any other is given up, without an answer. */
-        void onGivenUp(Call call);
+        /** The oldest pending call was closed without a response because too many calls were pending. */
+        void onAbandoned(Call call);
 
-        /** No call is left that may still succeed: the dispatcher is to request a watch again in its time. */
+        /** No call is left that may still succeed; the dispatcher must request a watch again after its backoff. */
         void onFailure(Call call, String reason);
     }
 
     private final Transport transport;
     private final SplittableRandom random;
     private String address;
-    /** The watch in force: at another address or silent, it counts until a newer one has delivered data. */
+    /** The watch in use, even if it is silent or at an old address, until a newer one has delivered data. */
     private Call established;
-    /** Calls that have delivered nothing, oldest first. */
+    /** Calls that have delivered no data yet, oldest first. */
     private final ArrayDeque<Call> pending = new ArrayDeque<>(MAX_PENDING + 1);
 
     WatchScheduler(String address, Transport transport, long seed) {
@@ -82,12 +82,12 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Where the next call goes. */
+    /** The address of the next call. */
     String address() {
         return address;
     }
 
-    /** Opens a watch unless one is pending that may still succeed. */
+    /** Opens a watch unless a pending one may still succeed. */
     void requestWatch(long nowMicros) {
         if (pending.isEmpty() || pending.getLast().isLate()) {
             open(nowMicros);
@@ -95,10 +95,10 @@
     }
 
     /**
-     * Changes discovery's address, and calls it there at once: the end of the watch at the old address would
-     * come too late.
+     * Changes discovery's address and immediately opens a watch there, because waiting for the watch at the old address
+     * to end would take too long.
      *
-     * @return false if that was the address already
+     * @return false if the address is unchanged
      */
     boolean changeAddress(String to, long nowMicros) {
         if (to.equals(address)) {
@@ -119,30 +119,30 @@
         established = null;
     }
 
-    /** Whether what a call delivers counts. */
+    /** Whether data that a call delivers is accepted. */
     boolean isOpen(Call call) {
         return call == established || pending.contains(call);
     }
 
-    /** Whether a call keeps the list current: it is established, at discovery's address, and never fell silent. */
+    /** Whether a call keeps the list current: it is established, at the current address, and was never late. */
     boolean isReliable(Call call) {
         return call == established && !call.isLate() && call.address.equals(address);
     }
 
-    /** Whether the established watch is not to be relied on, and no other one is pending. */
+    /** Whether the established watch is not reliable and no other call is pending. */
     boolean lacksReliableWatch() {
         return established != null
                 && pending.isEmpty()
                 && (established.isLate() || !established.address.equals(address));
     }
 
-    /** An open call has delivered data. With its first data it is established, and all others are closed. */
+    /** Handles data from an open call. With its first data, the call is established and all others are closed. */
     void onData(Call call, long nowMicros) {
-        call.failsAtMicros = nowMicros + TIMEOUT_MICROS;
+        call.timesOutAtMicros = nowMicros + TIMEOUT_MICROS;
         if (call == established && call.isLate()) {
-            return; // It had fallen silent once: the call that is to replace it stays open.
+            return; // It was silent before, so the call that will replace it stays open.
         }
-        call.lateAtMicros = nowMicros + LATE_MICROS + random.nextLong(LATE_SPREAD_MICROS);
+        call.lateAtMicros = nowMicros + HEARTBEAT_LATE_MICROS + random.nextLong(HEARTBEAT_JITTER_MICROS);
         if (call != established) {
             pending.remove(call);
             closeAll();
@@ -150,14 +150,14 @@
         }
     }
 
-    /** An open call has ended. */
+    /** Handles the end of an open call. */
     void onEnded(Call call, String reason) {
         boolean newest = call == pending.peekLast();
         pending.remove(call);
         transport.close(call);
         boolean wasEstablished = call == established;
         established = wasEstablished ? null : established;
-        // A call older than another one has only reported what that one will report.
+        // The end of a call is not reported while a newer one is pending, which will report its own result.
         if (newest || (wasEstablished && pending.isEmpty())) {
             transport.onFailure(call, reason);
         }
@@ -166,22 +166,22 @@
     /** When {@link #onTimer} is due next; {@link Long#MAX_VALUE} if never. */
     long nextTimerMicros() {
         long next =
-                established == null ? Long.MAX_VALUE : Math.min(established.failsAtMicros, established.lateAtMicros);
+                established == null ? Long.MAX_VALUE : Math.min(established.timesOutAtMicros, established.lateAtMicros);
         for (Call call : pending) {
-            next = Math.min(next, Math.min(call.failsAtMicros, call.lateAtMicros));
+            next = Math.min(next, Math.min(call.timesOutAtMicros, call.lateAtMicros));
         }
         return next;
     }
 
-    /** Ends the calls that have timed out, and opens others beside those that are late. */
+    /** Ends the calls that have timed out and hedges those that are late. */
     void onTimer(long nowMicros) {
         Call[] waiting = pending.toArray(new Call[0]);
         for (Call call : waiting) {
-            if (call.failsAtMicros <= nowMicros) {
+            if (call.timesOutAtMicros <= nowMicros) {
                 onEnded(call, "silent");
             }
         }
-        if (established != null && established.failsAtMicros <= nowMicros) {
+        if (established != null && established.timesOutAtMicros <= nowMicros) {
             onEnded(established, "silent");
         }
         if (established != null && established.lateAtMicros <= nowMicros) {
@@ -201,11 +201,11 @@
         if (pending.size() >= MAX_PENDING) {
             Call oldest = pending.removeFirst();
             transport.close(oldest);
-            transport.onGivenUp(oldest);
+            transport.onAbandoned(oldest);
         }
         Call call = transport.open(address);
-        call.failsAtMicros = nowMicros + TIMEOUT_MICROS;
-        call.lateAtMicros = nowMicros + FIRST_DATA_MICROS + random.nextLong(FIRST_DATA_SPREAD_MICROS);
+        call.timesOutAtMicros = nowMicros + TIMEOUT_MICROS;
+        call.lateAtMicros = nowMicros + FIRST_DATA_LATE_MICROS + random.nextLong(FIRST_DATA_JITTER_MICROS);
         pending.addLast(call);
     }
 
--- a/src/test/java/magpiehub/discovery/platform/CallFailureTest.java
+++ b/src/test/java/magpiehub/discovery/platform/CallFailureTest.java
@@ -17,13 +17,13 @@
 import java.net.SocketTimeoutException;
 import org.junit.jupiter.api.Test;
 
-/** What failed calls show of discovery, and what that means for the endpoint list. */
+/** Tests the classification of failed calls and its effect on the lease of the endpoint list. */
 class CallFailureTest {
-    private static final long GRACE = 2_000_000;
-    private static final long NOW = 100_000_000;
+    private static final long STOP_SENDING_WITHIN_MICROS = 2_000_000;
+    private static final long NOW_MICROS = 100_000_000;
 
     @Test
-    void aRefusedConnectionIsKnownByWhatTheSystemSays() throws IOException {
+    void refusedConnectionIsRecognizedByTheSystemsMessage() throws IOException {
         ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
         server.close();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatFailsOnThisMachineShowsNothing() {
+    void localFailuresSayNothingAboutDiscovery() {
         assertEquals(CallFailure.UNANSWERED, CallFailure.ofConnect(new SocketTimeoutException("Connect timed out")));
         assertEquals(CallFailure.UNANSWERED, CallFailure.ofConnect(new ConnectException("Connection timed out")));
         assertEquals(CallFailure.UNANSWERED, CallFailure.ofConnect(new NoRouteToHostException("No route to host")));
@@ -45,20 +45,22 @@
     }
 
     @Test
-    void discoveryIsDownAfterOneRefusalOrTwoCallsInVain() {
+    void discoveryIsDownAfterOneRefusalOrTwoUnansweredCalls() {
         EndpointListLease lease = new EndpointListLease();
         for (int failure = 0; failure < 9; failure++) {
-            lease.recordCallFailed(NOW, CallFailure.LOCAL);
+            lease.recordCallFailed(NOW_MICROS, CallFailure.LOCAL);
         }
-        lease.recordCallFailed(NOW, CallFailure.UNANSWERED);
-        assertFalse(lease.validUntilMicros(GRACE) > NOW, "one call may have waited in a queue");
-        lease.recordCallFailed(NOW, CallFailure.LOCAL);
-        assertFalse(lease.validUntilMicros(GRACE) > NOW);
-        lease.recordCallFailed(NOW, CallFailure.UNANSWERED);
-        assertTrue(lease.validUntilMicros(GRACE) > NOW);
+        lease.recordCallFailed(NOW_MICROS, CallFailure.UNANSWERED);
+        assertFalse(
+                lease.validUntilMicros(STOP_SENDING_WITHIN_MICROS) > NOW_MICROS,
+                "a single unanswered call may have waited in discovery's queue");
+        lease.recordCallFailed(NOW_MICROS, CallFailure.LOCAL);
+        assertFalse(lease.validUntilMicros(STOP_SENDING_WITHIN_MICROS) > NOW_MICROS);
+        lease.recordCallFailed(NOW_MICROS, CallFailure.UNANSWERED);
+        assertTrue(lease.validUntilMicros(STOP_SENDING_WITHIN_MICROS) > NOW_MICROS);
 
         EndpointListLease refused = new EndpointListLease();
-        refused.recordCallFailed(NOW, CallFailure.REFUSED);
-        assertTrue(refused.validUntilMicros(GRACE) > NOW);
+        refused.recordCallFailed(NOW_MICROS, CallFailure.REFUSED);
+        assertTrue(refused.validUntilMicros(STOP_SENDING_WITHIN_MICROS) > NOW_MICROS);
     }
 }
--- a/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
+++ b/src/test/java/magpiehub/discovery/platform/PlatformDiscoveryTest.java
@@ -24,15 +24,15 @@
 import magpiehub.upstream.UpstreamPool;
 import org.junit.jupiter.api.Test;
 
-/** The platform's discovery where the process itself is short of something. */
+/** Tests {@link PlatformDiscovery} when its own process runs out of a resource. */
 class PlatformDiscoveryTest {
-    /** A watch is requested again up to 0.95 s after one has failed, and 5 s after one that was never ended. */
-    private static final int ASKED_AGAIN_MS = 4_000;
+    /** A watch is requested again at most 0.95 s after one has failed, but 5 s after one whose end was not reported. */
+    private static final int RETRY_WITHIN_MS = 4_000;
 
     private static final String SAVED_LIST = "{\"revision\":1,\"complete\":true,\"members\":["
             + "{\"id\":\"e\",\"host_port\":\"127.0.0.1:1\",\"phase\":\"Ready\"}]}";
 
-    /** A call without a thread to read it has failed like any other: the next one begins in time. */
+    /** A call whose reader thread can't be started fails like any other, so that the next call follows in time. */
     @Test
     void callWithoutAThreadIsFollowedByAnother() throws Exception {
         SiteSettings site = SiteSettingsParser.parse(
@@ -41,8 +41,8 @@
         MonotonicClock clock = MonotonicClock.SYSTEM;
         AtomicInteger calls = new AtomicInteger();
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-            server.setSoTimeout(ASKED_AGAIN_MS);
-            UpstreamPool engines = new UpstreamPool(
+            server.setSoTimeout(RETRY_WITHIN_MS);
+            UpstreamPool upstreams = new UpstreamPool(
                     site,
                     8,
                     clock,
@@ -51,18 +51,18 @@
                     new FlowController(
                             StreamLimitsReader.defaults(site.routing().classes(), 64 << 20), site, clock, log));
             PlatformDiscovery discovery = new PlatformDiscovery(
-                    "127.0.0.1:" + server.getLocalPort(), () -> site, engines, clock, log, 7, read -> {
+                    "127.0.0.1:" + server.getLocalPort(), () -> site, upstreams, clock, log, 7, reader -> {
                         if (calls.incrementAndGet() == 1) {
                             throw new OutOfMemoryError("unable to create native thread");
                         }
-                        DaemonThreads.newThread("reader", read).start();
+                        DaemonThreads.newThread("reader", reader).start();
                     });
-            RequestDispatcher module = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
-            engines.setDispatcher(module);
-            discovery.start(module, SAVED_LIST.getBytes(UTF_8));
-            Thread thread = DaemonThreads.newThread("module", module::run);
+            RequestDispatcher dispatcher = new RequestDispatcher(site.routing(), 7, clock, upstreams, discovery, log);
+            upstreams.setDispatcher(dispatcher);
+            discovery.start(dispatcher, SAVED_LIST.getBytes(UTF_8));
+            Thread thread = DaemonThreads.newThread("dispatcher", dispatcher::run);
             thread.start();
-            try (Socket second = server.accept()) {
+            try (Socket secondCall = server.accept()) {
                 assertEquals(2, calls.get());
                 assertTrue(log.counters().contains("discovery_failures 1\n"), log.counters());
                 assertFalse(discovery.hasUsableList(), "a local failure must not make the saved list usable");
--- a/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSchedulerTest.java
@@ -16,189 +16,198 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Watches, and the routing policy that requests them, against a simulated discovery: whatever went wrong
- * before, what it has and could deliver is in force 6 s later.
+ * Runs the watch scheduler, and the routing policy that requests watches, against a simulated discovery. After any
+ * failure, a list that discovery can deliver must be in use within 6 s.
  */
 class WatchSchedulerTest {
     private static final long MAX_DELAY = 6 * SECONDS;
 
-    /** An outage of each kind and of drawn length, with a second one soon after, a watch that is lost right
-     *  after it opened, or a move; a change at a drawn moment from discovery's return on. */
+    /**
+     * An outage of each kind and of random length, in some runs with a change of discovery's address or with a second
+     * outage, which ends watches that have just opened. The list changes at a random time after discovery's recovery.
+     */
     @Test
     void listIsCurrentInTimeAfterAnOutage() throws Exception {
         for (int seed = 1; seed <= 20; seed++) {
             for (Outage outage : Outage.values()) {
                 SplittableRandom random = new SplittableRandom(seed * 31L + outage.number);
                 int routers = new int[] {3, 30, 100}[seed % 3];
-                // Discovery can serve the fleet within a third of the time; a longer queue would delay the list anyway.
+                // Discovery can serve the whole fleet within a third of the time limit; otherwise its queue alone
+                // could delay the list for too long.
                 WatchSimulation simulation = WatchSimulation.start(routers, 2 * SECONDS / routers, seed);
-                long back = runOutage(simulation, outage, random);
-                long change = back + random.nextLong(5 * SECONDS);
-                simulation.runUntil(change + MAX_DELAY);
+                long recoveredAt = runOutage(simulation, outage, random);
+                long changedAt = recoveredAt + random.nextLong(5 * SECONDS);
+                simulation.runUntil(changedAt + MAX_DELAY);
                 for (Router router : simulation.routers) {
                     assertTrue(
-                            router.currentAt >= change,
-                            outage + ", seed " + seed + ": told " + (router.currentAt - change) / MILLIS
+                            router.currentAt >= changedAt,
+                            outage + ", seed " + seed + ": list last current " + (router.currentAt - changedAt) / MILLIS
                                     + " ms after the change");
-                    assertTrue(router.maxOpenCalls <= 3, "calls of one router at once: " + router.maxOpenCalls);
+                    assertTrue(router.maxOpenCalls <= 3, "concurrent calls of one router: " + router.maxOpenCalls);
                 }
             }
         }
     }
 
-    /** Plays an outage with a move or a second outage, where they are drawn; returns when discovery is back. */
+    /** Simulates an outage, at random with an address change or a second outage; returns the time of recovery. */
     private static long runOutage(WatchSimulation simulation, Outage outage, SplittableRandom random) {
         Discovery discovery = simulation.discoveries.get(0);
-        long back = simulation.now + 200 * MILLIS + random.nextLong(15 * SECONDS);
-        simulation.beginOutage(discovery, outage, back);
-        boolean moves = random.nextInt(3) == 0;
-        long movesAt = simulation.now + random.nextLong(back - simulation.now);
-        boolean again = !moves && random.nextInt(3) == 0;
-        while (simulation.now < back) {
-            if (moves && simulation.now >= movesAt) {
-                moves = false;
-                // The new address is down as well, in a way of its own, and back at the same time.
-                simulation.beginOutage(simulation.discoveries.get(1), Outage.values()[random.nextInt(5)], back);
+        long recoveredAt = simulation.now + 200 * MILLIS + random.nextLong(15 * SECONDS);
+        simulation.beginOutage(discovery, outage, recoveredAt);
+        boolean addressChanges = random.nextInt(3) == 0;
+        long addressChangesAt = simulation.now + random.nextLong(recoveredAt - simulation.now);
+        boolean hasSecondOutage = !addressChanges && random.nextInt(3) == 0;
+        while (simulation.now < recoveredAt) {
+            if (addressChanges && simulation.now >= addressChangesAt) {
+                addressChanges = false;
+                // The new address is down as well, with an outage kind of its own, and recovers at the same time.
+                simulation.beginOutage(simulation.discoveries.get(1), Outage.values()[random.nextInt(5)], recoveredAt);
                 simulation.routers.forEach(router -> router.watches.changeAddress("b", simulation.now));
             }
             simulation.step();
         }
-        if (!again) {
-            return back;
+        if (!hasSecondOutage) {
+            return recoveredAt;
         }
-        // Some watches open, and all is lost once more.
+        // Some watches open before the second outage begins.
         simulation.runUntil(simulation.now + random.nextLong(SECONDS));
-        long backAgain = simulation.now + 100 * MILLIS;
-        simulation.beginOutage(discovery, Outage.values()[random.nextInt(5)], backAgain);
-        return backAgain;
+        long recoveredAgainAt = simulation.now + 100 * MILLIS;
+        simulation.beginOutage(discovery, Outage.values()[random.nextInt(5)], recoveredAgainAt);
+        return recoveredAgainAt;
     }
 
-    /** The longest time to a list, from the moment in which discovery can be reached. */
+    /** After recovery, each router calls early enough for a response that waits for the maximum time in the queue. */
     @Test
     void queuedCallIsAnsweredInTimeAfterAnOutage() throws Exception {
         for (Outage outage : Outage.values()) {
             for (int seed = 1; seed <= 20; seed++) {
                 WatchSimulation simulation = WatchSimulation.start(30, 10 * MILLIS, seed);
-                long back = simulation.now + 100 * MILLIS * seed + 3 * SECONDS;
-                simulation.beginOutage(simulation.discoveries.get(0), outage, back);
-                simulation.runUntil(back + MAX_DELAY - WatchSimulation.MAX_QUEUED);
+                long recoveredAt = simulation.now + 100 * MILLIS * seed + 3 * SECONDS;
+                simulation.beginOutage(simulation.discoveries.get(0), outage, recoveredAt);
+                simulation.runUntil(recoveredAt + MAX_DELAY - WatchSimulation.MAX_QUEUED);
                 for (Router router : simulation.routers) {
                     assertTrue(
-                            router.currentAt >= back,
-                            outage + ", seed " + seed + ": no room left for an answer that waits");
+                            router.currentAt >= recoveredAt,
+                            outage + ", seed " + seed + ": no time left for a queued response");
                 }
             }
         }
     }
 
-    /** All open watches fall silent in one moment, while discovery serves calls as before: whenever the last
-     *  heartbeat was, what they miss is in force 6 s after that moment. */
+    /**
+     * All open watches fall silent at the same moment, while discovery serves calls as before. Changes that the watches
+     * miss must be in use 6 s after that moment, whenever the last heartbeat was.
+     */
     @Test
     void listIsCurrentInTimeAfterWatchesFallSilent() throws Exception {
         for (int seed = 1; seed <= 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             int routers = new int[] {3, 6, 12, 30, 100}[seed % 5];
-            // What the platform's discovery needs to serve all of its routers.
+            // The platform's discovery needs 2 s to serve all of its routers.
             WatchSimulation simulation = WatchSimulation.start(routers, 2 * SECONDS / routers, seed);
             simulation.heartbeatInterval = 2 * SECONDS;
             simulation.runUntil(simulation.now + random.nextLong(5 * SECONDS));
             Discovery discovery = simulation.discoveries.get(0);
             discovery.watches.forEach(call -> call.served = false);
             discovery.watches.clear();
-            long silent = simulation.now;
-            simulation.runUntil(silent + MAX_DELAY);
+            long silentSince = simulation.now;
+            simulation.runUntil(silentSince + MAX_DELAY);
             for (Router router : simulation.routers) {
                 assertTrue(
-                        router.currentAt > silent,
-                        "seed " + seed + ": last told " + (silent - router.currentAt) / MILLIS
-                                + " ms before the silence");
+                        router.currentAt > silentSince,
+                        "seed " + seed + ": list last current " + (silentSince - router.currentAt) / MILLIS
+                                + " ms before the watches fell silent");
             }
         }
     }
 
-    /** The calls of a fleet to a discovery that is down, and to one that has just come back. */
+    /** Limits the rate of a fleet's calls to a discovery that is down or has just recovered. */
     @Test
     void fleetDoesNotReconnectAtOnce() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(100, 20 * MILLIS, 3);
         Discovery discovery = simulation.discoveries.get(0);
-        simulation.beginOutage(discovery, Outage.REFUSES, simulation.now + 10 * SECONDS);
+        simulation.beginOutage(discovery, Outage.CONNECTION_REFUSED, simulation.now + 10 * SECONDS);
         int callsBefore = discovery.calls;
         simulation.runUntil(discovery.outageUntil);
         assertTrue(
                 discovery.calls - callsBefore <= 100 * 10 * 0.8,
-                "calls to a discovery that is down, a router and second: " + (discovery.calls - callsBefore) / 1000.0);
-        int most = 0;
+                "calls per router and second to a discovery that is down: " + (discovery.calls - callsBefore) / 1000.0);
+        int maxCalls = 0;
         for (int i = 0; i < 60; i++) {
-            int from = discovery.calls;
+            int before = discovery.calls;
             for (int k = 0; k < 20; k++) {
                 simulation.step();
             }
-            most = Math.max(most, discovery.calls - from);
+            maxCalls = Math.max(maxCalls, discovery.calls - before);
         }
-        assertTrue(most <= 20, "calls in 0.1 s after its return: " + most);
+        assertTrue(maxCalls <= 20, "calls within 0.1 s after its recovery: " + maxCalls);
     }
 
-    /** Nobody can vouch for the list then; sending nothing would make its outage one of service. */
+    /** The list can't be confirmed during an outage, but not using it would turn the outage into one of the service. */
     @Test
     void lastListIsUsedDuringAnOutage() throws Exception {
-        for (Outage outage : List.of(Outage.REFUSES, Outage.NEVER_CONNECTS, Outage.SAYS_503, Outage.CUTS)) {
+        for (Outage outage : List.of(
+                Outage.CONNECTION_REFUSED, Outage.CONNECT_TIMEOUT, Outage.STATUS_503, Outage.CONNECTION_CLOSED)) {
             for (int seed = 1; seed <= 20; seed++) {
                 WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, seed);
                 Router router = simulation.routers.get(0);
                 simulation.beginOutage(simulation.discoveries.get(0), outage, Long.MAX_VALUE);
                 for (int second = 1; second <= 60; second++) {
                     assertTrue(
-                            isSentAfterASecond(simulation, router), outage + ", seed " + seed + ": " + second + " s");
+                            isRequestSentAfterASecond(simulation, router),
+                            outage + ", seed " + seed + ": " + second + " s");
                 }
             }
         }
     }
 
-    /** A discovery that accepts calls can be reached: only after several in vain is it taken for one that is down. */
+    /** A discovery that accepts calls is reachable; it is considered down only after several unanswered calls. */
     @Test
-    void listIsPutAsideWhileCallsAreNotAnswered() throws Exception {
+    void listIsNotUsedWhileCallsAreUnanswered() throws Exception {
         for (int seed = 1; seed <= 20; seed++) {
             WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, seed);
             simulation.heartbeatInterval = 2 * SECONDS;
             simulation.runUntil(simulation.now + 5 * SECONDS);
             Router router = simulation.routers.get(0);
             long lastHeartbeat = router.heartbeatAt();
-            simulation.beginOutage(simulation.discoveries.get(0), Outage.NEVER_ANSWERS, Long.MAX_VALUE);
+            simulation.beginOutage(simulation.discoveries.get(0), Outage.NO_RESPONSE, Long.MAX_VALUE);
             simulation.runUntil(lastHeartbeat + 7 * SECONDS);
-            assertTrue(router.mayUseList(), "seed " + seed + ": put aside too early");
+            assertTrue(router.mayUseList(), "seed " + seed + ": lease expired too early");
             simulation.runUntil(lastHeartbeat + 7_500 * MILLIS);
-            assertFalse(router.mayUseList(), "seed " + seed + ": not put aside");
-            assertFalse(isSent(simulation, router), "seed " + seed + ": sent by a list that was put aside");
+            assertFalse(router.mayUseList(), "seed " + seed + ": lease not expired");
+            assertFalse(
+                    isRequestSent(simulation, router),
+                    "seed " + seed + ": request sent although the lease had expired");
             simulation.runUntil(lastHeartbeat + 12 * SECONDS);
             for (int second = 12; second <= 60; second++) {
-                assertTrue(isSentAfterASecond(simulation, router), "seed " + seed + ": " + second + " s");
+                assertTrue(isRequestSentAfterASecond(simulation, router), "seed " + seed + ": " + second + " s");
             }
         }
     }
 
-    /** What it missed while it was silent it may never deliver: its later heartbeats say nothing of the list. */
+    /** A silent watch may never deliver the changes that it missed, so its later heartbeats do not confirm the list. */
     @Test
     void dataOfASilentWatchRenewsNoLease() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, 5);
         Router router = simulation.routers.get(0);
         SimulatedCall silent = router.watch;
-        long fellSilent = router.heartbeatAt();
-        simulation.beginOutage(simulation.discoveries.get(0), Outage.NEVER_ANSWERS, Long.MAX_VALUE);
-        simulation.runUntil(fellSilent + 4_500 * MILLIS);
-        for (int beat = 0; beat < 6; beat++) {
+        long lastHeartbeat = router.heartbeatAt();
+        simulation.beginOutage(simulation.discoveries.get(0), Outage.NO_RESPONSE, Long.MAX_VALUE);
+        simulation.runUntil(lastHeartbeat + 4_500 * MILLIS);
+        for (int heartbeat = 0; heartbeat < 6; heartbeat++) {
             router.onDataOf(silent);
             simulation.runUntil(simulation.now + 500 * MILLIS);
         }
         assertFalse(router.mayUseList());
     }
 
-    private static boolean isSentAfterASecond(WatchSimulation simulation, Router router) {
+    private static boolean isRequestSentAfterASecond(WatchSimulation simulation, Router router) {
         simulation.runUntil(simulation.now + SECONDS);
-        return isSent(simulation, router);
+        return isRequestSent(simulation, router);
     }
 
-    /** Whether a request that comes now is sent. */
-    private static boolean isSent(WatchSimulation simulation, Router router) {
+    /** Whether a request that arrives now is sent to an endpoint. */
+    private static boolean isRequestSent(WatchSimulation simulation, Router router) {
         int before = router.sentTo.size();
         router.policy.onRequest(
                 simulation.now,
@@ -219,24 +228,24 @@
         return router.sentTo.size() == before + 1;
     }
 
-    /** A watch that had fallen silent is no reason to stop calling when it delivers again, nor to call later. */
+    /** When a silent watch delivers data again, calls to discovery must neither stop nor be delayed. */
     @Test
     void dataOfASilentWatchDelaysNoCall() throws Exception {
         WatchSimulation simulation = WatchSimulation.start(1, 10 * MILLIS, 5);
         Discovery discovery = simulation.discoveries.get(0);
         Router router = simulation.routers.get(0);
-        SimulatedCall old = router.watch;
-        old.served = false;
-        discovery.watches.remove(old);
-        discovery.outage = Outage.REFUSES;
+        SimulatedCall silent = router.watch;
+        silent.served = false;
+        discovery.watches.remove(silent);
+        discovery.outage = Outage.CONNECTION_REFUSED;
         discovery.outageFrom = simulation.now;
-        long silent = simulation.now;
+        long silentSince = simulation.now;
         long lastCall = simulation.now + 4 * SECONDS;
         int calls = discovery.calls;
         for (long end = simulation.now + 60 * SECONDS; simulation.now < end; ) {
             simulation.step();
-            if (simulation.now % SECONDS == SECONDS / 2 && simulation.now > silent + 4 * SECONDS) {
-                router.watches.onData(old, simulation.now);
+            if (simulation.now % SECONDS == SECONDS / 2 && simulation.now > silentSince + 4 * SECONDS) {
+                router.watches.onData(silent, simulation.now);
                 router.policy.onEndpoints(simulation.now, EndpointListKind.CHANGES, List.of());
                 if (router.watches.lacksReliableWatch()) {
                     router.policy.onEndpoints(simulation.now, EndpointListKind.ERROR, List.of());
@@ -250,6 +259,6 @@
                     simulation.now - lastCall <= 2_600 * MILLIS,
                     "no call for " + (simulation.now - lastCall) / MILLIS + " ms");
         }
-        assertFalse(old.closed, "the silent one counts still");
+        assertFalse(silent.closed, "the silent watch must stay in use");
     }
 }
--- a/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
+++ b/src/test/java/magpiehub/discovery/platform/WatchSimulation.java
@@ -16,32 +16,32 @@
 import magpiehub.routing.RoutingPolicy;
 import magpiehub.routing.RoutingSettings;
 
-/** Routers that watch a simulated discovery at two addresses, in virtual time. */
+/** Simulates routers that watch a discovery at two addresses, in virtual time (microseconds). */
 final class WatchSimulation {
     static final long MILLIS = 1000;
     static final long SECONDS = 1_000_000;
     static final long STEP = 5 * MILLIS;
-    /** How long discovery lets a call wait, as the platform has it. */
+    /** The maximum time that the platform's discovery lets a call wait. */
     static final long MAX_QUEUED = 3 * SECONDS;
 
     private static final long START = 1000 * SECONDS;
     private static final long WARM_UP = 20 * SECONDS;
-    /** The time that the site gives to stop sending to a replica that leaves. */
-    private static final long GRACE = 2 * SECONDS;
-    /** From a change that discovery has and could report to the last request that may go by an older list. */
-    private static final long MAX_LIST_AGE = 6 * SECONDS + GRACE;
+    /** The time that the site allows for stopping to send to a replica that leaves. */
+    private static final long STOP_SENDING_WITHIN = 2 * SECONDS;
+    /** The maximum time from a change that a reachable discovery has to the last request sent with an older list. */
+    private static final long MAX_LIST_AGE = 6 * SECONDS + STOP_SENDING_WITHIN;
 
-    /** How calls fare that begin during an outage. */
+    /** How calls that are opened during an outage fail. */
     enum Outage {
-        REFUSES(0, 0),
-        NEVER_CONNECTS(1, SECONDS),
-        NEVER_ANSWERS(2, Long.MAX_VALUE),
-        SAYS_503(3, 50 * MILLIS),
-        CUTS(4, 200 * MILLIS);
+        CONNECTION_REFUSED(0, 0),
+        CONNECT_TIMEOUT(1, SECONDS),
+        NO_RESPONSE(2, Long.MAX_VALUE),
+        STATUS_503(3, 50 * MILLIS),
+        CONNECTION_CLOSED(4, 200 * MILLIS);
 
-        /** Tells the seeds of the kinds apart. */
+        /** Part of the random seed, so that each kind has different seeds. */
         final int number;
-        /** After this time the call has failed. */
+        /** The time after which the call fails. */
         final long failsAfter;
 
         Outage(int number, long failsAfter) {
@@ -50,14 +50,14 @@
         }
     }
 
-    /** Discovery at one address. It serves calls in turn, except during an outage. */
+    /** Discovery at one address. It serves calls in order of arrival, except during an outage. */
     static final class Discovery {
         final ArrayDeque<SimulatedCall> queue = new ArrayDeque<>();
         final List<SimulatedCall> watches = new ArrayList<>();
-        Outage outage = Outage.REFUSES;
+        Outage outage = Outage.CONNECTION_REFUSED;
         long outageFrom = Long.MAX_VALUE;
         long outageUntil = Long.MAX_VALUE;
-        /** Calls received so far. */
+        /** The number of calls received so far. */
         int calls;
 
         private long serviceTime;
@@ -74,13 +74,13 @@
         final Router router;
         final Discovery discovery;
         final long startedAt;
-        /** How it fails; null if discovery answers. */
+        /** How the call fails; null if discovery responds. */
         Outage failure;
 
         boolean closed;
-        /** Whether discovery serves it as a watch. */
+        /** Whether discovery serves the call as a watch. */
         boolean served;
-        /** Whether it has delivered a list. */
+        /** Whether the call has delivered a list. */
         private boolean delivered;
 
         SimulatedCall(Router router, String address, long now) {
@@ -90,8 +90,8 @@
             this.startedAt = now;
         }
 
-        private CallFailure shownFailure() {
-            return failure == Outage.REFUSES ? CallFailure.REFUSED : CallFailure.UNANSWERED;
+        private CallFailure callFailure() {
+            return failure == Outage.CONNECTION_REFUSED ? CallFailure.REFUSED : CallFailure.UNANSWERED;
         }
 
         private boolean hasFailed(long now) {
@@ -103,11 +103,10 @@
     final List<Discovery> discoveries = List.of(new Discovery(), new Discovery());
     final List<Router> routers = new ArrayList<>();
     long now = START;
-    /** How often a watch delivers anything while nothing changes; discovery's own interval where a test is
-     *  about silence. */
+    /** The interval of a watch's heartbeats. Tests of silent watches set it to the interval of the real discovery. */
     long heartbeatInterval = STEP;
 
-    /** Routers with established watches; discovery needs {@code serviceTime} for each call. */
+    /** Starts routers with established watches; discovery needs {@code serviceTime} for each call. */
     static WatchSimulation start(int routers, long serviceTime, long seed) throws Exception {
         WatchSimulation simulation = new WatchSimulation();
         simulation.discoveries.forEach(discovery -> discovery.serviceTime = serviceTime);
@@ -118,11 +117,12 @@
             simulation.routers.add(new Router(simulation, settings, seed * 1000 + i));
         }
         simulation.runUntil(START + WARM_UP);
-        simulation.routers.forEach(router -> assertTrue(router.watch != null, "told before anything fails"));
+        simulation.routers.forEach(
+                router -> assertTrue(router.watch != null, "every router has a watch before the test begins"));
         return simulation;
     }
 
-    /** Lets time pass. */
+    /** Advances the virtual time. */
     void runUntil(long until) {
         while (now < until) {
             step();
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Begins an outage, in which the watches are reset, or deliver nothing more. */
+    /** Begins an outage, which depending on its kind ends the open watches or makes them silent. */
     void beginOutage(Discovery discovery, Outage outage, long until) {
         discovery.outage = outage;
         discovery.outageFrom = now;
@@ -174,7 +174,7 @@
         for (SimulatedCall call : List.copyOf(discovery.watches)) {
             discovery.watches.remove(call);
             call.served = false;
-            if (outage != Outage.NEVER_ANSWERS && outage != Outage.NEVER_CONNECTS) {
+            if (outage != Outage.NO_RESPONSE && outage != Outage.CONNECT_TIMEOUT) {
                 call.router.onEnded(call);
             }
         }
@@ -183,7 +183,7 @@
         }
     }
 
-    /** A router's decisions and its watches. */
+    /** A router: its routing policy, watches and lease. */
     static final class Router extends QuietActions implements WatchScheduler.Transport {
         private record Timer(long at, long token) {}
 
@@ -197,9 +197,9 @@
         private final List<Timer> timers = new ArrayList<>();
         int maxOpenCalls;
         private int openCalls;
-        /** When the list was last current; while a watch is served, that is always now. */
+        /** When the list was last current, which is now while a watch is served. */
         long currentAt = Long.MIN_VALUE;
-        /** The watch that delivered the list. */
+        /** The watch that delivered the list; null once it is closed. */
         SimulatedCall watch;
 
         private long heartbeatAt;
@@ -212,14 +212,14 @@
         }
 
         private void publishLease() {
-            policy.onEndpointListValidity(simulation.now, lease.validUntilMicros(GRACE));
+            policy.onEndpointListValidity(simulation.now, lease.validUntilMicros(STOP_SENDING_WITHIN));
         }
 
-        /** A call delivers data. */
+        /** Handles data from an open call. */
         void onDataOf(SimulatedCall call) {
             watches.onData(call, simulation.now);
             if (watches.isReliable(call)) {
-                lease.recordCurrent(simulation.now);
+                lease.recordConfirmed(simulation.now);
                 publishLease();
             }
         }
@@ -228,9 +228,9 @@
             return heartbeatAt;
         }
 
-        /** Whether the router may send by its list. */
+        /** Whether the router may send requests on the basis of its list. */
         boolean mayUseList() {
-            return simulation.now < lease.validUntilMicros(GRACE);
+            return simulation.now < lease.validUntilMicros(STOP_SENDING_WITHIN);
         }
 
         private void assertListIsNotTooOld() {
@@ -241,7 +241,7 @@
             long reachableFor = simulation.now - Math.max(lastDownAt, currentAt);
             assertTrue(
                     !mayUseList() || reachableFor <= MAX_LIST_AGE,
-                    "a list used that discovery could have replaced for " + reachableFor / MILLIS + " ms");
+                    "an outdated list was used although discovery was reachable for " + reachableFor / MILLIS + " ms");
         }
 
         private void step() {
@@ -307,13 +307,13 @@
         public void onLate(WatchScheduler.Call call, boolean established) {}
 
         @Override
-        public void onGivenUp(WatchScheduler.Call call) {
+        public void onAbandoned(WatchScheduler.Call call) {
             recordFailure((SimulatedCall) call);
         }
 
         private void recordFailure(SimulatedCall call) {
             if (!call.delivered) {
-                lease.recordCallFailed(simulation.now, call.shownFailure());
+                lease.recordCallFailed(simulation.now, call.callFailure());
                 publishLease();
             }
         }
