--- a/src/main/java/magpiehub/discovery/DiscoverySettings.java
+++ b/src/main/java/magpiehub/discovery/DiscoverySettings.java
@@ -10,27 +10,29 @@
 import magpiehub.config.HostPort;
 
 /**
- * The settings in {@code deploy/registry.json}: which registry the endpoint list comes from, and how it is
- * followed. {@code docs/ops/registry.md} describes each field. An unknown field, a wrong type or a value out
- * of bounds is a {@link ConfigurationException} that names file and field.
+ * The settings in {@code deploy/registry.json}: which registry the endpoint list is read from, and how it is
+ * watched. {@code docs/ops/registry.md} describes each field. An unknown field, a wrong type or a value out
+ * of range causes a {@link ConfigurationException} that names the file and the field.
  *
  * @param kind etcd, consul-health or consul-kv
  * @param endpoints the registry's endpoints as {@code address:port}, at least one
  * @param prefix the common prefix of the endpoint entries' keys
  * @param service the Consul service whose instances are the endpoints
- * @param user the etcd user; null for no login
+ * @param user the etcd user; null if etcd needs no authentication
  * @param secret the etcd password or the Consul token; null if there is none
  * @param trustedAuthorities PEM file of trusted certificate authorities; null for the JDK's own
- * @param pageSize how many keys etcd is asked for at once
- * @param blockingQueryMicros how long a Consul blocking query may take
- * @param minQueryIntervalMicros the least time from the start of one Consul query to the next
- * @param timeoutMicros how long a registry may leave a call unanswered
- * @param checkIntervalMicros how long a watch may be quiet before the registry is asked for its position
- * @param membership when removals are doubted and flapping endpoints are damped
- * @param registration null if this router does not register itself
- * @param cacheFile where the last list is stored; null if nowhere
- * @param maxCacheAgeMicros how old a stored list may be to be used
- * @param cacheIntervalMicros the least time from one write of the stored list to the next
+ * @param tls whether connections to the registry use TLS
+ * @param pageSize the number of keys per etcd range request
+ * @param blockingQueryMicros the maximum duration of a Consul blocking query
+ * @param minQueryIntervalMicros the minimum time from the start of one Consul query to the start of the next
+ * @param timeoutMicros the response timeout of a registry call
+ * @param checkIntervalMicros how long a watch may be idle before the registry is asked for its position
+ * @param backoff the backoff after failed registry calls
+ * @param membership when removals must be confirmed and flapping endpoints are suppressed
+ * @param registration the router's own entry in the registry; null if this router does not register itself
+ * @param cacheFile the file that caches the last list; null for no cache
+ * @param maxCacheAgeMicros the maximum age at which a cached list is used
+ * @param cacheIntervalMicros the minimum time between two writes of the cache file
  */
 public record DiscoverySettings(
         String kind,
@@ -54,9 +56,9 @@
         long cacheIntervalMicros) {
     private static final String ETCD = "etcd";
     private static final String CONSUL_HEALTH = "consul-health";
-    private static final String CONSUL_KEYS = "consul-kv";
+    private static final String CONSUL_KV = "consul-kv";
 
-    /** Reads the file; null if there is none, and then the platform's discovery is used. */
+    /** Reads the file; returns null if it does not exist, in which case the platform's discovery is used. */
     public static DiscoverySettings read(Path file) throws IOException {
         if (!Files.exists(file)) {
             return null;
@@ -71,11 +73,11 @@
         }
     }
 
-    /** Reads the settings from a parsed file; relative paths in it start from {@code directory}. */
+    /** Reads the settings from a parsed file; relative paths in it are resolved against {@code directory}. */
     public static DiscoverySettings of(ConfigurationObject fields, Path directory) throws IOException {
         RegistrySettingsReader reader = new RegistrySettingsReader(fields);
         String kind = reader.text("kind", "");
-        if (!Set.of(ETCD, CONSUL_HEALTH, CONSUL_KEYS).contains(kind)) {
+        if (!Set.of(ETCD, CONSUL_HEALTH, CONSUL_KV).contains(kind)) {
             throw reader.invalid("kind", "must be etcd, consul-health or consul-kv");
         }
         boolean etcd = kind.equals(ETCD);
@@ -85,11 +87,12 @@
         checkSource(reader, kind, prefix, service);
         String user = reader.text("user", null);
         if (user != null && !etcd) {
-            throw reader.invalid("user", "is for etcd; Consul takes a token_file");
+            throw reader.invalid("user", "applies to etcd only; for Consul, set token_file");
         }
         String secret = reader.secret(etcd ? "password_file" : "token_file", directory);
         if (etcd && (user == null) != (secret == null)) {
-            throw reader.invalid(user == null ? "user" : "password_file", "must be given with the other");
+            throw reader.invalid(
+                    user == null ? "user" : "password_file", "is missing; user and password_file must be set together");
         }
         DiscoverySettings settings = new DiscoverySettings(
                 kind,
@@ -118,16 +121,16 @@
         return settings;
     }
 
-    /** Checks that the fields name the keys or the service that the registry has the entries under. */
+    /** Checks that the fields name the key prefix or the service under which the registry stores the entries. */
     private static void checkSource(RegistrySettingsReader reader, String kind, String prefix, String service) {
         boolean health = kind.equals(CONSUL_HEALTH);
         if (health && service.isEmpty()) {
             throw reader.invalid("service", "must name the service whose instances are the engines");
         }
         if (!health && prefix.isEmpty()) {
-            throw reader.invalid("prefix", "must name the keys' common beginning, such as magpiehub/engines/");
+            throw reader.invalid("prefix", "must name the common prefix of the keys, such as magpiehub/engines/");
         }
-        if (kind.equals(CONSUL_KEYS) && prefix.startsWith("/")) {
+        if (kind.equals(CONSUL_KV) && prefix.startsWith("/")) {
             throw reader.invalid("prefix", "must not begin with a slash in Consul");
         }
     }
@@ -163,10 +166,10 @@
         String service = reader.text("service", "");
         String prefix = reader.text("prefix", "");
         if (etcd && prefix.isEmpty()) {
-            throw reader.invalid("prefix", "must name the keys' common beginning, such as /magpiehub/routers/");
+            throw reader.invalid("prefix", "must name the common prefix of the keys, such as /magpiehub/routers/");
         }
         if (!etcd && service.isEmpty()) {
-            throw reader.invalid("service", "must name the service that routers are instances of");
+            throw reader.invalid("service", "must name the service that the routers are instances of");
         }
         String address = reader.text("address", "");
         if (!address.isEmpty()) {
--- a/src/main/java/magpiehub/discovery/EndpointFailure.java
+++ b/src/main/java/magpiehub/discovery/EndpointFailure.java
@@ -2,12 +2,12 @@
 
 /** How a call to a registry endpoint failed. */
 public enum EndpointFailure {
-    /** A connection in use broke, or none could be made: other routers have likely lost theirs just now. */
+    /** An active connection was lost or a connect failed; other routers have probably lost theirs at the same time. */
     CONNECTION_LOST,
-    /** The same, noticed late by an idle connection: part of the reconnect spread has passed already. */
+    /** An idle connection was lost, which is detected late: part of the reconnect spread has already elapsed. */
     IDLE_CONNECTION_LOST,
-    /** The endpoint stopped answering, which each router notices at a time of its own. */
+    /** The endpoint stopped responding, which each router detects at a different time. */
     TIMEOUT,
-    /** The endpoint answered with an error: the others are used at once, and only this one backs off. */
+    /** The endpoint returned an error: the others are used immediately, and only this one backs off. */
     ERROR_RESPONSE
 }
--- a/src/main/java/magpiehub/discovery/EndpointIndex.java
+++ b/src/main/java/magpiehub/discovery/EndpointIndex.java
@@ -12,38 +12,39 @@
 import magpiehub.config.EndpointEntry;
 
 /**
- * The endpoints of a list by the keys under which the source stores them, and by their ids. Where several keys
- * name one endpoint, the one changed last counts, and the others are kept for when it is removed.
+ * The endpoints of a list, indexed by the keys under which the source stores them and by endpoint id. If several
+ * keys name the same endpoint, the most recently changed key is active, and the others are kept as alternates in
+ * case it is removed.
  *
- * <p>A change costs work in the size of the change, a complete list in its own size. An instance belongs to
- * one thread.
+ * <p>Applying changes takes time proportional to their number, and applying a complete list time proportional to its
+ * length. An instance belongs to one thread.
  */
 final class EndpointIndex {
-    /** Changes remembered to recognize a history by; more than the keys that one burst removes. */
+    /** Recent changes kept to identify the source's history; more than the keys that one burst of changes removes. */
     private static final int MAX_RECENT_CHANGES = 256;
 
     private record StoredEntry(EndpointEntry entry, long modRevision) {}
 
     private final ArrayDeque<ListItem> recentChanges = new ArrayDeque<>();
     private Map<String, StoredEntry> entriesByKey = new HashMap<>();
-    /** The key that counts for each endpoint id. */
-    private Map<String, String> ownerById = new HashMap<>();
-    /** The other keys that name an endpoint. */
-    private Map<String, Set<String>> rivalsById = new HashMap<>();
-    /** Keys that exist and name no endpoint, with the reason. */
+    /** The active key of each endpoint id. */
+    private Map<String, String> activeKeyById = new HashMap<>();
+    /** The keys that name an endpoint besides its active key. */
+    private Map<String, Set<String>> alternateKeysById = new HashMap<>();
+    /** Keys that exist but name no endpoint, each with its item, which holds the reason. */
     private Map<String, ListItem> skippedKeys = new LinkedHashMap<>();
 
-    /** Endpoints in the list. */
+    /** The number of endpoints in the list. */
     int size() {
-        return ownerById.size();
+        return activeKeyById.size();
     }
 
-    /** Keys that the source has, with those that can't be read. */
+    /** The number of keys at the source, including unreadable ones. */
     int keyCount() {
         return entriesByKey.size() + skippedKeys.size();
     }
 
-    /** Keys whose entries can't be read, with the reason. */
+    /** Keys whose entries can't be read, each with the reason. */
     Map<String, String> unreadableKeys() {
         Map<String, String> reasons = new LinkedHashMap<>();
         skippedKeys.forEach((key, item) -> reasons.put(key, item.unreadable()));
@@ -51,54 +52,57 @@
         return reasons;
     }
 
-    /** An endpoint by its id, or null. */
+    /** The endpoint with this id, or null if there is none. */
     EndpointEntry get(String id) {
-        String key = ownerById.get(id);
+        String key = activeKeyById.get(id);
         return key == null ? null : entriesByKey.get(key).entry;
     }
 
-    /** All endpoints, in no order. */
+    /** All endpoints, in no particular order. */
     List<EndpointEntry> entries() {
-        List<EndpointEntry> entries = new ArrayList<>(ownerById.size());
-        ownerById.values().forEach(key -> entries.add(entriesByKey.get(key).entry));
+        List<EndpointEntry> entries = new ArrayList<>(activeKeyById.size());
+        activeKeyById.values().forEach(key -> entries.add(entriesByKey.get(key).entry));
         return entries;
     }
 
     /**
      * Replaces all keys.
      *
-     * @return each endpoint that was listed before or is now, as it was before; null for those that are new
+     * @return the previous entry of each endpoint that was or is now listed; null for an endpoint that is new
      */
     Map<String, EndpointEntry> replaceAll(List<ListItem> items) {
         Map<String, StoredEntry> oldEntries = entriesByKey;
-        Map<String, String> oldOwners = ownerById;
+        Map<String, String> oldActiveKeys = activeKeyById;
         entriesByKey = new HashMap<>(items.size() * 2);
-        ownerById = new HashMap<>(items.size() * 2);
-        rivalsById = new HashMap<>();
+        activeKeyById = new HashMap<>(items.size() * 2);
+        alternateKeysById = new HashMap<>();
         skippedKeys = new LinkedHashMap<>();
         recentChanges.clear();
         List<ListItem> byRevision = new ArrayList<>(items);
         byRevision.sort(Comparator.comparingLong(ListItem::modRevision));
         Map<String, EndpointEntry> ignored = new HashMap<>();
         for (ListItem item : byRevision) {
-            apply(withKnownAddress(item, oldEntries), ignored);
+            apply(withPreviousAddress(item, oldEntries), ignored);
         }
         Map<String, EndpointEntry> before = new LinkedHashMap<>();
-        oldOwners.forEach((id, key) -> before.put(id, oldEntries.get(key).entry));
-        ownerById.keySet().forEach(id -> before.putIfAbsent(id, null));
+        oldActiveKeys.forEach((id, key) -> before.put(id, oldEntries.get(key).entry));
+        activeKeyById.keySet().forEach(id -> before.putIfAbsent(id, null));
         return before;
     }
 
-    /** Applies one change; {@code before} receives each affected endpoint as it was, unless it has it. */
+    /**
+     * Applies one change. The previous entry of each affected endpoint is added to {@code before} unless that already
+     * contains the endpoint.
+     */
     void apply(ListItem change, Map<String, EndpointEntry> before) {
-        ListItem item = withKnownAddress(change, entriesByKey);
+        ListItem item = withPreviousAddress(change, entriesByKey);
         StoredEntry old = entriesByKey.get(item.key());
         if (old != null && !namesSameEndpoint(item, old.entry)) {
-            release(item.key(), old.entry.endpoint().id(), before);
+            removeKey(item.key(), old.entry.endpoint().id(), before);
         }
         if (item.unreadable() != null) {
             skippedKeys.put(item.key(), item);
-            remember(item);
+            addRecentChange(item);
         } else {
             skippedKeys.remove(item.key());
         }
@@ -108,15 +112,15 @@
         }
         recordBefore(item.entry().endpoint().id(), before);
         entriesByKey.put(item.key(), new StoredEntry(item.entry(), item.modRevision()));
-        remember(item);
-        claim(item);
+        addRecentChange(item);
+        addKey(item);
     }
 
     /**
-     * The last change that is still in force, or null if that is not known any more. Changes to keys that were
-     * changed again or removed are forgotten.
+     * The most recent change that has not been replaced by a later change or a removal of its key; null if it is no
+     * longer among the recent changes. Replaced changes are dropped from them.
      */
-    ListItem lastChangeInForce() {
+    ListItem lastChangeInEffect() {
         for (ListItem item = recentChanges.peekLast(); item != null; item = recentChanges.peekLast()) {
             StoredEntry stored = entriesByKey.get(item.key());
             ListItem skipped = skippedKeys.get(item.key());
@@ -129,7 +133,7 @@
         return null;
     }
 
-    /** Whether a key has exactly this entry, or is unreadable for this reason, since this revision. */
+    /** Whether a key has had exactly this entry, or been unreadable for this reason, since the item's revision. */
     boolean contains(ListItem item) {
         StoredEntry stored = entriesByKey.get(item.key());
         if (stored != null) {
@@ -141,12 +145,12 @@
                 && skipped.unreadable().equals(item.unreadable());
     }
 
-    /** An entry without an address is at the address that its key had before. */
-    private static ListItem withKnownAddress(ListItem item, Map<String, StoredEntry> known) {
+    /** Gives an entry without an address the previous address of its key. */
+    private static ListItem withPreviousAddress(ListItem item, Map<String, StoredEntry> previousEntries) {
         if (item.entry() == null || item.entry().address() != null) {
             return item;
         }
-        StoredEntry old = known.get(item.key());
+        StoredEntry old = previousEntries.get(item.key());
         if (old == null || old.entry.address() == null) {
             return item;
         }
@@ -159,45 +163,45 @@
                 && item.entry().endpoint().id().equals(entry.endpoint().id());
     }
 
-    /** Makes the key of an entry the one that counts for its endpoint, unless another was changed later. */
-    private void claim(ListItem item) {
+    /** Makes the key of an entry the active key of its endpoint, unless another key was changed later. */
+    private void addKey(ListItem item) {
         String id = item.entry().endpoint().id();
         String key = item.key();
-        String owner = ownerById.get(id);
-        if (owner == null || owner.equals(key)) {
-            ownerById.put(id, key);
+        String activeKey = activeKeyById.get(id);
+        if (activeKey == null || activeKey.equals(key)) {
+            activeKeyById.put(id, key);
             return;
         }
-        boolean wins = item.modRevision() >= entriesByKey.get(owner).modRevision;
-        ownerById.put(id, wins ? key : owner);
-        Set<String> rivals = rivalsById.computeIfAbsent(id, k -> new HashSet<>());
-        rivals.add(wins ? owner : key);
-        rivals.remove(wins ? key : owner);
+        boolean isLatest = item.modRevision() >= entriesByKey.get(activeKey).modRevision;
+        activeKeyById.put(id, isLatest ? key : activeKey);
+        Set<String> alternates = alternateKeysById.computeIfAbsent(id, k -> new HashSet<>());
+        alternates.add(isLatest ? activeKey : key);
+        alternates.remove(isLatest ? key : activeKey);
     }
 
-    /** Removes a key that no longer names an endpoint; the rival key changed last takes its place. */
-    private void release(String key, String id, Map<String, EndpointEntry> before) {
+    /** Removes a key that no longer names an endpoint; the most recently changed alternate key replaces it. */
+    private void removeKey(String key, String id, Map<String, EndpointEntry> before) {
         recordBefore(id, before);
         entriesByKey.remove(key);
-        Set<String> rivals = rivalsById.get(id);
-        if (!key.equals(ownerById.get(id))) {
-            rivals.remove(key);
-        } else if (rivals == null) {
-            ownerById.remove(id);
+        Set<String> alternates = alternateKeysById.get(id);
+        if (!key.equals(activeKeyById.get(id))) {
+            alternates.remove(key);
+        } else if (alternates == null) {
+            activeKeyById.remove(id);
         } else {
-            String next = rivals.stream()
-                    .max(Comparator.<String>comparingLong(rival -> entriesByKey.get(rival).modRevision)
-                            .thenComparing(rival -> rival))
+            String next = alternates.stream()
+                    .max(Comparator.<String>comparingLong(alternate -> entriesByKey.get(alternate).modRevision)
+                            .thenComparing(alternate -> alternate))
                     .orElseThrow();
-            ownerById.put(id, next);
-            rivals.remove(next);
+            activeKeyById.put(id, next);
+            alternates.remove(next);
         }
-        if (rivals != null && rivals.isEmpty()) {
-            rivalsById.remove(id);
+        if (alternates != null && alternates.isEmpty()) {
+            alternateKeysById.remove(id);
         }
     }
 
-    private void remember(ListItem item) {
+    private void addRecentChange(ListItem item) {
         if (item.modRevision() > 0) {
             recentChanges.addLast(item);
             if (recentChanges.size() > MAX_RECENT_CHANGES) {
--- a/src/main/java/magpiehub/discovery/EndpointListCache.java
+++ b/src/main/java/magpiehub/discovery/EndpointListCache.java
@@ -21,40 +21,40 @@
 import magpiehub.config.Json;
 
 /**
- * The last endpoint list in a file, for a start while no registry can be reached. The file is a header line
- * {@code magpiehub-list 1 TIME BYTES CRC} (Unix milliseconds, decimal; length and CRC-32C of what follows)
- * and a JSON object.
+ * A file that caches the last endpoint list, so that a router can start while no registry is reachable. The file is
+ * a header line {@code magpiehub-list 1 TIME BYTES CRC} followed by a JSON object as the body. TIME is the time of
+ * writing in Unix milliseconds, BYTES the length of the body, both decimal; CRC is its CRC-32C in hexadecimal.
  *
- * <p>The file is replaced atomically, and one that is damaged, of another version or too old is rejected as a
- * whole. The methods block on the disk: call them on a thread where that does no harm.
+ * <p>The file is replaced atomically. A file that is damaged, has another format version or is too old is rejected
+ * completely. The methods block on disk I/O and must be called on a thread that may block.
  */
 final class EndpointListCache {
     private static final String MAGIC = "magpiehub-list";
     private static final String VERSION = "1";
     private static final int HEADER_FIELDS = 5;
-    /** No header line is longer than this. */
+    /** An upper bound for the length of the header line. */
     private static final int MAX_HEADER_BYTES = 200;
-    /** As much as is read of one answer of a registry: no list is longer. */
+    /** The same as the limit for one registry response, so that every list that was received fits. */
     private static final int MAX_FILE_BYTES = 64 << 20;
-    /** How far a clock that was set back may make a file seem to come from the future. */
+    /** How far in the future the time of writing may be, since the system clock may have been set back. */
     private static final long CLOCK_TOLERANCE_MICROS = 60_000_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1000;
-    /** For the initial size of the buffer that a list is written to. */
+    /** Used for the initial size of the buffer that a list is written to. */
     private static final int TYPICAL_ENTRY_BYTES = 160;
 
-    private static final int TYPICAL_FRAME_BYTES = 256;
+    private static final int TYPICAL_ENVELOPE_BYTES = 256;
 
     /**
      * A list read from the file.
      *
-     * @param ageMicros how long ago it was written
-     * @param position the position in the source's history that it was read at
+     * @param ageMicros the time since it was written
+     * @param position the position in the source's history at which the list was read
      */
     record CachedList(List<ListItem> items, long ageMicros, ListPosition position) {}
 
-    /** The file holds no list that may be used; the message says why. */
+    /** Thrown if the file contains no list that may be used; the message gives the reason. */
     static final class UnusableCacheException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -67,15 +67,16 @@
         private static Header parse(String line) throws UnusableCacheException {
             String[] fields = line.replaceFirst(" +$", "").split(" ", -1);
             if (fields.length != HEADER_FIELDS || !fields[0].equals(MAGIC)) {
-                throw new UnusableCacheException("not a list");
+                throw new UnusableCacheException("not an endpoint list file");
             }
             if (!fields[1].equals(VERSION)) {
-                throw new UnusableCacheException("of form " + fields[1] + ", this program knows " + VERSION);
+                throw new UnusableCacheException(
+                        "format version " + fields[1] + " is not supported, expected " + VERSION);
             }
             try {
                 return new Header(Long.parseLong(fields[2]), Long.parseLong(fields[3]), Long.parseLong(fields[4], 16));
             } catch (NumberFormatException e) {
-                throw new UnusableCacheException("damaged head");
+                throw new UnusableCacheException("malformed header");
             }
         }
 
@@ -103,7 +104,7 @@
         this.parser = parser;
     }
 
-    /** Replaces the file: writes a sibling, forces it to the disk and renames it. */
+    /** Replaces the file: writes a temporary file beside it, syncs that to disk and renames it. */
     void write(List<EndpointEntry> entries, ListPosition position, long nowUnixMillis) throws IOException {
         byte[] body = body(entries, position);
         byte[] header = Header.format(nowUnixMillis, body).getBytes(StandardCharsets.US_ASCII);
@@ -120,17 +121,17 @@
             channel.force(true);
         }
         Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        // Without this a crash of the machine may bring the old file back, which is only an older list.
+        // Without this sync, a system crash may undo the rename, which merely restores an older list.
         try (FileChannel directory = FileChannel.open(file.toAbsolutePath().getParent())) {
             directory.force(true);
         } catch (IOException e) {
-            // Not every file system lets a directory be forced.
+            // Not every file system supports syncing a directory.
         }
     }
 
     private byte[] body(List<EndpointEntry> entries, ListPosition position) throws IOException {
         ByteArrayOutputStream body =
-                new ByteArrayOutputStream(entries.size() * TYPICAL_ENTRY_BYTES + TYPICAL_FRAME_BYTES);
+                new ByteArrayOutputStream(entries.size() * TYPICAL_ENTRY_BYTES + TYPICAL_ENVELOPE_BYTES);
         try (JsonGenerator json = Json.FACTORY.createGenerator(body)) {
             json.writeStartObject();
             json.writeStringField("history", position.history());
@@ -149,15 +150,15 @@
     /**
      * Reads the list.
      *
-     * @return null if there is no file
-     * @throws UnusableCacheException if the file is damaged, too old, or written in the future
+     * @return null if the file does not exist
+     * @throws UnusableCacheException if the file is damaged, too old, or has a time of writing in the future
      */
     CachedList read(long nowUnixMillis, long maxAgeMicros) throws IOException {
         if (!Files.exists(file)) {
             return null;
         }
         if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new UnusableCacheException("too large");
+            throw new UnusableCacheException("larger than " + MAX_FILE_BYTES + " bytes");
         }
         byte[] content = Files.readAllBytes(file);
         int headerEnd = 0;
@@ -172,11 +173,11 @@
         long ageMicros = (nowUnixMillis - header.writtenUnixMillis) * MICROS_PER_MILLI;
         if (ageMicros < -CLOCK_TOLERANCE_MICROS) {
             throw new UnusableCacheException(
-                    "from the future: the clock has gone back " + -ageMicros / MICROS_PER_SECOND + " s");
+                    "written " + -ageMicros / MICROS_PER_SECOND + " s in the future; was the system clock set back?");
         }
         if (ageMicros > maxAgeMicros) {
-            throw new UnusableCacheException(ageMicros / MICROS_PER_SECOND + " s old, at most "
-                    + maxAgeMicros / MICROS_PER_SECOND + " s are allowed");
+            throw new UnusableCacheException(ageMicros / MICROS_PER_SECOND + " s old, maximum age is "
+                    + maxAgeMicros / MICROS_PER_SECOND + " s");
         }
         return parse(body, Math.max(0, ageMicros));
     }
@@ -204,7 +205,7 @@
             ListPosition position = new ListPosition(history, Long.parseLong(term), Long.parseLong(revision));
             return new CachedList(items, ageMicros, position);
         } catch (RuntimeException e) {
-            // Complete, but not readable: zones or machine types have other names now.
+            // The file is intact, but its entries are invalid, for example because zones or machine types were renamed.
             throw new UnusableCacheException(String.valueOf(e.getMessage()));
         }
     }
--- a/src/main/java/magpiehub/discovery/EndpointListCacheWriter.java
+++ b/src/main/java/magpiehub/discovery/EndpointListCacheWriter.java
@@ -8,8 +8,8 @@
 import magpiehub.config.EndpointEntry;
 
 /**
- * Writes the list to its {@link EndpointListCache} on a thread of its own, for the actor must not block on the
- * disk. At most one list waits to be written. All methods but {@link #run} belong to the actor's thread.
+ * Writes the list to its {@link EndpointListCache} on a separate thread, because the actor must not block on disk
+ * I/O. At most one list is queued for writing. All methods except {@link #run} belong to the actor's thread.
  */
 final class EndpointListCacheWriter {
     private record Write(Path file, List<EndpointEntry> entries, ListPosition position) {}
@@ -18,7 +18,7 @@
     private final RegistryEventLog log;
     private final Mailbox<Write> queue;
     private long lastWriteMicros = Long.MIN_VALUE / 2;
-    /** The version of the list that is in the file or on its way there; -1 for none. */
+    /** The version of the list that was written or queued last; -1 for none. */
     private long writtenVersion = -1;
 
     EndpointListCacheWriter(EndpointEntryParser parser, MonotonicClock clock, RegistryEventLog log) {
@@ -27,19 +27,19 @@
         this.queue = new Mailbox<>(clock, 0);
     }
 
-    /** Notes that the file has this version of the list already. */
+    /** Records that the file already contains this version of the list. */
     void markWritten(long version) {
         writtenVersion = version;
     }
 
-    /** When the next write is due; {@link Long#MAX_VALUE} if the file is up to date. */
+    /** When the next write is due; {@link Long#MAX_VALUE} if the file is up to date or there is no cache file. */
     long nextWriteMicros(DiscoverySettings settings, EndpointListState list) {
         return settings.cacheFile() == null || writtenVersion == list.version()
                 ? Long.MAX_VALUE
                 : lastWriteMicros + settings.cacheIntervalMicros();
     }
 
-    /** Queues the list for writing if that is due. */
+    /** Queues the list for writing if a write is due. */
     void writeIfDue(DiscoverySettings settings, EndpointListState list, long nowMicros) {
         if (nowMicros < nextWriteMicros(settings, list)) {
             return;
@@ -47,7 +47,7 @@
         lastWriteMicros = nowMicros;
         writtenVersion = list.version();
         Write write = new Write(settings.cacheFile(), list.entries(), list.position());
-        queue.poll(); // The list that still waits is outdated.
+        queue.poll(); // Drops a queued list, which is now outdated.
         queue.post(write);
     }
 
--- a/src/main/java/magpiehub/discovery/EndpointListListener.java
+++ b/src/main/java/magpiehub/discovery/EndpointListListener.java
@@ -7,6 +7,5 @@
 /** Receives endpoint lists and changes, in order, on the source's actor thread. */
 @FunctionalInterface
 public interface EndpointListListener {
-    /** Receives a list or changes. */
     void deliver(EndpointListKind kind, List<EndpointEntry> entries);
 }
--- a/src/main/java/magpiehub/discovery/EndpointListPublisher.java
+++ b/src/main/java/magpiehub/discovery/EndpointListPublisher.java
@@ -12,25 +12,25 @@
 
 /**
  * Publishes the endpoint lists of a source, with the operators' maintenance applied, to the upstream pool and
- * the dispatcher. The pool is first, so that the dispatcher never sends to an endpoint without an address.
- * Belongs to the source's thread.
+ * the dispatcher. The pool is updated first, so that the dispatcher never sends to an endpoint whose address the pool
+ * does not have. Belongs to the source's thread.
  */
 public final class EndpointListPublisher implements EndpointListListener {
     private final MaintenanceOverlay overlay = new MaintenanceOverlay();
     private final UpstreamPool upstreams;
     private RequestDispatcher dispatcher;
 
-    /** A publisher to a pool. */
+    /** Creates a publisher; {@link #setDispatcher} must be called before it is used. */
     public EndpointListPublisher(UpstreamPool upstreams) {
         this.upstreams = upstreams;
     }
 
-    /** Sets the dispatcher; to be called once, before anything is published. */
+    /** Sets the dispatcher; must be called once, before anything is published. */
     public void setDispatcher(RequestDispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
 
-    /** The operators' maintenance, which is applied to all that is published. */
+    /** The operators' maintenance, which is applied to every published list and change. */
     public MaintenanceOverlay overlay() {
         return overlay;
     }
@@ -46,15 +46,15 @@
         dispatcher.updateEndpoints(EndpointListKind.ERROR, List.of());
     }
 
-    /** Publishes until when the list may be used, on the monotonic clock. */
+    /** Publishes the monotonic time until which the list may be used. */
     public void deliverValidity(long validUntilMicros) {
         upstreams.setEndpointsValidUntil(validUntilMicros);
         dispatcher.updateEndpointListValidity(validUntilMicros);
     }
 
-    /** Publishes what changes by the operators' maintenance, if anything, and then confirms it. */
+    /** Applies an update of the operators' maintenance, publishes the list if it changed, and confirms the update. */
     public void applyMaintenance(MaintenanceUpdate update) {
-        List<EndpointEntry> entries = overlay.applyMaintenance(update.outOfService(), update.backSinceMicros());
+        List<EndpointEntry> entries = overlay.applyMaintenance(update.outOfService(), update.returnedAtMicros());
         if (!entries.isEmpty()) {
             send(EndpointListKind.SAVED, entries);
         }
--- a/src/main/java/magpiehub/discovery/EndpointListState.java
+++ b/src/main/java/magpiehub/discovery/EndpointListState.java
@@ -8,32 +8,32 @@
 import magpiehub.discovery.ListUpdateResult.Outcome;
 
 /**
- * Builds one endpoint list from the complete lists, changes and positions that a source reports, and decides
- * which of them are current. Each set of changes is applied once and in order, and two histories of the source
- * are never mixed. The list has a version of its own that grows by one with each set of changes.
+ * Maintains one endpoint list from the complete lists, changes and positions that a source reports, and decides
+ * which of them are current. Each set of changes is applied once and in order, and data from two histories of the
+ * source is never mixed. The list has its own version, which is incremented with each set of changes.
  *
  * <p>A state machine without I/O and without a clock; an instance belongs to one thread.
  */
 public final class EndpointListState {
-    /** The reason where a watch has not delivered what a check saw: its endpoint is not one to rely on. */
-    static final String WATCH_STALLED = "the watch is mute";
+    /** The reason if a watch has not delivered changes that a check saw, so that its endpoint is not reliable. */
+    static final String WATCH_STALLED = "the watch has stalled";
 
-    /** The reason where the source keeps having another number of keys than the list. */
-    static final String COUNT_DIFFERS = "the count differs";
+    /** The reason if the number of keys at the source differs from the list's in two checks in a row. */
+    static final String COUNT_DIFFERS = "the number of keys differs";
 
-    /** Complete lists in a row that must agree on an older position before it is believed. */
-    private static final int READS_TO_GO_BACK = 2;
+    /** Consecutive complete lists with an older position after which an older one is applied. */
+    private static final int READS_TO_ACCEPT_OLDER = 2;
 
     private final EndpointIndex index = new EndpointIndex();
     private ListPosition position = ListPosition.NONE;
     private long version;
     private long duplicateChanges;
     private boolean relistRequired;
-    /** Complete lists in a row that were older than what was known when they were requested. */
+    /** Consecutive complete lists that were older than this list was when they were requested. */
     private int laggingLists;
-    /** The newest revision that the last check saw, while the watch has not delivered it; -1 for none. */
+    /** The newest revision that the last check saw, which the watch may not have delivered yet; -1 for none. */
     private long expectedRevision = -1;
-    /** The position at which the last check saw another number of keys; null if it did not. */
+    /** This list's position when the last check saw a different number of keys; null if it saw the same number. */
     private ListPosition countDifferedAt;
 
     /** The position of this list in its source's history. */
@@ -41,22 +41,22 @@
         return position;
     }
 
-    /** The version of the list, which grows by one with each set of changes. */
+    /** The version of the list, which is incremented with each set of changes. */
     public long version() {
         return version;
     }
 
-    /** Endpoints in the list. */
+    /** The number of endpoints in the list. */
     public int size() {
         return index.size();
     }
 
-    /** Keys that the source has, with those that can't be read. */
+    /** The number of keys at the source, including unreadable ones. */
     public int keyCount() {
         return index.keyCount();
     }
 
-    /** Single changes that were received again and dropped. */
+    /** The number of changes that were received more than once and dropped. */
     public long duplicateChanges() {
         return duplicateChanges;
     }
@@ -66,32 +66,32 @@
         return relistRequired || !position.isKnown();
     }
 
-    /** Keys whose entries can't be read, with the reason; they are left out of the list. */
+    /** Keys whose entries can't be read, each with the reason; they are not in the list. */
     public Map<String, String> unreadableKeys() {
         return index.unreadableKeys();
     }
 
-    /** An endpoint by its id, or null. */
+    /** The endpoint with this id, or null if there is none. */
     public EndpointEntry get(String id) {
         return index.get(id);
     }
 
-    /** The complete list, in no order. */
+    /** All endpoints, in no particular order. */
     public List<EndpointEntry> entries() {
         return index.entries();
     }
 
-    /** Whether the last check saw what the watch has not delivered yet. */
+    /** Whether the last check saw changes that the watch has not delivered yet. */
     public boolean isBehindSource() {
         return expectedRevision > position.revision() || countDifferedAt != null;
     }
 
-    /** Restores a list from before this start. It is used until the source answers, and has no position. */
+    /** Restores a list saved before this start. It has no position and is used until the source responds. */
     public ListDelta restore(List<ListItem> items) {
         return replaceAll(items, false);
     }
 
-    /** Restores a list with its position, so that changes may follow it: the platform's list. */
+    /** Restores a list with its position, so that later changes can be applied to it: the platform's list. */
     public ListDelta restore(List<ListItem> items, ListPosition at) {
         position = at;
         return restore(items);
@@ -101,9 +101,9 @@
      * Applies a complete list.
      *
      * @param at the source's position when the list was read
-     * @param requestedAt this list's position when the complete list was requested, where the source never
-     *     answers with less than it had then; null where it may, and then an older list is just stale
-     * @param trusted whether the list counts whatever its position: the first answer of another source
+     * @param requestedAt this list's position when the complete list was requested, if the source never returns a list
+     *     that is older than its position at that time; null if it may, so that an older list is merely stale
+     * @param trusted whether the list is applied regardless of its position: the first response of another source
      */
     public ListUpdateResult applyCompleteList(
             ListPosition at, ListPosition requestedAt, List<ListItem> items, boolean trusted) {
@@ -124,33 +124,34 @@
         countDifferedAt = null;
         position = at;
         ListDelta delta = replaceAll(items, historyChanged);
-        return new ListUpdateResult(Outcome.APPLIED, delta, historyChanged ? "another history" : "");
+        return new ListUpdateResult(Outcome.APPLIED, delta, historyChanged ? "history changed" : "");
     }
 
-    /** Why a complete list older than this one is not applied; null if it is, as another history. */
+    /** The reason for rejecting a complete list that is older than this one; null to apply it as a new history. */
     private ListUpdateResult rejectOlderList(ListPosition at, ListPosition requestedAt) {
         if (requestedAt == null) {
             return ListUpdateResult.of(Outcome.STALE, "older than the list");
         }
         if (!requestedAt.history().equals(at.history()) || at.revision() >= requestedAt.revision()) {
             laggingLists = 0;
-            return ListUpdateResult.of(Outcome.SUPERSEDED, "changes came meanwhile");
+            return ListUpdateResult.of(Outcome.SUPERSEDED, "newer changes were received since the request");
         }
-        // One endpoint that lags is no restart with older data; reads in a row that agree are.
-        if (++laggingLists < READS_TO_GO_BACK) {
-            return ListUpdateResult.of(Outcome.LAGGING, "position " + at.revision() + " after " + position.revision());
+        // A single older list may come from a lagging registry endpoint; consecutive ones mean that the registry was
+        // restarted with older data.
+        if (++laggingLists < READS_TO_ACCEPT_OLDER) {
+            return ListUpdateResult.of(Outcome.LAGGING, describeOlder(at));
         }
         return null;
     }
 
-    /** Applies changes up to a position. Those that were received before are dropped one by one. */
+    /** Applies changes up to a position. Each change that was already received is dropped. */
     public ListUpdateResult applyChanges(ListPosition to, List<ListItem> items) {
         ListUpdateResult mismatch = checkHistory(to);
         if (mismatch != null) {
             return mismatch;
         }
         if (relistRequired) {
-            return ListUpdateResult.of(Outcome.RELIST_REQUIRED, "a whole list is due");
+            return ListUpdateResult.of(Outcome.RELIST_REQUIRED, "a complete list is required first");
         }
         if (to.revision() < position.revision()) {
             duplicateChanges += items.size();
@@ -170,8 +171,7 @@
     }
 
     /**
-     * Checks the position of a source whose watch has opened, or that has answered any other call, against this
-     * list's.
+     * Compares this list's position with that of the source, as reported when a watch opens or by any other response.
      */
     public ListUpdateResult checkPosition(ListPosition of) {
         ListUpdateResult mismatch = checkHistory(of);
@@ -179,29 +179,31 @@
             return mismatch;
         }
         if (of.revision() < position.revision()) {
-            // A member that lags, or a registry restarted with older data: a watch would wait for the future.
-            return requireRelist("position " + of.revision() + " after " + position.revision());
+            // A lagging cluster member, or a registry restarted with older data: a watch from this list's position
+            // would deliver nothing until the source has reached it.
+            return requireRelist(describeOlder(of));
         }
         return ListUpdateResult.of(Outcome.STALE, "");
     }
 
     /**
-     * Checks what the source had at this list's position, before a watch resumes from there. Guards against a
-     * registry that was restored from older data and has since passed this position: its revisions go on, but
-     * the changes in between were others.
+     * Compares this list with the source's state at the same position, before a watch resumes from there. Detects a
+     * registry that was restored from older data and has since passed this position: its revisions continue, but the
+     * changes in between differ.
      *
-     * @param of the source's position now
-     * @param resumeAt the position that the source was asked about
-     * @param lastChanged the keys that had changed last by then, the latest first, with their entries: one
-     *     alone may be the same in two histories, such as an entry that nobody can read
-     * @param count keys in the list then
+     * @param of the source's current position
+     * @param resumeAt the position whose state the source was asked for
+     * @param lastChanged the most recently changed keys at that position, the latest first, with their entries. A
+     *     single one may be the same in two histories, for example an unreadable entry
+     * @param count the number of keys at that position
      */
     public ListUpdateResult checkResume(
             ListPosition of, ListPosition resumeAt, List<ListItem> lastChanged, long count) {
         ListUpdateResult result = checkPosition(of);
-        // A new term alone is no step: the answer itself may have reported it.
-        boolean sameStep = resumeAt.history().equals(position.history()) && resumeAt.revision() == position.revision();
-        if (result.requiresRelist() || !sameStep) {
+        // The terms may differ: this response itself may have reported a new one.
+        boolean samePosition =
+                resumeAt.history().equals(position.history()) && resumeAt.revision() == position.revision();
+        if (result.requiresRelist() || !samePosition) {
             return result;
         }
         return hadSameChanges(lastChanged, count)
@@ -210,7 +212,7 @@
     }
 
     private boolean hadSameChanges(List<ListItem> lastChanged, long count) {
-        ListItem lastHere = index.lastChangeInForce();
+        ListItem lastHere = index.lastChangeInEffect();
         boolean same = count == keyCount();
         if (lastChanged.isEmpty()) {
             same &= count == 0;
@@ -225,13 +227,14 @@
     }
 
     /**
-     * Checks what the source has beside an open watch. Guards against a watch that stays open and delivers
-     * nothing: what one check saw must have been delivered by the next.
+     * Checks the source's state while a watch is open. Detects a watch that stays open but delivers nothing: changes
+     * that one check saw must have been delivered by the next check.
      *
      * @param of the source's position
-     * @param requestedAt this list's position when the check was sent: it may have passed the answer since
-     * @param newestRevision the newest revision of any key in the list, as far as the source says
-     * @param count keys in the list; -1 where the source does not say
+     * @param requestedAt this list's position when the check was sent; the list may have advanced beyond the response
+     *     since
+     * @param newestRevision the newest revision of any key in the list, as far as the source reports it
+     * @param count the number of keys in the list; -1 if the source does not report it
      */
     public ListUpdateResult checkWatch(ListPosition of, ListPosition requestedAt, long newestRevision, long count) {
         ListUpdateResult result = of.revision() < requestedAt.revision() ? checkPosition(of) : checkHistory(of);
@@ -249,18 +252,18 @@
         return ListUpdateResult.of(Outcome.STALE, "");
     }
 
-    /** Notes that the source no longer has the changes that would follow this list's position. */
+    /** Records that the source has compacted the changes that follow this list's position. */
     public void markCompacted() {
         relistRequired = true;
     }
 
-    /** Checks that a position is of this list's history, and takes over a newer term; null if it is. */
+    /** Checks that a position is in this list's history and adopts a newer term; returns null if it is. */
     private ListUpdateResult checkHistory(ListPosition of) {
         if (position.isKnown() && !of.history().equals(position.history())) {
-            return requireRelist("another history");
+            return requireRelist("history changed");
         }
         if (hasOlderTerm(of)) {
-            return requireRelist("an older term");
+            return requireRelist("term " + of.term() + " is older than " + position.term());
         }
         if (of.term() > position.term()) {
             position = new ListPosition(position.history(), of.term(), position.revision());
@@ -268,11 +271,15 @@
         return null;
     }
 
-    /** Whether a position is of an older term; a source that does not name its term in each answer is not. */
+    /** Whether a position has an older term; false if the source did not report its term. */
     private boolean hasOlderTerm(ListPosition of) {
         return of.term() != 0 && of.term() < position.term();
     }
 
+    private String describeOlder(ListPosition of) {
+        return "revision " + of.revision() + " is older than " + position.revision();
+    }
+
     private ListUpdateResult requireRelist(String reason) {
         relistRequired = true;
         return ListUpdateResult.of(Outcome.RELIST_REQUIRED, reason);
--- a/src/main/java/magpiehub/discovery/FlapDamper.java
+++ b/src/main/java/magpiehub/discovery/FlapDamper.java
@@ -8,22 +8,22 @@
 import java.util.PriorityQueue;
 
 /**
- * Suppresses endpoints that come and go, by route-flap damping as RFC 2439 describes it. Each time an endpoint
- * goes away, 1 is added to its penalty, which halves every half-life. From the suppress threshold on the
- * endpoint is suppressed until its penalty has decayed below the reuse threshold.
+ * Suppresses endpoints that flap, using route flap damping as described in RFC 2439. Each time an endpoint goes
+ * away, 1 is added to its penalty, which decays by half every half-life. An endpoint whose penalty reaches the suppress
+ * threshold is suppressed until the penalty has decayed below the reuse threshold.
  *
  * <p>A state machine without I/O and without a clock; an instance belongs to one thread.
  */
 final class FlapDamper {
-    /** A penalty below this no longer matters, and its record is dropped. */
-    private static final double FORGOTTEN_PENALTY = 0.1;
+    /** The record of an endpoint is dropped once its penalty has decayed below this value. */
+    private static final double MIN_PENALTY = 0.1;
 
     private static final class FlapRecord {
-        /** The penalty at {@link #updatedAtMicros}; it has decayed since. */
+        /** The penalty at {@link #updatedAtMicros}, from which it decays. */
         double penalty;
 
         long updatedAtMicros;
-        /** When the record is looked at next; other times queued for it are obsolete. */
+        /** When the record is next due; other queue entries for it are obsolete. */
         long dueAtMicros;
 
         boolean suppressed;
@@ -35,26 +35,26 @@
     private final Map<String, FlapRecord> records = new HashMap<>();
     private final PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingLong(Due::atMicros));
     private int suppressedCount;
-    private long dampedTotal;
-    private long sparedTotal;
+    private long suppressedTotal;
+    private long exemptedTotal;
 
     FlapDamper(MembershipDamping.Settings settings) {
         this.settings = settings;
     }
 
-    /** Endpoints suppressed now. */
+    /** The number of endpoints suppressed now. */
     int suppressedCount() {
         return suppressedCount;
     }
 
-    /** Endpoints suppressed since the start. */
-    long dampedTotal() {
-        return dampedTotal;
+    /** The number of suppressions since the start. */
+    long suppressedTotal() {
+        return suppressedTotal;
     }
 
-    /** Endpoints not suppressed because too much of the fleet was already. */
-    long sparedTotal() {
-        return sparedTotal;
+    /** How often an endpoint was not suppressed because too much of the fleet already was. */
+    long exemptedTotal() {
+        return exemptedTotal;
     }
 
     boolean isSuppressed(String id) {
@@ -67,7 +67,7 @@
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().atMicros;
     }
 
-    /** Records that a live endpoint went away; {@code fleetSize} counts it, too. */
+    /** Records that a live endpoint went away; {@code fleetSize} includes that endpoint. */
     void recordDeparture(String id, int fleetSize, long nowMicros) {
         if (settings.halfLifeMicros() == 0) {
             return;
@@ -86,17 +86,17 @@
     }
 
     private void suppress(String id, FlapRecord flap, int fleetSize) {
-        if (suppressedCount + 1 > settings.maxDampedShare() * fleetSize) {
-            sparedTotal++;
+        if (suppressedCount + 1 > settings.maxSuppressedShare() * fleetSize) {
+            exemptedTotal++;
             return;
         }
         flap.suppressed = true;
         suppressedCount++;
-        dampedTotal++;
+        suppressedTotal++;
         schedule(id, flap, decayedBelowMicros(flap, settings.reuseThreshold()));
     }
 
-    /** Ends suppressions that are due, and returns the ids of the endpoints that may be used again. */
+    /** Ends the suppressions that are due and returns the ids of the endpoints that may be used again. */
     List<String> releaseDue(long nowMicros) {
         List<String> released = new ArrayList<>();
         while (!queue.isEmpty() && queue.peek().atMicros <= nowMicros) {
@@ -111,10 +111,10 @@
                 suppressedCount--;
                 released.add(due.id);
             }
-            if (penalty < FORGOTTEN_PENALTY) {
+            if (penalty < MIN_PENALTY) {
                 records.remove(due.id);
             } else {
-                double next = flap.suppressed ? settings.reuseThreshold() : FORGOTTEN_PENALTY;
+                double next = flap.suppressed ? settings.reuseThreshold() : MIN_PENALTY;
                 schedule(due.id, flap, decayedBelowMicros(flap, next));
             }
         }
@@ -126,7 +126,7 @@
         queue.add(new Due(atMicros, id));
     }
 
-    /** The penalty that decays to the reuse threshold within the longest suppression. */
+    /** The penalty that decays to the reuse threshold within the maximum suppression time. */
     private double maxPenalty() {
         return settings.reuseThreshold()
                 * Math.pow(2, (double) settings.maxSuppressionMicros() / settings.halfLifeMicros());
--- a/src/main/java/magpiehub/discovery/JsonObjects.java
+++ b/src/main/java/magpiehub/discovery/JsonObjects.java
@@ -13,8 +13,8 @@
 import magpiehub.config.Json;
 
 /**
- * Writes and reads JSON objects member by member, without a tree in between: a list of 10,000 endpoints takes
- * megabytes.
+ * Writes and reads JSON objects member by member, without building a tree, because a list of 10,000 endpoints takes
+ * several megabytes.
  */
 final class JsonObjects {
     private static final int INITIAL_BYTES = 256;
@@ -27,17 +27,17 @@
         void write(JsonGenerator generator) throws IOException;
     }
 
-    /** Reads the object that the parser stands at the start of. */
+    /** Reads the object whose start the parser is positioned at. */
     interface ObjectReader<T> {
         T read(JsonParser parser) throws IOException;
     }
 
-    /** Called for each member of an object, with the parser at the value, which is to be read or skipped. */
+    /** Called for each member of an object, with the parser at the value, which must be read or skipped. */
     interface MemberReader {
         void read(JsonParser parser, String name) throws IOException;
     }
 
-    /** One object as UTF-8 text. */
+    /** One object, encoded as UTF-8. */
     static byte[] toBytes(MemberWriter members) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         try (JsonGenerator generator = Json.FACTORY.createGenerator(out)) {
@@ -48,22 +48,22 @@
         return out.toByteArray();
     }
 
-    /** Reads a stream that holds one object to its end, so that its connection can carry the next request. */
+    /** Reads a stream that contains one object to its end, so that its connection can be reused. */
     static <T> T read(InputStream in, ObjectReader<T> reader) throws IOException {
         try (JsonParser parser = Json.FACTORY.createParser(in)) {
             parser.nextToken();
             T value = reader.read(parser);
             if (parser.nextToken() != null) {
-                throw new ConfigurationException("more than one value");
+                throw new ConfigurationException("contains more than one value");
             }
             return value;
         }
     }
 
     /**
-     * Checks that the parser stands at the start of an object, whose members {@link #nextMember} goes through.
+     * Checks that the parser is positioned at the start of an object, over whose members {@link #nextMember} iterates.
      *
-     * @throws ConfigurationException if it is at something else
+     * @throws ConfigurationException if it is not
      */
     static void expectObject(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Goes to the value of an object's next member, which is to be read or skipped before the next call.
+     * Advances to the value of an object's next member, which must be read or skipped before the next call.
      *
      * @return the member's name; null at the end of the object
      */
@@ -86,9 +86,9 @@
     }
 
     /**
-     * Reads the members of the object that the parser stands at the start of.
+     * Reads the members of the object whose start the parser is positioned at.
      *
-     * @throws ConfigurationException if the parser is at something else
+     * @throws ConfigurationException if the parser is not at the start of an object
      */
     static void forEachMember(JsonParser parser, MemberReader reader) throws IOException {
         expectObject(parser);
@@ -98,9 +98,9 @@
     }
 
     /**
-     * Reads the array of objects that the parser stands at the start of.
+     * Reads the array of objects whose start the parser is positioned at.
      *
-     * @throws ConfigurationException if the parser is at something else, or the array holds something else
+     * @throws ConfigurationException if the parser is not at the start of an array, or the array contains other values
      */
     static <T> List<T> readObjects(JsonParser parser, ObjectReader<T> reader) throws IOException {
         if (parser.currentToken() != JsonToken.START_ARRAY) {
@@ -111,14 +111,14 @@
             objects.add(reader.read(parser));
         }
         if (parser.currentToken() != JsonToken.END_ARRAY) {
-            throw new ConfigurationException("must hold objects only");
+            throw new ConfigurationException("must contain objects only");
         }
         return objects;
     }
 
     /**
-     * A 64-bit number that is written as a text or as a number. Numbers of 2^63 and above, which ids may be, come
-     * out negative; they may be compared for equality only.
+     * Reads an unsigned 64-bit integer that is written as a string or as a number. Values of 2^63 and above, which ids
+     * may have, are returned as negative numbers and may only be compared for equality.
      */
     static long readUnsignedLong(JsonParser parser) throws IOException {
         return parser.currentToken() == JsonToken.VALUE_STRING
@@ -126,12 +126,12 @@
                 : parser.getBigIntegerValue().longValue();
     }
 
-    /** Why a value can't be read, in a short text for the log. */
+    /** A short description of why a value can't be read, for the log. */
     static String describe(Exception failure) {
         String message = failure instanceof JsonProcessingException parsing
                 ? parsing.getOriginalMessage()
                 : String.valueOf(failure.getMessage());
-        // Jackson adds where in its own buffers the value started, which is of no use to people.
+        // Jackson appends the start position in its own buffer, which does not help a reader of the log.
         int source = message.indexOf(" (start marker");
         String text = source < 0 ? message : message.substring(0, source);
         return text.length() > MAX_DESCRIPTION_LENGTH ? text.substring(0, MAX_DESCRIPTION_LENGTH) : text;
--- a/src/main/java/magpiehub/discovery/ListItem.java
+++ b/src/main/java/magpiehub/discovery/ListItem.java
@@ -8,7 +8,7 @@
  *
  * @param key the key under which the source stores the entry; if two keys name the same endpoint, the one
  *     with the higher {@code modRevision} wins
- * @param modRevision the revision at which the key last changed; 0 where the source does not say
+ * @param modRevision the revision at which the key last changed; 0 if the source does not report it
  * @param entry the endpoint; null if the key was removed, can't be read or names no endpoint in service
  * @param unreadable why the key can't be read; empty if it can be read but names no endpoint in service; null
  *     otherwise
--- a/src/main/java/magpiehub/discovery/ListUpdateResult.java
+++ b/src/main/java/magpiehub/discovery/ListUpdateResult.java
@@ -1,24 +1,24 @@
 package magpiehub.discovery;
 
 /**
- * The outcome of giving an update from the source to {@link EndpointListState}.
+ * The result of applying an update from the source to {@link EndpointListState}.
  *
- * @param outcome what became of the update
+ * @param outcome whether the update was applied, or why not
  * @param delta the changes to the list; null unless the outcome is {@link Outcome#APPLIED}
- * @param reason why, for the event log
+ * @param reason the reason, for the event log
  */
 public record ListUpdateResult(Outcome outcome, ListDelta delta, String reason) {
-    /** What became of an update. */
+    /** Whether an update was applied, or why not. */
     public enum Outcome {
-        /** It is now the list; the delta names the changes, of which there may be none. */
+        /** It was applied; the delta contains the changes, of which there may be none. */
         APPLIED,
         /** It contained nothing new. */
         STALE,
-        /** A complete list that is older than changes received since it was requested: true, but not applied. */
+        /** A complete list that is correct but older than changes received since it was requested; not applied. */
         SUPERSEDED,
-        /** A complete list older than what was known when it was requested: a second read must confirm it. */
+        /** A complete list older than the known list was when it was requested; a second read must confirm it. */
         LAGGING,
-        /** It does not follow what is known: only a complete list helps. */
+        /** It does not continue the known list; a complete list must be read. */
         RELIST_REQUIRED
     }
 
@@ -31,7 +31,7 @@
         return outcome == Outcome.RELIST_REQUIRED;
     }
 
-    /** Whether the endpoint that served the watch is not one to read the list from. */
+    /** Whether the registry endpoint that served the watch should not be used to read the list. */
     boolean suspectsEndpoint() {
         return reason.equals(EndpointListState.WATCH_STALLED) || reason.equals(EndpointListState.COUNT_DIFFERS);
     }
--- a/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
+++ b/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
@@ -15,29 +15,29 @@
 import magpiehub.routing.EndpointState;
 
 /**
- * Applies the operators' maintenance to the endpoint list, whatever source it comes from, as the last step
- * before the dispatcher. An endpoint that is out of service is draining, whatever its source says, and one
- * that was put back into service has started no earlier than that. Endpoints that the source does not list are
- * never reported.
+ * Applies the operators' maintenance to the endpoint list of any source, as the last step before the dispatcher. An
+ * endpoint that is out of service is reported as draining, whatever its source reports, and one that was returned to
+ * service is reported as started no earlier than its return. Endpoints that the source does not list are never
+ * reported.
  *
  * <p>A state machine without I/O and without a clock; it belongs to its source's thread.
  */
 public final class MaintenanceOverlay {
-    /** Each endpoint as the source listed it last. */
+    /** The entry of each listed endpoint as last reported by the source. */
     private final Map<String, EndpointEntry> listed = new HashMap<>();
 
     private Set<String> outOfService = Set.of();
-    /** When endpoints were put back into service, on the monotonic clock (us). */
-    private Map<String, Long> backSinceMicros = Map.of();
+    /** When endpoints were returned to service, on the monotonic clock. */
+    private Map<String, Long> returnedAtMicros = Map.of();
 
     private Consumer<Collection<String>> listedIdsConsumer = ids -> {};
 
-    /** Sets who receives the ids of each list or change; to be called before the source starts. */
+    /** Sets the consumer of the ids in each list or change; must be called before the source starts. */
     public void onListed(Consumer<Collection<String>> consumer) {
         listedIdsConsumer = consumer;
     }
 
-    /** Applies a list or changes from the source, and returns what the dispatcher is to receive. */
+    /** Applies a list or changes from the source and returns the entries to send to the dispatcher. */
     public List<EndpointEntry> applyFromSource(EndpointListKind kind, List<EndpointEntry> entries) {
         if (kind != EndpointListKind.CHANGES) {
             listed.clear();
@@ -59,24 +59,24 @@
     }
 
     /**
-     * Applies the operators' maintenance, which replaces the one before.
+     * Replaces the operators' maintenance.
      *
      * @param outOfService ids of the endpoints that are out of service
-     * @param backSinceMicros when other endpoints were put back into service, on the monotonic clock
-     * @return the complete list for the dispatcher, to be sent as a saved list, for a change would say that the
-     *     source reports changes just now; empty where nothing changes
+     * @param returnedAtMicros when other endpoints were returned to service, on the monotonic clock
+     * @return the complete list to send to the dispatcher; empty if nothing changed. It must be sent as a saved list,
+     *     because a change would mean that the source has just reported something
      */
-    public List<EndpointEntry> applyMaintenance(Set<String> outOfService, Map<String, Long> backSinceMicros) {
+    public List<EndpointEntry> applyMaintenance(Set<String> outOfService, Map<String, Long> returnedAtMicros) {
         Set<String> affected = new HashSet<>(this.outOfService);
         affected.addAll(outOfService);
-        affected.addAll(this.backSinceMicros.keySet());
-        affected.addAll(backSinceMicros.keySet());
+        affected.addAll(this.returnedAtMicros.keySet());
+        affected.addAll(returnedAtMicros.keySet());
         Map<String, EndpointEntry> before = new HashMap<>();
         for (String id : affected) {
             before.put(id, current(id));
         }
         this.outOfService = Set.copyOf(outOfService);
-        this.backSinceMicros = Map.copyOf(backSinceMicros);
+        this.returnedAtMicros = Map.copyOf(returnedAtMicros);
         boolean unchanged = true;
         for (String id : affected) {
             unchanged &= Objects.equals(before.get(id), current(id));
@@ -86,7 +86,7 @@
                 : listed.values().stream().map(this::withMaintenance).toList();
     }
 
-    /** An endpoint as the dispatcher has it; null if it is not listed. */
+    /** An endpoint's entry as reported to the dispatcher; null if the endpoint is not listed. */
     private EndpointEntry current(String id) {
         EndpointEntry entry = listed.get(id);
         return entry == null ? null : withMaintenance(entry);
@@ -94,9 +94,9 @@
 
     private EndpointEntry withMaintenance(EndpointEntry entry) {
         Endpoint endpoint = entry.endpoint();
-        Long backSince = backSinceMicros.get(endpoint.id());
-        boolean drains = endpoint.state() == EndpointState.LIVE && outOfService.contains(endpoint.id());
-        if (!drains && backSince == null) {
+        Long returnedAt = returnedAtMicros.get(endpoint.id());
+        boolean mustDrain = endpoint.state() == EndpointState.LIVE && outOfService.contains(endpoint.id());
+        if (!mustDrain && returnedAt == null) {
             return entry;
         }
         Endpoint changed = new Endpoint(
@@ -104,9 +104,9 @@
                 endpoint.zone(),
                 endpoint.kind(),
                 endpoint.cell(),
-                drains ? EndpointState.DRAINING : endpoint.state(),
+                mustDrain ? EndpointState.DRAINING : endpoint.state(),
                 endpoint.weight(),
-                backSince == null ? endpoint.onlineSince() : Math.max(endpoint.onlineSince(), backSince));
+                returnedAt == null ? endpoint.onlineSince() : Math.max(endpoint.onlineSince(), returnedAt));
         return new EndpointEntry(changed, entry.address());
     }
 }
--- a/src/main/java/magpiehub/discovery/MaintenanceUpdate.java
+++ b/src/main/java/magpiehub/discovery/MaintenanceUpdate.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * The complete state of the operators' maintenance, on its way to the thread of an {@link EndpointSource}.
+ * The complete state of the operators' maintenance, as sent to the thread of an {@link EndpointSource}.
  *
  * @param outOfService ids of endpoints that operators have taken out of service
- * @param backSinceMicros when other endpoints were put back into service, on the monotonic clock
- * @param onApplied runs on the dispatcher's thread once the dispatcher goes by the update
+ * @param returnedAtMicros when other endpoints were returned to service, on the monotonic clock
+ * @param onApplied runs on the dispatcher's thread once the dispatcher uses the update
  */
-public record MaintenanceUpdate(Set<String> outOfService, Map<String, Long> backSinceMicros, Runnable onApplied) {}
+public record MaintenanceUpdate(Set<String> outOfService, Map<String, Long> returnedAtMicros, Runnable onApplied) {}
--- a/src/main/java/magpiehub/discovery/MembershipDamping.java
+++ b/src/main/java/magpiehub/discovery/MembershipDamping.java
@@ -13,12 +13,13 @@
 import magpiehub.routing.EndpointState;
 
 /**
- * Decides which of a registry's changes are passed on. A complete list that removes much of the fleet at once
- * is doubted until a second read confirms it, and an endpoint that flaps is reported as draining while {@link
- * FlapDamper} suppresses it. {@link ListDelta}s go in, changes for the dispatcher come out.
+ * Decides which of a registry's changes are published. If a complete list removes a large share of the fleet at once,
+ * the removed endpoints are held until a second read confirms the removal. An endpoint that flaps is reported as
+ * draining while {@link FlapDamper} suppresses it. The input is {@link ListDelta}s, the output changes for the
+ * dispatcher.
  *
- * <p>A change that says that an endpoint drains or is gone is never delayed: new requests to such an endpoint
- * must end within 2 s.
+ * <p>A change that reports an endpoint as draining or gone is never delayed, because new requests to such an endpoint
+ * must stop within 2 s.
  *
  * <p>A state machine without I/O and without a clock; an instance belongs to one thread.
  */
@@ -26,15 +27,15 @@
     /**
      * The thresholds.
      *
-     * @param removalShare a complete list may remove this part of the fleet without a second read (0 to 1)
-     * @param removalMin and always this many endpoints
-     * @param confirmWithinMicros how soon a second read is to come; if it does not, it is requested again and
-     *     the endpoints stay
-     * @param halfLifeMicros the half-life of a flap's penalty; 0 turns damping off
-     * @param suppressThreshold the penalty from which on an endpoint is suppressed
+     * @param removalShare the share of the fleet that a complete list may remove without a second read (0 to 1)
+     * @param removalMin the number of endpoints that a complete list may always remove without a second read
+     * @param confirmWithinMicros the time limit for a second read, after which it is requested again while the
+     *     endpoints stay
+     * @param halfLifeMicros the half-life of the flap penalty; 0 disables damping
+     * @param suppressThreshold the penalty at which an endpoint is suppressed
      * @param reuseThreshold the penalty below which it is used again
-     * @param maxSuppressionMicros no endpoint is suppressed for longer after it last went away
-     * @param maxDampedShare at most this part of the fleet is suppressed at once (0 to 1)
+     * @param maxSuppressionMicros the maximum time that an endpoint is suppressed after it last went away
+     * @param maxSuppressedShare the maximum share of the fleet that is suppressed at once (0 to 1)
      */
     public record Settings(
             double removalShare,
@@ -44,10 +45,10 @@
             double suppressThreshold,
             double reuseThreshold,
             long maxSuppressionMicros,
-            double maxDampedShare) {}
+            double maxSuppressedShare) {}
 
     /**
-     * Counts since the start.
+     * Counters since the start.
      *
      * @param confirmationsRequired complete lists whose removals needed a second read
      * @param suppressed endpoints suppressed
@@ -56,37 +57,37 @@
     public record Statistics(long confirmationsRequired, long suppressed, long exempted) {}
 
     private final Settings settings;
-    /** Each endpoint as the registry listed it last, with those held although a list does not name them. */
+    /** The entry of each endpoint as last listed by the registry, including held endpoints. */
     private final Map<String, EndpointEntry> members = new HashMap<>();
 
     private final Set<String> heldIds = new HashSet<>();
-    private final FlapDamper flaps;
+    private final FlapDamper flapDamper;
     private long confirmByMicros = Long.MAX_VALUE;
     private boolean confirmationRequested;
-    private long doubtedLists;
+    private long confirmationsRequired;
 
-    /** Damping with these thresholds, over no endpoints yet. */
+    /** Creates the damping of an empty fleet with these thresholds. */
     public MembershipDamping(Settings settings) {
         this.settings = settings;
-        this.flaps = new FlapDamper(settings);
+        this.flapDamper = new FlapDamper(settings);
     }
 
-    /** Endpoints held although the last complete list does not name them. */
+    /** The ids of endpoints that are held although the last complete list does not contain them. */
     public Collection<String> heldIds() {
         return heldIds;
     }
 
-    /** Endpoints reported as draining because they flap. */
+    /** The number of endpoints reported as draining because they flap. */
     public int suppressedCount() {
-        return flaps.suppressedCount();
+        return flapDamper.suppressedCount();
     }
 
-    /** The counts so far. */
+    /** The counters since the start. */
     public Statistics statistics() {
-        return new Statistics(doubtedLists, flaps.dampedTotal(), flaps.sparedTotal());
+        return new Statistics(confirmationsRequired, flapDamper.suppressedTotal(), flapDamper.exemptedTotal());
     }
 
-    /** Whether a second read is to be made now; true once for each request. */
+    /** Whether a second read must be made now; returns true once per request. */
     public boolean takeConfirmationRequest() {
         boolean requested = confirmationRequested;
         confirmationRequested = false;
@@ -95,10 +96,10 @@
 
     /** When {@link #onTimer} is due next; {@link Long#MAX_VALUE} if never. */
     public long nextTimerMicros() {
-        return Math.min(confirmByMicros, flaps.nextDueMicros());
+        return Math.min(confirmByMicros, flapDamper.nextDueMicros());
     }
 
-    /** All endpoints as they are to be reported. */
+    /** All endpoints as reported to the dispatcher. */
     public List<EndpointEntry> entries() {
         List<EndpointEntry> entries = new ArrayList<>(members.size());
         members.values().forEach(entry -> entries.add(reported(entry)));
@@ -116,16 +117,16 @@
             heldIds.remove(entry.endpoint().id());
             put(entry, nowMicros, changes);
         }
-        boolean doubted = isDoubtful(delta);
+        boolean unconfirmed = requiresConfirmation(delta);
         for (String id : delta.removed()) {
-            if (doubted) {
+            if (unconfirmed) {
                 heldIds.add(id);
             } else {
                 remove(id, nowMicros, changes);
             }
         }
-        if (doubted) {
-            doubtedLists++;
+        if (unconfirmed) {
+            confirmationsRequired++;
             requestConfirmation(nowMicros);
         }
         forgetDeadlineIfNothingIsHeld();
@@ -133,9 +134,9 @@
     }
 
     /**
-     * Applies a complete list that was requested after the doubt arose, whether or not it was the newest one.
+     * Applies a complete list that was requested after removals were held, whether or not it was the newest one.
      *
-     * @param listedIds the endpoints that it names
+     * @param listedIds the ids of the endpoints in that list
      * @return the changes to report
      */
     public List<EndpointEntry> applyConfirmation(Set<String> listedIds, long nowMicros) {
@@ -150,13 +151,13 @@
         return new ArrayList<>(changes.values());
     }
 
-    /** Requests a second read again if it is overdue, and returns endpoints that need no damping any more. */
+    /** Requests a second read again if it is overdue, and returns the endpoints whose suppression has ended. */
     public List<EndpointEntry> onTimer(long nowMicros) {
         if (confirmByMicros <= nowMicros) {
             requestConfirmation(nowMicros);
         }
         List<EndpointEntry> changes = new ArrayList<>();
-        for (String id : flaps.releaseDue(nowMicros)) {
+        for (String id : flapDamper.releaseDue(nowMicros)) {
             EndpointEntry entry = members.get(id);
             if (entry != null) {
                 changes.add(entry);
@@ -165,8 +166,8 @@
         return changes;
     }
 
-    /** Whether a complete list removes so much that it needs a second read. */
-    private boolean isDoubtful(ListDelta delta) {
+    /** Whether a complete list removes so many endpoints that a second read must confirm it. */
+    private boolean requiresConfirmation(ListDelta delta) {
         int removed = delta.removed().size();
         return delta.complete() && removed > settings.removalMin && removed > settings.removalShare * members.size();
     }
@@ -207,11 +208,11 @@
     }
 
     private void recordDeparture(String id, long nowMicros) {
-        flaps.recordDeparture(id, members.size() + 1, nowMicros);
+        flapDamper.recordDeparture(id, members.size() + 1, nowMicros);
     }
 
     private EndpointEntry reported(EndpointEntry entry) {
-        return isLive(entry) && flaps.isSuppressed(entry.endpoint().id())
+        return isLive(entry) && flapDamper.isSuppressed(entry.endpoint().id())
                 ? withState(entry, EndpointState.DRAINING)
                 : entry;
     }
--- a/src/test/java/magpiehub/discovery/DiscoverySettingsTest.java
+++ b/src/test/java/magpiehub/discovery/DiscoverySettingsTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The faults of a settings file. */
+/** Tests the reading of settings files and the messages for invalid ones. */
 class DiscoverySettingsTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private String errorOf(String json) throws Exception {
-        Path file = folder.resolve("registry.json");
+        Path file = directory.resolve("registry.json");
         Files.writeString(file, json);
         return assertThrows(ConfigurationException.class, () -> DiscoverySettings.read(file))
                 .getMessage();
@@ -26,7 +26,7 @@
 
     @Test
     void errorsNameFileAndField() throws Exception {
-        String ok = "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:2379\"],\"prefix\":\"/e/\"";
+        String valid = "\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:2379\"],\"prefix\":\"/e/\"";
         for (String[] example : new String[][] {
             {"{}", "registry.json.kind must be etcd, consul-health or consul-kv"},
             {"{\"kind\":\"etcd\"}", "registry.json.endpoints must list at least one address:port"},
@@ -34,26 +34,29 @@
             {"{\"kind\":\"etcd\",\"endpoints\":\"x\"}", "registry.json.endpoints has the wrong type"},
             {"{\"kind\":\"etcd\",\"endpoints\":[\"127.0.0.1:1\"]}", "registry.json.prefix must name"},
             {"{\"kind\":\"consul-health\",\"endpoints\":[\"127.0.0.1:1\"]}", "registry.json.service must"},
-            {"{" + ok + ",\"timeout_ms\":1}", "registry.json.timeout_ms must be from 50 to 60000, not 1"},
-            {"{" + ok + ",\"timeout\":900}", "registry.json.timeout is not known; known are announce, "},
-            {"{" + ok + ",\"user\":\"u\"}", "registry.json.password_file must be given with the other"},
+            {"{" + valid + ",\"timeout_ms\":1}", "registry.json.timeout_ms must be from 50 to 60000, not 1"},
+            {"{" + valid + ",\"timeout\":900}", "registry.json.timeout is not known; known are announce, "},
             {
-                "{" + ok + ",\"membership\":{\"removal_share\":2}}",
+                "{" + valid + ",\"user\":\"u\"}",
+                "registry.json.password_file is missing; user and password_file must be set together"
+            },
+            {
+                "{" + valid + ",\"membership\":{\"removal_share\":2}}",
                 "registry.json.membership.removal_share must be from 0 to 1, not 2"
             },
-            {"{" + ok + ",\"announce\":{}}", "registry.json.announce.prefix must name"},
-            {"{" + ok + ",\"backoff_base_ms\":2000}", "registry.json.backoff_base_ms must not be above"},
-            {"{" + ok, "registry.json: Unexpected end-of-input"},
+            {"{" + valid + ",\"announce\":{}}", "registry.json.announce.prefix must name"},
+            {"{" + valid + ",\"backoff_base_ms\":2000}", "registry.json.backoff_base_ms must not be above"},
+            {"{" + valid, "registry.json: Unexpected end-of-input"},
         }) {
             String error = errorOf(example[0]);
             assertTrue(error.startsWith(example[1]), error);
         }
-        Path secret = Files.createFile(folder.resolve("secret"));
+        Path secret = Files.createFile(directory.resolve("secret"));
         Files.writeString(secret, "x");
         Files.setPosixFilePermissions(secret, PosixFilePermissions.fromString("rw-r--r--"));
-        assertTrue(errorOf("{" + ok + ",\"user\":\"u\",\"password_file\":\"secret\"}")
+        assertTrue(errorOf("{" + valid + ",\"user\":\"u\",\"password_file\":\"secret\"}")
                 .contains("chmod 600"));
-        assertNull(DiscoverySettings.read(folder.resolve("none.json")));
+        assertNull(DiscoverySettings.read(directory.resolve("none.json")));
         assertEquals(
                 "etcd",
                 DiscoverySettings.read(Path.of("deploy/registry.example.json")).kind());
--- a/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
@@ -19,52 +19,56 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The endpoint list in a file. */
+/** Tests writing, reading and validation of the endpoint list cache file. */
 class EndpointListCacheTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND = 1_000_000;
 
     @TempDir
-    Path folder;
+    Path directory;
 
     @Test
     void listIsReadCompletelyOrNotAtAll() throws Exception {
-        Path file = folder.resolve("last");
+        Path file = directory.resolve("last");
         EndpointEntryParser parser = EndpointEntryParser.strict(RegistryFixtures.site(), 0);
         EndpointListCache cache = new EndpointListCache(file, parser);
-        assertNull(cache.read(0, S));
+        assertNull(cache.read(0, SECOND));
         List<EndpointEntry> fleet = List.of(
                 parser.read(RegistryFixtures.entryJson(7, "Ready").getBytes(UTF_8), "e7"),
                 parser.read(RegistryFixtures.entryJson(8, "Terminating").getBytes(UTF_8), "e8"));
         cache.write(fleet, new ListPosition("c", 3, 9), 5_000);
-        EndpointListCache.CachedList cached = cache.read(6_000, 10 * S);
+        EndpointListCache.CachedList cached = cache.read(6_000, 10 * SECOND);
         assertEquals(fleet, cached.items().stream().map(ListItem::entry).toList());
-        assertEquals(S, cached.ageMicros());
+        assertEquals(SECOND, cached.ageMicros());
         assertEquals(new ListPosition("c", 3, 9), cached.position());
-        assertThrows(EndpointListCache.UnusableCacheException.class, () -> cache.read(60_000, 10 * S));
-        assertThrows(EndpointListCache.UnusableCacheException.class, () -> cache.read(-100_000, 10 * S));
-        byte[] whole = Files.readAllBytes(file);
-        for (int i = 0; i < whole.length; i++) {
-            byte[] damaged = whole.clone();
+        assertThrows(EndpointListCache.UnusableCacheException.class, () -> cache.read(60_000, 10 * SECOND));
+        assertThrows(EndpointListCache.UnusableCacheException.class, () -> cache.read(-100_000, 10 * SECOND));
+        byte[] complete = Files.readAllBytes(file);
+        for (int i = 0; i < complete.length; i++) {
+            byte[] damaged = complete.clone();
             damaged[i] ^= 1;
             Files.write(file, damaged);
             int at = i;
-            if (i < 15 || i > 22) { // The time alone may change and still be one.
+            if (i < 15 || i > 22) { // A changed digit in the time of writing still gives a valid time.
                 assertThrows(
-                        EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S), "byte " + at);
+                        EndpointListCache.UnusableCacheException.class,
+                        () -> cache.read(6_000, 10 * SECOND),
+                        "byte " + at);
             }
-            Files.write(file, Arrays.copyOf(whole, i));
+            Files.write(file, Arrays.copyOf(complete, i));
             assertThrows(
-                    EndpointListCache.UnusableCacheException.class, () -> cache.read(6_000, 10 * S), "cut at " + at);
+                    EndpointListCache.UnusableCacheException.class,
+                    () -> cache.read(6_000, 10 * SECOND),
+                    "cut at " + at);
         }
     }
 
-    /** A file that an earlier version of the program wrote is read, and written again byte for byte. */
+    /** A file from an earlier version can be read, and the same list is still written as the same bytes. */
     @Test
     void fileFormatIsUnchanged() throws Exception {
         byte[] recorded = Files.readAllBytes(Path.of("src/test/resources/endpoint-list-1"));
         SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 "{\"zones\":[\"a\",\"b\"],\"machineTypes\":[\"m\",\"台\"]}".getBytes(UTF_8), "settings"));
-        // A monotonic clock that is ahead of Unix time: no start time lies before its zero.
+        // The monotonic clock is ahead of Unix time, so that all start times are positive on it.
         EndpointEntryParser parser = EndpointEntryParser.strict(() -> site, 4_000_000_000_000_000L);
         List<EndpointEntry> entries = new ArrayList<>();
         for (String json : List.of(
@@ -75,34 +79,34 @@
             entries.add(parser.read(json.getBytes(UTF_8), "s-" + (entries.size() + 1)));
         }
         ListPosition position = new ListPosition("cafe01", 7, 4711);
-        Path file = folder.resolve("last");
+        Path file = directory.resolve("last");
         EndpointListCache cache = new EndpointListCache(file, parser);
 
         cache.write(entries, position, 1_764_633_600_000L);
         assertArrayEquals(recorded, Files.readAllBytes(file));
 
         Files.write(file, recorded);
-        EndpointListCache.CachedList cached = cache.read(1_764_633_601_000L, 10 * S);
+        EndpointListCache.CachedList cached = cache.read(1_764_633_601_000L, 10 * SECOND);
         assertEquals(entries, cached.items().stream().map(ListItem::entry).toList());
-        assertEquals(S, cached.ageMicros());
+        assertEquals(SECOND, cached.ageMicros());
         assertEquals(position, cached.position());
     }
 
     @Test
     void startWithoutARegistryUsesTheCachedList() throws Exception {
-        Path file = folder.resolve("last");
-        String more = ",\"list_file\":\"" + file + "\",\"list_every_ms\":100";
+        Path file = directory.resolve("last");
+        String cacheSettings = ",\"list_file\":\"" + file + "\",\"list_every_ms\":100";
         try (FakeRegistry registry = new FakeRegistry(1)) {
             registry.put("e1", RegistryFixtures.entryJson(1, "Ready"));
             registry.put("e2", RegistryFixtures.entryJson(2, "Ready"));
-            try (RecordingRegistryClient client =
-                    new RecordingRegistryClient(RegistryFixtures.settings("etcd", registry.addresses(), more))) {
+            try (RecordingRegistryClient client = new RecordingRegistryClient(
+                    RegistryFixtures.settings("etcd", registry.addresses(), cacheSettings))) {
                 client.awaitEqualTo(registry);
                 RegistryFixtures.await(() -> client.counted("registry_list_writes") > 0, () -> client.log.toString());
             }
             registry.endpoints.get(0).fault(FakeRegistry.Fault.DOWN);
-            try (RecordingRegistryClient client =
-                    new RecordingRegistryClient(RegistryFixtures.settings("etcd", registry.addresses(), more))) {
+            try (RecordingRegistryClient client = new RecordingRegistryClient(
+                    RegistryFixtures.settings("etcd", registry.addresses(), cacheSettings))) {
                 client.awaitEqualTo(registry);
                 assertTrue(client.log.contains("registry-list-restored engines 2"));
                 registry.delete("e1");
@@ -111,8 +115,8 @@
                 RegistryFixtures.await(() -> client.counted("registry_list_writes") > 0, () -> client.log.toString());
             }
             Files.writeString(file, "magpiehub-list 1 0 2 0\n{}");
-            try (RecordingRegistryClient client =
-                    new RecordingRegistryClient(RegistryFixtures.settings("etcd", registry.addresses(), more))) {
+            try (RecordingRegistryClient client = new RecordingRegistryClient(
+                    RegistryFixtures.settings("etcd", registry.addresses(), cacheSettings))) {
                 assertTrue(client.log.contains("registry-list-refused"), client.log.toString());
                 client.awaitEqualTo(registry);
             }
--- a/src/test/java/magpiehub/discovery/EndpointListStateTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListStateTest.java
@@ -16,7 +16,7 @@
 import magpiehub.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** The list state, driven directly. */
+/** Tests {@link EndpointListState} directly, without a source. */
 class EndpointListStateTest {
     static EndpointEntry entry(String id, String address, double size) {
         return new EndpointEntry(new Endpoint(id, 0, 0, 0, EndpointState.LIVE, size, 0), address);
@@ -56,14 +56,15 @@
     @Test
     void supersededListDoesNotUndoAChange() {
         EndpointListState list = listAt(5, item("a", 3));
-        ListPosition asked = list.position();
+        ListPosition requestedAt = list.position();
         list.applyChanges(at(8), List.of(item("b", 8)));
-        assertEquals(Outcome.SUPERSEDED, outcome(list.applyCompleteList(at(6), asked, List.of(item("a", 3)), false)));
+        assertEquals(
+                Outcome.SUPERSEDED, outcome(list.applyCompleteList(at(6), requestedAt, List.of(item("a", 3)), false)));
         assertEquals(2, list.size());
     }
 
     @Test
-    void olderDataIsAppliedOnceTwoReadsAgree() {
+    void olderDataIsAppliedAfterTwoConsecutiveReads() {
         EndpointListState list = listAt(50, item("a", 40), item("b", 50));
         assertEquals(Outcome.RELIST_REQUIRED, outcome(list.checkPosition(at(20))));
         assertEquals(
@@ -106,22 +107,22 @@
     @Test
     void anotherHistoryIsRecognizedByItsLastChanges() {
         EndpointListState list = listAt(9, item("a", 3), item("b", 8), ListItem.unreadable("odd", 9, "no address"));
-        ListItem odd = ListItem.unreadable("odd", 9, "no address");
-        assertEquals(Outcome.STALE, outcome(list.checkResume(at(12), at(9), List.of(odd, item("b", 8)), 3)));
+        ListItem unreadable = ListItem.unreadable("odd", 9, "no address");
+        assertEquals(Outcome.STALE, outcome(list.checkResume(at(12), at(9), List.of(unreadable, item("b", 8)), 3)));
         assertEquals(
                 Outcome.RELIST_REQUIRED,
-                outcome(list.checkResume(at(12), at(9), List.of(odd, item("a", 8)), 3)),
-                "the last key is the same, the one before it is not");
+                outcome(list.checkResume(at(12), at(9), List.of(unreadable, item("a", 8)), 3)),
+                "the last changed key is the same, but the one before it differs");
         EndpointListState other = listAt(9, item("a", 3), item("b", 9));
         assertEquals(
                 Outcome.RELIST_REQUIRED,
                 outcome(other.checkResume(at(12), at(9), List.of(item("a", 3)), 2)),
-                "what was changed here was not changed there");
+                "the source did not make the last change of this list");
         assertEquals(
                 Outcome.RELIST_REQUIRED,
                 outcome(other.checkResume(
                         new ListPosition("c1", 3, 12), at(9), List.of(item("a", 9), item("b", 3)), 2)),
-                "a new leader's answer is compared, too");
+                "a response with a new leader's term is compared as well");
         EndpointListState empty = listAt(9);
         assertEquals(Outcome.STALE, outcome(empty.checkResume(at(12), at(9), List.of(), 0)));
     }
@@ -161,7 +162,7 @@
     }
 
     @Test
-    void silentWatchIsFoundByTwoChecks() {
+    void stalledWatchIsDetectedByTwoChecks() {
         EndpointListState list = listAt(5, item("a", 3), item("b", 5));
         assertEquals(Outcome.STALE, outcome(list.checkWatch(at(9), list.position(), 9, 2)));
         list.applyChanges(at(9), List.of(item("a", 9)));
@@ -173,7 +174,7 @@
         assertEquals(
                 Outcome.RELIST_REQUIRED,
                 outcome(other.checkWatch(at(9), other.position(), 3, 1)),
-                "a removal that never came");
+                "a removal was not delivered");
     }
 
     @Test
@@ -187,7 +188,7 @@
         assertFalse(list.requiresRelist());
     }
 
-    /** A million random changes and lists against a plain map; the deltas alone must rebuild it. */
+    /** Applies a million random changes and complete lists; a map rebuilt from the deltas alone must stay equal. */
     @Test
     void deltasAddUpToTheList() {
         SplittableRandom random = new SplittableRandom(11);
@@ -219,7 +220,7 @@
             }
             if (result != null) {
                 for (EndpointEntry entry : result.delta().put()) {
-                    assertFalse(entry.equals(rebuilt.put(entry.endpoint().id(), entry)), "repeated");
+                    assertFalse(entry.equals(rebuilt.put(entry.endpoint().id(), entry)), "unchanged entry in a delta");
                 }
                 result.delta().removed().forEach(id -> assertTrue(rebuilt.remove(id) != null));
                 if (step % 1000 == 0) {
--- a/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
+++ b/src/test/java/magpiehub/discovery/MaintenanceOverlayTest.java
@@ -13,7 +13,7 @@
 import magpiehub.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Maintenance and list changes in any order: the maintenance holds, whatever the source reports. */
+/** Maintenance must apply whatever list and changes the source reports, before and after it. */
 class MaintenanceOverlayTest {
     private final MaintenanceOverlay overlay = new MaintenanceOverlay();
 
@@ -46,7 +46,9 @@
         assertEquals(2, all.size());
         assertEquals(EndpointState.DRAINING, state(all, "a"));
         assertEquals(EndpointState.LIVE, state(all, "b"));
-        assertTrue(overlay.applyMaintenance(Set.of("a"), Map.of()).isEmpty(), "the same word again tells nothing");
+        assertTrue(
+                overlay.applyMaintenance(Set.of("a"), Map.of()).isEmpty(),
+                "repeating the same maintenance changes nothing");
         assertEquals(
                 EndpointState.DRAINING,
                 state(
@@ -73,7 +75,7 @@
         List<EndpointEntry> back = overlay.applyMaintenance(Set.of(), Map.of("a", 900L));
         assertEquals(EndpointState.LIVE, state(back, "a"));
         assertEquals(900, since(back, "a"));
-        // The list may report the restart late, and a later one counts by itself.
+        // The source may report the restart late. A start after the return to service is kept.
         assertEquals(
                 900,
                 since(
--- a/src/test/java/magpiehub/discovery/MembershipDampingTest.java
+++ b/src/test/java/magpiehub/discovery/MembershipDampingTest.java
@@ -14,30 +14,30 @@
 import magpiehub.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Doubted removals and flap damping, driven directly. */
+/** Tests the confirmation of removals and flap damping directly, without a registry. */
 class MembershipDampingTest {
-    private static final long S = 1_000_000;
-    private static final MembershipDamping.Settings GUARDED =
-            new MembershipDamping.Settings(0.3, 2, 1_500_000, 10 * S, 3, 1, 60 * S, 0.5);
+    private static final long SECOND = 1_000_000;
+    private static final MembershipDamping.Settings SETTINGS =
+            new MembershipDamping.Settings(0.3, 2, 1_500_000, 10 * SECOND, 3, 1, 60 * SECOND, 0.5);
 
-    private static EndpointEntry engine(int i, EndpointState state) {
+    private static EndpointEntry entry(int i, EndpointState state) {
         return new EndpointEntry(new Endpoint("e" + i, 0, 0, 0, state, 1, 0), "10.0.0.1:" + (1 + i));
     }
 
-    private static ListDelta whole(List<EndpointEntry> put, List<String> gone) {
-        return new ListDelta(1, true, false, put, gone);
+    private static ListDelta completeList(List<EndpointEntry> put, List<String> removed) {
+        return new ListDelta(1, true, false, put, removed);
     }
 
-    private static ListDelta change(List<EndpointEntry> put, List<String> gone) {
-        return new ListDelta(1, false, false, put, gone);
+    private static ListDelta change(List<EndpointEntry> put, List<String> removed) {
+        return new ListDelta(1, false, false, put, removed);
     }
 
     private static MembershipDamping fleetOf(int size) {
-        MembershipDamping damping = new MembershipDamping(GUARDED);
+        MembershipDamping damping = new MembershipDamping(SETTINGS);
         damping.apply(
-                whole(
+                completeList(
                         IntStream.range(0, size)
-                                .mapToObj(i -> engine(i, EndpointState.LIVE))
+                                .mapToObj(i -> entry(i, EndpointState.LIVE))
                                 .toList(),
                         List.of()),
                 0);
@@ -58,38 +58,39 @@
     @Test
     void removalOfHalfTheFleetNeedsASecondRead() {
         MembershipDamping damping = fleetOf(10);
-        assertEquals("", states(damping.apply(whole(List.of(), ids(0, 5)), S)));
+        assertEquals("", states(damping.apply(completeList(List.of(), ids(0, 5)), SECOND)));
         assertTrue(damping.takeConfirmationRequest());
-        assertFalse(damping.takeConfirmationRequest(), "asked once");
+        assertFalse(damping.takeConfirmationRequest(), "a second read is requested once");
         assertEquals(10, damping.entries().size());
-        // Nothing is read within the set time: a read is requested again, and no endpoint is removed.
-        assertEquals(S + 1_500_000, damping.nextTimerMicros());
+        // No list is read within the time limit: a read is requested again, and no endpoint is removed.
+        assertEquals(SECOND + 1_500_000, damping.nextTimerMicros());
         assertEquals("", states(damping.onTimer(damping.nextTimerMicros())));
         assertTrue(damping.takeConfirmationRequest());
         assertEquals(
-                "e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD", states(damping.applyConfirmation(Set.copyOf(ids(4, 10)), 4 * S)));
-        assertEquals(6, damping.entries().size(), "e4 is in the second list, the first was wrong");
+                "e0 DEAD, e1 DEAD, e2 DEAD, e3 DEAD",
+                states(damping.applyConfirmation(Set.copyOf(ids(4, 10)), 4 * SECOND)));
+        assertEquals(6, damping.entries().size(), "e4 is in the second list, so the first one was wrong");
     }
 
     @Test
     void removalOfFewIsAppliedAtOnce() {
         MembershipDamping damping = fleetOf(10);
-        assertEquals("e0 DEAD, e1 DEAD", states(damping.apply(whole(List.of(), ids(0, 2)), S)));
+        assertEquals("e0 DEAD, e1 DEAD", states(damping.apply(completeList(List.of(), ids(0, 2)), SECOND)));
         assertFalse(damping.takeConfirmationRequest());
     }
 
     @Test
     void changesAreAppliedAtOnceWhateverTheirSize() {
         MembershipDamping damping = fleetOf(10);
-        assertEquals(10, damping.apply(change(List.of(), ids(0, 10)), S).size());
+        assertEquals(10, damping.apply(change(List.of(), ids(0, 10)), SECOND).size());
         MembershipDamping draining = fleetOf(10);
-        List<EndpointEntry> drains = new ArrayList<>();
+        List<EndpointEntry> drainingEntries = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            drains.add(engine(i, EndpointState.DRAINING));
+            drainingEntries.add(entry(i, EndpointState.DRAINING));
         }
         assertEquals(
                 10,
-                draining.apply(whole(drains, List.of()), S).stream()
+                draining.apply(completeList(drainingEntries, List.of()), SECOND).stream()
                         .filter(e -> e.endpoint().state() == EndpointState.DRAINING)
                         .count());
     }
@@ -97,21 +98,23 @@
     @Test
     void heldEndpointThatIsListedAgainHasItsNewEntry() {
         MembershipDamping damping = fleetOf(10);
-        damping.apply(whole(List.of(), ids(0, 5)), S);
+        damping.apply(completeList(List.of(), ids(0, 5)), SECOND);
         assertEquals(
-                "e0 DRAINING", states(damping.apply(change(List.of(engine(0, EndpointState.DRAINING)), List.of()), S)));
+                "e0 DRAINING",
+                states(damping.apply(change(List.of(entry(0, EndpointState.DRAINING)), List.of()), SECOND)));
         assertFalse(damping.heldIds().contains("e0"));
-        assertEquals(4, damping.applyConfirmation(Set.of(), 2 * S).size());
+        assertEquals(4, damping.applyConfirmation(Set.of(), 2 * SECOND).size());
     }
 
     @Test
     void flappingEndpointIsSuppressedUntilItIsStable() {
         MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 4; i++) {
-            assertEquals("e0 DEAD", states(damping.apply(change(List.of(), ids(0, 1)), i * S)), "away at once");
+            assertEquals(
+                    "e0 DEAD", states(damping.apply(change(List.of(), ids(0, 1)), i * SECOND)), "removed immediately");
             assertEquals(
                     i < 4 ? "e0 LIVE" : "e0 DRAINING",
-                    states(damping.apply(change(List.of(engine(0, EndpointState.LIVE)), List.of()), i * S + 1)));
+                    states(damping.apply(change(List.of(entry(0, EndpointState.LIVE)), List.of()), i * SECOND + 1)));
         }
         assertEquals(1, damping.suppressedCount());
         String reported = "";
@@ -132,14 +135,14 @@
     void flappingFleetIsNotSuppressed() {
         MembershipDamping damping = fleetOf(10);
         for (int i = 1; i <= 6; i++) {
-            damping.apply(change(List.of(), ids(0, 10)), i * S);
+            damping.apply(change(List.of(), ids(0, 10)), i * SECOND);
             damping.apply(
                     change(
                             IntStream.range(0, 10)
-                                    .mapToObj(k -> engine(k, EndpointState.LIVE))
+                                    .mapToObj(k -> entry(k, EndpointState.LIVE))
                                     .toList(),
                             List.of()),
-                    i * S + 1);
+                    i * SECOND + 1);
         }
         assertTrue(damping.suppressedCount() <= 5);
         assertTrue(damping.statistics().exempted() > 0);
--- a/src/test/java/magpiehub/discovery/RecordingEventLog.java
+++ b/src/test/java/magpiehub/discovery/RecordingEventLog.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import magpiehub.telemetry.EventLog;
 
-/** Keeps the counters and the log in memory. Thread-safe. */
+/** An event log that keeps counters and events in memory. Thread-safe. */
 final class RecordingEventLog implements EventLog {
     private final int maxLength;
     private final Map<String, Integer> counts = new ConcurrentHashMap<>();
@@ -14,7 +14,7 @@
         this(Integer.MAX_VALUE);
     }
 
-    /** A log that drops the events after this length. */
+    /** Creates a log that drops further events once it has reached this length in characters. */
     RecordingEventLog(int maxLength) {
         this.maxLength = maxLength;
     }
@@ -25,9 +25,9 @@
     }
 
     @Override
-    public synchronized void log(String what, String... namesAndValues) {
+    public synchronized void log(String event, String... namesAndValues) {
         if (text.length() < maxLength) {
-            text.append(what)
+            text.append(event)
                     .append(' ')
                     .append(String.join(" ", namesAndValues))
                     .append('\n');
@@ -38,7 +38,7 @@
         return counts.getOrDefault(name, 0);
     }
 
-    /** All counters by their names. */
+    /** All counters by name. */
     Map<String, Integer> counts() {
         return counts;
     }
