--- a/src/main/java/magpiehub/discovery/DiscoverySettings.java
+++ b/src/main/java/magpiehub/discovery/DiscoverySettings.java
@@ -20,8 +20,8 @@
  * @param service the Consul service whose instances are the endpoints
  * @param user the etcd user; null if etcd needs no authentication
  * @param secret the etcd password or the Consul token; null if there is none
- * @param trustedAuthorities PEM file of trusted certificate authorities; null for the JDK's own
  * @param tls whether connections to the registry use TLS
+ * @param trustedAuthorities PEM file of trusted certificate authorities; null for the JDK's own
  * @param pageSize the number of keys per etcd range request
  * @param blockingQueryMicros the maximum duration of a Consul blocking query
  * @param minQueryIntervalMicros the minimum time from the start of one Consul query to the start of the next
--- a/src/main/java/magpiehub/discovery/MembershipDamping.java
+++ b/src/main/java/magpiehub/discovery/MembershipDamping.java
@@ -27,8 +27,8 @@
     /**
      * The thresholds.
      *
-     * @param removalShare the share of the fleet that a complete list may remove without a second read (0 to 1)
-     * @param removalMin the number of endpoints that a complete list may always remove without a second read
+     * @param maxUnconfirmedShare the share (0 to 1) of the fleet that a complete list may remove without a second read
+     * @param maxUnconfirmedCount the number of endpoints that a complete list may always remove without a second read
      * @param confirmWithinMicros the time limit for a second read, after which it is requested again while the
      *     endpoints stay
      * @param halfLifeMicros the half-life of the flap penalty; 0 disables damping
@@ -38,8 +38,8 @@
      * @param maxSuppressedShare the maximum share of the fleet that is suppressed at once (0 to 1)
      */
     public record Settings(
-            double removalShare,
-            int removalMin,
+            double maxUnconfirmedShare,
+            int maxUnconfirmedCount,
             long confirmWithinMicros,
             long halfLifeMicros,
             double suppressThreshold,
@@ -129,7 +129,7 @@
             confirmationsRequired++;
             requestConfirmation(nowMicros);
         }
-        forgetDeadlineIfNothingIsHeld();
+        clearDeadlineIfNothingIsHeld();
         return new ArrayList<>(changes.values());
     }
 
@@ -147,7 +147,7 @@
                 remove(id, nowMicros, changes);
             }
         }
-        forgetDeadlineIfNothingIsHeld();
+        clearDeadlineIfNothingIsHeld();
         return new ArrayList<>(changes.values());
     }
 
@@ -169,7 +169,9 @@
     /** Whether a complete list removes so many endpoints that a second read must confirm it. */
     private boolean requiresConfirmation(ListDelta delta) {
         int removed = delta.removed().size();
-        return delta.complete() && removed > settings.removalMin && removed > settings.removalShare * members.size();
+        return delta.complete()
+                && removed > settings.maxUnconfirmedCount
+                && removed > settings.maxUnconfirmedShare * members.size();
     }
 
     private void requestConfirmation(long nowMicros) {
@@ -177,7 +179,7 @@
         confirmByMicros = nowMicros + settings.confirmWithinMicros;
     }
 
-    private void forgetDeadlineIfNothingIsHeld() {
+    private void clearDeadlineIfNothingIsHeld() {
         if (heldIds.isEmpty()) {
             confirmByMicros = Long.MAX_VALUE;
         }
