--- a/src/main/java/magpiehub/discovery/EndpointEntryParser.java
+++ b/src/main/java/magpiehub/discovery/EndpointEntryParser.java
@@ -143,20 +143,20 @@
         json.writeStringField("id", endpoint.id());
         json.writeStringField("host_port", entry.address());
         writeName(json, "locality", site.get().zones(), endpoint.zone());
-        writeName(json, "flavor", site.get().machineTypes(), endpoint.kind());
+        writeName(json, "flavor", site.get().machineTypes(), endpoint.machineType());
         json.writeNumberField("cell", (double) endpoint.cell());
         json.writeStringField("phase", endpoint.state() == EndpointState.LIVE ? "Ready" : "Terminating");
         json.writeNumberField("size", endpoint.weight());
-        json.writeNumberField("up_since_ms", unixMillis(endpoint.onlineSince()));
+        json.writeNumberField("up_since_ms", unixMillis(endpoint.startedAt()));
         json.writeEndObject();
     }
 
     /** The inverse of {@link #startedAtMicros}, truncated to whole milliseconds. */
-    private double unixMillis(long onlineSinceMicros) {
-        if (onlineSinceMicros == 0) {
+    private double unixMillis(long startedAtMicros) {
+        if (startedAtMicros == 0) {
             return 0;
         }
-        long wholeMillis = (onlineSinceMicros - monotonicOffsetMicros) / MICROS_PER_MILLI;
+        long wholeMillis = (startedAtMicros - monotonicOffsetMicros) / MICROS_PER_MILLI;
         return (double) wholeMillis;
     }
 
--- a/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
+++ b/src/main/java/magpiehub/discovery/MaintenanceOverlay.java
@@ -102,11 +102,11 @@
         Endpoint changed = new Endpoint(
                 endpoint.id(),
                 endpoint.zone(),
-                endpoint.kind(),
+                endpoint.machineType(),
                 endpoint.cell(),
                 mustDrain ? EndpointState.DRAINING : endpoint.state(),
                 endpoint.weight(),
-                returnedAt == null ? endpoint.onlineSince() : Math.max(endpoint.onlineSince(), returnedAt));
+                returnedAt == null ? endpoint.startedAt() : Math.max(endpoint.startedAt(), returnedAt));
         return new EndpointEntry(changed, entry.address());
     }
 }
--- a/src/test/java/magpiehub/routing/QuietActions.java
+++ b/src/test/java/magpiehub/routing/QuietActions.java
@@ -15,22 +15,22 @@
     public void fail(String id) {}
 
     @Override
-    public void watch() {}
+    public void watchEndpoints() {}
 
     @Override
     public void setTimer(long at, long token) {}
 
     @Override
-    public void probe(String server) {}
+    public void sendHealthCheck(String server) {}
 
     @Override
     public void migrateStream(String id) {}
 
     @Override
-    public void fetch() {}
+    public void fetchEndpoints() {}
 
     @Override
-    public void unwatch() {}
+    public void unwatchEndpoints() {}
 
     @Override
     public void closeIdleConnections(String server) {}
--- a/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
+++ b/src/test/java/magpiehub/routing/RoutingPolicyFixture.java
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
         watchCount++;
     }
 
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void probe(String server) {
+    public void sendHealthCheck(String server) {
         probedReplicas.add(server);
     }
 
@@ -203,12 +203,12 @@
     }
 
     @Override
-    public void fetch() {
+    public void fetchEndpoints() {
         throw new AssertionError("the module never fetches");
     }
 
     @Override
-    public void unwatch() {
+    public void unwatchEndpoints() {
         throw new AssertionError("the module never gives its subscription up");
     }
 
