--- a/src/main/java/magpiehub/upstream/AttemptExecution.java
+++ b/src/main/java/magpiehub/upstream/AttemptExecution.java
@@ -8,9 +8,9 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * The attempt in progress on a connection, if there is one, and the ways in which it ends. Each end gives the
- * connection back to the pool; all but those of aborted attempts are reported to the dispatcher. Belongs to the
- * connection's actor.
+ * Tracks the attempt in progress on a connection, if any, and ends it. Ending an attempt returns the connection to the
+ * pool and reports the outcome to the dispatcher, except for attempts that the dispatcher aborted itself. Confined to
+ * the connection's actor.
  */
 final class AttemptExecution {
     private final UpstreamConnection connection;
@@ -41,7 +41,7 @@
         this.listener = listener;
     }
 
-    /** Begins an attempt; the connection must not have another one. */
+    /** Begins an attempt. The connection must not have another attempt in progress. */
     void begin(UpstreamAttempt newAttempt) {
         attempt = newAttempt;
         response.reset();
@@ -51,7 +51,7 @@
         return attempt != null;
     }
 
-    /** Whether it is this attempt that is in progress. */
+    /** Whether the given attempt is the one in progress. */
     boolean isCurrent(UpstreamAttempt other) {
         return attempt == other;
     }
@@ -61,17 +61,17 @@
         return attempt;
     }
 
-    /** The response to the attempt in progress, or to the last one. */
+    /** The response to the attempt in progress, or to the previous one if there is none. */
     ResponseState response() {
         return response;
     }
 
-    /** When the last attempt ended. */
+    /** The time at which the last attempt ended. */
     long idleSinceMicros() {
         return idleSinceMicros;
     }
 
-    /** Records the end of a complete response, and closes a socket that can't serve another request. */
+    /** Records that the response is complete, and closes the socket unless it can be reused for another request. */
     void responseCompleted(boolean mayReuse) {
         reusable = mayReuse;
         if (!mayReuse) {
@@ -79,37 +79,38 @@
         }
     }
 
-    /** Whether the attempt's stream has started and not ended. */
+    /** Whether the attempt's stream has started and has not ended. */
     boolean isStreamInProgress() {
         return attempt != null && response.isInProgress();
     }
 
-    /** Ends an attempt whose connection was not established. */
+    /** Ends the attempt because no connection could be established. */
     void connectFailed(String reason) {
         log.connectFailed(reason);
         endBeforeStream(AttemptOutcome.CONNECT_FAILED);
     }
 
     /**
-     * Ends a stream that has ended and is granted; otherwise does nothing. The dispatcher hears of it before the client
-     * does: a client that has read the end may repeat its request at once, and has to find the first one over.
+     * Completes the attempt if its stream is granted and has ended; otherwise does nothing. The dispatcher is notified
+     * before the client: a client may send the same request again as soon as it has read the end of the stream, and the
+     * first request must be finished by then.
      */
     void finishStream() {
         if (!response.isGranted() || !response.hasEnded() || attempt == null) {
             return;
         }
-        StreamListener client = response.sink();
+        StreamListener client = response.streamListener();
         AttemptOutcome outcome = response.outcome();
-        StreamOutcome ending = response.ending();
+        StreamOutcome reason = response.failureReason();
         reportEnd(outcome);
         if (outcome == AttemptOutcome.OK) {
             client.onEnd();
         } else {
-            client.onFailure(response.errorEvent(), ending);
+            client.onFailure(response.errorEvent(), reason);
         }
     }
 
-    /** Ends an attempt whose stream has not started. A socket on which a response may still come is closed first. */
+    /** Ends an attempt whose stream has not started. Closes the socket first if a response may still arrive on it. */
     void endBeforeStream(AttemptOutcome outcome) {
         if (outcome != AttemptOutcome.FULL && outcome != AttemptOutcome.ERROR) {
             socket.close();
@@ -120,7 +121,7 @@
     private void reportEnd(AttemptOutcome outcome) {
         UpstreamAttempt ended = attempt;
         ended.detachSocket();
-        dropHeldEvents();
+        discardBufferedEvents();
         release(socket.isOpen() && reusable);
         String report = response.loadReport();
         LoadReport load = report == null
@@ -130,38 +131,38 @@
         dispatcher.attemptEnded(ended.attempt(), outcome, response.cachedTokens(), load);
     }
 
-    /** Ends an attempt that the dispatcher has aborted, and therefore knows to be over. */
+    /** Ends an attempt that the dispatcher has aborted; the dispatcher needs no report of it. */
     void endAborted() {
         socket.close();
-        dropHeldEvents();
+        discardBufferedEvents();
         release(false);
     }
 
     /**
-     * Gives the connection back to the pool. By itself it ends an attempt that was aborted, of which the dispatcher
-     * needs no report.
+     * Returns the connection to the pool without a report to the dispatcher. Called directly only for attempts that
+     * the dispatcher has aborted.
      */
     void release(boolean keepSocket) {
         idleSinceMicros = context.clock().micros();
         attempt = null;
-        response.setSink(null);
+        response.setStreamListener(null);
         if (!keepSocket) {
             socket.close();
         }
         context.dispatcher().execute(() -> listener.onReleased(connection, keepSocket));
     }
 
-    /** Closes the socket of a connection without an attempt: it was idle for too long, or bytes came unasked. */
+    /** Closes the socket of an idle connection: the idle timeout has expired, or unexpected bytes have arrived. */
     void closeWhileIdle() {
         socket.close();
         context.dispatcher().execute(() -> listener.onClosedWhileIdle(connection));
     }
 
-    /** Drops events of a stream that was not granted: they are not the client's. */
-    private void dropHeldEvents() {
-        for (byte[] event : response.heldEvents()) {
+    /** Discards the events of a stream that was not granted, which must not reach the client. */
+    private void discardBufferedEvents() {
+        for (byte[] event : response.bufferedEvents()) {
             streams.discard(connection.flow(), event.length);
         }
-        response.heldEvents().clear();
+        response.bufferedEvents().clear();
     }
 }
--- a/src/main/java/magpiehub/upstream/ConnectionActor.java
+++ b/src/main/java/magpiehub/upstream/ConnectionActor.java
@@ -4,11 +4,11 @@
 import magpiehub.streaming.FlowController;
 
 /**
- * The actor of an {@link UpstreamConnection}: passes each message on to the part that it concerns, ignores those from
- * a socket or for an attempt that is no longer the current one, and sets the connection's timer.
+ * The actor of an {@link UpstreamConnection}: dispatches each message to the component that handles it, ignores
+ * messages for a socket or an attempt that is no longer current, and sets the connection's timer.
  *
- * <p><b>Threads.</b> Everything runs in the actor's turns, one at a time, on the shared thread pool, and so do its
- * parts. Nothing waits but for the write of a request.
+ * <p><b>Threads.</b> The actor and its components run on the shared thread pool, one turn at a time. The only blocking
+ * operation is the write of a request.
  */
 final class ConnectionActor implements ConnectionMessage.Handler {
     private final UpstreamConnection connection;
@@ -20,10 +20,10 @@
     private final AttemptExecution execution;
     private final RequestSender sender;
     private final ResponseHandler responses;
-    /** The time at which the handling of the current message began. */
+    /** The time at which handling of the current message began. */
     private long nowMicros;
 
-    private boolean discharged;
+    private boolean removedFromPool;
 
     ConnectionActor(
             UpstreamConnection connection,
@@ -41,13 +41,13 @@
         this.responses = new ResponseHandler(connection, context, socket, execution, log);
     }
 
-    /** Handles the messages that are waiting. */
+    /** Handles all pending messages. */
     void runTurn() {
         for (ConnectionMessage message = connection.poll(); message != null; message = connection.poll()) {
-            if (!discharged) {
+            if (!removedFromPool) {
                 handle(message);
             } else if (message instanceof ConnectionMessage.EventReceived event) {
-                drop(event);
+                discard(event);
             }
         }
     }
@@ -57,21 +57,21 @@
         try {
             message.deliverTo(this);
         } catch (RuntimeException | StackOverflowError | OutOfMemoryError e) {
-            // Ends this attempt alone; the dispatcher is told that its connection was lost.
+            // Only this attempt fails; it is reported to the dispatcher as a lost connection.
             log.failure(e);
             responses.connectionLost(e.toString(), false);
         }
-        if (!discharged) {
+        if (!removedFromPool) {
             connection.wakeAt(nextTimerMicros());
         }
     }
 
     private long nextTimerMicros() {
         if (execution.isStreamInProgress()) {
-            return responses.silentUntilMicros(nowMicros);
+            return responses.stallDeadlineMicros(nowMicros);
         }
         if (!execution.isActive() && socket.isOpen()) {
-            return execution.idleSinceMicros() + context.settings().retireIdleAfterMicros();
+            return execution.idleSinceMicros() + context.settings().maxIdleMicros();
         }
         return UpstreamConnection.NEVER;
     }
@@ -83,14 +83,14 @@
         }
         if (!execution.isActive()) {
             execution.closeWhileIdle();
-        } else if (execution.isStreamInProgress() && nowMicros >= responses.silentUntilMicros(nowMicros)) {
+        } else if (execution.isStreamInProgress() && nowMicros >= responses.stallDeadlineMicros(nowMicros)) {
             responses.streamStalled();
         }
     }
 
     @Override
-    public void onDischarged(ConnectionMessage.Discharged message) {
-        discharged = true;
+    public void onRemovedFromPool(ConnectionMessage.RemovedFromPool message) {
+        removedFromPool = true;
         socket.close();
         connection.closeMailbox();
         timer.remove(connection);
@@ -134,7 +134,7 @@
     @Override
     public void onEventReceived(ConnectionMessage.EventReceived message) {
         if (!socket.isCurrent(message.socket()) || !responses.acceptEvent(message.bytes(), nowMicros)) {
-            drop(message);
+            discard(message);
         }
     }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    private void drop(ConnectionMessage.EventReceived event) {
+    private void discard(ConnectionMessage.EventReceived event) {
         streams.discard(event.flow(), event.bytes().length);
     }
 }
--- a/src/main/java/magpiehub/upstream/ConnectionLog.java
+++ b/src/main/java/magpiehub/upstream/ConnectionLog.java
@@ -2,7 +2,7 @@
 
 import magpiehub.telemetry.EventLog;
 
-/** The counters and log events of one connection. Any thread. */
+/** Counts and logs the events of one connection. Thread-safe. */
 final class ConnectionLog {
     private final EventLog eventLog;
     private final String endpointId;
@@ -12,7 +12,7 @@
         this.endpointId = endpointId;
     }
 
-    /** A socket is opened. */
+    /** A new socket is about to be connected. */
     void connecting() {
         eventLog.count("engine_connects");
     }
@@ -22,17 +22,17 @@
         eventLog.log("connect-failed", "engine", endpointId, "error", reason);
     }
 
-    /** The endpoint no longer accepts requests, and none was written. */
+    /** The endpoint stopped accepting requests before the request was written. */
     void drainedBeforeWrite() {
         eventLog.count("drained_before_write");
     }
 
-    /** The upstream had closed the socket while it was idle. */
+    /** The upstream closed the socket while it was idle. */
     void staleConnection() {
         eventLog.count("stale_connections");
     }
 
-    /** A response other than a stream, which does not say that the request was rejected. */
+    /** A non-stream response that does not state that the request was rejected. */
     void errorResponse(int status) {
         eventLog.log("engine-error", "engine", endpointId, "status", Integer.toString(status));
     }
@@ -41,13 +41,13 @@
         eventLog.log("engine-error-event", "engine", endpointId, "begun", Boolean.toString(started));
     }
 
-    /** A complete stream whose last event is of an unknown kind. */
+    /** A complete stream whose last event is of an unknown type. */
     void unknownLastEvent(byte[] event) {
         eventLog.count("unknown_last_events");
         eventLog.log("unknown-last-event", "engine", endpointId, "event", StreamEvent.excerpt(event));
     }
 
-    /** The upstream has sent nothing for longer than is allowed. */
+    /** Nothing arrived on the stream before its stall deadline. */
     void streamStalled() {
         eventLog.count("silent_streams");
     }
@@ -56,7 +56,7 @@
         eventLog.log("engine-broke", "engine", endpointId, "begun", Boolean.toString(started), "why", reason);
     }
 
-    /** The router itself has failed on a message. */
+    /** An exception in the router while it handled a message. */
     void failure(Throwable failure) {
         eventLog.count("engine_exceptions");
         eventLog.log("engine-exception", "engine", endpointId, "error", failure.toString());
--- a/src/main/java/magpiehub/upstream/ConnectionMessage.java
+++ b/src/main/java/magpiehub/upstream/ConnectionMessage.java
@@ -4,15 +4,15 @@
 import magpiehub.streaming.StreamFlow;
 
 /**
- * A message in the mailbox of an {@link UpstreamConnection}; one record and one handler method for each kind. What a
- * {@link ResponseReader} posts names the socket that it reads from: a message from a socket that the connection has
- * closed meanwhile is stale.
+ * A message in the mailbox of an {@link UpstreamConnection}, with one record and one handler method for each type.
+ * Messages that a {@link ResponseReader} posts name the socket that it reads from, so that those from a socket that the
+ * connection has closed in the meantime can be recognized as stale.
  */
 sealed interface ConnectionMessage {
-    /** Calls the handler's method for this kind of message. */
+    /** Calls the handler's method for this type of message. */
     void deliverTo(Handler handler);
 
-    /** Handles each kind of message, in the turns of the connection's actor. */
+    /** Handles each type of message, on the connection's actor. */
     interface Handler {
         void onAttemptStarted(AttemptStarted message);
 
@@ -20,7 +20,7 @@
 
         void onAttemptAborted(AttemptAborted message);
 
-        void onDischarged(Discharged message);
+        void onRemovedFromPool(RemovedFromPool message);
 
         void onTimerDue(TimerDue message);
 
@@ -35,7 +35,7 @@
         void onConnectionLost(ConnectionLost message);
     }
 
-    /** The pool has assigned an attempt to the connection, which has none. */
+    /** The pool has assigned an attempt to the connection, which had none in progress. */
     record AttemptStarted(UpstreamAttempt attempt) implements ConnectionMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The dispatcher has aborted the attempt; its socket is closed. */
+    /** The dispatcher has aborted the attempt and closed its socket. */
     record AttemptAborted(UpstreamAttempt attempt) implements ConnectionMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -59,15 +59,15 @@
         }
     }
 
-    /** The pool has given the connection up; no attempt follows. */
-    record Discharged() implements ConnectionMessage {
+    /** The pool has removed the connection; no attempt follows. */
+    record RemovedFromPool() implements ConnectionMessage {
         @Override
         public void deliverTo(Handler handler) {
-            handler.onDischarged(this);
+            handler.onRemovedFromPool(this);
         }
     }
 
-    /** The time that the connection has asked to be woken at has come. */
+    /** The connection's timer has expired. */
     record TimerDue() implements ConnectionMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -84,11 +84,11 @@
     }
 
     /**
-     * A complete response other than a stream.
+     * A complete response that is not a stream.
      *
-     * @param rejected whether the upstream says that it has not executed the request
-     * @param reusable whether the connection may serve another request
-     * @param loadReport the load report's text, or null
+     * @param rejected whether the upstream states that it has not executed the request
+     * @param reusable whether the connection may be reused for another request
+     * @param loadReport the text of the load report, or null
      */
     record ErrorResponse(Socket socket, int status, boolean rejected, boolean reusable, String loadReport)
             implements ConnectionMessage {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** One event of a response stream. Its bytes are counted as {@code flow}'s until they are dropped or forwarded. */
+    /** One event of a response stream. Its bytes count towards {@code flow} until they are discarded or forwarded. */
     record EventReceived(Socket socket, byte[] bytes, StreamFlow flow) implements ConnectionMessage {
         @Override
         public void deliverTo(Handler handler) {
@@ -107,10 +107,10 @@
     }
 
     /**
-     * The end of a response stream that is complete by its framing.
+     * The end of a response stream that is complete according to its HTTP framing.
      *
-     * @param reusable whether the connection may serve another request
-     * @param loadReport the load report's text, or null
+     * @param reusable whether the connection may be reused for another request
+     * @param loadReport the text of the load report, or null
      */
     record StreamCompleted(Socket socket, boolean reusable, String loadReport) implements ConnectionMessage {
         @Override
@@ -120,9 +120,9 @@
     }
 
     /**
-     * Nothing more is read from the socket: it could not be connected, was closed, or brought what can't be read.
+     * Nothing more is read from the socket: connecting failed, it was closed, or the response could not be parsed.
      *
-     * @param malformed whether the response was malformed or its head took too long
+     * @param malformed whether the response was malformed or its head timed out
      */
     record ConnectionLost(Socket socket, String reason, boolean malformed) implements ConnectionMessage {
         @Override
--- a/src/main/java/magpiehub/upstream/ConnectionSocket.java
+++ b/src/main/java/magpiehub/upstream/ConnectionSocket.java
@@ -5,13 +5,13 @@
 import magpiehub.http.Sockets;
 
 /**
- * The current socket of a connection, if it has one. Belongs to the connection's actor; the socket itself is also read
+ * The current socket of a connection, if it has one. Confined to the connection's actor; the socket itself is also read
  * by its {@link ResponseReader} and closed by {@link UpstreamAttempt#abort}.
  */
 final class ConnectionSocket {
     /** The current socket, or null. */
     private Socket socket;
-    /** The address that the last socket was opened to. */
+    /** The remote address of the last socket. */
     private String hostPort;
 
     private boolean connecting;
@@ -20,12 +20,12 @@
         return socket != null;
     }
 
-    /** Whether it is this socket; what comes from another one is stale. */
+    /** Whether the given socket is the current one; messages from any other socket are stale. */
     boolean isCurrent(Socket other) {
         return socket == other;
     }
 
-    /** Whether the last socket was not connected so far. */
+    /** Whether the last socket is still to be connected. */
     boolean isConnecting() {
         return connecting;
     }
@@ -35,12 +35,12 @@
         return socket;
     }
 
-    /** The address that the last socket was opened to. */
+    /** The remote address of the last socket, as {@code host:port}. */
     String hostPort() {
         return hostPort;
     }
 
-    /** Makes a socket the current one, which is about to be connected to an address. */
+    /** Replaces the current socket with a new one that is about to be connected to the given address. */
     void replace(Socket newSocket, String newHostPort) {
         socket = newSocket;
         hostPort = newHostPort;
@@ -51,12 +51,12 @@
         connecting = false;
     }
 
-    /** Writes to the current socket; blocks while the upstream takes no bytes. */
+    /** Writes to the current socket; blocks while its send buffer is full. */
     void write(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
     }
 
-    /** Closes the current socket, if there is one. */
+    /** Closes the current socket, if any. */
     void close() {
         if (socket != null) {
             Sockets.closeQuietly(socket);
--- a/src/main/java/magpiehub/upstream/ConnectionTimer.java
+++ b/src/main/java/magpiehub/upstream/ConnectionTimer.java
@@ -7,11 +7,11 @@
 import magpiehub.concurrent.MonotonicClock;
 
 /**
- * Wakes the connections whose timer is due: one thread for all of them, however many there are. Connections may be
- * added and removed by any thread.
+ * Notifies connections whose timer has expired, on a single thread for all connections. Connections may be added and
+ * removed from any thread.
  */
 final class ConnectionTimer {
-    /** How often the connections' timers are checked; a timer may be late by as much. */
+    /** Interval between two checks of the timers; a timer may fire late by this much. */
     private static final long CHECK_INTERVAL_MICROS = 50_000;
 
     private final MonotonicClock clock;
@@ -31,11 +31,11 @@
 
     /** Starts the timer's thread. */
     void start() {
-        DaemonThreads.newThread("engine-times", this::run).start();
+        DaemonThreads.newThread("upstream-timer", this::run).start();
     }
 
     private void run() {
-        // An empty mailbox waits by the router's clock, which a sleep would not.
+        // Waiting on an empty mailbox follows the router's clock, which Thread.sleep would not.
         Mailbox<Void> neverPosted = new Mailbox<>(clock, 0);
         long nowMicros = clock.micros();
         try {
--- a/src/main/java/magpiehub/upstream/HealthProbe.java
+++ b/src/main/java/magpiehub/upstream/HealthCheck.java
@@ -11,22 +11,22 @@
 import magpiehub.routing.LoadReport;
 
 /**
- * One health check on a connection of its own, which blocks its thread until it has reported the result to the
- * dispatcher. Where the site has load reports, the check requests one.
+ * One health check on a connection of its own. Blocks its thread until it has reported the result to the dispatcher.
+ * Where the site's upstreams have load reports, the health check requests one.
  */
-final class HealthProbe implements Runnable {
+final class HealthCheck implements Runnable {
     private static final int READ_TIMEOUT_MILLIS = 1000;
     private static final int STATUS_OK = 200;
 
     private final UpstreamContext context;
     private final String endpointId;
     private final long sentAtMicros;
-    /** Whether the request was written; a failure before that is one to connect. */
-    private boolean sent;
+    /** Whether the request was written; an earlier failure counts as a failure to connect. */
+    private boolean requestWritten;
 
     private LoadReport load;
 
-    HealthProbe(UpstreamContext context, String endpointId, long sentAtMicros) {
+    HealthCheck(UpstreamContext context, String endpointId, long sentAtMicros) {
         this.context = context;
         this.endpointId = endpointId;
         this.sentAtMicros = sentAtMicros;
@@ -39,9 +39,9 @@
         try (Socket socket = new Socket()) {
             outcome = exchange(socket, loadReports);
         } catch (SocketTimeoutException e) {
-            outcome = sent ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED;
+            outcome = requestWritten ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED;
         } catch (IOException | RuntimeException e) {
-            outcome = sent ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
+            outcome = requestWritten ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
         }
         context.dispatcher().probeCompleted(endpointId, outcome, sentAtMicros, load);
     }
@@ -49,9 +49,9 @@
     private AttemptOutcome exchange(Socket socket, LoadReportParser loadReports) throws IOException {
         connect(socket);
         socket.setSoTimeout(READ_TIMEOUT_MILLIS);
-        String request = request(usableEndpoint(), loadReports.isInProbes() ? "/metrics/load" : "/alive");
+        String request = request(usableEndpoint(), loadReports.isInHealthChecks() ? "/metrics/load" : "/alive");
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-        sent = true;
+        requestWritten = true;
         HttpReader input = new HttpReader(socket.getInputStream(), context.clock());
         if (!input.awaitMessage()) {
             return AttemptOutcome.RESET;
@@ -60,19 +60,19 @@
         if (head.status() != STATUS_OK) {
             return AttemptOutcome.FULL;
         }
-        if (loadReports.isInProbes()) {
+        if (loadReports.isInHealthChecks()) {
             String body = new String(input.readBody(head), StandardCharsets.UTF_8);
             load = context.parseLoadReport(loadReports, body);
         }
         return AttemptOutcome.OK;
     }
 
-    /** The endpoint; fails if it accepts no requests any more, for a check is one too. */
+    /** Returns the endpoint; fails if it no longer accepts requests, since a health check is a request too. */
     private UpstreamEndpoint usableEndpoint() throws IOException {
         UpstreamEndpoint endpoint =
                 context.endpoints().findUsable(endpointId, context.clock().micros());
         if (endpoint == null) {
-            throw new IOException("takes no requests");
+            throw new IOException("endpoint " + endpointId + " does not accept requests");
         }
         return endpoint;
     }
--- a/src/main/java/magpiehub/upstream/IdleConnections.java
+++ b/src/main/java/magpiehub/upstream/IdleConnections.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * The idle connections, by endpoint, in the order in which they became idle. Belongs to the dispatcher's thread.
+ * The idle connections by endpoint, in the order in which they became idle. Confined to the dispatcher's thread.
  */
 final class IdleConnections {
     /**
-     * How long a connection rests between two requests. What an upstream wrongly sends after a complete response has
-     * arrived by then and ends the connection; it can't be taken for the response to the next request.
+     * Minimum idle time before a connection is reused. Bytes that a faulty upstream sends after a complete response
+     * arrive within this time and close the connection, so that they aren't mistaken for the next response.
      */
-    static final long MIN_REST_MICROS = 20_000;
+    static final long MIN_REUSE_DELAY_MICROS = 20_000;
 
     private final Map<String, ArrayDeque<UpstreamConnection>> byEndpoint = new HashMap<>();
 
@@ -25,21 +25,21 @@
                 .addLast(connection);
     }
 
-    /** Removes a connection. Returns false if it is not idle. */
+    /** Removes a connection; returns false if it is not idle. */
     boolean remove(UpstreamConnection connection) {
         ArrayDeque<UpstreamConnection> connections = byEndpoint.get(connection.endpointId());
         return connections != null && connections.remove(connection);
     }
 
-    /** Removes and returns the connection last used of those that have rested, or null if there is none. */
-    UpstreamConnection takeRested(String endpointId, long nowMicros) {
+    /** Removes and returns the most recently used connection that may be reused, or null if there is none. */
+    UpstreamConnection takeReusable(String endpointId, long nowMicros) {
         ArrayDeque<UpstreamConnection> connections = byEndpoint.get(endpointId);
         if (connections == null) {
             return null;
         }
         for (Iterator<UpstreamConnection> newestFirst = connections.descendingIterator(); newestFirst.hasNext(); ) {
             UpstreamConnection connection = newestFirst.next();
-            if (nowMicros - connection.releasedAtMicros() >= MIN_REST_MICROS) {
+            if (nowMicros - connection.releasedAtMicros() >= MIN_REUSE_DELAY_MICROS) {
                 newestFirst.remove();
                 return connection;
             }
@@ -47,8 +47,8 @@
         return null;
     }
 
-    /** Removes and returns the longest idle connection of the endpoint with most of them, or null if there is none. */
-    UpstreamConnection takeFromLargest() {
+    /** Removes and returns the longest idle connection of the endpoint with the most idle ones, or null if none. */
+    UpstreamConnection takeEvictionCandidate() {
         ArrayDeque<UpstreamConnection> largest = null;
         for (ArrayDeque<UpstreamConnection> connections : byEndpoint.values()) {
             largest = largest == null || connections.size() > largest.size() ? connections : largest;
@@ -62,12 +62,12 @@
         return connections == null ? null : connections.poll();
     }
 
-    /** Forgets an endpoint whose connections have been taken. */
+    /** Removes the entry of an endpoint whose connections have all been taken. */
     void removeEndpoint(String endpointId) {
         byEndpoint.remove(endpointId);
     }
 
-    /** The endpoints that have had idle connections since they were last removed; a copy. */
+    /** A copy of the ids of all endpoints that have an entry, with idle connections or without. */
     List<String> endpointIds() {
         return List.copyOf(byEndpoint.keySet());
     }
--- a/src/main/java/magpiehub/upstream/LoadReportParser.java
+++ b/src/main/java/magpiehub/upstream/LoadReportParser.java
@@ -7,14 +7,14 @@
 import magpiehub.routing.LoadReport;
 
 /**
- * Parses the load reports of upstreams, which come in a response header, in a comment at the end of a stream, or in
- * the body of a health check's response. A report that can't be parsed, lacks a field, or has a negative or infinite
- * value counts as none; it never harms the response that carries it.
+ * Parses the load reports of upstreams, which are sent in a response header, in a comment at the end of a stream, or in
+ * the body of a health check's response. A report that is malformed, lacks a field, or has a negative or infinite value
+ * is ignored; it never affects the response that carries it.
  *
  * <p>Immutable.
  */
 final class LoadReportParser {
-    /** The name of the response header, which also begins the comment. */
+    /** The name of the response header, with which the comment begins too. */
     static final String HEADER = "X-Load-Report";
 
     private static final byte[] COMMENT_PREFIX = (": " + HEADER + ":").getBytes(StandardCharsets.US_ASCII);
@@ -26,17 +26,17 @@
         this.settings = settings;
     }
 
-    /** Whether responses carry reports; if not, they are not searched for any. */
+    /** Whether responses carry load reports; if not, they are not searched. */
     boolean isInResponses() {
         return settings.inResponses();
     }
 
-    /** Whether the response to a health check carries a report. */
-    boolean isInProbes() {
+    /** Whether responses to health checks carry a load report. */
+    boolean isInHealthChecks() {
         return !settings.fields().isEmpty();
     }
 
-    /** Parses the value of a header or comment, or a body; null if it is no valid report. */
+    /** Parses the value of a header or comment, or a response body; returns null if it is not a valid report. */
     LoadReport parse(String json) {
         if (json == null || json.length() > MAX_LENGTH) {
             return null;
@@ -71,12 +71,12 @@
                 value(report, "x1"));
     }
 
-    /** A field's value; NaN if the site's settings do not name it. */
+    /** The value of a field, or NaN if the site's settings don't name the field. */
     private double value(ConfigurationObject report, String name) {
         return settings.fields().contains(name) ? report.number(name, Double.NaN) : Double.NaN;
     }
 
-    /** Returns the text of the report in the comment lines of a stream's event, or null if it has none. */
+    /** Returns the load report in the comment lines of a stream's event, or null if there is none. */
     static String findInComments(byte[] event) {
         for (int lineStart = 0; lineStart < event.length; ) {
             int lineEnd = lineEnd(event, lineStart);
--- a/src/main/java/magpiehub/upstream/RequestSender.java
+++ b/src/main/java/magpiehub/upstream/RequestSender.java
@@ -7,9 +7,9 @@
 import magpiehub.routing.AttemptOutcome;
 
 /**
- * Sends the request of a connection's attempt, after opening a socket if there is none. Right before a request is
- * written it asks whether the endpoint still accepts requests and whether the client is still there. Belongs to the
- * connection's actor.
+ * Sends the request of a connection's attempt, opening a socket if there is none. Immediately before it writes, it
+ * checks that the endpoint still accepts requests and that the client is still connected. Confined to the connection's
+ * actor.
  */
 final class RequestSender {
     private final UpstreamConnection connection;
@@ -36,13 +36,13 @@
         this.readers = readers;
     }
 
-    /** Sends the request of the attempt that has just begun, on the current socket or a new one. */
+    /** Sends the request of the new attempt, on the current socket or a new one. */
     void send() {
-        if (!(execution.attempt().payload() instanceof ProtocolExchange call)) {
+        if (!(execution.attempt().payload() instanceof ProtocolExchange exchange)) {
             execution.endBeforeStream(AttemptOutcome.CANCELLED);
             return;
         }
-        execution.response().setSink(call.streamListener());
+        execution.response().setStreamListener(exchange.streamListener());
         if (socket.isOpen() && hasEndpointMoved()) {
             socket.close();
         }
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Returns the endpoint if it still accepts requests, since the list may have changed after the dispatcher's
-     * decision. Returns null after having ended the attempt if it does not.
+     * Returns the endpoint if it still accepts requests; the endpoint list may have changed since the routing decision.
+     * Otherwise ends the attempt and returns null.
      */
     private UpstreamEndpoint usableEndpoint() {
         UpstreamEndpoint endpoint =
@@ -92,22 +92,22 @@
         readers.execute(new ResponseReader(context, connection, newSocket, socket.hostPort()));
     }
 
-    /** Writes the request, unless the endpoint drains or the client has gone by now. */
+    /** Writes the request, unless the endpoint is draining or the client has disconnected. */
     void writeRequest() {
         if (usableEndpoint() == null) {
             return;
         }
-        if (!(execution.attempt().payload() instanceof ProtocolExchange call)) {
+        if (!(execution.attempt().payload() instanceof ProtocolExchange exchange)) {
             execution.endBeforeStream(AttemptOutcome.CANCELLED);
             return;
         }
         boolean reused = connection.requestsWritten() > 0;
         try {
-            // Connecting may have taken a while since this turn began: the upstream is told what is left now.
+            // Recomputed after connecting, which may take long: the upstream is told the time that is left now.
             long timeLeftMicros =
                     execution.attempt().deadlineMicros() - context.clock().micros();
-            byte[] request = UpstreamRequest.encode(call, socket.hostPort(), timeLeftMicros);
-            connection.recordRequest(execution.response().sink().flow());
+            byte[] request = UpstreamRequest.encode(exchange, socket.hostPort(), timeLeftMicros);
+            connection.recordRequest(execution.response().streamListener().flow());
             socket.write(request);
         } catch (IOException e) {
             writeFailed(reused, e);
@@ -119,7 +119,7 @@
         if (!execution.attempt().detachSocket()) {
             execution.release(false);
         } else if (reused) {
-            // The upstream had closed it while it was idle: the request was not executed.
+            // The upstream closed the idle connection, so the request was not executed and can be sent again.
             log.staleConnection();
             openSocket();
         } else {
--- a/src/main/java/magpiehub/upstream/ResponseHandler.java
+++ b/src/main/java/magpiehub/upstream/ResponseHandler.java
@@ -4,9 +4,9 @@
 import magpiehub.streaming.FlowController;
 
 /**
- * Handles what is read from a connection's current socket: forwards the events of a granted stream to the client, holds
- * those of one that is not granted yet, and ends the attempt with the outcome that the response shows. What arrives
- * without an attempt ends the socket. Belongs to the connection's actor.
+ * Handles what is read from a connection's current socket: forwards the events of a granted stream to the client,
+ * buffers those of a stream that is not granted yet, and ends the attempt with the response's outcome. Data that
+ * arrives without an attempt in progress closes the socket. Confined to the connection's actor.
  */
 final class ResponseHandler {
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
@@ -37,7 +37,7 @@
         this.log = log;
     }
 
-    /** Handles a complete response other than a stream. */
+    /** Handles a complete response that is not a stream. */
     void errorResponse(ConnectionMessage.ErrorResponse message) {
         if (!execution.isActive()) {
             execution.closeWhileIdle();
@@ -54,7 +54,7 @@
         execution.endBeforeStream(notExecuted ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
     }
 
-    /** Handles an event; returns whether it was forwarded, or held until the stream is granted. */
+    /** Handles an event; returns whether it was forwarded, or buffered until the stream is granted. */
     boolean acceptEvent(byte[] event, long nowMicros) {
         if (!execution.isActive()) {
             execution.closeWhileIdle();
@@ -72,7 +72,7 @@
         }
         response.recordEvent(event, context.settings().loadReports().isInResponses(), nowMicros);
         startStream();
-        response.forwardOrHold(event);
+        response.forwardOrBuffer(event);
         return true;
     }
 
@@ -95,15 +95,15 @@
         }
     }
 
-    /** Forwards the stream to the client from now on. */
+    /** Forwards the buffered events to the client, and later ones as they arrive. */
     void streamGranted() {
         response.markGranted();
         streams.startStream(connection.flow(), endpointId);
-        response.forwardHeldEvents();
+        response.forwardBufferedEvents();
         execution.finishStream();
     }
 
-    /** Handles the end of a stream that is complete by its framing. */
+    /** Handles the end of a stream that is complete according to its HTTP framing. */
     void streamCompleted(ConnectionMessage.StreamCompleted message) {
         if (!execution.isActive()) {
             execution.closeWhileIdle();
@@ -122,7 +122,7 @@
         execution.finishStream();
     }
 
-    /** The framing says that the stream is complete, whatever its last event is called. */
+    /** Logs a last event of unknown type. The stream counts as complete regardless, since its framing is complete. */
     private void reportUnknownLastEvent() {
         byte[] lastEvent = response.lastEvent();
         if (lastEvent != null && !StreamEvent.isKnown(lastEvent)) {
@@ -131,9 +131,9 @@
     }
 
     /**
-     * Handles the loss of the connection, at whatever point: of the connect, the response, or while idle.
+     * Handles the loss of the connection while connecting, during a response, or while idle.
      *
-     * @param malformed whether it was given up because the response was malformed
+     * @param malformed whether the connection was closed because the response was malformed
      */
     void connectionLost(String reason, boolean malformed) {
         if (!execution.isActive()) {
@@ -145,7 +145,7 @@
             return;
         }
         if (execution.attempt().isAborted()) {
-            return; // This side closed the socket: the message that ends the attempt is in the mailbox.
+            return; // The abort closed the socket; the AttemptAborted message is already in the mailbox.
         }
         if (socket.isConnecting()) {
             execution.connectFailed(reason);
@@ -162,20 +162,20 @@
         }
     }
 
-    /** Ends a stream on which the upstream has sent nothing for too long. */
+    /** Ends a stream whose stall deadline has passed. */
     void streamStalled() {
         log.streamStalled();
         response.markStalled();
         connectionLost("silent", false);
     }
 
-    /** Until when the upstream may send nothing on the stream in progress. */
-    long silentUntilMicros(long nowMicros) {
+    /** The time at which the stream in progress counts as stalled if nothing arrives on it. */
+    long stallDeadlineMicros(long nowMicros) {
         return streams.silenceDeadline(
                 connection.flow(),
                 endpointId,
                 context.settings().resumesStreams(),
-                response.lastHeardMicros(),
+                response.lastReceivedMicros(),
                 response.lastEventMicros(),
                 nowMicros);
     }
--- a/src/main/java/magpiehub/upstream/ResponseReader.java
+++ b/src/main/java/magpiehub/upstream/ResponseReader.java
@@ -11,17 +11,17 @@
 import magpiehub.streaming.StreamFlow;
 
 /**
- * Connects one socket and reads responses from it until it ends, on a thread that blocks. It posts what it reads to
- * the connection, decides nothing, and never writes or closes; the last message it posts is {@link
- * ConnectionMessage.ConnectionLost}.
+ * Connects one socket and reads responses from it until it is closed, on a blocking thread. It only posts what it reads
+ * to the connection; it makes no decisions and never writes to or closes the socket. The last message that it posts is
+ * {@link ConnectionMessage.ConnectionLost}.
  */
 final class ResponseReader implements Runnable {
-    /** How long the head of a response may take from its first byte, which comes with the first token. */
+    /** Time limit for reading a response head, from its first byte, which the upstream sends with the first token. */
     private static final long HEAD_TIMEOUT_MICROS = 1_000_000;
 
     private static final int HEAD_TIMEOUT_MILLIS = (int) (HEAD_TIMEOUT_MICROS / 1000);
-    /** Informational responses (1xx) that may precede a response. */
-    private static final int MAX_INFORMATIONAL = 8;
+    /** Maximum number of informational (1xx) responses before the final one. */
+    private static final int MAX_INFORMATIONAL_RESPONSES = 8;
 
     private static final int STATUS_OK = 200;
     private static final int STATUS_BAD_GATEWAY = 502;
@@ -46,7 +46,7 @@
             connect();
             readResponses();
         } catch (HttpException | SocketTimeoutException e) {
-            // A timeout of connect lands here too; the connection knows by its own state that it was connecting.
+            // Includes connect timeouts; the connection tells them apart by its own state.
             reason = e.getMessage();
             malformed = true;
         } catch (IOException | InterruptedException | RuntimeException | OutOfMemoryError e) {
@@ -65,7 +65,7 @@
         HttpReader input = new HttpReader(socket.getInputStream(), context.clock());
         for (int responses = 1; input.awaitMessage(); responses++) {
             if (responses > connection.requestsWritten()) {
-                throw new HttpException(STATUS_BAD_GATEWAY, "bytes behind the answer");
+                throw new HttpException(STATUS_BAD_GATEWAY, "unexpected bytes after the response");
             }
             HttpHead head = readHead(input);
             if (head.status() == STATUS_OK) {
@@ -76,14 +76,15 @@
         }
     }
 
-    /** Reads a head in limited time: one without end would hold the request until its deadline. */
+    /** Reads a response head within a time limit; an endless head would block the request until its deadline. */
     private HttpHead readHead(HttpReader input) throws IOException {
         socket.setSoTimeout(HEAD_TIMEOUT_MILLIS);
         input.setMessageTimeoutMicros(HEAD_TIMEOUT_MICROS);
         HttpHead head = input.readResponseHead();
         for (int informational = 0; isInformational(head); informational++) {
-            if (informational == MAX_INFORMATIONAL) {
-                throw new HttpException(STATUS_BAD_GATEWAY, "no end of 1xx");
+            if (informational == MAX_INFORMATIONAL_RESPONSES) {
+                throw new HttpException(
+                        STATUS_BAD_GATEWAY, "more than " + MAX_INFORMATIONAL_RESPONSES + " informational responses");
             }
             head = input.readResponseHead();
         }
@@ -101,7 +102,7 @@
         connection.post(new ConnectionMessage.StreamCompleted(socket, isReusable(input, head), loadReport(head)));
     }
 
-    /** Waits while the connection is behind: an upstream that is faster than its actor loses nothing by it. */
+    /** Posts an event; blocks while the mailbox is full, so that no event of a fast upstream is lost. */
     private void postEvent(byte[] event) throws IOException, InterruptedException {
         FlowController streams = context.streams();
         StreamFlow flow = connection.flow();
@@ -122,7 +123,7 @@
                 loadReport(head)));
     }
 
-    /** Whether the connection may serve another request: it stays open, and no bytes follow the response. */
+    /** Whether the connection may be reused: the upstream keeps it open, and no bytes follow the response. */
     private static boolean isReusable(HttpReader input, HttpHead head) {
         return !head.closesConnection() && input.isBufferEmpty();
     }
--- a/src/main/java/magpiehub/upstream/ResponseState.java
+++ b/src/main/java/magpiehub/upstream/ResponseState.java
@@ -7,19 +7,19 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * What is known of the response to a connection's attempt in progress. Events that arrive before the stream is granted
- * are held here. Belongs to the connection's actor, which {@linkplain #reset resets} it for each attempt.
+ * The state of the response to a connection's attempt in progress. Buffers the events that arrive before the stream is
+ * granted. Confined to the connection's actor, which {@linkplain #reset resets} it for each attempt.
  */
 final class ResponseState {
-    /** Where the events of a granted stream go; null between two attempts. */
-    private StreamListener sink;
+    /** Receives the events of a granted stream; null between attempts. */
+    private StreamListener streamListener;
 
     private boolean started;
     private boolean granted;
     private boolean stalled;
-    /** How the stream ended, kept until it is granted or aborted; null as long as it runs. */
+    /** How the stream ended, kept until it is granted or aborted; null until it ends. */
     private AttemptOutcome outcome;
-    /** The upstream's own error event, or null. */
+    /** The error event that the upstream sent, or null. */
     private byte[] errorEvent;
 
     private long cachedTokens;
@@ -27,14 +27,14 @@
     private String loadReport;
 
     private byte[] lastEvent;
-    /** When the last event or comment arrived. */
-    private long lastHeardMicros;
-    /** When the last event arrived. */
+    /** The arrival time of the last event or comment. */
+    private long lastReceivedMicros;
+    /** The arrival time of the last event. */
     private long lastEventMicros;
 
-    private final ArrayDeque<byte[]> heldEvents = new ArrayDeque<>(2);
+    private final ArrayDeque<byte[]> bufferedEvents = new ArrayDeque<>(2);
 
-    /** Forgets the response to the attempt before. */
+    /** Clears the state of the previous attempt's response. */
     void reset() {
         started = false;
         granted = false;
@@ -46,12 +46,12 @@
         lastEvent = null;
     }
 
-    StreamListener sink() {
-        return sink;
+    StreamListener streamListener() {
+        return streamListener;
     }
 
-    void setSink(StreamListener newSink) {
-        sink = newSink;
+    void setStreamListener(StreamListener listener) {
+        streamListener = listener;
     }
 
     /** Whether the first event has arrived. */
@@ -79,7 +79,7 @@
         return outcome != null;
     }
 
-    /** Whether the stream has started and not ended. */
+    /** Whether the stream has started and has not ended. */
     boolean isInProgress() {
         return started && outcome == null;
     }
@@ -103,17 +103,17 @@
         return errorEvent;
     }
 
-    /** Why a stream ended that is not complete. */
-    StreamOutcome ending() {
+    /** The reason why an incomplete stream ended. */
+    StreamOutcome failureReason() {
         if (outcome == AttemptOutcome.ERROR) {
             return StreamOutcome.UPSTREAM_ERROR;
         }
         return stalled ? StreamOutcome.UPSTREAM_STALLED : StreamOutcome.UPSTREAM_DISCONNECTED;
     }
 
-    /** Records what an event says. The first one counts as an event even if it is a comment. */
+    /** Records an event and its metadata. The first one counts as an event even if it is a comment. */
     void recordEvent(byte[] event, boolean searchLoadReport, long nowMicros) {
-        lastHeardMicros = nowMicros;
+        lastReceivedMicros = nowMicros;
         if (!started || !StreamEvent.isComment(event)) {
             lastEventMicros = nowMicros;
         }
@@ -133,8 +133,8 @@
         return lastEvent;
     }
 
-    long lastHeardMicros() {
-        return lastHeardMicros;
+    long lastReceivedMicros() {
+        return lastReceivedMicros;
     }
 
     long lastEventMicros() {
@@ -153,23 +153,23 @@
         loadReport = report;
     }
 
-    /** Forwards an event to the client, or holds it until the stream is granted. */
-    void forwardOrHold(byte[] event) {
+    /** Forwards an event to the client, or buffers it until the stream is granted. */
+    void forwardOrBuffer(byte[] event) {
         if (granted) {
-            sink.onEvent(event);
+            streamListener.onEvent(event);
         } else {
-            heldEvents.add(event);
+            bufferedEvents.add(event);
         }
     }
 
-    /** Forwards the events that were held. */
-    void forwardHeldEvents() {
-        heldEvents.forEach(sink::onEvent);
-        heldEvents.clear();
+    /** Forwards the buffered events and empties the buffer. */
+    void forwardBufferedEvents() {
+        bufferedEvents.forEach(streamListener::onEvent);
+        bufferedEvents.clear();
     }
 
-    /** The events that are held. */
-    ArrayDeque<byte[]> heldEvents() {
-        return heldEvents;
+    /** The buffered events. */
+    ArrayDeque<byte[]> bufferedEvents() {
+        return bufferedEvents;
     }
 }
--- a/src/main/java/magpiehub/upstream/StreamEvent.java
+++ b/src/main/java/magpiehub/upstream/StreamEvent.java
@@ -8,17 +8,17 @@
 import magpiehub.protocol.ServerSentEvents;
 
 /**
- * What the router reads from one server-sent event of an upstream's response stream. An event is the bytes between two
- * empty lines and is forwarded to the client as it came. Most events have nothing to be read, so that the bytes are
- * searched for a word before anything is decoded.
+ * Reads the parts of an upstream's server-sent events that the router needs. An event is the bytes between two empty
+ * lines and is forwarded to the client unchanged. Most events contain nothing that the router needs, so the bytes are
+ * searched for a keyword before anything is decoded.
  */
 final class StreamEvent {
-    /** Bytes of an event that are logged at most. */
+    /** Maximum number of bytes of an event that are logged. */
     private static final int MAX_LOGGED_BYTES = 120;
 
     private StreamEvent() {}
 
-    /** Whether the event reports an error: its name says so, or its data is an object that begins with one. */
+    /** Whether the event reports an error, by its name or by an {@code error} member at the start of its data. */
     static boolean isError(byte[] event) {
         if (!contains(event, "error")) {
             return false;
@@ -29,7 +29,7 @@
                 || ServerSentEvents.data(event).replace(" ", "").startsWith("{\"error\"");
     }
 
-    /** Whether it is a comment or an event of the dialect that upstreams speak. */
+    /** Whether it is a comment or an event of the chat completions protocol. */
     static boolean isKnown(byte[] event) {
         return event.length == 0
                 || isComment(event)
@@ -37,12 +37,12 @@
                 || ServerSentEvents.data(event).equals("[DONE]");
     }
 
-    /** Whether a comment begins the event, which must not be empty. */
+    /** Whether the event, which must not be empty, begins with a comment. */
     static boolean isComment(byte[] event) {
         return event[0] == ':';
     }
 
-    /** The prompt tokens that the upstream had in its cache, or {@link RequestDispatcher#CACHED_TOKENS_UNKNOWN}. */
+    /** The number of prompt tokens from the upstream's cache, or {@link RequestDispatcher#CACHED_TOKENS_UNKNOWN}. */
     static long cachedTokens(byte[] event) {
         if (!contains(event, "\"cached_tokens\"")) {
             return RequestDispatcher.CACHED_TOKENS_UNKNOWN;
@@ -54,11 +54,11 @@
                     .object("prompt_tokens_details")
                     .number("cached_tokens", RequestDispatcher.CACHED_TOKENS_UNKNOWN);
         } catch (IOException | ConfigurationException e) {
-            return RequestDispatcher.CACHED_TOKENS_UNKNOWN; // The response's text may contain the word too.
+            return RequestDispatcher.CACHED_TOKENS_UNKNOWN; // The generated text may contain the keyword too.
         }
     }
 
-    /** The beginning of the event, for the log. */
+    /** The beginning of the event, shortened for the log. */
     static String excerpt(byte[] event) {
         return new String(event, 0, Math.min(event.length, MAX_LOGGED_BYTES), StandardCharsets.UTF_8).strip();
     }
--- a/src/main/java/magpiehub/upstream/UpstreamAttempt.java
+++ b/src/main/java/magpiehub/upstream/UpstreamAttempt.java
@@ -6,13 +6,13 @@
 import magpiehub.http.Sockets;
 
 /**
- * An attempt on the connection that carries it out, and the dispatcher's control over it. The dispatcher's thread
- * grants and aborts, the connection's actor attaches the socket; the monitor orders the two, so that a socket is
- * either closed by {@link #abort} or never used for an attempt that was aborted.
+ * An attempt on its connection, and the dispatcher's handle to control it. The dispatcher's thread grants and aborts
+ * while the connection's actor attaches the socket; the monitor makes the two atomic, so that a socket is either closed
+ * by {@link #abort} or never used for an aborted attempt.
  */
 final class UpstreamAttempt implements AttemptHandle {
     private final Attempt attempt;
-    /** Set on the dispatcher's thread before the attempt is handed out; null if no connection could be had. */
+    /** Set on the dispatcher's thread before the attempt is returned; null if no connection was available. */
     private UpstreamConnection connection;
     /** The socket in use, or null. Guarded by this. */
     private Socket socket;
@@ -23,22 +23,22 @@
         this.attempt = attempt;
     }
 
-    /** The attempt as the dispatcher knows it. */
+    /** The dispatcher's attempt. */
     Attempt attempt() {
         return attempt;
     }
 
-    /** What is to be sent; null once the request is over or its client has gone. Any thread. */
+    /** The request to send; null once the request is over or its client has disconnected. Thread-safe. */
     Object payload() {
         return attempt.payload();
     }
 
-    /** When the attempt times out, if its stream has not started. */
+    /** The time at which the attempt times out unless its stream has started. */
     long deadlineMicros() {
         return attempt.deadlineMicros();
     }
 
-    /** Names the connection that carries out the attempt. Dispatcher's thread, before the attempt is started. */
+    /** Sets the connection for the attempt. Called on the dispatcher's thread, before the attempt is started. */
     void assignTo(UpstreamConnection assignedConnection) {
         connection = assignedConnection;
     }
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Attaches the socket that {@link #abort} has to close.
+     * Attaches the socket that {@link #abort} is to close.
      *
-     * @return false if the attempt was aborted; nothing may be written for it then
+     * @return false if the attempt was aborted and nothing may be written for it
      */
     synchronized boolean attachSocket(Socket newSocket) {
         if (aborted) {
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Detaches the socket, which this attempt no longer uses.
+     * Detaches the socket, so that {@link #abort} no longer closes it.
      *
      * @return false if the attempt was aborted
      */
--- a/src/main/java/magpiehub/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiehub/upstream/UpstreamConnection.java
@@ -6,25 +6,25 @@
 import magpiehub.streaming.StreamFlow;
 
 /**
- * One connection to an upstream, as the pool, the timer and the socket's reader see it; {@link ConnectionActor} does
- * its work. It carries out one attempt at a time.
+ * One connection to an upstream: the interface for the pool, the timer and the socket's reader. {@link ConnectionActor}
+ * implements its behavior. It serves one attempt at a time.
  *
- * <p>After an attempt that leaves the socket open the connection is idle and can be assigned another one. A connection
- * outlives its socket: if the upstream has closed it meanwhile, a new one is opened for the next attempt. It ends when
- * the pool posts {@link ConnectionMessage.Discharged}.
+ * <p>After an attempt that leaves the socket open, the connection is idle and can be assigned another one. A connection
+ * outlives its socket: if the upstream has closed the socket in the meantime, a new one is opened for the next attempt.
+ * The connection ends when the pool posts {@link ConnectionMessage.RemovedFromPool}.
  *
- * <p><b>Threads.</b> Each section names the thread that its methods are for.
+ * <p><b>Threads.</b> Each section names the thread that may call its methods.
  */
 final class UpstreamConnection {
-    /** The time of a timer that is not set. */
+    /** The expiry time of a timer that is not set. */
     static final long NEVER = Long.MAX_VALUE;
 
-    /** Bytes of events that may wait in the mailbox; a complete response is far smaller. */
+    /** Capacity of the mailbox in bytes of events; a complete response is far smaller. */
     private static final int MAILBOX_BYTES = 512 * 1024;
 
-    /** What the pool is told about its connections, on the dispatcher's thread. */
+    /** Notifies the pool of changes to its connections, on the dispatcher's thread. */
     interface Listener {
-        /** The connection's attempt is over; {@code reusable} says whether its socket is still open. */
+        /** The connection's attempt is over; {@code reusable} tells whether its socket is still open. */
         void onReleased(UpstreamConnection connection, boolean reusable);
 
         /** The connection's socket was closed while it had no attempt. */
@@ -35,15 +35,15 @@
     private final Mailbox<ConnectionMessage> mailbox;
     private final ConnectionActor actor;
 
-    // The dispatcher's thread alone uses these two.
+    // Confined to the dispatcher's thread.
     private boolean assigned;
     private long releasedAtMicros;
 
-    // Written by the actor alone.
+    // Written by the actor only.
     private volatile long timerDueMicros = NEVER;
-    /** Requests written on the current socket: a response without a request is none. */
+    /** Requests written on the current socket; the reader rejects a response that has no request. */
     private volatile int requestsWritten;
-    /** The flow of the current request, to which the reader counts what it reads. */
+    /** The flow of the current request, to which the reader accounts the bytes that it reads. */
     private volatile StreamFlow flow;
 
     UpstreamConnection(
@@ -59,12 +59,12 @@
 
     // ---- The dispatcher's thread ----------------------------------------------------------------------
 
-    /** Gives the actor its turns on a pool's threads. To be called once, before the first message. */
+    /** Runs the actor on a thread pool. Must be called once, before the first message. */
     void attach(ActorThreadPool threadPool) {
         mailbox.attach(threadPool, actor::runTurn);
     }
 
-    /** Starts an attempt. The connection must not have another one. */
+    /** Starts an attempt. The connection must not have another attempt in progress. */
     void assign(UpstreamAttempt newAttempt) {
         assigned = true;
         newAttempt.assignTo(this);
@@ -85,7 +85,7 @@
         return assigned;
     }
 
-    /** When the connection last became idle. */
+    /** The time at which the connection last became idle. */
     long releasedAtMicros() {
         return releasedAtMicros;
     }
@@ -96,17 +96,17 @@
         return endpointId;
     }
 
-    /** Adds a message without payload to the mailbox; ignored after the connection has ended. */
+    /** Posts a message without payload; ignored once the mailbox is closed. */
     void post(ConnectionMessage message) {
         mailbox.post(message);
     }
 
-    /** Adds a message once the mailbox has capacity for its payload; false if the connection has ended. */
+    /** Posts a message once the mailbox has capacity for its payload; returns false if the mailbox is closed. */
     boolean postBlocking(ConnectionMessage message, int bytes) throws InterruptedException {
         return mailbox.postBlocking(message, bytes);
     }
 
-    /** When the connection is to be woken by {@link ConnectionMessage.TimerDue}. */
+    /** The time at which {@link ConnectionMessage.TimerDue} is to be posted. */
     long timerDueMicros() {
         return timerDueMicros;
     }
@@ -116,7 +116,7 @@
         return requestsWritten;
     }
 
-    /** The flow of the request written last. */
+    /** The flow of the last request written. */
     StreamFlow flow() {
         return flow;
     }
@@ -128,23 +128,23 @@
         return mailbox.poll();
     }
 
-    /** Refuses all messages from now on. */
+    /** Rejects all further messages. */
     void closeMailbox() {
         mailbox.close();
     }
 
-    /** Sets the time at which the connection is to be woken. */
+    /** Sets the expiry time of the connection's timer. */
     void wakeAt(long dueMicros) {
         timerDueMicros = dueMicros;
     }
 
-    /** Records that a new socket takes the place of the one before. */
+    /** Records that a new socket replaces the previous one. */
     void recordNewSocket() {
         requestsWritten = 0;
     }
 
-    /** Records a request that is about to be written: before a response can arrive, whose reader counts by it. */
-    @SuppressWarnings("NonAtomicVolatileUpdate") // Only the connection's own turns write the count.
+    /** Records a request before it is written, since the reader checks responses against the number of requests. */
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Only the connection's actor writes the count.
     void recordRequest(StreamFlow requestFlow) {
         flow = requestFlow;
         requestsWritten++;
--- a/src/main/java/magpiehub/upstream/UpstreamContext.java
+++ b/src/main/java/magpiehub/upstream/UpstreamContext.java
@@ -7,14 +7,14 @@
 import magpiehub.streaming.FlowController;
 import magpiehub.telemetry.EventLog;
 
-/** What the pool, its connections, their readers and the health checks share. Any thread. */
+/** The state shared by the pool, its connections, their readers and the health checks. Thread-safe. */
 final class UpstreamContext {
     private final MonotonicClock clock;
     private final EventLog eventLog;
     private final FlowController streams;
     private final UpstreamEndpoints endpoints = new UpstreamEndpoints();
     private volatile UpstreamSettings settings;
-    /** Set once, before the threads that use it are started. */
+    /** Set once, before the threads that use it start. */
     private RequestDispatcher dispatcher;
 
     UpstreamContext(SiteSettings site, MonotonicClock clock, EventLog eventLog, FlowController streams) {
@@ -56,7 +56,7 @@
         dispatcher = requestDispatcher;
     }
 
-    /** Parses a load report and counts whether it could be read; null if it could not. */
+    /** Parses a load report and counts whether it is valid; returns null if it is not. */
     LoadReport parseLoadReport(LoadReportParser parser, String json) {
         LoadReport report = parser.parse(json);
         eventLog.count(report == null ? "load_reports_unreadable" : "load_reports");
--- a/src/main/java/magpiehub/upstream/UpstreamEndpoint.java
+++ b/src/main/java/magpiehub/upstream/UpstreamEndpoint.java
@@ -1,10 +1,10 @@
 package magpiehub.upstream;
 
 /**
- * Where an endpoint listens and whether it accepts requests.
+ * The address of an endpoint and whether it accepts requests.
  *
  * @param hostPort its address, or null if none is known
- * @param acceptsRequests false unless the endpoint list says that it is live
+ * @param acceptsRequests whether the endpoint list gives its state as live
  */
 record UpstreamEndpoint(String hostPort, boolean acceptsRequests) {
     /** Whether a request may be written to the endpoint. */
@@ -12,7 +12,7 @@
         return acceptsRequests && hostPort != null;
     }
 
-    /** The endpoint after an update; without an address the one known so far stays. */
+    /** The endpoint after an update; if the update has no address, the known one is kept. */
     static UpstreamEndpoint updated(UpstreamEndpoint previous, String hostPort, boolean acceptsRequests) {
         String knownHostPort = previous == null ? null : previous.hostPort;
         return new UpstreamEndpoint(hostPort != null ? hostPort : knownHostPort, acceptsRequests);
--- a/src/main/java/magpiehub/upstream/UpstreamEndpoints.java
+++ b/src/main/java/magpiehub/upstream/UpstreamEndpoints.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The endpoints by id. Service discovery updates them before the dispatcher hears of a change, and a connection asks
- * right before it writes a request, so that nothing is written to an endpoint that has begun to drain after the
- * routing decision.
+ * The endpoints by id. Service discovery updates them before it notifies the dispatcher of a change, and a connection
+ * checks them immediately before it writes a request, so that no request is sent to an endpoint that began to drain
+ * after the routing decision.
  *
- * <p>Safe for use from any thread.
+ * <p>Thread-safe.
  */
 final class UpstreamEndpoints {
     private final Map<String, UpstreamEndpoint> endpoints = new ConcurrentHashMap<>();
-    /** From this time on nothing may be sent by the list, which may be out of date. */
+    /** From this time on no requests may be sent, because the endpoint list may be out of date. */
     private volatile long validUntilMicros = Long.MAX_VALUE;
 
     /** The endpoint with this id, or null if there is none. */
@@ -21,7 +21,7 @@
         return endpoints.get(id);
     }
 
-    /** The endpoint with this id if a request may be written to it now; null if not. */
+    /** The endpoint with this id if a request may be sent to it now, or null. */
     UpstreamEndpoint findUsable(String id, long nowMicros) {
         UpstreamEndpoint endpoint = endpoints.get(id);
         boolean usable = endpoint != null && endpoint.isUsable() && nowMicros < validUntilMicros;
@@ -38,17 +38,17 @@
         return endpoint != null && endpoint.acceptsRequests();
     }
 
-    /** Adds or changes an endpoint; without an address the one known so far stays. */
+    /** Adds or updates an endpoint; if the address is null, the known one is kept. */
     void update(String id, String hostPort, boolean acceptsRequests) {
         endpoints.compute(id, (key, previous) -> UpstreamEndpoint.updated(previous, hostPort, acceptsRequests));
     }
 
-    /** Removes an endpoint; the map would grow with each one that there ever was. */
+    /** Removes an endpoint, so that the map doesn't grow without bound. */
     void remove(String id) {
         endpoints.remove(id);
     }
 
-    /** Removes all endpoints but these. */
+    /** Removes all endpoints except these. */
     void retain(Set<String> ids) {
         endpoints.keySet().retainAll(ids);
     }
--- a/src/main/java/magpiehub/upstream/UpstreamPool.java
+++ b/src/main/java/magpiehub/upstream/UpstreamPool.java
@@ -18,34 +18,34 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * The connections to all upstreams: assigns attempts to idle or new connections, and bounds their number, which is the
+ * The pool of connections to all upstreams. Assigns attempts to idle or new connections, and limits their number to the
  * upstream side's share of the process's file descriptors.
  *
  * <p><b>Threads.</b> The methods of {@link UpstreamFleet} and the callbacks of connections run on the dispatcher's
- * thread, which alone uses the idle connections. {@link #setDispatcher} and {@link #start} are called once each, before
- * the first attempt. All other public methods may be called from any thread.
+ * thread, to which the idle connections are confined. {@link #setDispatcher} and {@link #start} are called once each,
+ * before the first attempt. All other public methods may be called from any thread.
  */
 public final class UpstreamPool implements UpstreamFleet {
     private final UpstreamContext context;
     private final FlowController streams;
     private final int maxConnections;
     private final ActorThreadPool actorThreads;
-    private final CachedThreadPool readers = new CachedThreadPool("engine-reader");
+    private final CachedThreadPool readers = new CachedThreadPool("upstream-reader");
     private final ConnectionTimer timer;
     private final UpstreamConnection.Listener connectionListener = new ConnectionListener();
 
-    // The dispatcher's thread alone uses these.
+    // Confined to the dispatcher's thread.
     private final IdleConnections idleConnections = new IdleConnections();
-    /** Connections that have not been discharged, idle or not. */
+    /** The number of connections in the pool, idle or in use. */
     private int connectionCount;
-    /** The dispatcher's thread, known once it has called; for assertions alone. */
+    /** The dispatcher's thread, recorded at its first call; used by assertions only. */
     private Thread dispatcherThread;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param maxConnections how many connections there may be to all upstreams together
-     * @param actorThreads the threads on which connections take their turns
+     * @param maxConnections the maximum number of connections to all upstreams together
+     * @param actorThreads the threads that run the connections' actors
      */
     public UpstreamPool(
             SiteSettings site,
@@ -61,12 +61,12 @@
         this.timer = new ConnectionTimer(clock);
     }
 
-    /** Sets the dispatcher that hears of attempts and health checks. To be called before it runs. */
+    /** Sets the dispatcher that is notified of attempts and health checks. Must be called before it runs. */
     public void setDispatcher(RequestDispatcher dispatcher) {
         context.setDispatcher(dispatcher);
     }
 
-    /** Starts the timer that retires idle connections and ends stalled streams. */
+    /** Starts the timer that closes idle connections and ends stalled streams. */
     public void start() {
         timer.start();
     }
@@ -79,26 +79,26 @@
     }
 
     /**
-     * Sets where an endpoint listens and whether it accepts requests; to be called before the dispatcher hears of it.
-     * Without an address the one known so far stays.
+     * Sets the address of an endpoint and whether it accepts requests. Must be called before the dispatcher is notified
+     * of the change. If the address is null, the known one is kept.
      */
     public void updateEndpoint(String id, String hostPort, boolean acceptsRequests) {
         context.endpoints().update(id, hostPort, acceptsRequests);
     }
 
-    /** Forgets an endpoint that is gone. */
+    /** Removes an endpoint that no longer exists. */
     public void removeEndpoint(String id) {
         context.endpoints().remove(id);
         streams.removeUpstream(id);
     }
 
-    /** Forgets all endpoints but these, which a complete endpoint list names. */
+    /** Removes all endpoints that are not in this set, the ids of a complete endpoint list. */
     public void retainEndpoints(Set<String> ids) {
         context.endpoints().retain(ids);
         streams.retainUpstreams(ids);
     }
 
-    /** Sets until when requests may be sent by the endpoint list, on the monotonic clock. */
+    /** Sets the time, on the monotonic clock, until which the endpoint list is valid for sending requests. */
     public void setEndpointsValidUntil(long validUntilMicros) {
         context.endpoints().setValidUntil(validUntilMicros);
     }
@@ -107,8 +107,8 @@
 
     @Override
     public AttemptHandle startAttempt(Attempt attempt) {
-        UpstreamConnection connection =
-                idleConnections.takeRested(attempt.endpointId(), context.clock().micros());
+        UpstreamConnection connection = idleConnections.takeReusable(
+                attempt.endpointId(), context.clock().micros());
         UpstreamAttempt upstreamAttempt = new UpstreamAttempt(attempt);
         if (connection == null) {
             if (connectionCount >= maxConnections && !evictIdleConnection()) {
@@ -131,19 +131,19 @@
         return connection;
     }
 
-    /** Ends the longest idle connection of the endpoint with most of them; false if no connection is idle. */
+    /** Evicts the longest idle connection of the endpoint with the most idle ones; false if no connection is idle. */
     private boolean evictIdleConnection() {
-        UpstreamConnection connection = idleConnections.takeFromLargest();
+        UpstreamConnection connection = idleConnections.takeEvictionCandidate();
         if (connection == null) {
             return false;
         }
-        discharge(connection);
+        removeFromPool(connection);
         return true;
     }
 
-    private void discharge(UpstreamConnection connection) {
+    private void removeFromPool(UpstreamConnection connection) {
         connectionCount--;
-        connection.post(new ConnectionMessage.Discharged());
+        connection.post(new ConnectionMessage.RemovedFromPool());
     }
 
     @Override
@@ -162,7 +162,7 @@
         assert isDispatcherThread();
         UpstreamConnection connection = idleConnections.takeOldest(endpointId);
         while (connection != null) {
-            discharge(connection);
+            removeFromPool(connection);
             connection = idleConnections.takeOldest(endpointId);
         }
     }
@@ -170,8 +170,9 @@
     @Override
     public void probe(String endpointId) {
         assert isDispatcherThread();
-        HealthProbe probe = new HealthProbe(context, endpointId, context.clock().micros());
-        DaemonThreads.newThread("probe", probe).start();
+        HealthCheck healthCheck =
+                new HealthCheck(context, endpointId, context.clock().micros());
+        DaemonThreads.newThread("probe", healthCheck).start();
     }
 
     private boolean isDispatcherThread() {
@@ -181,7 +182,7 @@
         return dispatcherThread == Thread.currentThread();
     }
 
-    /** Takes back connections whose attempt is over. */
+    /** Returns connections whose attempt is over to the idle ones, or removes them. */
     private final class ConnectionListener implements UpstreamConnection.Listener {
         @Override
         public void onReleased(UpstreamConnection connection, boolean reusable) {
@@ -191,16 +192,16 @@
                 context.eventLog().count("engine_connections_kept");
                 idleConnections.add(connection);
             } else {
-                discharge(connection);
+                removeFromPool(connection);
             }
         }
 
-        /** A connection that was assigned an attempt meanwhile stays, and connects anew. */
+        /** Keeps a connection that was assigned an attempt in the meantime; it opens a new socket. */
         @Override
         public void onClosedWhileIdle(UpstreamConnection connection) {
             assert isDispatcherThread();
             if (!connection.isAssigned() && idleConnections.remove(connection)) {
-                discharge(connection);
+                removeFromPool(connection);
             }
         }
     }
--- a/src/main/java/magpiehub/upstream/UpstreamSettings.java
+++ b/src/main/java/magpiehub/upstream/UpstreamSettings.java
@@ -3,34 +3,34 @@
 import magpiehub.config.SiteSettings;
 
 /**
- * What a site's settings say about upstreams.
+ * The site's settings for upstream connections.
  *
- * @param connectTimeoutMillis how long connecting may take; at least 1, since 0 would mean without limit
- * @param retireIdleAfterMicros how long a connection may be idle before this side closes it
- * @param resumesStreams whether clients request the rest of a stream that broke
- * @param loadReports the parser for the fields that the site's load reports have
+ * @param connectTimeoutMillis the connect timeout; at least 1, since 0 would mean no timeout
+ * @param maxIdleMicros how long a connection may be idle before the router closes it
+ * @param resumesStreams whether clients request the rest of an interrupted stream
+ * @param loadReports the parser for the fields of the site's load reports
  */
 record UpstreamSettings(
-        int connectTimeoutMillis, long retireIdleAfterMicros, boolean resumesStreams, LoadReportParser loadReports) {
+        int connectTimeoutMillis, long maxIdleMicros, boolean resumesStreams, LoadReportParser loadReports) {
     private static final long MICROS_PER_MILLI = 1000;
 
     /**
-     * The part of the upstreams' own idle timeout after which a connection is retired: a request that is written after
-     * the upstream has reached its timeout would end as a reset.
+     * The fraction of the upstreams' own idle timeout after which the router closes an idle connection. A request that
+     * is written after the upstream's timeout would fail with a connection reset.
      */
-    private static final double RETIRE_AT_PART_OF_IDLE_TIMEOUT = 0.5;
+    private static final double MAX_IDLE_FRACTION = 0.5;
 
     static UpstreamSettings of(SiteSettings site) {
         long connectTimeoutMicros = site.routing().limits().connectTimeout();
         return new UpstreamSettings(
                 (int) Math.max(1, connectTimeoutMicros / MICROS_PER_MILLI),
-                retireIdleAfterMicros(site.idleCloseMicros()),
+                maxIdleMicros(site.idleCloseMicros()),
                 site.routing().resumesStreams(),
                 new LoadReportParser(site.loadReports()));
     }
 
-    /** How long a connection may be idle, where upstreams close theirs after {@code idleTimeoutMicros}. */
-    static long retireIdleAfterMicros(long idleTimeoutMicros) {
-        return Math.max(1, (long) (idleTimeoutMicros * RETIRE_AT_PART_OF_IDLE_TIMEOUT));
+    /** The maximum idle time of a connection, given the idle timeout of the upstreams. */
+    static long maxIdleMicros(long idleTimeoutMicros) {
+        return Math.max(1, (long) (idleTimeoutMicros * MAX_IDLE_FRACTION));
     }
 }
--- a/src/test/java/magpiehub/upstream/IdleConnectionsTest.java
+++ b/src/test/java/magpiehub/upstream/IdleConnectionsTest.java
@@ -24,50 +24,50 @@
 
 class IdleConnectionsTest {
     private static final long START_MICROS = 1_000_000;
-    private static final long REST_MICROS = IdleConnections.MIN_REST_MICROS;
+    private static final long REUSE_DELAY_MICROS = IdleConnections.MIN_REUSE_DELAY_MICROS;
 
     private final UpstreamContext context = newContext();
     private final IdleConnections idle = new IdleConnections();
 
     @Test
-    void aConnectionRestsBeforeItServesAgain() {
+    void aConnectionIsNotReusedBeforeTheReuseDelay() {
         UpstreamConnection connection = addIdle("a", START_MICROS);
-        assertNull(idle.takeRested("a", START_MICROS + REST_MICROS - 1));
-        assertSame(connection, idle.takeRested("a", START_MICROS + REST_MICROS));
-        assertNull(idle.takeRested("a", START_MICROS + REST_MICROS));
+        assertNull(idle.takeReusable("a", START_MICROS + REUSE_DELAY_MICROS - 1));
+        assertSame(connection, idle.takeReusable("a", START_MICROS + REUSE_DELAY_MICROS));
+        assertNull(idle.takeReusable("a", START_MICROS + REUSE_DELAY_MICROS));
     }
 
     @Test
-    void theConnectionLastUsedOfThoseThatHaveRestedIsTaken() {
+    void theMostRecentlyUsedReusableConnectionIsTaken() {
         UpstreamConnection oldest = addIdle("a", START_MICROS);
         UpstreamConnection older = addIdle("a", START_MICROS + 1);
         addIdle("a", START_MICROS + 2);
-        assertSame(older, idle.takeRested("a", START_MICROS + 1 + REST_MICROS));
-        assertSame(oldest, idle.takeRested("a", START_MICROS + 1 + REST_MICROS));
+        assertSame(older, idle.takeReusable("a", START_MICROS + 1 + REUSE_DELAY_MICROS));
+        assertSame(oldest, idle.takeReusable("a", START_MICROS + 1 + REUSE_DELAY_MICROS));
     }
 
     @Test
     void connectionsToOtherEndpointsAreNotTaken() {
         addIdle("a", START_MICROS);
-        assertNull(idle.takeRested("b", START_MICROS + REST_MICROS));
+        assertNull(idle.takeReusable("b", START_MICROS + REUSE_DELAY_MICROS));
         assertNull(idle.takeOldest("b"));
     }
 
     @Test
-    void theLongestIdleOfTheLargestPoolIsEvicted() {
+    void theLongestIdleConnectionOfTheEndpointWithMostIsEvicted() {
         addIdle("a", START_MICROS);
         UpstreamConnection longestIdle = addIdle("b", START_MICROS + 1);
         addIdle("b", START_MICROS + 2);
-        assertSame(longestIdle, idle.takeFromLargest());
+        assertSame(longestIdle, idle.takeEvictionCandidate());
     }
 
     @Test
-    void nothingIsEvictedWhereNothingIsIdle() {
-        assertNull(idle.takeFromLargest());
+    void nothingIsEvictedWithoutIdleConnections() {
+        assertNull(idle.takeEvictionCandidate());
         UpstreamConnection connection = addIdle("a", START_MICROS);
         assertTrue(idle.remove(connection));
         assertFalse(idle.remove(connection));
-        assertNull(idle.takeFromLargest());
+        assertNull(idle.takeEvictionCandidate());
     }
 
     private UpstreamConnection addIdle(String endpointId, long nowMicros) {
--- a/src/test/java/magpiehub/upstream/LoadReportParserTest.java
+++ b/src/test/java/magpiehub/upstream/LoadReportParserTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aReportHasTheFieldsThatTheSettingsName() {
+    void onlyFieldsNamedByTheSettingsAreRead() {
         LoadReport report = parser.parse("{\"inflight\":3,\"queue\":0.5,\"util\":0.9}");
         assertEquals(3, report.inflight());
         assertEquals(0.5, report.queue());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aReportThatLacksAFieldOrHasAWrongValueIsNone() {
+    void aReportWithAMissingOrInvalidFieldIsIgnored() {
         assertNull(parser.parse("{\"inflight\":3}"));
         assertNull(parser.parse("{\"inflight\":3,\"queue\":-1}"));
         assertNull(parser.parse("{\"inflight\":3,\"queue\":1e999}"));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void whatIsNoObjectIsNoReport() {
+    void inputThatIsNotAnObjectIsIgnored() {
         assertNull(parser.parse(null));
         assertNull(parser.parse(""));
         assertNull(parser.parse("{\"inflight\":3,"));
@@ -44,26 +44,26 @@
     }
 
     @Test
-    void aReportMayHave1024Characters() {
+    void aReportHasAtMost1024Characters() {
         String report = "{\"inflight\":3,\"queue\":1}";
         assertNotNull(parser.parse(report + " ".repeat(1024 - report.length())));
         assertNull(parser.parse(report + " ".repeat(1025 - report.length())));
     }
 
     @Test
-    void probesCarryReportsWhereFieldsAreNamed() {
-        assertTrue(parser.isInProbes());
-        assertFalse(parserOf().isInProbes());
+    void healthChecksCarryReportsIfFieldsAreNamed() {
+        assertTrue(parser.isInHealthChecks());
+        assertFalse(parserOf().isInHealthChecks());
     }
 
     @Test
-    void theReportIsFoundInAnyCommentLineOfAnEvent() {
+    void aReportIsFoundInAnyCommentLineOfAnEvent() {
         assertEquals("{}", findInComments(": X-Load-Report: {}\n\n"));
         assertEquals("{}", findInComments("data: [DONE]\r\n: X-Load-Report:{} \r\n\r\n"));
     }
 
     @Test
-    void whatIsNoSuchCommentHoldsNoReport() {
+    void otherLinesHoldNoReport() {
         assertNull(findInComments(""));
         assertNull(findInComments(": X-Load-Report:"));
         assertNull(findInComments(": keep-alive\n\n"));
--- a/src/test/java/magpiehub/upstream/ResponseStateTest.java
+++ b/src/test/java/magpiehub/upstream/ResponseStateTest.java
@@ -18,22 +18,22 @@
     private final ResponseState response = new ResponseState();
 
     @Test
-    void aCommentIsHeardButIsNoEvent() {
+    void aCommentUpdatesTheReceiveTimeButNotTheEventTime() {
         response.recordEvent(EVENT, false, 10);
         response.markStarted();
         response.recordEvent(COMMENT, false, 20);
-        assertEquals(20, response.lastHeardMicros());
+        assertEquals(20, response.lastReceivedMicros());
         assertEquals(10, response.lastEventMicros());
     }
 
     @Test
-    void theFirstOfAllCountsAsAnEventEvenIfItIsAComment() {
+    void aCommentThatComesFirstCountsAsAnEvent() {
         response.recordEvent(COMMENT, false, 10);
         assertEquals(10, response.lastEventMicros());
     }
 
     @Test
-    void loadReportsAreSearchedForWhereResponsesCarryThem() {
+    void loadReportsAreReadOnlyIfResponsesCarryThem() {
         response.recordEvent(COMMENT, false, 10);
         assertNull(response.loadReport());
         response.recordEvent(COMMENT, true, 20);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void anEventWithoutCachedTokensKeepsTheNumberThatWasReported() {
+    void anEventWithoutCachedTokensKeepsThePreviousNumber() {
         response.reset();
         assertEquals(RequestDispatcher.CACHED_TOKENS_UNKNOWN, response.cachedTokens());
         String usage = "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":5}}}\n\n";
@@ -62,17 +62,17 @@
     }
 
     @Test
-    void theEndingTellsAnErrorAStallAndALostConnectionApart() {
+    void theFailureReasonDistinguishesErrorStallAndDisconnect() {
         response.end(AttemptOutcome.RESET);
-        assertEquals(StreamOutcome.UPSTREAM_DISCONNECTED, response.ending());
+        assertEquals(StreamOutcome.UPSTREAM_DISCONNECTED, response.failureReason());
         response.markStalled();
-        assertEquals(StreamOutcome.UPSTREAM_STALLED, response.ending());
+        assertEquals(StreamOutcome.UPSTREAM_STALLED, response.failureReason());
         response.endWithError(EVENT);
-        assertEquals(StreamOutcome.UPSTREAM_ERROR, response.ending());
+        assertEquals(StreamOutcome.UPSTREAM_ERROR, response.failureReason());
     }
 
     @Test
-    void resetForgetsTheResponseBefore() {
+    void resetClearsThePreviousResponse() {
         response.recordEvent(COMMENT, true, 10);
         response.markStarted();
         response.markGranted();
--- a/src/test/java/magpiehub/upstream/StreamEventTest.java
+++ b/src/test/java/magpiehub/upstream/StreamEventTest.java
@@ -10,14 +10,14 @@
 
 class StreamEventTest {
     @Test
-    void anErrorIsToldByTheEventsNameOrTheBeginningOfItsData() {
+    void anErrorIsRecognizedByTheEventNameOrTheStartOfItsData() {
         assertTrue(StreamEvent.isError(bytes("event: error\ndata: {}\n\n")));
         assertTrue(StreamEvent.isError(bytes("id: 1\nevent: error\n\n")));
         assertTrue(StreamEvent.isError(bytes("data: { \"error\" : {}}\n\n")));
     }
 
     @Test
-    void theWordErrorInAnAnswersTextIsNoError() {
+    void theWordErrorInGeneratedTextIsNotAnError() {
         assertFalse(StreamEvent.isError(bytes("data: {\"choices\":[{\"text\":\"an error\"}]}\n\n")));
         assertFalse(StreamEvent.isError(bytes("data: {\"choices\":[],\"error\":null}\n\n")));
     }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void commentsAndEventsOfTheDialectAreKnown() {
+    void commentsAndChatCompletionEventsAreKnown() {
         assertTrue(StreamEvent.isKnown(bytes("")));
         assertTrue(StreamEvent.isKnown(bytes(": comment\n\n")));
         assertTrue(StreamEvent.isKnown(bytes("data: {\"choices\":[]}\n\n")));
--- a/src/test/java/magpiehub/upstream/UpstreamAttemptTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamAttemptTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void anAbortedAttemptGetsNoSocket() throws IOException {
+    void anAbortedAttemptAcceptsNoSocket() throws IOException {
         attempt.abort();
         try (Socket socket = new Socket()) {
             assertFalse(attempt.attachSocket(socket));
--- a/src/test/java/magpiehub/upstream/UpstreamEndpointsTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamEndpointsTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void endpointsThatACompleteListDoesNotNameAreForgotten() {
+    void endpointsMissingFromACompleteListAreRemoved() {
         endpoints.update("a", "127.0.0.1:1", true);
         endpoints.update("b", "127.0.0.1:2", true);
         endpoints.retain(Set.of("b", "c"));
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -43,7 +43,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Races that recorded exchanges can't time, such as a list that changes between the decision and the write. */
+/** Race conditions that recorded exchanges can't reproduce, such as a list update between routing and write. */
 class UpstreamPoolTest {
     private final SyslogEventLog eventLog = new SyslogEventLog(System.err, "test", 1);
     private volatile CompletableFuture<String> answer = new CompletableFuture<>();
@@ -60,9 +60,9 @@
     }
 
     @Test
-    void anEngineThatDrainsAfterTheDecisionGetsNothing() throws Exception {
+    void noRequestIsSentToAnEndpointThatDrainsAfterTheRoutingDecision() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            // Service discovery has reported the drain to the pool, but not yet to the dispatcher.
+            // Service discovery has notified the pool of the drain, but not the dispatcher.
             startRouter(upstream, false);
             submit(null);
             assertEquals("refused", answer.get(60, TimeUnit.SECONDS));
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aHealthCheckOfAnEngineThatDrainsIsNotSent() throws Exception {
+    void noHealthCheckIsSentToADrainingEndpoint() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
             startRouter(upstream, false);
             dispatcher.execute(() -> pool.probe("e"));
@@ -82,9 +82,9 @@
         }
     }
 
-    /** The upstream's backlog is full, so that connecting takes until after the list has gone out of date. */
+    /** The upstream's accept backlog is full, so that connecting completes only after the list has expired. */
     @Test
-    void nothingIsWrittenOnceTheEndpointListIsOutOfDate() throws Exception {
+    void nothingIsSentAfterTheEndpointListHasExpired() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 Socket first = new Socket();
                 Socket second = new Socket()) {
@@ -101,7 +101,8 @@
             upstream.accept().close();
             upstream.accept().close();
             try (Socket late = upstream.accept()) {
-                assertEquals(-1, late.getInputStream().read(), "something was sent by a list that is out of date");
+                assertEquals(
+                        -1, late.getInputStream().read(), "a request was sent after the endpoint list had expired");
             }
             assertEquals("refused", answer.get(60, TimeUnit.SECONDS));
             assertNothingIsWritten(upstream);
@@ -109,11 +110,11 @@
     }
 
     /**
-     * The upstream's backlog is full, so that connecting takes long; the client leaves meanwhile, and the dispatcher
-     * has not heard of it yet.
+     * The upstream's accept backlog is full, so that connecting takes long. The client disconnects in the meantime, and
+     * the dispatcher has not been notified of it.
      */
     @Test
-    void aConnectionThatComesUpForNobodyIsClosed() throws Exception {
+    void noRequestIsSentForAClientThatDisconnectsDuringConnect() throws Exception {
         try (ServerSocket upstream = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 Socket first = new Socket();
                 Socket second = new Socket()) {
@@ -127,53 +128,53 @@
             upstream.accept().close();
             upstream.accept().close();
             try (Socket late = upstream.accept()) {
-                assertEquals(-1, late.getInputStream().read(), "a request for nobody");
+                assertEquals(-1, late.getInputStream().read(), "a request was sent for a disconnected client");
             }
             awaitCounter("answered_abandoned 1\n");
         }
     }
 
-    /** The health check has been connecting, or has found the list out of date before it began. */
+    /** The health check was either connecting when the list expired, or had not opened a connection yet. */
     private static void assertNothingIsWritten(ServerSocket upstream) throws IOException {
         upstream.setSoTimeout(300);
         try (Socket connection = upstream.accept()) {
             assertEquals(-1, connection.getInputStream().read(), "a health check was sent");
         } catch (SocketTimeoutException e) {
-            // It has opened no connection.
+            // The health check opened no connection.
         }
     }
 
     private void awaitCounter(String line) throws InterruptedException {
         long end = System.nanoTime() + 60_000_000_000L;
         while (!eventLog.counters().contains(line)) {
-            assertTrue(System.nanoTime() < end, line + "was not counted in\n" + eventLog.counters());
+            assertTrue(System.nanoTime() < end, "no counter line " + line + "in\n" + eventLog.counters());
             Thread.sleep(1);
         }
     }
 
     /**
-     * The dispatcher hears of a stream's end before the client does: a client that submits again as soon as it has read
-     * the end, under the same id, finds its request over.
+     * The dispatcher is notified of a stream's end before the client: a client that submits the same request id again
+     * as soon as it has read the end is not rejected for a duplicate id.
      */
     @Test
-    void aClientThatHasReadTheEndFindsItsRequestOver() throws Exception {
+    void aRequestIdCanBeReusedOnceTheClientHasReadTheEnd() throws Exception {
         for (String lastChunk : List.of("0\r\n\r\n", "")) {
             answer = new CompletableFuture<>();
             try (ServerSocket upstream = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
                 startRouter(upstream, true);
-                CompletableFuture<Boolean> submittedAgain = new CompletableFuture<>();
-                submit(new SubmitAgain(() -> submittedAgain.complete(submit(new SubmitAgain(() -> {})))));
+                CompletableFuture<Boolean> resubmitted = new CompletableFuture<>();
+                submit(new EndListener(() -> resubmitted.complete(submit(new EndListener(() -> {})))));
                 respond(upstream, lastChunk);
-                assertTrue(submittedAgain.get(60, TimeUnit.SECONDS), "there was no room");
+                assertTrue(resubmitted.get(60, TimeUnit.SECONDS), "the dispatcher's mailbox was full");
                 respond(upstream, "0\r\n\r\n");
                 assertFalse(eventLog.counters().contains("ids_in_use"), eventLog.counters());
-                assertFalse(answer.isDone(), "answered by the module: " + answer);
+                assertFalse(answer.isDone(), "answered by the dispatcher: " + answer);
             }
             dispatcherThread.interrupt();
         }
     }
 
-    /** Responds with one event and the end of the stream: its last chunk, or none. */
+    /** Responds with one event, followed by the given last chunk, which is empty for an incomplete stream. */
     private static void respond(ServerSocket upstream, String lastChunk) throws IOException {
         upstream.setSoTimeout(60_000);
         try (Socket connection = upstream.accept()) {
@@ -191,12 +192,12 @@
         }
     }
 
-    /** The client's side of a stream: runs a task the moment it is told of the end. */
-    private final class SubmitAgain implements StreamListener {
+    /** The client's side of a stream: runs a task when it is notified of the end. */
+    private final class EndListener implements StreamListener {
         private final StreamFlow flow = streams.openStream(0, -1, "1", () -> {});
         private final Runnable onEnd;
 
-        SubmitAgain(Runnable onEnd) {
+        EndListener(Runnable onEnd) {
             this.onEnd = onEnd;
         }
 
@@ -209,7 +210,7 @@
         }
 
         @Override
-        public void onFailure(byte[] error, StreamOutcome why) {
+        public void onFailure(byte[] error, StreamOutcome outcome) {
             onEnd.run();
         }
 
@@ -251,7 +252,7 @@
         public void fetch() {}
     };
 
-    /** Starts a dispatcher and a pool with one upstream, of which the list said last whether it accepts requests. */
+    /** Starts a dispatcher and a pool with one endpoint, and sets in the pool whether it accepts requests. */
     private void startRouter(ServerSocket upstream, boolean acceptsRequests) throws IOException {
         site = SiteSettingsParser.parse(ConfigurationObject.parse(
                 Files.readString(Path.of("src/test/resources/site.json"))
@@ -263,7 +264,7 @@
         pool = new UpstreamPool(site, 8, MonotonicClock.SYSTEM, eventLog, new ActorThreadPool(), streams);
         dispatcher = new RequestDispatcher(site.routing(), 7, MonotonicClock.SYSTEM, pool, endpointSource, eventLog);
         pool.setDispatcher(dispatcher);
-        dispatcherThread = DaemonThreads.newThread("module", dispatcher::run);
+        dispatcherThread = DaemonThreads.newThread("dispatcher", dispatcher::run);
         dispatcherThread.start();
         dispatcher.updateEndpoints(
                 EndpointListKind.SAVED, List.of(new Endpoint("e", 0, 0, 0, EndpointState.LIVE, 1, 0)));
@@ -271,17 +272,17 @@
     }
 
     /** Submits a request, always with the same id; false if the dispatcher's mailbox is full. */
-    private boolean submit(StreamListener sink) {
+    private boolean submit(StreamListener listener) {
         String text = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
         HttpReader input = new HttpReader(new ByteArrayInputStream(text.getBytes(UTF_8)), MonotonicClock.SYSTEM);
         try {
             assertTrue(input.awaitMessage());
             HttpHead head = input.readRequestHead();
-            ProtocolExchange call = new PlatformProtocol(() -> site)
+            ProtocolExchange exchange = new PlatformProtocol(() -> site)
                     .readRequest(head, input.readBody(head), input.messageStartMicros());
-            call.setStreamListener(sink);
-            return dispatcher.submit(call.request(), client, call, 2);
+            exchange.setStreamListener(listener);
+            return dispatcher.submit(exchange.request(), client, exchange, 2);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/test/java/magpiehub/upstream/UpstreamSettingsTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamSettingsTest.java
@@ -6,14 +6,14 @@
 
 class UpstreamSettingsTest {
     @Test
-    void aConnectionIsRetiredAfterHalfOfTheUpstreamsIdleTimeout() {
-        assertEquals(2_500_000, UpstreamSettings.retireIdleAfterMicros(5_000_000));
-        assertEquals(1, UpstreamSettings.retireIdleAfterMicros(3));
+    void theMaximumIdleTimeIsHalfOfTheUpstreamsIdleTimeout() {
+        assertEquals(2_500_000, UpstreamSettings.maxIdleMicros(5_000_000));
+        assertEquals(1, UpstreamSettings.maxIdleMicros(3));
     }
 
     @Test
-    void theTimeBeforeRetirementIsNeverZero() {
-        assertEquals(1, UpstreamSettings.retireIdleAfterMicros(1));
-        assertEquals(1, UpstreamSettings.retireIdleAfterMicros(0));
+    void theMaximumIdleTimeIsNeverZero() {
+        assertEquals(1, UpstreamSettings.maxIdleMicros(1));
+        assertEquals(1, UpstreamSettings.maxIdleMicros(0));
     }
 }
