--- a/src/main/java/magpiehub/Main.java
+++ b/src/main/java/magpiehub/Main.java
@@ -12,8 +12,8 @@
 import magpiehub.simulator.SimulatorAdapter;
 
 /**
- * The command line: {@code serve} runs one router, {@code adapter} speaks the simulator's protocol on standard input
- * and output, and {@code rehearse} runs a router briefly while the JVM records its classes in an archive.
+ * The command line: {@code serve} runs one router, {@code adapter} implements the simulator's protocol on standard
+ * input and output, and {@code rehearse} runs a router briefly while the JVM records its classes in a CDS archive.
  */
 public final class Main {
     private static final String SERVE = "serve";
@@ -25,7 +25,7 @@
 
     private Main() {}
 
-    /** Runs a command; exit status 0 on success, 1 on malformed input or configuration, 2 on wrong usage. */
+    /** Runs a command. The exit status is 0 on success, 1 on malformed input or configuration, 2 on incorrect usage. */
     public static void main(String[] args) throws IOException {
         ProcessSignals signals = ProcessSignals.install();
         String command = args.length == 1 ? args[0] : "";
@@ -46,11 +46,11 @@
 
     private static void runRouter(String command, ProcessSignals signals) {
         try {
-            Map<String, String> environment = command.equals(SERVE) ? System.getenv() : ClassArchiveTrainer.begin();
+            Map<String, String> environment = command.equals(SERVE) ? System.getenv() : ClassArchiveTrainer.start();
             RouterConfiguration configuration = RouterConfigurationReader.read(environment);
             new Router(configuration, signals).run();
         } catch (IOException | RuntimeException e) {
-            // One line for whoever starts it: what is wrong, or at least what failed.
+            // One line instead of a stack trace; the message alone suffices for a configuration error.
             System.err.println("magpiehub: " + (e instanceof ConfigurationException ? e.getMessage() : e));
             System.exit(EXIT_FAILED);
         }
--- a/src/main/java/magpiehub/lifecycle/ClassArchiveTrainer.java
+++ b/src/main/java/magpiehub/lifecycle/ClassArchiveTrainer.java
@@ -14,33 +14,33 @@
 import magpiehub.concurrent.DaemonThreads;
 
 /**
- * Exercises a router on loopback with fake peers while the JVM records the classes that it loads in an archive (JEP
- * 350). Later starts read the classes from there, which saves a fifth of their CPU. Only the command {@code rehearse},
- * which the build runs, uses this; a router that serves never does.
+ * Runs a router on the loopback interface against fake peers while the JVM records the loaded classes in a dynamic CDS
+ * archive (JEP 350). Later starts load their classes from the archive, which saves a fifth of their CPU time. Used only
+ * by the command {@code rehearse}, which the build runs, and never by a router in service.
  */
 public final class ClassArchiveTrainer {
-    /** After this the training has failed. */
+    /** The training run fails if it takes longer. */
     private static final int TIMEOUT_MS = 10_000;
 
     private static final int RETRY_PERIOD_MS = 20;
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final int PEERS_BACKLOG = 16;
+    private static final int PEER_BACKLOG = 16;
 
-    /** Requests of a known class, which are answered with a stream. */
+    /** Requests of a known class, which get a response stream. */
     private static final int ACCEPTED_REQUESTS = 2;
-    /** These and one of an unknown class, which is rejected. */
-    private static final int ALL_REQUESTS = ACCEPTED_REQUESTS + 1;
+    /** The accepted requests and one of an unknown class, which is rejected. */
+    private static final int TOTAL_REQUESTS = ACCEPTED_REQUESTS + 1;
 
     private static final String REQUEST_BODY = "{}";
     private static final String HEAD_END = "\r\n\r\n";
     private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String LAST_CHUNK = "0\r\n\r\n";
-    /** An endpoint list in discovery's form, with the fake upstream's port. */
+    /** An endpoint list in the discovery service's format; the argument is the fake upstream's port. */
     private static final String ENDPOINT_LIST =
             """
             {"revision":1,"complete":true,"members":[{"id":"e","host_port":"127.0.0.1:%d","locality":"a",\
             "flavor":"m","cell":0,"phase":"Ready","size":1.0,"up_since_ms":0}]}""";
-    /** The router's configuration, with its port, the port of the fake peers and the endpoint list. */
+    /** The router's configuration; the arguments are its port, the fake peers' port and the endpoint list. */
     private static final String CONFIGURATION =
             """
             {"name":"rehearsal","listen":"127.0.0.1:%1$d","discovery":"127.0.0.1:%2$d","seed":"1",
@@ -61,13 +61,13 @@
     private ClassArchiveTrainer() {}
 
     /**
-     * Starts the fake peers and a client, which ends the process once the router has served it.
+     * Starts the fake peers and a client, which ends the process once the router has answered its requests.
      *
-     * @return the environment to start the router with
+     * @return the environment variables to start the router with
      */
-    public static Map<String, String> begin() throws IOException {
+    public static Map<String, String> start() throws IOException {
         InetAddress loopback = InetAddress.getLoopbackAddress();
-        ServerSocket peers = new ServerSocket(0, PEERS_BACKLOG, loopback);
+        ServerSocket peers = new ServerSocket(0, PEER_BACKLOG, loopback);
         int peersPort = peers.getLocalPort();
         int routerPort = findFreePort(loopback);
         String endpointList = ENDPOINT_LIST.formatted(peersPort);
@@ -85,7 +85,7 @@
         }
     }
 
-    // The peers: discovery and one upstream on one port.
+    // The peers: the discovery service and one upstream on a single port.
 
     private static void acceptPeers(ServerSocket peers, String endpointList) {
         while (true) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Answers the requests of one connection: a watch of the list with the list, any other with a stream. */
+    /** Answers the requests on one connection: a discovery watch with the endpoint list, any other with a stream. */
     private static void serveConnection(Socket connection, String endpointList) {
         try (connection) {
             InputStream in = connection.getInputStream();
@@ -129,7 +129,7 @@
         while (head.length() < HEAD_END.length() || head.lastIndexOf(HEAD_END) != head.length() - HEAD_END.length()) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("ended");
+                throw new IOException("connection closed within a message head");
             }
             head.append((char) next);
         }
@@ -138,7 +138,7 @@
 
     // The client.
 
-    /** Sends the requests once the router is ready, and ends the process: with status 1 if it was not in time. */
+    /** Sends the requests once the router is ready, then exits; with status 1 if that takes too long. */
     private static void runClient(int routerPort) {
         int status = 1;
         try {
@@ -165,12 +165,12 @@
             if (!readHead(in).startsWith("HTTP/1.1 200")) {
                 return false;
             }
-            for (int i = 0; i < ALL_REQUESTS; i++) {
+            for (int i = 0; i < TOTAL_REQUESTS; i++) {
                 boolean isAccepted = i < ACCEPTED_REQUESTS;
                 out.write(request(i, isAccepted ? "c" : "none").getBytes(StandardCharsets.US_ASCII));
                 readHead(in);
                 if (isAccepted) {
-                    readHead(in); // Up to the stream's last chunk, which ends as a head does.
+                    readHead(in); // Reads the chunks: the last one ends with an empty line, as a head does.
                 }
             }
             return true;
--- a/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -13,45 +13,45 @@
 import magpiehub.telemetry.SyslogEventLog;
 
 /**
- * Reads the configuration again on each SIGHUP. A file is applied completely or not at all: one that is malformed is
- * logged and changes nothing. Settings and the address of discovery are applied at once; other differences are named
- * in the log, since they take a restart. Runs on a thread of its own until that is interrupted.
+ * Reloads the configuration on SIGHUP. A configuration is applied completely or not at all: a malformed file is logged
+ * and changes nothing. Settings and the address of service discovery take effect immediately; other changes require a
+ * restart and are listed in the log. Runs on a thread of its own until it is interrupted.
  */
 final class ConfigurationReloader implements Runnable {
-    /** Applies new settings to the parts of the router. */
+    /** Applies new settings to the components of the router. */
     interface SettingsTarget {
-        /** Applies the settings of a later file; may reject them with an exception before it has changed anything. */
-        void apply(SiteSettings later) throws IOException;
+        /** Applies new settings, or rejects them with an exception without having changed anything. */
+        void apply(SiteSettings newSettings) throws IOException;
     }
 
-    /** The keys that a reload applies begin with this. */
+    /** Prefix of the configuration keys that a reload applies. */
     private static final String SETTINGS_PREFIX = "settings.";
-    /** What the log names where the source of the endpoint list would have to be another one. */
-    private static final String REGISTRY_CHANGE = "registry";
+    /** Logged as requiring a restart if the reloaded configuration has another kind of endpoint list source. */
+    private static final String REGISTRY_KEY = "registry";
 
-    private final RouterConfiguration started;
+    private final RouterConfiguration startupConfiguration;
     private final ProcessSignals signals;
     private final EndpointSource discovery;
     private final Path registryFile;
     private final SyslogEventLog log;
     private final SettingsTarget target;
-    private RouterConfiguration inForce;
+    private RouterConfiguration current;
 
     /**
-     * A reloader that waits for no signal until it runs.
+     * Creates a reloader that handles no signals until it runs.
      *
-     * @param started the configuration of the start, which decides what takes a restart
-     * @param registryFile where an installation may name a registry of its own
+     * @param startupConfiguration the configuration at startup, which determines what requires a restart
+     * @param registryFile the settings file of the installation's own registry; may be absent
      */
     ConfigurationReloader(
-            RouterConfiguration started,
+            RouterConfiguration startupConfiguration,
             ProcessSignals signals,
             EndpointSource discovery,
             Path registryFile,
             SyslogEventLog log,
             SettingsTarget target) {
-        this.started = started;
-        this.inForce = started;
+        this.startupConfiguration = startupConfiguration;
+        this.current = startupConfiguration;
         this.signals = signals;
         this.discovery = discovery;
         this.registryFile = registryFile;
@@ -64,7 +64,7 @@
         try {
             while (true) {
                 signals.awaitHangup();
-                // One reload serves all signals so far: the file is as new for them all.
+                // One reload handles all pending signals, since it reads the current file.
                 while (signals.pollHangup()) {
                     log.count("hangups_together");
                 }
@@ -77,22 +77,22 @@
 
     private void reload() {
         try {
-            RouterConfiguration next = RouterConfigurationReader.reread(System.getenv(), inForce);
+            RouterConfiguration next = RouterConfigurationReader.reread(System.getenv(), current);
             DiscoverySettings registry = DiscoverySettings.read(registryFile);
-            List<String> applied = inForce.changedKeys(next);
+            List<String> applied = current.changedKeys(next);
             applied.removeIf(key -> !key.startsWith(SETTINGS_PREFIX));
-            List<String> needRestart = started.changedKeys(next);
+            List<String> needRestart = startupConfiguration.changedKeys(next);
             needRestart.removeIf(key -> key.startsWith(SETTINGS_PREFIX));
             target.apply(next.site());
-            inForce = next;
+            current = next;
             if (!redirectDiscovery(next, registry)) {
-                needRestart.add(REGISTRY_CHANGE);
+                needRestart.add(REGISTRY_KEY);
             }
             log.count("reloads");
             logReload(
                     registry == null ? next.discovery() : String.join(" ", registry.endpoints()), applied, needRestart);
         } catch (IOException | RuntimeException | StackOverflowError e) {
-            // A stack overflow comes from a file that is nested too deeply.
+            // A file that is nested too deeply causes a stack overflow.
             log.count("reload_failures");
             log.log("reload-failed", "error", String.valueOf(e.getMessage()));
         }
@@ -109,7 +109,7 @@
                 String.join(" ", needRestart));
     }
 
-    /** Points the source of the endpoint list to its new address; false if the file names a source of another kind. */
+    /** Changes the address of the endpoint list source; returns false if the new source is of another kind. */
     private boolean redirectDiscovery(RouterConfiguration next, DiscoverySettings registry) {
         if (discovery instanceof RegistryClient client && registry != null) {
             client.changeSettings(registry);
--- a/src/main/java/magpiehub/lifecycle/ConnectionLimits.java
+++ b/src/main/java/magpiehub/lifecycle/ConnectionLimits.java
@@ -1,25 +1,25 @@
 package magpiehub.lifecycle;
 
 /**
- * How the descriptors of the process are divided. Requests in flight take at most a third of them on each side; clients
- * that stay connected between requests need more.
+ * The division of the process's file descriptors. Requests in flight need at most a third of them on each side; the
+ * downstream side needs more, since clients stay connected between requests.
  *
- * @param upstream connections to upstreams
- * @param downstream connections of clients that may send requests
+ * @param upstream maximum number of connections to upstreams
+ * @param downstream maximum number of client connections that may send requests
  */
 record ConnectionLimits(int upstream, int downstream) {
-    /** Connections of clients that use the messages protocol, where it is on. */
+    /** Maximum number of client connections on the listener of the messages protocol, if it is enabled. */
     static final int MESSAGES_DOWNSTREAM = 64;
 
-    /** Descriptors for files, logs, discovery and health checks; the rest is shared between clients and upstreams. */
+    /** Descriptors reserved for files, logs, discovery and health checks; clients and upstreams share the rest. */
     private static final int RESERVED = 64;
-    /** The least on each side, however few there are. */
+    /** Minimum number of connections on each side, even if the descriptors are too few. */
     private static final int MINIMUM = 8;
 
     static ConnectionLimits forSockets(int maxSockets) {
         int upstream = Math.max(MINIMUM, maxSockets * 3 / 8);
         int allDownstream = Math.max(MINIMUM, maxSockets - RESERVED - upstream);
-        // The listener accepts a sixteenth and 4 more than its limit, to reject them with an answer.
+        // The listener accepts a sixteenth plus 4 above its limit, to send these clients a rejection response.
         return new ConnectionLimits(upstream, allDownstream * 15 / 16 - 4);
     }
 }
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -11,15 +11,15 @@
 import magpiehub.telemetry.SyslogEventLog;
 
 /**
- * Ends the process in the phases of {@link ShutdownPhases}: new connections are accepted for a moment, then only the
- * open ones are served, then only requests in flight, and before the process is killed each request gets its final
- * answer. Runs once, as the JVM's shutdown hook, and returns when no connection is open.
+ * Shuts the router down in the phases of {@link ShutdownPhases}: at first new connections are still accepted, then only
+ * open connections are served, then only requests in flight; the remaining requests get a final answer before the
+ * process is killed. Runs once, as a JVM shutdown hook, and returns when no connection is open.
  */
 final class GracefulShutdown implements Runnable {
-    /** How often the phases are checked. */
+    /** Interval between two checks of the phases. */
     private static final long POLL_PERIOD_MS = 5;
-    /** In the last phase, a client that has read nothing for so long is disconnected. */
-    private static final long STUCK_CLIENT_MICROS = 1_000_000;
+    /** In the last phase, a client that has read nothing for this long is disconnected. */
+    private static final long STALLED_CLIENT_TIMEOUT_MICROS = 1_000_000;
 
     private static final int MICROS_PER_MILLI = 1000;
 
@@ -31,7 +31,7 @@
     private final AdminCommandHandler admin;
 
     /**
-     * A shutdown that has not begun.
+     * Creates a shutdown hook; nothing happens before it runs.
      *
      * @param admin null if the router has no console
      */
@@ -63,9 +63,9 @@
             ShutdownPhases phases =
                     ShutdownPhases.forClasses(site.get().routing().classes());
             if (hasSuccessor) {
-                handOver(phases);
+                drainToSuccessor(phases);
             }
-            // Before accepting ends: clients are to stop coming first.
+            // Deregisters before accepting ends, so that clients stop connecting first.
             announcement.withdraw();
             finish(phases, hasSuccessor);
         } catch (IOException | InterruptedException e) {
@@ -80,27 +80,27 @@
         }
     }
 
-    /** Whether a newer process of this router serves on the same listening socket. */
+    /** Whether a newer process of this router accepts connections on the same listening socket. */
     private boolean hasSuccessor() {
         return admin != null && admin.hasSuccessor() && listeners.stream().anyMatch(ClientListener::hasSharedSocket);
     }
 
-    /** Leaves new connections to the successor at once, and lets the open ones move to it little by little. */
-    private void handOver(ShutdownPhases phases) throws IOException {
+    /** Leaves new connections to the successor immediately, and drains the open ones to it gradually. */
+    private void drainToSuccessor(ShutdownPhases phases) throws IOException {
         for (ClientListener listener : listeners) {
             listener.stopAccepting();
             listener.drainIdleConnections(MonotonicClock.SYSTEM.micros() + phases.keepIdleMillis() * MICROS_PER_MILLI);
         }
     }
 
-    private void finish(ShutdownPhases phases, boolean handedOver) throws IOException, InterruptedException {
+    private void finish(ShutdownPhases phases, boolean hasSuccessor) throws IOException, InterruptedException {
         boolean accepting = true;
-        boolean keepingIdle = !handedOver;
+        boolean keepingIdle = !hasSuccessor;
         boolean awaitingRequests = true;
         long startedAt = MonotonicClock.SYSTEM.micros();
         while (accepting || hasOpenConnections()) {
             Thread.sleep(POLL_PERIOD_MS);
-            // By the clock: a process that is held to its share of a core sleeps longer than it asks for.
+            // Measured by the clock, since a process whose CPU quota is exhausted sleeps longer than requested.
             long elapsedMillis = (MonotonicClock.SYSTEM.micros() - startedAt) / MICROS_PER_MILLI;
             if (accepting && elapsedMillis >= phases.acceptMillis()) {
                 accepting = false;
@@ -115,7 +115,7 @@
                 dispatcher.shutDown(site.get().routing().resumesStreams());
             }
             if (!awaitingRequests) {
-                listeners.forEach(listener -> listener.cutStalledConnections(STUCK_CLIENT_MICROS));
+                listeners.forEach(listener -> listener.cutStalledConnections(STALLED_CLIENT_TIMEOUT_MICROS));
             }
         }
     }
--- a/src/main/java/magpiehub/lifecycle/ProcessSignals.java
+++ b/src/main/java/magpiehub/lifecycle/ProcessSignals.java
@@ -3,7 +3,7 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 
-/** The signals that the process handles: SIGHUP asks for a reload, SIGTERM and SIGINT end it. */
+/** The signals that the process handles: SIGHUP triggers a reload, SIGTERM and SIGINT a shutdown. */
 public final class ProcessSignals {
     /** Signals have no payload, so the mailbox is never full. */
     private static final int MAILBOX_BYTES = 1;
@@ -12,19 +12,19 @@
     private final boolean hangupIgnored;
 
     private ProcessSignals() {
-        sun.misc.SignalHandler before = sun.misc.Signal.handle(new sun.misc.Signal("HUP"), hangups::post);
-        hangupIgnored = before == sun.misc.SignalHandler.SIG_IGN;
+        sun.misc.SignalHandler previous = sun.misc.Signal.handle(new sun.misc.Signal("HUP"), hangups::post);
+        hangupIgnored = previous == sun.misc.SignalHandler.SIG_IGN;
     }
 
     /**
-     * Takes over SIGHUP, which the JVM would answer by ending the process. To be called before anything else; signals
-     * wait until {@link #awaitHangup} asks for them.
+     * Installs a handler for SIGHUP, which would otherwise terminate the JVM. Must be called first at startup; signals
+     * are queued until {@link #awaitHangup} is called.
      */
     public static ProcessSignals install() {
         return new ProcessSignals();
     }
 
-    /** Whether the process inherited an ignored SIGHUP, as from nohup: the JVM leaves it so, and none ever arrives. */
+    /** Whether SIGHUP was ignored at startup, as with nohup; the JVM then keeps it ignored and none is delivered. */
     boolean isHangupIgnored() {
         return hangupIgnored;
     }
@@ -34,7 +34,7 @@
         hangups.take(Long.MAX_VALUE);
     }
 
-    /** Takes a further SIGHUP if one has arrived already. */
+    /** Removes a pending SIGHUP from the queue; returns false if there is none. */
     boolean pollHangup() {
         return hangups.poll() != null;
     }
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -40,15 +40,15 @@
 import magpiehub.upstream.UpstreamPool;
 
 /**
- * One router process: creates the parts, connects them, and starts them in their order. It takes no decision about
+ * One router process: creates its components, connects them, and starts them in order. It makes no decisions about
  * requests.
  *
- * <p>Features beyond the platform's own are off unless the installation has a file for them in {@code deploy/}: a
- * registry of its own, limits of streams, a plan for the loss of a site, the messages protocol, a key-value store.
+ * <p>Optional features are disabled unless the installation has a settings file for them in {@code deploy/}: its own
+ * registry, stream limits, site failover, the messages protocol, and a key-value store.
  */
 public final class Router {
-    /** How long a process that takes over another one's socket waits for a list before it accepts clients. */
-    private static final long LIST_TIMEOUT_MILLIS = 8_000;
+    /** How long a process that inherits its listening socket waits for an endpoint list before it accepts clients. */
+    private static final long ENDPOINT_LIST_TIMEOUT_MILLIS = 8_000;
 
     private static final Path REGISTRY_FILE = Path.of("deploy/registry.json");
     private static final Path STREAMS_FILE = Path.of("deploy/streams.json");
@@ -62,26 +62,26 @@
     private final MonotonicClock clock = MonotonicClock.SYSTEM;
     private final ActorThreadPool threads = new ActorThreadPool();
     private final SyslogEventLog log;
-    /** The settings in force; protocols read them for each request. */
+    /** The current settings; protocols read them for each request. */
     private final AtomicReference<SiteSettings> site;
 
     private final FlowController streams;
     private final UpstreamPool upstreams;
-    /** Null where the platform's discovery is used. */
+    /** Null if the platform's discovery service is used. */
     private final DiscoverySettings registry;
 
     private final EndpointSource discovery;
-    /** Null where the installation has none. */
+    /** Null if site failover is disabled. */
     private final SiteFailoverPlan failoverPlan;
 
     private final RequestDispatcher dispatcher;
     private final PlatformProtocol platformProtocol;
     private final List<ClientListener> listeners = new CopyOnWriteArrayList<>();
-    /** Null where the router has no console. */
+    /** Null if the router has no admin console. */
     private final AdminCommandHandler admin;
 
     /**
-     * Creates the parts. The log and the upstream pool start at once, the others in {@link #run}.
+     * Creates the components. The log and the upstream pool start immediately, the others in {@link #run}.
      *
      * @throws ConfigurationException if the configuration or a file of the installation is malformed
      */
@@ -101,14 +101,14 @@
         this.admin = createAdmin();
     }
 
-    /** Starts the router and serves until the process is told to end. */
+    /** Starts the router and serves requests until the process is terminated. */
     public void run() throws IOException {
         discovery.start(dispatcher, configuration.initialEndpoints());
         startReloader();
         DaemonThreads.newThread("module", dispatcher::run).start();
         warmUp();
-        // Not before: a request that waits in the socket of a process that can't read it yet loses time that
-        // nobody counts, for its deadline runs from when it was sent.
+        // The listener is opened only now: a request that waits in the accept backlog of a starting process loses time
+        // that is not accounted for, since its deadline counts from when it was sent.
         ClientListener clients = openClientListener();
         MessagesSettings messagesSettings = MessagesSettings.read(MESSAGES_FILE);
         KeyValueStore store = LastWriteWinsStore.fromFile(STORE_FILE, configuration.name(), clock, log);
@@ -116,8 +116,8 @@
         ServiceAnnouncement announcement = new ServiceAnnouncement(configuration, registry, store, clock, log);
         signals.onTermination(new GracefulShutdown(listeners, dispatcher, site::get, log, announcement, admin));
         if (configuration.inheritsListener()) {
-            // The older process serves until this one says that it does.
-            awaitList();
+            // The older process keeps serving until this one reports that it is ready.
+            awaitEndpointList();
         }
         startConsole();
         clients.start();
@@ -213,12 +213,12 @@
         DaemonThreads.newThread("reload", reloader).start();
     }
 
-    private void applySettings(SiteSettings later) throws IOException {
-        SiteSettings next = site.get().updatedTo(later);
+    private void applySettings(SiteSettings newSettings) throws IOException {
+        SiteSettings next = site.get().updatedTo(newSettings);
         streams.updateSettings(readStreamLimits(next), next);
         upstreams.updateSettings(next);
         dispatcher.updateSettings(next.routing());
-        // Last: the other parts then know every class and tenant that the protocols name by index.
+        // Updated last, so that the other components know every class and tenant index that the protocols use.
         site.set(next);
     }
 
@@ -260,7 +260,7 @@
         return listener;
     }
 
-    /** All counters, one a line. */
+    /** All counters, one per line. */
     private String counters() {
         String counters = log.counters() + streams.metrics() + discovery.counterLines();
         return failoverPlan == null ? counters : counters + failoverPlan.metrics();
@@ -274,13 +274,13 @@
         AdminServer console = new AdminServer(HostPort.toSocketAddress(configuration.console()), admin::handle, log);
         console.start();
         log.log("console", "listen", withPort(configuration.console(), console.port()));
-        // An older process ends once this one reports itself, and looks then for who takes its clients.
+        // An older process shuts down once this one reports that it serves, and then checks for its successor.
         admin.onServing();
     }
 
-    private void awaitList() {
+    private void awaitEndpointList() {
         try {
-            discovery.awaitKnown(LIST_TIMEOUT_MILLIS);
+            discovery.awaitKnown(ENDPOINT_LIST_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -294,7 +294,7 @@
         }
     }
 
-    /** An address with the port that was opened, where the configuration leaves it to the system with 0. */
+    /** The address with the actual port, for configurations that let the system choose one with port 0. */
     private static String withPort(String address, int port) {
         return address.substring(0, address.lastIndexOf(':') + 1) + port;
     }
--- a/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
+++ b/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
@@ -11,7 +11,7 @@
 import magpiehub.downstream.ClientListener;
 import magpiehub.sites.SiteFailoverPlan;
 
-/** Carries out the operators' commands on the parts of this router. */
+/** Executes operators' maintenance commands on the components of this router. */
 final class RouterMaintenanceActions implements MaintenanceActions {
     private static final int MICROS_PER_MILLI = 1000;
 
@@ -19,14 +19,14 @@
     private final EndpointSource discovery;
     private final SiteFailoverPlan failoverPlan;
     private final List<ClientListener> listeners;
-    /** Monotonic time less Unix time, taken once, so that one time of a command always gives the same result. */
+    /** Monotonic time minus Unix time, computed once so that the same Unix time always converts to the same result. */
     private final long monotonicOffsetMicros;
 
     /**
-     * The actions of one router.
+     * Creates the actions of one router.
      *
-     * @param failoverPlan null if the installation has none
-     * @param listeners may grow later
+     * @param failoverPlan null if site failover is disabled
+     * @param listeners the router's listeners; more may be added later
      */
     RouterMaintenanceActions(
             BooleanSupplier ready,
--- a/src/main/java/magpiehub/lifecycle/ServiceAnnouncement.java
+++ b/src/main/java/magpiehub/lifecycle/ServiceAnnouncement.java
@@ -9,11 +9,11 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Tells the installation's registry and key-value store, where it has them, that this router serves or is stopping.
- * {@link #publish} and {@link #withdraw} may be called from different threads.
+ * Registers this router with the installation's registry and publishes its status in the key-value store, if the
+ * installation has them. {@link #publish} and {@link #withdraw} may be called from different threads.
  */
 final class ServiceAnnouncement {
-    /** How long the registry may take to remove this router. */
+    /** Timeout for deregistering this router. */
     private static final long DEREGISTER_TIMEOUT_MS = 400;
 
     private static final String STORE_KEY_PREFIX = "router/";
@@ -23,10 +23,10 @@
     private final KeyValueStore store;
     private final MonotonicClock clock;
     private final EventLog log;
-    private volatile RouterRegistration announcer;
+    private volatile RouterRegistration registration;
 
     /**
-     * An announcement that has not been published.
+     * Creates an announcement that is not yet published.
      *
      * @param registry null if the installation has no registry of its own
      * @param store null if the installation has no store
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Announces that the router serves.
+     * Announces that the router is serving.
      *
      * @param address where clients connect, as {@code host:port}
      */
@@ -53,16 +53,16 @@
         if (registry != null && registry.registration() != null) {
             RouterRegistration started =
                     new RouterRegistration(registry, configuration.name(), address, clock, log, configuration.seed());
-            announcer = started;
+            registration = started;
             started.start();
         }
         putInStore("serving " + address);
     }
 
-    /** Announces that the router is stopping, and waits a bounded time until the registry has removed it. */
+    /** Announces that the router is stopping, and waits up to a timeout until it is deregistered. */
     void withdraw() throws InterruptedException {
         putInStore("stopping");
-        RouterRegistration published = announcer;
+        RouterRegistration published = registration;
         if (published != null) {
             published.stop(DEREGISTER_TIMEOUT_MS);
         }
--- a/src/main/java/magpiehub/lifecycle/package-info.java
+++ b/src/main/java/magpiehub/lifecycle/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A router process from its start to its end: wiring, signals, reloads, graceful shutdown, and the archive of its
- * classes that makes the next start cheaper.
+ * The life cycle of a router process: wiring, signals, configuration reloads, graceful shutdown, and the class data
+ * sharing archive that speeds up its start.
  */
 package magpiehub.lifecycle;
--- a/src/test/java/magpiehub/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/magpiehub/lifecycle/GracefulShutdownTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The phases of a shutdown follow from the deadlines of the classes. */
+/** The phases of a graceful shutdown are derived from the deadlines of the request classes. */
 class GracefulShutdownTest {
     private static RequestClass withDeadline(long ms) {
         return new RequestClass(
@@ -23,7 +23,9 @@
     void theLongestDeadlineCountsUpToThreeSeconds(long deadline, long keep, long finish) {
         ShutdownPhases phases = ShutdownPhases.forClasses(List.of(withDeadline(100), withDeadline(deadline)));
         assertEquals(new ShutdownPhases(600, keep, finish), phases);
-        assertTrue(phases.finishMillis() < Math.min(3000, deadline) + 700, "before the process is killed");
+        assertTrue(
+                phases.finishMillis() < Math.min(3000, deadline) + 700,
+                "the last phase ends after the process is killed");
     }
 
     @Test
