--- a/src/main/java/magpiehub/protocol/ChatCompletionProgress.java
+++ b/src/main/java/magpiehub/protocol/ChatCompletionProgress.java
@@ -7,7 +7,7 @@
 import magpiehub.config.ConfigurationException;
 import magpiehub.config.ConfigurationObject;
 
-/** What the events of a chat completion's stream have said so far, in the terms of the messages API. */
+/** Accumulates the state of a chat completion stream and exposes it in the terms of the messages API. */
 final class ChatCompletionProgress {
     private String stopReason = "end_turn";
     private boolean finished;
@@ -15,16 +15,16 @@
     private long cachedTokens;
     private long completionTokens;
 
-    /** Sets an estimate of the prompt's length, which holds until an event says it. */
+    /** Sets an estimate of the prompt's length, which is used until an event reports the actual one. */
     void estimatePromptTokens(long tokens) {
         promptTokens = tokens;
     }
 
     /**
-     * Reads an event. One that is no chat completion changes nothing more from where it can't be read on; whether it is
-     * a fault is judged by the upstream's side.
+     * Reads an event. Parsing stops silently where an event is not a valid chat completion; the upstream package
+     * decides whether that is an error.
      *
-     * @return the text of each choice, empty where it has none
+     * @return the text of each choice, empty for choices without text
      */
     List<String> read(byte[] event) {
         List<String> texts = new ArrayList<>(1);
@@ -59,17 +59,17 @@
         cachedTokens = Math.min(promptTokens, (long) cached);
     }
 
-    /** Why the text has ended, as the messages API names it. */
+    /** The reason why the text ended, as a value of the messages API. */
     String stopReason() {
         return stopReason;
     }
 
-    /** Whether the upstream has said why its text is over: what may still come is usage and framing. */
+    /** Whether the upstream has sent a finish reason; only usage and framing may follow. */
     boolean isFinished() {
         return finished;
     }
 
-    /** The API's usage object, as far as known. */
+    /** The usage object of the messages API, with the values known so far. */
     String usageJson() {
         return "{\"input_tokens\":" + (promptTokens - cachedTokens) + ",\"cache_read_input_tokens\":" + cachedTokens
                 + ",\"output_tokens\":" + completionTokens + "}";
--- a/src/main/java/magpiehub/protocol/JsonText.java
+++ b/src/main/java/magpiehub/protocol/JsonText.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 
-/** Writes JSON texts. */
+/** Encodes JSON strings. */
 final class JsonText {
     private JsonText() {}
 
-    /** A text as a JSON value, in quotes and escaped. */
+    /** Returns the text as a quoted and escaped JSON string. */
     static String quote(String text) {
         return '"' + String.valueOf(JsonStringEncoder.getInstance().quoteAsString(text)) + '"';
     }
--- a/src/main/java/magpiehub/protocol/MessagesExchange.java
+++ b/src/main/java/magpiehub/protocol/MessagesExchange.java
@@ -11,7 +11,7 @@
 /**
  * An exchange of the messages API: a stream of {@code message_start}, {@code content_block_delta},
  * {@code message_delta} and {@code message_stop}, or one complete message. Neither {@code message_stop} nor a
- * complete message is written unless the upstream's stream has ended in order, or has at least given its finish reason.
+ * complete message is written unless the upstream's stream is complete, or has at least sent its finish reason.
  */
 final class MessagesExchange extends ProtocolExchange {
     private static final int INTERNAL_SERVER_ERROR = 500;
@@ -20,7 +20,7 @@
     private final MessagesProtocol protocol;
     private final String model;
     private final boolean streams;
-    /** The text so far, where the client wants no stream. */
+    /** The text so far, if the client did not request a stream. */
     private final StringBuilder text = new StringBuilder();
 
     private final ChatCompletionProgress progress = new ChatCompletionProgress();
@@ -38,7 +38,7 @@
         this.streams = streams;
     }
 
-    /** Writes an event, with members after its type that begin with a comma. */
+    /** Writes an event; {@code members} follow its type member and begin with a comma. */
     private static void writeApiEvent(HttpWriter out, String type, String members) {
         out.appendChunk(("event: " + type + "\ndata: {\"type\":\"" + type + '"' + members + "}\n\n")
                 .getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/magpiehub/protocol/MessagesProtocol.java
+++ b/src/main/java/magpiehub/protocol/MessagesProtocol.java
@@ -16,24 +16,24 @@
 
 /**
  * The messages API: {@code POST /v1/messages}, translated to the platform's chat completions and back. Class, tenant,
- * id and timeout may come in the platform's headers; {@link MessagesSettings} has defaults.
+ * id and timeout may be given in the platform's headers; {@link MessagesSettings} has the default class and tenant.
  */
 public final class MessagesProtocol implements ProtocolAdapter {
     private static final String PATH = "/v1/messages";
-    /** The one header of this protocol that means the same to upstreams, in lower case. */
+    /** The only header of this protocol that is forwarded, since it means the same to upstreams; in lower case. */
     private static final String IDEMPOTENCY_KEY = "idempotency-key";
-    /** The key in the store, before the model's name, of the class of a model's requests. */
+    /** Prefix of the store keys that map a model's name to the class of its requests. */
     private static final String STORED_CLASS_PREFIX = "messages/model/";
-    /** An estimate, the same as everywhere on the platform. */
+    /** An estimate; the whole platform uses the same value. */
     private static final int CHARACTERS_PER_TOKEN = 4;
-    /** Session and prefix ids stay below what the simulator's wire format can carry. */
+    /** Session and prefix ids are limited to 53 bits, the precision of numbers in the simulator's wire format. */
     private static final long ID_MASK = (1L << 53) - 1;
 
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
     private static final int SERVICE_UNAVAILABLE = 503;
-    /** The messages API has a status of its own for "overloaded". */
+    /** The messages API's own status for "overloaded". */
     private static final int OVERLOADED = 529;
 
     private final Supplier<SiteSettings> site;
@@ -41,10 +41,10 @@
     private final KeyValueStore store;
 
     /**
-     * The protocol of a site.
+     * Creates the protocol of a site.
      *
-     * @param site the settings in force, asked for each request
-     * @param store holds classes of models, which override the settings; null where the store is off
+     * @param site supplies the current settings, once per request
+     * @param store holds the classes of models, which override the settings; null if the store is disabled
      */
     public MessagesProtocol(Supplier<SiteSettings> site, MessagesSettings settings, KeyValueStore store) {
         this.site = site;
@@ -109,13 +109,13 @@
                 false);
     }
 
-    /** The class of a model's requests: what the store says, else the settings. */
+    /** The class of a model's requests: the store's entry if there is one, otherwise that of the settings. */
     private String classOf(String model) {
         String stored = store == null ? null : store.get(STORED_CLASS_PREFIX + model);
         return stored != null ? stored : settings.classOf(model);
     }
 
-    /** A conversation is known by its first message, since each turn repeats all that went before. */
+    /** Identifies a conversation by its first message, since each request repeats all previous messages. */
     private static long sessionOf(HttpHead head, MessagesRequest request) throws HttpException {
         String session = head.headers().get(PlatformHeaders.SESSION_HASH);
         if (session != null) {
@@ -125,7 +125,7 @@
         return hash(request.userId() + '\n' + request.system() + '\n' + opening);
     }
 
-    /** FNV-1a over the text's characters, folded to {@link #ID_MASK}; never 0, which stands for no id. */
+    /** FNV-1a hash of the text's characters, folded to {@link #ID_MASK}; never 0, which means no id. */
     private static long hash(String text) {
         long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -149,7 +149,7 @@
         HttpResponses.appendError(out, apiStatus, errorJson(apiStatus, reason) + "\n", retryAfterMicros, close);
     }
 
-    /** The API's error object for a status. */
+    /** The messages API's error object for a status. */
     static String errorJson(int status, String reason) {
         String type =
                 switch (status) {
--- a/src/main/java/magpiehub/protocol/MessagesRequest.java
+++ b/src/main/java/magpiehub/protocol/MessagesRequest.java
@@ -20,10 +20,10 @@
     private final List<Message> messages = new ArrayList<>();
 
     /**
-     * Reads a body.
+     * Parses a request body.
      *
-     * @throws HttpException with status 400 if something required is missing, or can't be translated
-     * @throws magpiehub.config.ConfigurationException if a value is of the wrong type
+     * @throws HttpException with status 400 if a required member is missing or a value can't be translated
+     * @throws magpiehub.config.ConfigurationException if a value has the wrong type
      */
     MessagesRequest(ConfigurationObject body) throws HttpException {
         this.body = body;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Null where the key is absent; a null value stands for 1. */
+    /** Returns null if the key is absent, and 1 if its value is null. */
     private Double readOptionalNumber(String key) {
         return body.map().containsKey(key) ? Double.valueOf(body.number(key, 1)) : null;
     }
@@ -55,7 +55,7 @@
         return new Message(role, readText(entry, "content"));
     }
 
-    /** A text, or the texts of a list of blocks joined; upstreams take no other blocks. */
+    /** Returns a string, or the concatenated text of a list of blocks. Upstreams support text blocks only. */
     private static String readText(ConfigurationObject object, String key) throws HttpException {
         Object value = object.map().get(key);
         if (value == null) {
@@ -101,12 +101,12 @@
         return stopSequences;
     }
 
-    /** At least one. */
+    /** The messages of the conversation; never empty. */
     List<Message> messages() {
         return messages;
     }
 
-    /** The characters of the system prompt and all messages. */
+    /** The number of characters in the system prompt and all messages. */
     long characters() {
         long characters = system.length();
         for (Message message : messages) {
@@ -115,12 +115,12 @@
         return characters;
     }
 
-    /** The id of the end user; empty if there is none. Read only when asked for: errors of headers come first. */
+    /** The id of the end user; empty if there is none. Parsed lazily, so that header errors are reported first. */
     String userId() {
         return body.object("metadata").text("user_id", "");
     }
 
-    /** Whether the client wants a stream. Read only when asked for: errors of headers come first. */
+    /** Whether the client requests a stream. Parsed lazily, so that header errors are reported first. */
     boolean wantsStream() {
         return body.flag("stream", false);
     }
--- a/src/main/java/magpiehub/protocol/MessagesSettings.java
+++ b/src/main/java/magpiehub/protocol/MessagesSettings.java
@@ -11,17 +11,17 @@
 /**
  * The settings of the messages protocol.
  *
- * @param listen the address that its listener is bound to; key {@code listen}, required
- * @param defaultClass the class of requests that name none, for models without an entry; key {@code class}
- * @param defaultTenant the tenant of requests that name none; key {@code tenant}
- * @param classesByModel the names of the classes of models' requests; key {@code models}
+ * @param listen the address that its listener binds to; key {@code listen}, required
+ * @param defaultClass the class of requests without one, for models that have no entry; key {@code class}
+ * @param defaultTenant the tenant of requests without one; key {@code tenant}
+ * @param classesByModel the class name of each model's requests; key {@code models}
  */
 public record MessagesSettings(
         String listen, String defaultClass, String defaultTenant, Map<String, Object> classesByModel) {
     /**
      * Reads the settings from a file.
      *
-     * @return null if there is no such file; the protocol is off then
+     * @return null if the file does not exist, which disables the protocol
      */
     public static MessagesSettings read(Path file) throws IOException {
         if (!Files.exists(file)) {
@@ -31,7 +31,7 @@
                 Files.readAllBytes(file), file.getFileName().toString());
         String listen = object.text("listen", null);
         if (listen == null) {
-            throw new ConfigurationException(file.getFileName() + " gives no address in \"listen\"");
+            throw new ConfigurationException(file.getFileName() + ": \"listen\" is missing");
         }
         return new MessagesSettings(
                 HostPort.requireValid(listen),
@@ -40,7 +40,7 @@
                 object.object("models").map());
     }
 
-    /** The class of a model's requests: the model's own, else the default. A value that is no text counts as none. */
+    /** The class of a model's requests, or the default class if the model has no entry or a non-string one. */
     String classOf(String model) {
         return classesByModel.get(model) instanceof String name ? name : defaultClass;
     }
--- a/src/main/java/magpiehub/protocol/MessagesTranslator.java
+++ b/src/main/java/magpiehub/protocol/MessagesTranslator.java
@@ -5,14 +5,14 @@
 import magpiehub.http.HttpException;
 import magpiehub.http.HttpLimits;
 
-/** Translates the body of a messages request to the chat completion that upstreams get. */
+/** Translates the body of a messages request to a chat completion request for upstreams. */
 final class MessagesTranslator {
     private MessagesTranslator() {}
 
     /**
-     * The body for upstreams. It always asks for a stream with usage, whatever the client wants.
+     * Returns the body for upstreams. It always requests a stream with usage, even if the client did not.
      *
-     * @throws HttpException with status 413 if it is larger than upstreams take
+     * @throws HttpException with status 413 if the body exceeds the limit of upstreams
      */
     static byte[] toChatCompletion(MessagesRequest request) throws HttpException {
         StringBuilder json = new StringBuilder(256 + request.system().length());
@@ -23,7 +23,7 @@
                 .append((long) request.maxTokens());
         appendNumber(json, "temperature", request.temperature());
         appendNumber(json, "top_p", request.topP());
-        appendStops(json, request.stopSequences());
+        appendStopSequences(json, request.stopSequences());
         appendMessages(json, request);
         byte[] body = json.append('}').toString().getBytes(StandardCharsets.UTF_8);
         if (body.length > HttpLimits.MAX_BODY_BYTES) {
@@ -38,11 +38,11 @@
         }
     }
 
-    private static void appendStops(StringBuilder json, List<String> stops) {
-        for (int i = 0; i < stops.size(); i++) {
-            json.append(i == 0 ? ",\"stop\":[" : ",").append(JsonText.quote(stops.get(i)));
+    private static void appendStopSequences(StringBuilder json, List<String> stopSequences) {
+        for (int i = 0; i < stopSequences.size(); i++) {
+            json.append(i == 0 ? ",\"stop\":[" : ",").append(JsonText.quote(stopSequences.get(i)));
         }
-        json.append(stops.isEmpty() ? "" : "]");
+        json.append(stopSequences.isEmpty() ? "" : "]");
     }
 
     private static void appendMessages(StringBuilder json, MessagesRequest request) {
@@ -53,7 +53,7 @@
         for (MessagesRequest.Message message : request.messages()) {
             appendMessage(json, message.role(), message.content());
         }
-        json.setCharAt(json.length() - 1, ']'); // In place of the last comma: there is at least one message.
+        json.setCharAt(json.length() - 1, ']'); // Replaces the trailing comma; there is at least one message.
     }
 
     private static void appendMessage(StringBuilder json, String role, String content) {
--- a/src/main/java/magpiehub/protocol/PlatformExchange.java
+++ b/src/main/java/magpiehub/protocol/PlatformExchange.java
@@ -4,7 +4,7 @@
 import magpiehub.http.HttpWriter;
 import magpiehub.routing.RoutingRequest;
 
-/** An exchange of the platform's protocol: the upstream's events as they come, one chunk each. */
+/** An exchange of the platform's protocol: forwards the upstream's events unchanged, one chunk each. */
 final class PlatformExchange extends ProtocolExchange {
     private final PlatformProtocol protocol;
 
--- a/src/main/java/magpiehub/protocol/PlatformHeaders.java
+++ b/src/main/java/magpiehub/protocol/PlatformHeaders.java
@@ -8,7 +8,7 @@
 import magpiehub.http.HttpHead;
 import magpiehub.http.HttpSyntax;
 
-/** The platform's request headers: their names, and the forms of their values. */
+/** The platform's request headers: their names, and the parsing of their values. */
 final class PlatformHeaders {
     static final String REQUEST_ID = "X-Call-Id";
     static final String CLASS = "X-Call-Class";
@@ -17,22 +17,22 @@
     static final String TIMEOUT_MS = "X-Budget-Ms";
     static final String PROMPT_INFO = "X-Call-Info";
     static final String COST_MICROS = "X-Call-Cost";
-    static final String REPEAT = "X-Again";
+    static final String RETRY = "X-Again";
 
     static final int DECIMAL = 10;
     static final int HEXADECIMAL = 16;
 
     private static final int MAX_ID_LENGTH = 64;
-    /** A longer timeout is a mistake (ms): a day. */
+    /** One day; a longer timeout is rejected as malformed. */
     private static final long MAX_TIMEOUT_MS = 86_400_000;
 
     private static final long MICROS_PER_MILLI = 1000;
-    /** Longer numbers are not read: these fit a long, and no request costs more. */
+    /** Longer numbers are ignored; this many digits fit into a long, and no request costs more. */
     private static final int MAX_COST_DIGITS = 15;
 
     private PlatformHeaders() {}
 
-    /** The value of a header that must stand exactly once. */
+    /** The value of a header that must occur exactly once. */
     static String require(HttpHead head, String name) throws HttpException {
         String value = head.headers().getSingle(name);
         if (value == null) {
@@ -42,8 +42,8 @@
     }
 
     /**
-     * A name as the settings spell it. Heads are read as bytes, one character each, while names in them are UTF-8. A
-     * value that is not UTF-8 stays as it was read; null stays null.
+     * Decodes a name to the spelling of the settings. Heads are read as ISO 8859-1, one character per byte, while names
+     * are sent in UTF-8. A value that is not valid UTF-8 is returned unchanged, as is null.
      */
     static String decodeName(String value) {
         if (value == null || value.chars().allMatch(c -> c < 0x80)) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The index of a class that must be in the settings: routing decisions know no other. */
+    /** The index of a class, which must be in the settings, since routing supports no others. */
     static int requireClass(SiteSettings site, String name) throws HttpException {
         int index = site.classIndex(name);
         if (index < 0) {
@@ -68,7 +68,7 @@
         return index;
     }
 
-    /** A request id that is short and of visible ASCII characters. */
+    /** Checks that a request id is short and consists of visible ASCII characters. */
     static String requireId(String id) throws HttpException {
         if (id.isEmpty() || id.length() > MAX_ID_LENGTH || !id.chars().allMatch(c -> c > ' ' && c < 0x7f)) {
             throw new HttpException(400, "malformed " + REQUEST_ID);
@@ -76,7 +76,7 @@
         return id;
     }
 
-    /** How long the client waits (us), given in milliseconds. */
+    /** Parses the client's timeout in milliseconds; returns it in microseconds. */
     static long parseTimeoutMicros(String millis) throws HttpException {
         long timeout = parseUnsigned(millis, DECIMAL, TIMEOUT_MS);
         if (timeout > MAX_TIMEOUT_MS) {
@@ -85,16 +85,16 @@
         return timeout * MICROS_PER_MILLI;
     }
 
-    /** The client's estimate of the work (ms), given in microseconds; 0 where there is none that can be read. */
+    /** Parses the client's cost estimate in microseconds; returns it in milliseconds, or 0 if absent or malformed. */
     static double parseCostMillis(String micros) {
         String digits = micros == null ? "" : micros.strip();
         return digits.length() <= MAX_COST_DIGITS && HttpSyntax.isDigits(digits) ? Long.parseLong(digits) / 1000.0 : 0;
     }
 
     /**
-     * A number without a sign. Hexadecimal ids may use all 64 bits.
+     * Parses an unsigned number. Hexadecimal ids may use all 64 bits.
      *
-     * @param header the header's name for the error
+     * @param header the header's name, for the error message
      */
     static long parseUnsigned(String text, int radix, String header) throws HttpException {
         try {
@@ -105,7 +105,7 @@
                 }
             }
         } catch (NumberFormatException e) {
-            // Answered with the same error as the other malformed values.
+            // Reported below, like other malformed values.
         }
         throw new HttpException(400, "malformed " + header);
     }
--- a/src/main/java/magpiehub/protocol/PlatformProtocol.java
+++ b/src/main/java/magpiehub/protocol/PlatformProtocol.java
@@ -11,16 +11,16 @@
 import magpiehub.routing.RoutingRequest;
 
 /**
- * The platform's own protocol: {@code POST /v1/chat/completions}, described by the platform's headers. Bodies and
+ * The platform's own protocol: {@code POST /v1/chat/completions}, with metadata in the platform's headers. Bodies and
  * events are forwarded byte for byte.
  */
 public final class PlatformProtocol implements ProtocolAdapter {
     static final String PATH = "/v1/chat/completions";
 
     /**
-     * Headers that upstreams don't get from the client, in lower case: those that the router reads or writes itself,
-     * and the codings that a client takes, since the router reads the events that it forwards. Upstreams get
-     * everything else that a client says of its request, such as its idempotency key.
+     * Client headers that are not forwarded to upstreams, in lower case: those that the router reads or writes itself,
+     * and the accepted content codings, since the router has to read the events that it forwards. All other end-to-end
+     * headers, such as the idempotency key, are forwarded.
      */
     private static final Set<String> ROUTER_HEADERS = Set.of(
             "accept-encoding",
@@ -37,9 +37,9 @@
     private final Supplier<SiteSettings> site;
 
     /**
-     * The protocol of a site.
+     * Creates the protocol of a site.
      *
-     * @param site the settings in force, asked for each request
+     * @param site supplies the current settings, once per request
      */
     public PlatformProtocol(Supplier<SiteSettings> site) {
         this.site = site;
@@ -61,7 +61,7 @@
         String tenant = PlatformHeaders.decodeName(head.headers().getSingle(PlatformHeaders.TENANT));
         String session = head.headers().getSingle(PlatformHeaders.SESSION_HASH);
         PromptInfo prompt = PromptInfo.parse(head.headers().getSingle(PlatformHeaders.PROMPT_INFO));
-        String repeat = head.headers().get(PlatformHeaders.REPEAT);
+        String retry = head.headers().get(PlatformHeaders.RETRY);
         String className = PlatformHeaders.decodeName(PlatformHeaders.require(head, PlatformHeaders.CLASS));
         return new RoutingRequest(
                 id,
@@ -77,12 +77,12 @@
                 prompt.promptTokens(),
                 prompt.prefixTokens(),
                 prompt.maxOutputTokens(),
-                "1".equals(repeat),
+                "1".equals(retry),
                 false,
-                "again".equals(repeat));
+                "again".equals(retry));
     }
 
-    /** Runs a made-up exchange until the code for it is compiled, so that the first clients don't wait for that. */
+    /** Runs a synthetic exchange until its code is JIT-compiled, so that it doesn't slow down the first requests. */
     public void warmUp() throws IOException {
         new PlatformWarmUp(this, site.get().routing().classes().get(0).name()).run();
     }
--- a/src/main/java/magpiehub/protocol/PlatformWarmUp.java
+++ b/src/main/java/magpiehub/protocol/PlatformWarmUp.java
@@ -8,21 +8,21 @@
 import magpiehub.http.HttpReader;
 import magpiehub.http.HttpWriter;
 
-/** Reads and forwards a made-up exchange of the platform's protocol in memory until the code for it is compiled. */
+/** Runs a synthetic exchange of the platform's protocol in memory until its code is JIT-compiled. */
 final class PlatformWarmUp {
-    /** Enough for the JIT compiler to have compiled the loops over bytes. */
+    /** Enough for the JIT compiler to compile the loops over bytes. */
     private static final int ROUNDS = 60;
 
     private static final int EVENTS = 20;
     private static final int BODY_LENGTH = 8192;
-    /** The prompt that, with the JSON around it, makes a body of {@link #BODY_LENGTH}. */
+    /** The prompt length that, with the surrounding JSON, gives a body of {@link #BODY_LENGTH} bytes. */
     private static final int PROMPT_LENGTH = 8163;
 
     private final PlatformProtocol protocol;
     private final byte[] request;
     private final byte[] response;
 
-    /** A warm-up with requests of a class that the settings have. */
+    /** Creates a warm-up with requests of a class from the settings. */
     PlatformWarmUp(PlatformProtocol protocol, String className) {
         this.protocol = protocol;
         this.request = createRequest(className);
@@ -47,7 +47,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Does nothing where no header can name the class: no client can ask for it either. */
+    /** Does nothing if the class name can't be sent in a header; no client could send such a request either. */
     void run() throws IOException {
         HttpWriter out = new HttpWriter();
         for (int i = 0; i < ROUNDS; i++) {
@@ -62,10 +62,10 @@
     }
 
     private ProtocolExchange readRequest() throws IOException {
-        HttpReader in = new HttpReader(new ByteArrayInputStream(request), () -> 0);
-        in.awaitMessage();
-        HttpHead head = in.readRequestHead();
-        return protocol.readRequest(head, in.readBody(head), 0);
+        HttpReader input = new HttpReader(new ByteArrayInputStream(request), () -> 0);
+        input.awaitMessage();
+        HttpHead head = input.readRequestHead();
+        return protocol.readRequest(head, input.readBody(head), 0);
     }
 
     private void writeResponse(ProtocolExchange exchange, HttpWriter out) throws IOException {
--- a/src/main/java/magpiehub/protocol/PromptInfo.java
+++ b/src/main/java/magpiehub/protocol/PromptInfo.java
@@ -3,17 +3,17 @@
 import magpiehub.http.HttpException;
 
 /**
- * What the header {@code X-Call-Info} says of a prompt; what it does not say is 0.
+ * The prompt metadata in the header {@code X-Call-Info}; missing values are 0.
  *
  * @param prefixId the id of the prompt's shared prefix
- * @param promptTokens the length of the prompt
- * @param prefixTokens the length of the prefix
- * @param maxOutputTokens the most tokens that the response may have
+ * @param promptTokens the length of the prompt in tokens
+ * @param prefixTokens the length of the shared prefix in tokens
+ * @param maxOutputTokens the maximum number of tokens in the response
  */
 record PromptInfo(long prefixId, long promptTokens, long prefixTokens, long maxOutputTokens) {
     private static final PromptInfo NONE = new PromptInfo(0, 0, 0, 0);
 
-    /** Parses {@code name=value} pairs with commas between; names that are not known are ignored. */
+    /** Parses comma-separated {@code name=value} pairs; unknown names are ignored. */
     static PromptInfo parse(String header) throws HttpException {
         if (header == null || header.isBlank()) {
             return NONE;
--- a/src/main/java/magpiehub/protocol/ProtocolAdapter.java
+++ b/src/main/java/magpiehub/protocol/ProtocolAdapter.java
@@ -5,15 +5,15 @@
 import magpiehub.http.HttpWriter;
 
 /**
- * A client protocol: parses requests, and writes the responses that belong to no request. It keeps no state between
- * requests, and is safe for use by any thread.
+ * A client protocol: parses requests, and writes error responses that belong to no exchange. It is stateless between
+ * requests and thread-safe.
  */
 public interface ProtocolAdapter {
     /**
      * Parses a complete request.
      *
-     * @param receivedAtMicros when its first byte came; its deadline counts from then on
-     * @throws HttpException if it is no valid request of this protocol, with the status to answer it with
+     * @param receivedAtMicros the arrival time of its first byte, from which its deadline counts
+     * @throws HttpException if the request is not valid in this protocol, with the status of the error response
      */
     ProtocolExchange readRequest(HttpHead head, byte[] body, long receivedAtMicros) throws HttpException;
 
@@ -25,8 +25,8 @@
     /**
      * Writes a complete error response.
      *
-     * @param retryAfterMicros what {@code Retry-After} tells the client; 0 for no such header
-     * @param close whether the connection ends with this response
+     * @param retryAfterMicros the value of {@code Retry-After}; 0 for no such header
+     * @param close whether the connection is closed after this response
      */
     void writeError(HttpWriter out, int status, String reason, long retryAfterMicros, boolean close);
 }
--- a/src/main/java/magpiehub/protocol/ProtocolExchange.java
+++ b/src/main/java/magpiehub/protocol/ProtocolExchange.java
@@ -4,8 +4,8 @@
 import magpiehub.routing.RoutingRequest;
 
 /**
- * One request of a client, and its response in the client's protocol. The methods that write are called by the client
- * connection's actor alone; the request may be read by any thread.
+ * One request of a client, and its response in the client's protocol. Only the client connection's actor calls the
+ * methods that write; the request may be read from any thread.
  */
 public abstract class ProtocolExchange {
     private final RoutingRequest request;
@@ -15,10 +15,10 @@
     private volatile StreamListener streamListener;
 
     /**
-     * An exchange that nothing has been written for.
+     * Creates an exchange for which nothing has been written.
      *
      * @param target the target of the request to upstreams
-     * @param headers the client's header lines that upstreams get, as bytes
+     * @param headers the client's header lines that are forwarded to upstreams, as bytes
      * @param body the body of the request to upstreams
      */
     protected ProtocolExchange(RoutingRequest request, String target, byte[] headers, byte[] body) {
@@ -28,7 +28,7 @@
         this.body = body;
     }
 
-    /** The request as routing decisions see it. */
+    /** The request as routing sees it. */
     public final RoutingRequest request() {
         return request;
     }
@@ -38,7 +38,7 @@
         return target;
     }
 
-    /** The client's header lines that upstreams get, each with its line end. Not a copy. */
+    /** The client's header lines that are forwarded to upstreams, each with its line end. Not a copy. */
     public final byte[] headers() {
         return headers;
     }
@@ -48,17 +48,17 @@
         return body;
     }
 
-    /** What gets the events of the upstream's stream. */
+    /** The listener for the events of the upstream's stream. */
     public final StreamListener streamListener() {
         return streamListener;
     }
 
-    /** Sets what gets the events; called by the client's connection, before the request is submitted. */
+    /** Sets the listener for events. Called by the client's connection, before the request is submitted. */
     public final void setStreamListener(StreamListener listener) {
         streamListener = listener;
     }
 
-    /** Writes the head of a successful response, and what the protocol has before the first event. */
+    /** Writes the head of a successful response, and whatever the protocol sends before the first event. */
     public abstract void writeStart(HttpWriter out, boolean close);
 
     /** Writes one event of the upstream's stream. */
@@ -68,33 +68,33 @@
     public abstract void writeEnd(HttpWriter out, boolean close);
 
     /**
-     * Writes the last bytes of a stream that failed, which must not look like the end of a complete one.
+     * Writes the last bytes of a failed stream, which must not look like the end of a complete one.
      *
      * @param errorEvent the upstream's error event, or null
      */
     public abstract void writeStreamError(HttpWriter out, byte[] errorEvent);
 
     /**
-     * Ends an incomplete stream in order, if all that matters of it has come and the protocol has a form for that.
+     * Ends an incomplete stream like a complete one, if all of its content has arrived and the protocol permits it.
      *
-     * @return false, with nothing written, if not
+     * @return false if nothing was written
      */
     public boolean tryWriteIncompleteEnd(HttpWriter out, boolean close) {
         return false;
     }
 
     /**
-     * Writes a keep-alive between two events, which makes a client that has gone answer with a reset.
+     * Writes a keep-alive between two events; a disconnected client answers it with a TCP reset.
      *
-     * @return false, with nothing written, if the protocol has none
+     * @return false if the protocol has no keep-alive and nothing was written
      */
     public boolean writeKeepAlive(HttpWriter out) {
         return false;
     }
 
-    /** Writes that the request is rejected; no upstream has begun it, so a retry is harmless. */
+    /** Writes a rejection of the request, which no upstream has started, so that it can safely be retried. */
     public abstract void writeRejection(HttpWriter out, long retryAfterMicros, boolean close);
 
-    /** Writes that the request has failed. */
+    /** Writes an error response for a failed request. */
     public abstract void writeFailure(HttpWriter out, String reason, boolean close);
 }
--- a/src/main/java/magpiehub/protocol/RequestValidation.java
+++ b/src/main/java/magpiehub/protocol/RequestValidation.java
@@ -8,14 +8,14 @@
 import magpiehub.http.HttpException;
 import magpiehub.http.HttpHead;
 
-/** Checks of a request that all protocols share. */
+/** Request checks that all protocols share. */
 final class RequestValidation {
     private RequestValidation() {}
 
     /**
-     * The target of a request, which must be a POST to a path, with a query or without.
+     * Returns the target of a request, which must be a POST to the given path, with or without a query.
      *
-     * @throws HttpException with status 404 for another path, 405 for another method
+     * @throws HttpException with status 404 for any other path, 405 for any other method
      */
     static String requirePost(HttpHead head, String path) throws HttpException {
         String target = head.target();
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Checks that a body is one JSON object. Guards against forwarding what upstreams can't parse: their error would
-     * look like a fault of theirs.
+     * Checks that a body is a single JSON object. Upstreams would answer any other body with an error, which would be
+     * taken for a failure of the upstream.
      */
     static void requireJsonObject(byte[] body) throws HttpException {
         try (JsonParser parser = Json.FACTORY.createParser(body)) {
--- a/src/main/java/magpiehub/protocol/ServerSentEvents.java
+++ b/src/main/java/magpiehub/protocol/ServerSentEvents.java
@@ -2,23 +2,23 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Reads server-sent events, each given as the bytes up to its blank line. */
+/** Parses server-sent events, each given as the bytes up to its blank line. */
 public final class ServerSentEvents {
     private static final String DATA_FIELD = "data:";
 
     private ServerSentEvents() {}
 
-    /** Whether these bytes are a comment, which carries no data. */
+    /** Whether the event begins with a comment, which carries no data. */
     static boolean isComment(byte[] event) {
         return event.length > 0 && event[0] == ':';
     }
 
-    /** The event's data: the values of its {@code data} fields, joined by line feeds. */
+    /** Returns the event's data: the values of its {@code data} fields, joined by line feeds. */
     public static String data(byte[] event) {
         StringBuilder data = new StringBuilder();
         for (String line : new String(event, StandardCharsets.UTF_8).split("\r\n|\n|\r")) {
             if (line.startsWith(DATA_FIELD)) {
-                // One space behind the colon belongs to the field, not to its value.
+                // A single space after the colon is not part of the value.
                 int valueStart = line.startsWith(DATA_FIELD + " ") ? DATA_FIELD.length() + 1 : DATA_FIELD.length();
                 data.append(data.length() > 0 ? "\n" : "").append(line, valueStart, line.length());
             }
--- a/src/main/java/magpiehub/protocol/StreamListener.java
+++ b/src/main/java/magpiehub/protocol/StreamListener.java
@@ -4,18 +4,18 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * Gets the events of the upstream's stream that a client is answered with. Called by the upstream connection's actor;
- * does not block.
+ * Receives the events of the upstream's stream that is forwarded to a client. Called by the upstream connection's
+ * actor; implementations must not block.
  */
 public interface StreamListener {
-    /** An event has come. */
+    /** An event has arrived. */
     void onEvent(byte[] event);
 
     /** The stream is complete. */
     void onEnd();
 
     /**
-     * The stream has failed; nothing follows.
+     * The stream has failed; no further calls follow.
      *
      * @param errorEvent the upstream's error event, or null
      */
