--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -99,7 +99,7 @@
      */
     @Override
     public void start(RequestDispatcher dispatcher, byte[] saved) {
-        publisher.start(dispatcher);
+        publisher.setDispatcher(dispatcher);
         context = new RegistryClientContext(clock, log, mailbox, bytesRead, observer);
         long now = clock.micros();
         if (settings.cacheFile() != null) {
@@ -128,7 +128,7 @@
             }
             ListDelta delta = tracker.restore(cached.items(), now);
             observer.updated(
-                    tracker.list(), new ListUpdateResult(ListUpdateResult.Verdict.APPLIED, delta, "saved"), false);
+                    tracker.list(), new ListUpdateResult(ListUpdateResult.Outcome.APPLIED, delta, "saved"), false);
             tracker.publishRestored();
             cacheWriter.markWritten(tracker.list().version());
             log.cacheRestored(cached, tracker.list().size());
@@ -138,13 +138,13 @@
     }
 
     @Override
-    public boolean isKnown() {
+    public boolean hasUsableList() {
         return tracker.isKnown();
     }
 
     /** Returns at once: the list on disk is enough, or the first one comes when it comes. */
     @Override
-    public void awaitKnown(long timeoutMillis) {}
+    public void awaitUsableList(long timeoutMillis) {}
 
     /** Has the list reported as unchanged: the client keeps watching by itself. */
     @Override
--- a/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
+++ b/src/main/java/magpiehub/lifecycle/GracefulShutdown.java
@@ -115,7 +115,7 @@
                 dispatcher.shutDown(site.get().routing().resumesStreams());
             }
             if (!awaitingRequests) {
-                listeners.forEach(listener -> listener.cutStalledConnections(STALLED_CLIENT_TIMEOUT_MICROS));
+                listeners.forEach(listener -> listener.disconnectStalledClients(STALLED_CLIENT_TIMEOUT_MICROS));
             }
         }
     }
