--- a/src/main/java/magpiehub/upstream/ResponseReader.java
+++ b/src/main/java/magpiehub/upstream/ResponseReader.java
@@ -109,7 +109,7 @@
         streams.reserveCapacity(flow, event.length);
         if (!connection.postBlocking(new ConnectionMessage.EventReceived(socket, event, flow), event.length)) {
             streams.discard(flow, event.length);
-            throw new IOException("ended");
+            throw new IOException("connection is closed");
         }
     }
 
--- a/src/main/java/magpiehub/upstream/UpstreamConnection.java
+++ b/src/main/java/magpiehub/upstream/UpstreamConnection.java
@@ -121,7 +121,7 @@
         return flow;
     }
 
-    // ---- The actor's turns ----------------------------------------------------------------------------
+    // ---- The connection's actor ------------------------------------------------------------------------
 
     /** Returns the next message, or null if there is none. */
     ConnectionMessage poll() {
