--- a/src/main/java/magpiehub/lifecycle/ConnectionLimits.java
+++ b/src/main/java/magpiehub/lifecycle/ConnectionLimits.java
@@ -9,16 +9,16 @@
  */
 record ConnectionLimits(int upstream, int downstream) {
     /** Maximum number of client connections on the listener of the messages protocol, if it is enabled. */
-    static final int MESSAGES_DOWNSTREAM = 64;
+    static final int MAX_MESSAGES_CONNECTIONS = 64;
 
     /** Descriptors reserved for files, logs, discovery and health checks; clients and upstreams share the rest. */
-    private static final int RESERVED = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
     /** Minimum number of connections on each side, even if the descriptors are too few. */
-    private static final int MINIMUM = 8;
+    private static final int MIN_CONNECTIONS = 8;
 
     static ConnectionLimits forSockets(int maxSockets) {
-        int upstream = Math.max(MINIMUM, maxSockets * 3 / 8);
-        int allDownstream = Math.max(MINIMUM, maxSockets - RESERVED - upstream);
+        int upstream = Math.max(MIN_CONNECTIONS, maxSockets * 3 / 8);
+        int allDownstream = Math.max(MIN_CONNECTIONS, maxSockets - RESERVED_DESCRIPTORS - upstream);
         // The listener accepts a sixteenth plus 4 above its limit, to send these clients a rejection response.
         return new ConnectionLimits(upstream, allDownstream * 15 / 16 - 4);
     }
--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -240,7 +240,7 @@
         }
         ListenerSocket socket = ListenerSocket.bind(HostPort.toSocketAddress(settings.listen()));
         MessagesProtocol protocol = new MessagesProtocol(site::get, settings, store);
-        addListener(socket, protocol, ConnectionLimits.MESSAGES_DOWNSTREAM).start();
+        addListener(socket, protocol, ConnectionLimits.MAX_MESSAGES_CONNECTIONS).start();
         log.log("messages-front", "listen", settings.listen());
     }
 
