--- a/src/main/java/magpiehub/admin/ServingProcesses.java
+++ b/src/main/java/magpiehub/admin/ServingProcesses.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Which of the router processes that a {@link MaintenanceState} names are alive: there are two during an upgrade. */
+/** Checks which router processes of a {@link MaintenanceState} are alive. There are two during an upgrade. */
 final class ServingProcesses {
     private final long ownPid = ProcessHandle.current().pid();
 
@@ -11,8 +11,8 @@
         return ownPid;
     }
 
-    /** Whether another process that serves is alive. */
-    boolean isAnotherAlive(MaintenanceState state) {
+    /** Whether another serving process is alive. */
+    boolean isOtherProcessAlive(MaintenanceState state) {
         for (long pid : state.servingProcesses()) {
             if (pid != ownPid && isAlive(pid)) {
                 return true;
@@ -21,8 +21,8 @@
         return false;
     }
 
-    /** Whether another process began to serve after this one. */
-    boolean isAnotherNewest(MaintenanceState state) {
+    /** Whether another process started to serve after this one. */
+    boolean hasNewerProcess(MaintenanceState state) {
         long newest = ownPid;
         for (long pid : state.servingProcesses()) {
             newest = pid;
@@ -31,7 +31,7 @@
     }
 
     /** The processes that have ended without removing themselves from the state. */
-    List<Long> ended(MaintenanceState state) {
+    List<Long> terminated(MaintenanceState state) {
         List<Long> ended = new ArrayList<>();
         for (long pid : state.servingProcesses()) {
             if (!isAlive(pid)) {
--- a/src/main/java/magpiehub/config/SiteSettingsParser.java
+++ b/src/main/java/magpiehub/config/SiteSettingsParser.java
@@ -12,15 +12,15 @@
 import magpiehub.routing.Tenant;
 import magpiehub.routing.WeightMeaning;
 
-/** Parses the settings that a router's configuration and the simulator's first message hold alike. */
+/** Parses the settings that a router's configuration and the simulator's first message both contain. */
 public final class SiteSettingsParser {
     private SiteSettingsParser() {}
 
     /**
-     * Parses a settings object. Unknown keys are ignored; what a router requires beyond the simulator is checked by
+     * Parses a settings object. Unknown keys are ignored. Settings that only a router requires are checked by
      * {@link RouterConfigurationReader}.
      *
-     * @throws ConfigurationException if a value has the wrong type or is none of the words that its key allows
+     * @throws ConfigurationException if a value has the wrong type or is not among those that its key allows
      */
     public static SiteSettings parse(ConfigurationObject settings) {
         List<RequestClass> classes = requestClasses(settings);
@@ -37,61 +37,67 @@
     }
 
     private static List<RequestClass> requestClasses(ConfigurationObject settings) {
-        ConfigurationObject familyInfo = settings.object(SettingsKeys.FAMILY_INFO);
-        List<Double> aimsPer1000 = familyInfo.numbers(SettingsKeys.AIM_PER_1000_PROMPT_TOKENS);
-        List<Double> tokenAims = familyInfo.numbers(SettingsKeys.TOKEN_AIMS_MS);
+        ConfigurationObject languageModels = settings.object(SettingsKeys.LANGUAGE_MODELS);
+        List<Double> objectivesPer1000 =
+                languageModels.numbers(SettingsKeys.LATENCY_OBJECTIVES_PER_1000_PROMPT_TOKENS_MICROS);
+        List<Double> tokenIntervals = languageModels.numbers(SettingsKeys.TOKEN_INTERVAL_OBJECTIVES_MS);
         List<RequestClass> classes = new ArrayList<>();
         for (ConfigurationObject requestClass : settings.objects(SettingsKeys.CLASSES)) {
             int index = classes.size();
-            long aimPer1000Micros =
-                    index < aimsPer1000.size() ? aimsPer1000.get(index).longValue() : 0;
-            long tokenAimMicros = index < tokenAims.size() ? Milliseconds.toMicros(tokenAims.get(index)) : 0;
-            classes.add(requestClass(requestClass, aimPer1000Micros, tokenAimMicros));
+            long objectivePer1000Micros = index < objectivesPer1000.size()
+                    ? objectivesPer1000.get(index).longValue()
+                    : 0;
+            long tokenIntervalMicros =
+                    index < tokenIntervals.size() ? Milliseconds.toMicros(tokenIntervals.get(index)) : 0;
+            classes.add(requestClass(requestClass, objectivePer1000Micros, tokenIntervalMicros));
         }
         return classes;
     }
 
-    private static RequestClass requestClass(ConfigurationObject settings, long aimPer1000Micros, long tokenAimMicros) {
+    private static RequestClass requestClass(
+            ConfigurationObject settings, long objectivePer1000Micros, long tokenIntervalMicros) {
         return new RequestClass(
                 settings.text(SettingsKeys.NAME, ""),
-                idempotency(settings.text(SettingsKeys.EFFECT, SettingsKeys.EFFECT_PURE)),
-                deduplicationScope(settings.text(SettingsKeys.GROUP, SettingsKeys.GROUP_ALL)),
-                settings.millisAsMicros(SettingsKeys.WINDOW_MS, 0),
+                idempotency(settings.text(SettingsKeys.IDEMPOTENCY, SettingsKeys.IDEMPOTENCY_PURE)),
+                deduplicationScope(
+                        settings.text(SettingsKeys.DEDUPLICATION_SCOPE, SettingsKeys.DEDUPLICATION_SCOPE_ALL)),
+                settings.millisAsMicros(SettingsKeys.DEDUPLICATION_WINDOW_MS, 0),
                 settings.flag(SettingsKeys.STREAM, false),
-                settings.millisAsMicros(SettingsKeys.AIM_MS, 0),
-                aimPer1000Micros,
-                settings.number(SettingsKeys.AIM_STRETCH, 0),
+                settings.millisAsMicros(SettingsKeys.LATENCY_OBJECTIVE_MS, 0),
+                objectivePer1000Micros,
+                settings.number(SettingsKeys.LATENCY_OBJECTIVE_STRETCH, 0),
                 settings.millisAsMicros(SettingsKeys.DEADLINE_MS, 0),
-                tokenAimMicros,
-                settings.number(SettingsKeys.GAIN, 1),
-                settings.number(SettingsKeys.LATE_SHARE, 0));
+                tokenIntervalMicros,
+                settings.number(SettingsKeys.PRIORITY_WEIGHT, 1),
+                settings.number(SettingsKeys.LATE_ANSWER_VALUE, 0));
     }
 
     private static Idempotency idempotency(String effect) {
         return switch (effect) {
-            case SettingsKeys.EFFECT_PURE -> Idempotency.IDEMPOTENT;
+            case SettingsKeys.IDEMPOTENCY_PURE -> Idempotency.IDEMPOTENT;
             case "token" -> Idempotency.IDEMPOTENT_WITH_KEY;
             case "side_effect" -> Idempotency.NOT_IDEMPOTENT;
-            default -> throw new ConfigurationException("classes.effect", "is no effect: " + effect);
+            default -> throw new ConfigurationException(
+                    "classes.effect", "must be pure, token or side_effect, but is " + effect);
         };
     }
 
     private static DeduplicationScope deduplicationScope(String group) {
         return switch (group) {
-            case SettingsKeys.GROUP_ALL -> DeduplicationScope.ALL;
+            case SettingsKeys.DEDUPLICATION_SCOPE_ALL -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw new ConfigurationException("classes.group", "is no group: " + group);
+            default -> throw new ConfigurationException("classes.group", "must be all, zone or cell, but is " + group);
         };
     }
 
     private static List<Tenant> tenants(ConfigurationObject settings) {
         List<Tenant> tenants = new ArrayList<>();
-        for (ConfigurationObject account : settings.objects(SettingsKeys.ACCOUNTS)) {
+        for (ConfigurationObject tenant : settings.objects(SettingsKeys.TENANTS)) {
             tenants.add(new Tenant(
-                    account.text(SettingsKeys.NAME, ""),
-                    account.number(SettingsKeys.SHARE, 0),
-                    account.number(SettingsKeys.ALLOWANCE_PER_SECOND, 0)));
+                    tenant.text(SettingsKeys.NAME, ""),
+                    tenant.number(SettingsKeys.TENANT_SHARE, 0),
+                    tenant.number(SettingsKeys.QUOTA_PER_SECOND, 0)));
         }
         return tenants;
     }
@@ -110,9 +116,9 @@
                 settings.list(SettingsKeys.ZONES).size(),
                 settings.text(SettingsKeys.MEMBERSHIP_MODE, SettingsKeys.MEMBERSHIP_AUTOMATIC)
                         .equals(SettingsKeys.MEMBERSHIP_SUBSCRIBE),
-                settings.object(SettingsKeys.FAMILY_INFO).flag(SettingsKeys.RESUME, false),
+                settings.object(SettingsKeys.LANGUAGE_MODELS).flag(SettingsKeys.STREAM_RESUMPTION, false),
                 weightMeaning(settings.text(SettingsKeys.WEIGHTS, "none")),
-                settings.number(SettingsKeys.OVER_SHARE_WORTH, 1),
+                settings.number(SettingsKeys.OVER_QUOTA_WEIGHT, 1),
                 classes,
                 tenants,
                 limits(limits),
@@ -120,7 +126,7 @@
                 costs(costs));
     }
 
-    /** The meaning that a word names; an unknown word counts as none. */
+    /** Parses the meaning of weights; unknown words mean {@link WeightMeaning#NONE}. */
     private static WeightMeaning weightMeaning(String word) {
         return switch (word) {
             case "nominal" -> WeightMeaning.NOMINAL;
@@ -132,9 +138,9 @@
 
     private static RoutingLimits limits(ConfigurationObject limits) {
         return new RoutingLimits(
-                limits.flag(SettingsKeys.CANCEL, false),
-                limits.flag(SettingsKeys.PROBES, false),
-                limits.flag(SettingsKeys.PEERS, false),
+                limits.flag(SettingsKeys.CANCELLATION, false),
+                limits.flag(SettingsKeys.HEALTH_CHECKS, false),
+                limits.flag(SettingsKeys.PEER_MESSAGES, false),
                 limits.flag(SettingsKeys.PARALLEL_ATTEMPTS, false),
                 limits.flag(SettingsKeys.RETRY_AFTER, false),
                 (int) limits.number(SettingsKeys.MAX_ATTEMPTS, 1),
@@ -148,17 +154,17 @@
                 guarantees.millisAsMicros(SettingsKeys.ANSWER_SLACK_MS, 0),
                 guarantees.millisAsMicros(SettingsKeys.POLL_WITHIN_MS, SettingsKeys.DEFAULT_POLL_WITHIN_MS),
                 guarantees.millisAsMicros(SettingsKeys.WARM_UP_MS, 0),
-                guarantees.millisAsMicros(SettingsKeys.FALL_MS, SettingsKeys.DEFAULT_FALL_MS),
+                guarantees.millisAsMicros(SettingsKeys.OVERLOAD_WINDOW_MS, SettingsKeys.DEFAULT_OVERLOAD_WINDOW_MS),
                 guarantees.number(SettingsKeys.OVERLOAD_FACTOR, SettingsKeys.DEFAULT_OVERLOAD_FACTOR),
-                guarantees.number(SettingsKeys.START_CAPACITY, 1),
+                guarantees.number(SettingsKeys.INITIAL_CAPACITY, 1),
                 guarantees.millisAsMicros(SettingsKeys.STOP_SENDING_WITHIN_MS, 0));
     }
 
     private static RoutingCosts costs(ConfigurationObject costs) {
         return new RoutingCosts(
                 costs.number(SettingsKeys.CROSS_ZONE, 0),
-                costs.number(SettingsKeys.WASTE, 0),
-                costs.number(SettingsKeys.PROBE, 0),
+                costs.number(SettingsKeys.UNUSED_ATTEMPT, 0),
+                costs.number(SettingsKeys.HEALTH_CHECK, 0),
                 costs.number(SettingsKeys.LATE_FAILURE, 0),
                 costs.number(SettingsKeys.CONNECTION, 0),
                 costs.number(SettingsKeys.HANDSHAKE, 0));
@@ -170,7 +176,7 @@
                 || source.equals(SettingsKeys.REPORT_SOURCE_RESPONSES)
                 || source.equals(SettingsKeys.REPORT_SOURCE_HEALTH_CHECKS);
         if (!isKnown) {
-            throw new ConfigurationException("telemetry.how", "is unknown: " + source);
+            throw new ConfigurationException("telemetry.how", "must be none, answers or probe, but is " + source);
         }
         boolean hasReports = !source.equals(SettingsKeys.REPORT_SOURCE_NONE);
         return new LoadReportSettings(
--- a/src/main/java/magpiehub/downstream/ClientMessageHandler.java
+++ b/src/main/java/magpiehub/downstream/ClientMessageHandler.java
@@ -8,23 +8,25 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * What a connection's actor does for each message: it starts and answers the exchanges of the connection, one at a time
- * and in the order of the requests, and decides how the connection is closed (see {@link ConnectionCloseState}). A
- * request is answered at most once, and the end of a stream is written only if the stream is complete.
+ * Handles the messages of a connection's actor: starts and answers the connection's exchanges, one at a time and in the
+ * order of the requests, and decides how the connection is closed (see {@link ConnectionCloseState}). A request gets at
+ * most one response, and the end of a stream is written only if the stream is complete.
  *
- * <p>Nothing is written to the socket here; answers are added to the {@link ResponseWriter}'s buffer, which the actor
- * flushes. All methods are for the actor's turns and do not block.
+ * <p>Nothing is written to the socket here; responses are appended to the buffer of the {@link ResponseWriter}, which
+ * the actor flushes. All methods are called by the actor only and do not block.
  */
 final class ClientMessageHandler implements ClientMessage.Handler {
-    /** How long a connection that is being closed waits for its client's end, so that no reset destroys the answer. */
+    /**
+     * How long a closing connection waits for the end of the client's input, so that no reset destroys the response.
+     */
     private static final long LINGER_MICROS = 1_000_000;
 
-    private static final long LINGER_WHEN_CROWDED_MICROS = 200_000;
-    /** What a client that is rejected for capacity is told to wait before it retries. */
+    private static final long LINGER_ABOVE_SOFT_LIMIT_MICROS = 200_000;
+    /** The {@code Retry-After} of requests rejected for lack of capacity. */
     private static final long REJECTION_RETRY_AFTER_MICROS = 500_000;
     /**
-     * When a client that has closed its sending side is first sent a sign of life, which the system answers with a
-     * reset if the client has gone: soon, since only the write after that meets the reset.
+     * The delay of the first keep-alive after the client has closed its sending side. The operating system of a client
+     * that has gone answers it with a reset, which only the write after that detects; hence the short delay.
      */
     private static final long FIRST_KEEP_ALIVE_MICROS = 20_000;
 
@@ -39,7 +41,7 @@
     private final Socket socket;
     private final ListenerServices services;
     private final ResponseWriter writer;
-    private final ConnectionCloseState close;
+    private final ConnectionCloseState closeState;
     private final PipelinedRequests requests;
     /** The exchange in progress, or null. */
     private ClientExchange current;
@@ -51,42 +53,42 @@
             Socket socket,
             ListenerServices services,
             ResponseWriter writer,
-            ConnectionCloseState close) {
+            ConnectionCloseState closeState) {
         this.connection = connection;
         this.socket = socket;
         this.services = services;
         this.writer = writer;
-        this.close = close;
+        this.closeState = closeState;
         this.requests = new PipelinedRequests(services.bodyBudget());
     }
 
     // ---- Called by the actor --------------------------------------------------------------------------
 
-    /** The stream of the request in progress, or null. */
+    /** Returns the stream of the request in progress, or null. */
     StreamFlow currentFlow() {
         return current == null ? null : current.flow();
     }
 
     /**
-     * To be called when the socket has taken the whole buffer: begins to linger if the last answer was in it, and else
-     * stops the timer, unless signs of life are due.
+     * Called when the whole buffer has been written to the socket: starts to linger if the last response was in it, and
+     * otherwise stops the timer unless keep-alives are due.
      */
     void onBufferWritten() throws IOException {
-        if (close.isLingering() && !socket.isOutputShutdown()) {
+        if (closeState.isLingering() && !socket.isOutputShutdown()) {
             socket.shutdownOutput();
-            setTimer(services.connections().isCrowded() ? LINGER_WHEN_CROWDED_MICROS : LINGER_MICROS);
-        } else if (connection.hasReceivedRequest() && !close.isLingering() && !halfClosed) {
+            setTimer(services.connections().exceedsSoftLimit() ? LINGER_ABOVE_SOFT_LIMIT_MICROS : LINGER_MICROS);
+        } else if (connection.hasReceivedRequest() && !closeState.isLingering() && !halfClosed) {
             connection.setTimerMicros(NO_TIMER);
         }
     }
 
     /**
-     * After a handler has failed, buffers an error answer in place of all else if the request in progress was not begun
-     * to be answered.
+     * Called after a handler has thrown: replaces the buffer with an error response if the response to the request in
+     * progress has not begun.
      *
      * @return whether there is anything to write
      */
-    boolean answerAfterFailure() {
+    boolean respondAfterFailure() {
         if (current == null || !current.isPending()) {
             return false;
         }
@@ -95,23 +97,23 @@
         return true;
     }
 
-    /** Releases what the connection holds, and ends its streams; to be called once, when it is closed. */
-    void release(StreamOutcome ending) {
+    /** Releases the connection's resources and ends its streams. Called once, when the connection is closed. */
+    void release(StreamOutcome outcome) {
         requests.releaseAll();
-        endStreams(ending);
+        endStreams(outcome);
         if (current != null) {
             services.dispatcher().clientGone(current.requestId());
         }
     }
 
-    /** Ends the stream that was being written, whose own ending was not, and the one of the request in progress. */
-    private void endStreams(StreamOutcome ending) {
+    /** Ends the stream whose bytes or end have not been written completely, and that of the request in progress. */
+    private void endStreams(StreamOutcome outcome) {
         StreamFlow written = writer.flow();
         if (written != null) {
-            services.streams().endStream(written, ending);
+            services.streams().endStream(written, outcome);
         }
         if (current != null && current.flow() != written) {
-            services.streams().endStream(current.flow(), ending);
+            services.streams().endStream(current.flow(), outcome);
         }
     }
 
@@ -120,11 +122,11 @@
     @Override
     public void onRequestReceived(ClientMessage.RequestReceived message) {
         connection.markRequestReceived();
-        if (current == null && !close.isLingering()) {
+        if (current == null && !closeState.isLingering()) {
             begin(message);
         } else if (!requests.offer(message)) {
-            // No ordinary client sends so many ahead: the one in progress is answered, then the connection ends.
-            close.closeAfterAnswer();
+            // No ordinary client pipelines so many requests: the one in progress is answered, then the connection ends.
+            closeState.closeAfterResponse();
             requests.drop(message);
         }
     }
@@ -132,73 +134,77 @@
     private void begin(ClientMessage.RequestReceived request) {
         requests.start(request);
         connection.setIdleSinceMicros(EvictionCandidate.BUSY);
-        if (request.head().closesConnection() || services.connections().isCrowded()) {
-            close.closeAfterAnswer();
+        if (request.head().closesConnection() || services.connections().exceedsSoftLimit()) {
+            closeState.closeAfterResponse();
         }
-        boolean lastAnswer = close.isLastAnswer();
+        boolean lastResponse = closeState.isLastResponse();
         String method = request.head().method();
         String path = request.head().target();
         if (StatusResources.handles(path)) {
-            services.statusResources().answer(writer.output(), method, path, lastAnswer);
-            completeAnswer(lastAnswer);
-        } else if (close.isOverCapacity()) {
+            services.statusResources().writeResponse(writer.output(), method, path, lastResponse);
+            completeResponse(lastResponse);
+        } else if (closeState.isOverCapacity()) {
             writeError(UNAVAILABLE, "no room", REJECTION_RETRY_AFTER_MICROS);
-            completeAnswer(true);
+            completeResponse(true);
         } else {
-            submit(request, lastAnswer);
+            submit(request, lastResponse);
         }
     }
 
-    /** Hands a request to the dispatcher; one that is malformed or finds no capacity is answered at once. */
-    private void submit(ClientMessage.RequestReceived request, boolean lastAnswer) {
-        ProtocolExchange call;
+    /** Submits a request to the dispatcher; one that is malformed or exceeds the capacity is answered at once. */
+    private void submit(ClientMessage.RequestReceived request, boolean lastResponse) {
+        ProtocolExchange protocolExchange;
         try {
-            call = services.protocol().readRequest(request.head(), request.body(), request.firstByteMicros());
+            protocolExchange =
+                    services.protocol().readRequest(request.head(), request.body(), request.firstByteMicros());
         } catch (HttpException e) {
             services.eventLog().count("malformed_requests");
             writeError(e.status(), e.getMessage(), 0);
-            completeAnswer(true);
+            completeResponse(true);
             return;
         }
         StreamFlow flow = services.streams()
                 .openStream(
-                        call.request().classIndex(),
-                        call.request().tenantIndex(),
-                        call.request().id(),
+                        protocolExchange.request().classIndex(),
+                        protocolExchange.request().tenantIndex(),
+                        protocolExchange.request().id(),
                         connection);
         if (flow == null) {
-            reject(call, lastAnswer);
+            reject(protocolExchange, lastResponse);
             return;
         }
-        current = new ClientExchange(connection, call, flow);
+        current = new ClientExchange(connection, protocolExchange, flow);
         writer.openStream(flow);
-        call.setStreamListener(current);
-        if (!services.dispatcher().submit(call.request(), current, call, request.body().length)) {
+        protocolExchange.setStreamListener(current);
+        if (!services.dispatcher()
+                .submit(protocolExchange.request(), current, protocolExchange, request.body().length)) {
             services.streams().endStream(flow, StreamOutcome.INTERNAL_ERROR);
-            writer.withdrawStream();
-            reject(call, lastAnswer);
+            writer.cancelStream();
+            reject(protocolExchange, lastResponse);
         }
     }
 
-    private void reject(ProtocolExchange call, boolean lastAnswer) {
+    private void reject(ProtocolExchange protocolExchange, boolean lastResponse) {
         services.eventLog().count("answered_refused");
         services.eventLog().count("requests_shed");
-        call.writeRejection(writer.output(), REJECTION_RETRY_AFTER_MICROS, lastAnswer);
-        completeAnswer(lastAnswer);
+        protocolExchange.writeRejection(writer.output(), REJECTION_RETRY_AFTER_MICROS, lastResponse);
+        completeResponse(lastResponse);
     }
 
-    /** Writes an answer that is not an exchange's; it announces the close. */
+    /** Writes an error response outside of an exchange; it announces that the connection is closed. */
     private void writeError(int status, String reason, long retryAfterMicros) {
         services.protocol().writeError(writer.output(), status, reason, retryAfterMicros, true);
     }
 
-    /** An answer is buffered completely: closes the connection orderly, or goes on with the next request. */
-    private void completeAnswer(boolean lastAnswer) {
+    /**
+     * Called once a response is completely in the buffer: starts to close the connection, or begins the next request.
+     */
+    private void completeResponse(boolean lastResponse) {
         endExchange();
         connection.setIdleSinceMicros(services.clock().micros());
         requests.finishStarted();
-        if (lastAnswer) {
-            close.linger();
+        if (lastResponse) {
+            closeState.linger();
         } else if (!requests.isEmpty()) {
             begin(requests.poll());
         }
@@ -214,18 +220,18 @@
     @Override
     public void onMalformedRequest(ClientMessage.MalformedRequest message) {
         services.eventLog().count("malformed_requests");
-        if (current == null && !close.isLingering()) {
+        if (current == null && !closeState.isLingering()) {
             int status = message.status();
             writeError(status, message.reason(), status == UNAVAILABLE ? REJECTION_RETRY_AFTER_MICROS : 0);
-            close.linger();
+            closeState.linger();
         } else {
-            // Behind a request in progress: that one is answered, then the connection ends.
-            close.closeAfterAnswer();
+            // Pipelined after a request in progress: that one is answered, then the connection ends.
+            closeState.closeAfterResponse();
         }
     }
 
     // ---- The response ---------------------------------------------------------------------------------
-    // Messages of an exchange that is not the one in progress are ignored: it has been answered already.
+    // Messages of an exchange that is no longer in progress are ignored: its response is already complete.
 
     @Override
     public void onStreamEvent(ClientMessage.StreamEvent message) {
@@ -240,40 +246,40 @@
     public void onStreamCompleted(ClientMessage.StreamCompleted message) {
         if (message.exchange() == current) {
             ensureHeadWritten();
-            current.writeEnd(writer.output(), close.isLastAnswer());
+            current.writeEnd(writer.output(), closeState.isLastResponse());
             writer.endStream(StreamOutcome.COMPLETE);
-            completeAnswer(close.isLastAnswer());
+            completeResponse(closeState.isLastResponse());
         }
     }
 
     private void ensureHeadWritten() {
         if (current.isPending()) {
-            current.writeHead(writer.output(), close.isLastAnswer());
+            current.writeHead(writer.output(), closeState.isLastResponse());
         }
     }
 
     @Override
-    public void onStreamBroken(ClientMessage.StreamBroken message) {
+    public void onStreamFailed(ClientMessage.StreamFailed message) {
         if (message.exchange() != current) {
             return;
         }
-        writer.endStream(message.ending());
-        boolean mayEndInOrder = message.ending() != StreamOutcome.MIGRATED && message.error() == null;
-        if (mayEndInOrder && current.writeIncompleteEnd(writer.output(), close.isLastAnswer())) {
+        writer.endStream(message.outcome());
+        boolean canEndNormally = message.outcome() != StreamOutcome.MIGRATED && message.errorEvent() == null;
+        if (canEndNormally && current.writeIncompleteEnd(writer.output(), closeState.isLastResponse())) {
             writer.endStream(StreamOutcome.INCOMPLETE);
-            completeAnswer(close.isLastAnswer());
+            completeResponse(closeState.isLastResponse());
             return;
         }
-        // The end of the connection without the stream's end tells the client that the stream is not complete.
-        current.writeBroken(writer.output(), message.error());
+        // The end of the connection without the stream's end tells the client that the stream is incomplete.
+        current.writeStreamFailure(writer.output(), message.errorEvent());
         endExchange();
-        close.endNow();
+        closeState.endNow();
     }
 
     @Override
     public void onRequestRejected(ClientMessage.RequestRejected message) {
         if (message.exchange() == current) {
-            current.writeRejection(writer.output(), message.retryAfterMicros(), close.isLastAnswer());
+            current.writeRejection(writer.output(), message.retryAfterMicros(), closeState.isLastResponse());
             completeWithoutStream();
         }
     }
@@ -281,51 +287,55 @@
     @Override
     public void onRequestFailed(ClientMessage.RequestFailed message) {
         if (message.exchange() == current) {
-            current.writeFailure(writer.output(), message.reason(), close.isLastAnswer());
+            current.writeFailure(writer.output(), message.reason(), closeState.isLastResponse());
             completeWithoutStream();
         }
     }
 
-    /** If the request has become a stream all the same, it ends by a fault; one that has not has no ending. */
+    /**
+     * Completes a response other than a stream. If the request has become a stream nevertheless, the stream ends with
+     * an internal error; one that has not become a stream has no outcome.
+     */
     private void completeWithoutStream() {
         writer.endStream(StreamOutcome.INTERNAL_ERROR);
-        completeAnswer(close.isLastAnswer());
+        completeResponse(closeState.isLastResponse());
     }
 
     // ---- Closing --------------------------------------------------------------------------------------
 
-    /** Ends at once: nothing that is written would arrive. */
+    /** Ends the connection at once: nothing written now would arrive. */
     @Override
     public void onDisconnected(ClientMessage.Disconnected message) {
-        close.endNow();
+        closeState.endNow();
     }
 
     /**
-     * With a request in progress, answers it last, and sends signs of life meanwhile, which find out whether the client
-     * still reads. Without one, ends at once: the client can neither ask nor be owed anything.
+     * With a request in progress, makes its response the last, and sends keep-alives meanwhile to detect whether the
+     * client still reads. Without one, ends the connection at once: the client can neither send a request nor expect a
+     * response.
      */
     @Override
     public void onInputHalfClosed(ClientMessage.InputHalfClosed message) {
-        halfClosed = current != null && !close.isLingering();
+        halfClosed = current != null && !closeState.isLingering();
         if (!halfClosed) {
-            close.endNow();
+            closeState.endNow();
         }
-        close.closeAfterAnswer();
+        closeState.closeAfterResponse();
         sendKeepAlive(FIRST_KEEP_ALIVE_MICROS);
     }
 
     /**
-     * After lingering for long enough, ends; after a half-close, asks for another sign that the client reads; and if no
-     * request has come in time, answers that.
+     * Ends the connection if it has lingered for long enough; after a half-close, sends the next keep-alive; if no
+     * complete request has arrived in time, answers with an error.
      */
     @Override
     public void onTimerExpired(ClientMessage.TimerExpired message) {
         if (services.clock().micros() < connection.timerMicros()) {
-            return; // Set to a later time since the message was posted.
+            return; // The timer was set to a later time after the message was posted.
         }
         connection.setTimerMicros(NO_TIMER);
-        if (close.isLingering()) {
-            close.endNow();
+        if (closeState.isLingering()) {
+            closeState.endNow();
         } else if (halfClosed) {
             sendKeepAlive(KEEP_ALIVE_PERIOD_MICROS);
         } else if (!connection.hasReceivedRequest()) {
@@ -338,7 +348,7 @@
         connection.setTimerMicros(services.clock().micros() + delayMicros);
     }
 
-    /** Writes what a client that has gone answers with a reset, and sets the timer for the next time. */
+    /** Writes a keep-alive, which a client that has gone answers with a reset, and sets the timer for the next one. */
     private void sendKeepAlive(long nextMicros) {
         if (current != null) {
             current.writeKeepAlive(writer.output());
@@ -347,27 +357,27 @@
     }
 
     /**
-     * Closes an idle connection since capacity is needed. A request that has begun to arrive meanwhile keeps it, unless
-     * the client has never sent a complete one: that connection ends at once.
+     * Closes an idle connection because capacity is needed. A request that has begun to arrive meanwhile keeps the
+     * connection open, unless the client has never sent a complete one: that connection ends at once.
      */
     @Override
     public void onEvictIfIdle(ClientMessage.EvictIfIdle message) {
-        connection.clearToldToClose();
+        connection.clearCloseRequest();
         if (!isIdle()) {
             return;
         }
         if (!connection.hasReceivedRequest()) {
             services.eventLog().count("clients_silent_closed");
-            close.endNow();
+            closeState.endNow();
             return;
         }
         closeIdle();
-        if (close.isLingering()) {
+        if (closeState.isLingering()) {
             services.eventLog().count("clients_idle_closed");
         }
     }
 
-    /** Closes an idle connection since clients are sent away. */
+    /** Closes an idle connection because the listener is draining. */
     @Override
     public void onCloseIfIdle(ClientMessage.CloseIfIdle message) {
         if (isIdle()) {
@@ -376,25 +386,25 @@
     }
 
     private boolean isIdle() {
-        return current == null && requests.isEmpty() && !close.isLingering();
+        return current == null && requests.isEmpty() && !closeState.isLingering();
     }
 
     /**
-     * Lingers, unless a request has begun to arrive: that one gets its answer, which is the last. A close over bytes
-     * that nobody has read would reset the connection.
+     * Lingers, unless a request has begun to arrive: that one is answered, and its response is the last. Closing a
+     * socket with unread input would reset the connection.
      */
     private void closeIdle() {
         boolean arriving = connection.isReceiving();
         try {
             arriving |= socket.getInputStream().available() > 0;
         } catch (IOException e) {
-            close.endNow();
+            closeState.endNow();
             return;
         }
         if (arriving) {
-            close.closeAfterAnswer();
+            closeState.closeAfterResponse();
         } else {
-            close.linger();
+            closeState.linger();
         }
     }
 }
--- a/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/magpiehub/lifecycle/ConfigurationReloader.java
@@ -77,7 +77,7 @@
 
     private void reload() {
         try {
-            RouterConfiguration next = RouterConfigurationReader.reread(System.getenv(), current);
+            RouterConfiguration next = RouterConfigurationReader.reload(System.getenv(), current);
             DiscoverySettings registry = DiscoverySettings.read(registryFile);
             List<String> applied = current.changedKeys(next);
             applied.removeIf(key -> !key.startsWith(SETTINGS_PREFIX));
