--- a/src/main/java/magpiehub/lifecycle/Router.java
+++ b/src/main/java/magpiehub/lifecycle/Router.java
@@ -72,7 +72,7 @@
 
     private final EndpointSource discovery;
     /** Null if site failover is disabled. */
-    private final SiteFailover failoverPlan;
+    private final SiteFailover siteFailover;
 
     private final RequestDispatcher dispatcher;
     private final PlatformProtocol platformProtocol;
@@ -95,7 +95,7 @@
         this.upstreams = startUpstreams();
         this.registry = readRegistrySettings();
         this.discovery = createDiscovery();
-        this.failoverPlan = createFailoverPlan();
+        this.siteFailover = createSiteFailover();
         this.dispatcher = createDispatcher();
         this.platformProtocol = new PlatformProtocol(site::get);
         this.admin = createAdmin();
@@ -171,7 +171,7 @@
         return new RegistryClient(registry, site::get, upstreams, clock, log, seed);
     }
 
-    private SiteFailover createFailoverPlan() throws IOException {
+    private SiteFailover createSiteFailover() throws IOException {
         SiteFailoverSettings settings = SiteFailoverSettings.read(SITE_FAILOVER_FILE);
         if (settings == null) {
             return null;
@@ -182,7 +182,7 @@
     }
 
     private RequestDispatcher createDispatcher() {
-        ZoneHealth zoneHealth = failoverPlan == null ? new ConnectFailureZoneHealth() : failoverPlan;
+        ZoneHealth zoneHealth = siteFailover == null ? new ConnectFailureZoneHealth() : siteFailover;
         RequestDispatcher created = new RequestDispatcher(
                 configuration.site().routing(), configuration.seed(), clock, upstreams, discovery, log, zoneHealth);
         upstreams.setDispatcher(created);
@@ -194,7 +194,7 @@
             return null;
         }
         RouterMaintenanceActions actions =
-                new RouterMaintenanceActions(discovery::hasUsableList, discovery, failoverPlan, listeners, clock);
+                new RouterMaintenanceActions(discovery::hasUsableList, discovery, siteFailover, listeners, clock);
         AdminCommandHandler created =
                 new AdminCommandHandler(temporaryFolder(), configuration.name(), actions, clock, log);
         discovery.maintenanceOverlay().onListed(created::addListedIds);
@@ -263,7 +263,7 @@
     /** All counters, one per line. */
     private String counters() {
         String counters = log.counters() + streams.metrics() + discovery.counterLines();
-        return failoverPlan == null ? counters : counters + failoverPlan.metrics();
+        return siteFailover == null ? counters : counters + siteFailover.metrics();
     }
 
     private void startConsole() throws IOException {
--- a/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
+++ b/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
@@ -17,7 +17,7 @@
 
     private final BooleanSupplier ready;
     private final EndpointSource discovery;
-    private final SiteFailover failoverPlan;
+    private final SiteFailover siteFailover;
     private final List<ClientListener> listeners;
     /** Monotonic time minus Unix time, computed once so that the same Unix time always converts to the same result. */
     private final long monotonicOffsetMicros;
@@ -25,18 +25,18 @@
     /**
      * Creates the actions of one router.
      *
-     * @param failoverPlan null if site failover is disabled
+     * @param siteFailover null if site failover is disabled
      * @param listeners the router's listeners; more may be added later
      */
     RouterMaintenanceActions(
             BooleanSupplier ready,
             EndpointSource discovery,
-            SiteFailover failoverPlan,
+            SiteFailover siteFailover,
             List<ClientListener> listeners,
             MonotonicClock clock) {
         this.ready = ready;
         this.discovery = discovery;
-        this.failoverPlan = failoverPlan;
+        this.siteFailover = siteFailover;
         this.listeners = listeners;
         this.monotonicOffsetMicros = clock.micros() - System.currentTimeMillis() * MICROS_PER_MILLI;
     }
@@ -57,13 +57,13 @@
 
     @Override
     public Map<String, String> siteStatus() {
-        return failoverPlan == null ? Map.of() : failoverPlan.siteStatus();
+        return siteFailover == null ? Map.of() : siteFailover.siteStatus();
     }
 
     @Override
     public void setWithdrawnSites(Set<String> withdrawn) {
-        if (failoverPlan != null) {
-            failoverPlan.setWithdrawnSites(withdrawn);
+        if (siteFailover != null) {
+            siteFailover.setWithdrawnSites(withdrawn);
         }
     }
 
