--- a/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
+++ b/src/main/java/magpiehub/lifecycle/RouterMaintenanceActions.java
@@ -11,32 +11,32 @@
 import magpiehub.downstream.ClientListener;
 import magpiehub.sites.SiteFailover;
 
-/** Carries out the operators' commands on the parts of this router. */
+/** Executes operators' maintenance commands on the components of this router. */
 final class RouterMaintenanceActions implements MaintenanceActions {
     private static final int MICROS_PER_MILLI = 1000;
 
     private final BooleanSupplier ready;
     private final EndpointSource discovery;
-    private final SiteFailover failoverPlan;
+    private final SiteFailover siteFailover;
     private final List<ClientListener> listeners;
-    /** Monotonic time less Unix time, taken once, so that one time of a command always gives the same result. */
+    /** Monotonic time minus Unix time, computed once so that the same Unix time always converts to the same result. */
     private final long monotonicOffsetMicros;
 
     /**
-     * The actions of one router.
+     * Creates the actions of one router.
      *
-     * @param failoverPlan null if the installation has none
-     * @param listeners may grow later
+     * @param siteFailover null if site failover is disabled
+     * @param listeners the router's listeners; more may be added later
      */
     RouterMaintenanceActions(
             BooleanSupplier ready,
             EndpointSource discovery,
-            SiteFailover failoverPlan,
+            SiteFailover siteFailover,
             List<ClientListener> listeners,
             MonotonicClock clock) {
         this.ready = ready;
         this.discovery = discovery;
-        this.failoverPlan = failoverPlan;
+        this.siteFailover = siteFailover;
         this.listeners = listeners;
         this.monotonicOffsetMicros = clock.micros() - System.currentTimeMillis() * MICROS_PER_MILLI;
     }
@@ -57,13 +57,13 @@
 
     @Override
     public Map<String, String> siteStatus() {
-        return failoverPlan == null ? Map.of() : failoverPlan.siteStatus();
+        return siteFailover == null ? Map.of() : siteFailover.siteStatus();
     }
 
     @Override
     public void setWithdrawnSites(Set<String> withdrawn) {
-        if (failoverPlan != null) {
-            failoverPlan.setWithdrawnSites(withdrawn);
+        if (siteFailover != null) {
+            siteFailover.setWithdrawnSites(withdrawn);
         }
     }
 
