--- a/src/test/java/magpiehub/EventDelayTest.java
+++ b/src/test/java/magpiehub/EventDelayTest.java
@@ -77,7 +77,7 @@
                     List<BufferedReader> answers = new ArrayList<>();
                     for (int i = 0; i < STREAMS; i++) {
                         BufferedReader answer = ServeTest.reader(ask(port, "stream" + i));
-                        ServeTest.until(answer, "200 OK");
+                        ServeTest.readUntil(answer, "200 OK");
                         answers.add(answer);
                     }
                     Process throttle = new ProcessBuilder(
--- a/src/test/java/magpiehub/FullHouseTest.java
+++ b/src/test/java/magpiehub/FullHouseTest.java
@@ -82,7 +82,8 @@
     }
 
     private static int port(BufferedReader log) throws IOException {
-        return Integer.parseInt(ServeTest.until(log, " started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+        return Integer.parseInt(
+                ServeTest.readUntil(log, " started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
     /** Nothing that a test does not wait for may fill a pipe. */
@@ -155,7 +156,7 @@
                 int port = port(log);
                 Socket watch = discovery.accept();
                 ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
-                ServeTest.until(log, " list-confirmed ");
+                ServeTest.readUntil(log, " list-confirmed ");
                 drain(log, logged);
                 stopDiscovery(discovery, watch);
                 servedClient.connect(new InetSocketAddress(HERE, port));
@@ -213,7 +214,7 @@
         try (ServerSocket discovery = new ServerSocket(discoveryPort, 8, HERE)) {
             discovery.setSoTimeout(RECOVERY_MILLIS);
             try (Socket watch = discovery.accept()) {
-                assertTrue(ServeTest.until(ServeTest.reader(watch), "GET ").contains("follow=1"));
+                assertTrue(ServeTest.readUntil(ServeTest.reader(watch), "GET ").contains("follow=1"));
                 ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
                 assertTrue(System.nanoTime() - begun < RECOVERY_NANOS, "in time");
                 assertNewClientIsServed(port, begun);
--- a/src/test/java/magpiehub/RouterProcess.java
+++ b/src/test/java/magpiehub/RouterProcess.java
@@ -119,7 +119,7 @@
 
     /** The first line of its log with a part. */
     String logged(String part) throws IOException {
-        return ServeTest.until(log, part);
+        return ServeTest.readUntil(log, part);
     }
 
     /** Takes its watch of the list and answers it with a heartbeat. */
@@ -148,8 +148,8 @@
         });
     }
 
-    void hangUp() throws Exception {
-        ServeTest.hangUp(process);
+    void sendSighup() throws Exception {
+        ServeTest.sendSighup(process);
     }
 
     @Override
--- a/src/test/java/magpiehub/ServeTest.java
+++ b/src/test/java/magpiehub/ServeTest.java
@@ -35,7 +35,7 @@
     }
 
     /** The first line with a part; fails with all that came if the text ends before. */
-    public static String until(BufferedReader in, String part) throws IOException {
+    public static String readUntil(BufferedReader in, String part) throws IOException {
         StringBuilder seen = new StringBuilder();
         for (String l = in.readLine(); l != null; l = in.readLine()) {
             seen.append(l).append('\n');
@@ -61,7 +61,7 @@
                         + engine.getLocalPort() + "\",\"phase\":\"Ready\"}]}}");
     }
 
-    public static void hangUp(Process p) throws Exception {
+    public static void sendSighup(Process p) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
@@ -81,13 +81,13 @@
             try (Socket watch = router.watched()) {
                 router.logged(" started ");
                 Files.writeString(router.config, "{\"name\":");
-                router.hangUp();
+                router.sendSighup();
                 router.logged(" reload-failed ");
                 write(router.config, second, router.engine);
                 router.configure("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":300");
-                router.hangUp();
+                router.sendSighup();
                 try (Socket moved = second.accept()) {
-                    assertTrue(until(reader(moved), "GET ").contains("/discovery/hosts?follow=1 "));
+                    assertTrue(readUntil(reader(moved), "GET ").contains("/discovery/hosts?follow=1 "));
                     assertTrue(router.logged(" reloaded ").contains("changed=\"settings.limits\" needs"));
                 }
                 assertTrue(router.process().isAlive());
@@ -109,9 +109,9 @@
                         Socket after = connect(port)) {
                     say(before, ASK);
                     try (Socket at = router.engine.accept()) {
-                        until(reader(at), "X-Budget-Ms");
+                        readUntil(reader(at), "X-Budget-Ms");
                         Files.writeString(router.config, fresh);
-                        router.hangUp();
+                        router.sendSighup();
                         assertTrue(router.logged(" reloaded ").contains("changed=\"settings.classes\""));
                         for (String bad : List.of(
                                 "",
@@ -122,7 +122,7 @@
                                 old.replace("\"deadlineMs\":4000", "\"deadlineMs\":\"soon\""),
                                 old.replace("\"deadlineMs\":4000", "\"deadlineMs\":-1"))) {
                             Files.writeString(router.config, bad);
-                            router.hangUp();
+                            router.sendSighup();
                             router.logged(" reload-failed ");
                         }
                         // Under way since before: it has its class still.
@@ -139,7 +139,7 @@
                 try (Socket client = connect(port)) {
                     say(client, ASK.replace("Call-Id: 1", "Call-Id: 3").replace("Class: chat", "Class: talk"));
                     try (Socket at = router.engine.accept()) {
-                        until(reader(at), "X-Call-Id: 3");
+                        readUntil(reader(at), "X-Call-Id: 3");
                     }
                 }
             }
@@ -158,7 +158,7 @@
         try (RouterProcess router = router()) {
             router.start(ignoring);
             router.logged(" reload-impossible ");
-            router.hangUp();
+            router.sendSighup();
             router.logged(" started ");
         }
     }
@@ -218,7 +218,7 @@
                 .redirectErrorStream(true)
                 .start();
         try (BufferedReader log = p.inputReader()) {
-            assertTrue(until(log, " counters ").contains("answered_served=\"2\""));
+            assertTrue(readUntil(log, " counters ").contains("answered_served=\"2\""));
             assertTrue(p.waitFor(30, TimeUnit.SECONDS));
             assertEquals(0, p.exitValue());
         } finally {
@@ -246,23 +246,23 @@
                 try (Socket client = connect(port)) {
                     say(client, ASK);
                     try (Socket at = router.engine.accept()) {
-                        until(reader(at), "X-Budget-Ms");
+                        readUntil(reader(at), "X-Budget-Ms");
                         try (Socket kept = connect(port)) {
                             say(kept, "GET /up HTTP/1.1\r\n\r\n");
                             BufferedReader answers = reader(kept);
-                            until(answers, "up");
+                            readUntil(answers, "up");
                             router.process().toHandle().destroy();
                             router.logged(" stopping ");
                             // Clients use what stays open: a request there is taken, not left without a word.
                             say(kept, ASK.replace("Id: 1", "Id: 2"));
                             try (Socket other = router.engine.accept()) {
-                                until(reader(other), "X-Budget-Ms");
+                                readUntil(reader(other), "X-Budget-Ms");
                                 say(
                                         other,
                                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                                 + "9\r\ndata: y\n\n\r\n0\r\n\r\n");
-                                until(answers, "200 OK");
-                                until(answers, "data: y");
+                                readUntil(answers, "200 OK");
+                                readUntil(answers, "data: y");
                                 // Who leaves before the end has come may be counted as one who has left.
                                 assertEquals("", answers.readLine());
                                 assertEquals("", answers.readLine());
--- a/src/test/java/magpiehub/UpgradeTest.java
+++ b/src/test/java/magpiehub/UpgradeTest.java
@@ -108,7 +108,7 @@
         }
         launcher.outputWriter().write(console + "\n");
         launcher.outputWriter().flush();
-        ServeTest.until(said, " started ");
+        ServeTest.readUntil(said, " started ");
         return console;
     }
 
@@ -133,7 +133,7 @@
         Socket s = engine.accept();
         s.setSoTimeout(30_000);
         BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
-        ServeTest.until(in, "X-Budget-Ms");
+        ServeTest.readUntil(in, "X-Budget-Ms");
         assertEquals("", in.readLine());
         assertEquals('{', in.read());
         assertEquals('}', in.read());
@@ -168,7 +168,7 @@
         assertTrue(call(second, "status").startsWith("SUCCESS active"));
         ProcessHandle older = ProcessHandle.of(old()).orElseThrow();
         older.destroy();
-        assertTrue(ServeTest.until(said, " stopping ").contains("succeeded=\"true\""));
+        assertTrue(ServeTest.readUntil(said, " stopping ").contains("succeeded=\"true\""));
         // The old one accepts no more: these are the new one's, and are not mixed up with what the old one
         // holds.
         for (int i = 0; i < 4; i++) {
@@ -182,7 +182,7 @@
             assertEquals("HTTP/1.1 200 OK", first(c));
             c.close();
         }
-        assertTrue(ServeTest.until(said, " stopped ").contains("held=\"0\""));
+        assertTrue(ServeTest.readUntil(said, " stopped ").contains("held=\"0\""));
         older.onExit().get(30, TimeUnit.SECONDS);
         assertTrue(call(second, "status").startsWith("SUCCESS"));
         try (Socket c = ask("c")) {
@@ -203,8 +203,8 @@
         int second = version();
         assertEquals("SUCCESS active out=1", call(second, "status"));
         assertEquals("SUCCESS standby", call(second, "standby"));
-        ServeTest.until(said, " standby ");
-        ServeTest.until(said, " standby "); // On both: each logs it.
+        ServeTest.readUntil(said, " standby ");
+        ServeTest.readUntil(said, " standby "); // On both: each logs it.
         try (Socket up = new Socket(loopback, port)) {
             up.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertEquals("HTTP/1.1 503 Service Unavailable", first(up));
@@ -226,7 +226,7 @@
         Files.writeString(folder.resolve("magpiehub-n.operators"), "{\"form\":\"magpie");
         launcher.outputWriter().write("0\n");
         launcher.outputWriter().flush();
-        ServeTest.until(said, " operators-file-unreadable ");
-        ServeTest.until(said, " started ");
+        ServeTest.readUntil(said, " operators-file-unreadable ");
+        ServeTest.readUntil(said, " started ");
     }
 }
--- a/src/test/java/magpiehub/discovery/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -1,8 +1,8 @@
 package magpiehub.discovery;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static magpiehub.ServeTest.hangUp;
-import static magpiehub.ServeTest.until;
+import static magpiehub.ServeTest.readUntil;
+import static magpiehub.ServeTest.sendSighup;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -79,7 +79,7 @@
         StringBuilder seen = new StringBuilder();
         for (String event : List.of(" started ", " registry-list ", " registry-announced ")) {
             while (seen.indexOf(event) < 0) {
-                seen.append(until(log, " ")).append('\n');
+                seen.append(readUntil(log, " ")).append('\n');
             }
         }
         return Integer.parseInt(seen.toString().replaceAll("(?s).* started [^\n]*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
@@ -91,7 +91,7 @@
             client.setSoTimeout(TIMEOUT_MILLIS);
             client.getOutputStream().write(REQUEST.getBytes(UTF_8));
             try (Socket upstream = engine.accept()) {
-                until(reader(upstream.getInputStream()), "X-Budget-Ms");
+                readUntil(reader(upstream.getInputStream()), "X-Budget-Ms");
                 upstream.getOutputStream().write(RESPONSE.getBytes(UTF_8));
                 assertEquals("HTTP/1.1 200 OK", reader(client.getInputStream()).readLine());
             }
@@ -115,15 +115,15 @@
             try (BufferedReader log = router.inputReader()) {
                 assertServes(awaitServing(log), engine);
                 writeRegistrySettings(second, ",\"tmeout_ms\":5");
-                hangUp(router);
-                assertTrue(until(log, " reload-failed ").contains("registry.json.tmeout_ms is not known"));
+                sendSighup(router);
+                assertTrue(readUntil(log, " reload-failed ").contains("registry.json.tmeout_ms is not known"));
                 writeRegistrySettings(second, "");
-                hangUp(router);
-                until(log, " registry-moved ");
-                until(log, " registry-list ");
+                sendSighup(router);
+                readUntil(log, " registry-moved ");
+                readUntil(log, " registry-list ");
                 router.toHandle().destroy();
-                until(log, " registry-deregistered ");
-                assertTrue(until(log, " stopped ").contains("held=\"0\""));
+                readUntil(log, " registry-deregistered ");
+                assertTrue(readUntil(log, " stopped ").contains("held=\"0\""));
                 assertTrue(router.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
                 synchronized (first) {
                     assertFalse(first.etcd.leases.values().stream().anyMatch(k -> k.contains("routers/n1")));
