--- a/Makefile
+++ b/Makefile
@@ -42,7 +42,7 @@
 # One core, one thread at a time, others standing still anywhere: SEED chooses which; STEP is seconds and "spin" plants one.
 .PHONY: proof-step
 proof-step:
-	@timeout 120 java -Xmx256m -cp target/test-classes:target/magpiehub.jar magpiehub.StepProof $(SEED) $(STEP)
+	@timeout 120 java -Xmx256m -cp target/test-classes:target/magpiehub.jar magpiehub.SpinWaitDetector $(SEED) $(STEP)
 
 # Nine routers over three sites and a loss drawn from SEED; CASE names one instead, BASE an older jar beside it.
 .PHONY: proof-site
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/SpinWaitDetector.java
@@ -31,9 +31,9 @@
  * something then never ends, and is seen by its CPU time: a second of it without a wait. The verdict does not depend
  * on times off the wall.
  *
- * <p>{@code StepProof SEED [SECONDS] [spin]}; {@code spin} plants such a thread. The last line says ok or short.
+ * <p>{@code SpinWaitDetector SEED [SECONDS] [spin]}; {@code spin} plants such a thread. The last line says ok or short.
  */
-public final class StepProof {
+public final class SpinWaitDetector {
     private static final int ENGINES = 8;
     private static final int CLIENTS = 24;
     private static final int DEFAULT_SECONDS = 30;
@@ -63,7 +63,7 @@
     private volatile int port;
     private volatile boolean over;
 
-    private StepProof(long seed, Path folder) throws IOException {
+    private SpinWaitDetector(long seed, Path folder) throws IOException {
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.folder = folder;
@@ -217,7 +217,7 @@
                     .append(i)
                     .append("\",\"host_port\":\"")
                     .append("127.0.0.1:")
-                    .append(serve(StepProof::engine).getLocalPort())
+                    .append(serve(SpinWaitDetector::engine).getLocalPort())
                     .append("\",\"phase\":\"Ready\"}");
         }
         ServerSocket discovery = serve(s -> list(s, known.toString()));
@@ -237,7 +237,7 @@
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        String mainClass = planted ? PlantedSpin.class.getName() : "magpiehub.Main";
+        String mainClass = planted ? SpinWaitMain.class.getName() : "magpiehub.Main";
         return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'))
                 .replace("exec java", "exec taskset -c " + core + " chrt -f 1 java")
                 .replace(
@@ -426,7 +426,7 @@
             System.exit(EXIT_NOT_ALLOWED);
         }
         Path folder = Files.createTempDirectory("proof-step");
-        boolean ok = new StepProof(seed, folder).run(seconds, planted);
+        boolean ok = new SpinWaitDetector(seed, folder).run(seconds, planted);
         System.exit(ok ? 0 : 1);
     }
 }
--- a/src/test/java/magpiehub/PlantedSpin.java
+++ b/src/test/java/magpiehub/SpinWaitMain.java
@@ -6,12 +6,12 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 
-/** The program with a spinning wait planted in it, to show that {@link StepProof} finds one. */
-public final class PlantedSpin {
+/** The program with a spinning wait planted in it, to show that {@link SpinWaitDetector} finds one. */
+public final class SpinWaitMain {
     private static final long WAITER_START_MICROS = 3_000_000;
     private static final long TELLER_START_MICROS = 3_500_000;
 
-    private PlantedSpin() {}
+    private SpinWaitMain() {}
 
     public static void main(String[] args) throws IOException {
         AtomicBoolean told = new AtomicBoolean();
