--- a/src/test/java/magpiehub/LeavingTest.java
+++ b/src/test/java/magpiehub/ClientDisconnectTest.java
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Many clients that disconnect, more than a recorded exchange has lines for. */
-class LeavingTest {
+class ClientDisconnectTest {
     private static final int CLIENTS = 300;
 
     /** Clients that connect, send one request and disconnect, one after another: no thread is started for each. */
     @Test
     void manyShortConnectionsNeedFewThreads() throws Exception {
-        try (Player p = new Player()) {
+        try (ExchangeReplayer p = new ExchangeReplayer()) {
             p.step("engines e1");
             p.step("start");
             long before = ManagementFactory.getThreadMXBean().getTotalStartedThreadCount();
@@ -31,7 +31,7 @@
     /** Their requests wait for the dispatcher: none reaches an upstream, and a client that stays is served. */
     @Test
     void noRequestOfABurstOfDisconnectedClientsIsForwarded() throws Exception {
-        try (Player p = new Player()) {
+        try (ExchangeReplayer p = new ExchangeReplayer()) {
             p.step("most 400");
             p.step("engines e1");
             p.step("start");
--- a/src/test/java/magpiehub/FullHouseTest.java
+++ b/src/test/java/magpiehub/DescriptorLimitAndDiscoveryOutageTest.java
@@ -25,7 +25,7 @@
  * do all the same. The limit on descriptors is the system's own.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class FullHouseTest {
+class DescriptorLimitAndDiscoveryOutageTest {
     private static final InetAddress HERE = InetAddress.getLoopbackAddress();
     private static final String CONTENT = "{\"stream\":true}";
 
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/ExchangeReplayer.java
@@ -44,7 +44,7 @@
  * with a clock that moves only when the file says so. {@code src/test/resources/exchanges/README.md} describes the
  * file's steps. No step waits for time to pass.
  */
-final class Player implements AutoCloseable {
+final class ExchangeReplayer implements AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long POLL_INTERVAL_NANOS = 500_000;
     /** How often discovery writes a heartbeat where the file has no part for it. */
@@ -78,24 +78,24 @@
     private int heartbeats;
 
     /** Plays a file after some steps that come before it; returns what the requests that it sent came to. */
-    static List<String> play(Path file, String... stepsBefore) throws Exception {
+    static List<String> replay(Path file, String... stepsBefore) throws Exception {
         int lineNumber = 0;
-        try (Player player = new Player()) {
+        try (ExchangeReplayer replayer = new ExchangeReplayer()) {
             for (String line : stepsBefore) {
-                player.step(line);
+                replayer.step(line);
             }
             List<String> lines = Files.readAllLines(file);
-            player.playsDiscovery = lines.stream().anyMatch(line -> line.startsWith("d+"));
+            replayer.playsDiscovery = lines.stream().anyMatch(line -> line.startsWith("d+"));
             for (String line : lines) {
                 lineNumber++;
                 try {
-                    player.step(line);
+                    replayer.step(line);
                 } catch (Exception | AssertionError e) {
                     String place = file.getFileName() + ":" + lineNumber + ": " + line;
-                    throw new AssertionError(place + "\n" + e + "\n" + player.log.counters() + player.logged, e);
+                    throw new AssertionError(place + "\n" + e + "\n" + replayer.log.counters() + replayer.logged, e);
                 }
             }
-            return player.results;
+            return replayer.results;
         }
     }
 
--- a/src/test/java/magpiehub/ExchangesTest.java
+++ b/src/test/java/magpiehub/ExchangesTest.java
@@ -18,6 +18,6 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("files")
     void isPlayedToItsEnd(Path file) throws Exception {
-        Player.play(file);
+        ExchangeReplayer.replay(file);
     }
 }
--- a/src/test/java/magpiehub/WaitTest.java
+++ b/src/test/java/magpiehub/MailboxTimedWaitTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A wait on a mailbox uses no CPU time, at whatever step the thread that posts is suspended. */
-class WaitTest {
+class MailboxTimedWaitTest {
     private static final int TAKES = 4_000;
 
     /** Two threads on one core: the taker has priority, and interrupts the poster at any step. */
--- a/src/test/java/magpiehub/DialectsTest.java
+++ b/src/test/java/magpiehub/ProtocolEquivalenceTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /** One recorded trace through both client protocols: each request has the same outcome at the same time. */
-class DialectsTest {
+class ProtocolEquivalenceTest {
     @Test
     void bothDialectsGiveEqualOutcomesAtEqualTimes() throws Exception {
         Path trace = Path.of("src/test/resources/trace.txt");
-        List<String> platform = Player.play(trace, "front platform");
-        List<String> messages = Player.play(trace, "front messages");
+        List<String> platform = ExchangeReplayer.replay(trace, "front platform");
+        List<String> messages = ExchangeReplayer.replay(trace, "front messages");
         assertEquals(platform, messages);
         assertEquals(7, platform.size(), "requests in the trace");
     }
