--- a/src/test/java/magpiehub/ArchitectureTest.java
+++ b/src/test/java/magpiehub/ArchitectureTest.java
@@ -43,7 +43,7 @@
             "lifecycle");
 
     /** Shorter names, such as a zone called "x", are ordinary words elsewhere. */
-    private static final int SHORTEST_NAME = 4;
+    private static final int MIN_NAME_LENGTH = 4;
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void decisionsUseTheJdkAlone() {
+    void routingDependsOnTheJdkOnly() {
         noClasses()
                 .that()
                 .resideInAPackage("magpiehub.routing..")
@@ -93,7 +93,7 @@
 
     /** Classes, tenants, zones and models of the examples and variants are read, never known. */
     @Test
-    void noNameOfADeploymentStandsInTheProgram() throws IOException {
+    void sourcesContainNoNamesOfADeployment() throws IOException {
         Set<String> names = deploymentNames();
         assertTrue(
                 names.containsAll(Set.of("harbour-library", "quay", "desk-chat", "results-lookup")), names.toString());
@@ -101,9 +101,9 @@
         try (Stream<Path> sources = Files.walk(Path.of("src/main/java"))) {
             for (Path source :
                     sources.filter(p -> p.toString().endsWith(".java")).toList()) {
-                Matcher m = literal.matcher(Files.readString(source));
-                while (m.find()) {
-                    assertFalse(names.contains(m.group(1)), source + " holds \"" + m.group(1) + "\"");
+                Matcher matcher = literal.matcher(Files.readString(source));
+                while (matcher.find()) {
+                    assertFalse(names.contains(matcher.group(1)), source + " holds \"" + matcher.group(1) + "\"");
                 }
             }
         }
@@ -124,7 +124,7 @@
                 while (found.find()) {
                     word.matcher(found.group(2))
                             .results()
-                            .filter(w -> w.group(2) == null && w.group(1).length() >= SHORTEST_NAME)
+                            .filter(w -> w.group(2) == null && w.group(1).length() >= MIN_NAME_LENGTH)
                             .forEach(w -> names.add(w.group(1)));
                 }
             }
--- a/src/test/java/magpiehub/ChatClient.java
+++ b/src/test/java/magpiehub/ChatClient.java
@@ -24,11 +24,11 @@
     }
 
     /** Sends a request whose prompt is {@code text}; equal prompts have equal route hashes. */
-    void send(String clientName, ExchangePeer peer, String text, boolean inMessagesProtocol) throws IOException {
-        String maxTokens = inMessagesProtocol ? "\"max_tokens\":9," : "";
+    void send(String clientName, ExchangePeer peer, String text, boolean useMessagesProtocol) throws IOException {
+        String maxTokens = useMessagesProtocol ? "\"max_tokens\":9," : "";
         String body = "{\"model\":\"m\"," + maxTokens + "\"stream\":true,\"messages\":["
                 + "{\"role\":\"user\",\"content\":\"" + text + "\"}]}";
-        String head = "POST /v1/" + (inMessagesProtocol ? "messages" : "chat/completions")
+        String head = "POST /v1/" + (useMessagesProtocol ? "messages" : "chat/completions")
                 + " HTTP/1.1\r\nX-Call-Id: " + clientName + requestCount++
                 + "\r\nX-Call-Class: chat\r\nX-Route-Hash: "
                 + Integer.toHexString(text.hashCode()) + "\r\nX-Budget-Ms: 4000\r\nContent-Length: "
--- a/src/test/java/magpiehub/CpuRunTrackerTest.java
+++ b/src/test/java/magpiehub/CpuRunTrackerTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void aSecondWithoutAWaitIsNamed() {
+    void runOfOneSecondWithoutAWaitIsReported() {
         assertEquals(-1, record(50, 1, 3));
         assertEquals(-1, record(149, 1, 3));
         assertEquals(1_000, record(150, 1, 3));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aWaitBeginsTheCountAnew() {
+    void waitStartsANewRun() {
         record(50, 1, 3);
         assertEquals(-1, record(150, 1, 4));
         assertEquals(-1, record(249, 1, 4));
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void systemCallsAreNoSpin() {
+    void systemCallsAreNotASpin() {
         record(0, 0, 3);
         assertEquals(-1, record(200, 100, 3));
     }
--- a/src/test/java/magpiehub/DescriptorLimitAndDiscoveryOutageTest.java
+++ b/src/test/java/magpiehub/DescriptorLimitAndDiscoveryOutageTest.java
@@ -26,8 +26,8 @@
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DescriptorLimitAndDiscoveryOutageTest {
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-    private static final String CONTENT = "{\"stream\":true}";
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    private static final String REQUEST_BODY = "{\"stream\":true}";
 
     private static final String CHUNKED_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -45,22 +45,22 @@
     private enum DiscoveryFault {
         REFUSES,
         NEVER_ANSWERS,
-        SAYS_503,
-        CUTS,
-        SLOW
+        ANSWERS_503,
+        CLOSES_MID_CHUNK,
+        ANSWERS_LATE
     }
 
     @TempDir
     Path folder;
 
-    private Process start(String name, int sockets, int discoveryPort, String known) throws IOException {
+    private Process start(String name, int sockets, int discoveryPort, String knownList) throws IOException {
         Path config = Files.createTempFile(folder, "junit", ".tmp");
         Files.writeString(
                 config,
                 "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\","
                         + "\"discovery\":\"127.0.0.1:" + discoveryPort + "\",\"seed\":\"7\","
                         + "\"limits\":{\"sockets\":" + sockets + "},\"settings\":"
-                        + Files.readString(Path.of("src/test/resources/site.json")) + known + "}");
+                        + Files.readString(Path.of("src/test/resources/site.json")) + knownList + "}");
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
@@ -72,22 +72,22 @@
         return builder.redirectErrorStream(true).start();
     }
 
-    private static String list(ServerSocket engine) {
+    private static String listOf(ServerSocket engine) {
         return "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"e\",\"host_port\":\"127.0.0.1:"
                 + engine.getLocalPort() + "\",\"phase\":\"Ready\"}]}";
     }
 
-    private static String known(ServerSocket engine) {
-        return ",\"known\":" + list(engine);
+    private static String knownListSetting(ServerSocket engine) {
+        return ",\"known\":" + listOf(engine);
     }
 
-    private static int port(BufferedReader log) throws IOException {
+    private static int awaitListeningPort(BufferedReader log) throws IOException {
         return Integer.parseInt(
                 ServeTest.readUntil(log, " started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
     /** Nothing that a test does not wait for may fill a pipe. */
-    private static void drain(BufferedReader log, StringBuffer lines) {
+    private static void collectInBackground(BufferedReader log, StringBuffer lines) {
         DaemonThreads.newThread("log", () -> {
                     try {
                         for (String line = log.readLine(); line != null; line = log.readLine()) {
@@ -100,16 +100,16 @@
                 .start();
     }
 
-    private static void ask(Socket client, String id) throws IOException {
-        ServeTest.say(
+    private static void sendRequest(Socket client, String id) throws IOException {
+        ServeTest.send(
                 client,
                 "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
-                        + "\r\nX-Call-Class: chat\r\nX-Budget-Ms: 20000\r\nContent-Length: " + CONTENT.length()
-                        + "\r\n\r\n" + CONTENT);
+                        + "\r\nX-Call-Class: chat\r\nX-Budget-Ms: 20000\r\nContent-Length: " + REQUEST_BODY.length()
+                        + "\r\n\r\n" + REQUEST_BODY);
     }
 
     /** An upstream that answers each request at once. */
-    private static void serve(ServerSocket engine) {
+    private static void serveInBackground(ServerSocket engine) {
         DaemonThreads.newThread("engine", () -> {
                     while (!engine.isClosed()) {
                         try {
@@ -129,8 +129,8 @@
                 BufferedReader in = ServeTest.reader(connection)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.isEmpty()) {
-                    in.read(new char[CONTENT.length()]);
-                    ServeTest.say(connection, CHUNKED_RESPONSE_HEAD + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
+                    in.read(new char[REQUEST_BODY.length()]);
+                    ServeTest.send(connection, CHUNKED_RESPONSE_HEAD + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
                 }
             }
         } catch (IOException e) {
@@ -138,30 +138,30 @@
         }
     }
 
-    private static String answered(Socket client) throws IOException {
+    private static String readStatusLine(Socket client) throws IOException {
         return ServeTest.reader(client).readLine();
     }
 
     @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
-    private void idleClientsFill(int sockets) throws Exception {
+    private void assertRecoversBesideIdleClients(int sockets) throws Exception {
         List<Socket> idleClients = new ArrayList<>();
         StringBuffer logged = new StringBuffer();
-        ServerSocket discovery = new ServerSocket(0, 8, HERE);
+        ServerSocket discovery = new ServerSocket(0, 8, LOOPBACK);
         int discoveryPort = discovery.getLocalPort();
-        try (ServerSocket engine = new ServerSocket(0, 512, HERE);
+        try (ServerSocket engine = new ServerSocket(0, 512, LOOPBACK);
                 Socket servedClient = new Socket()) {
-            serve(engine);
-            Process router = start("full", sockets, discoveryPort, known(engine));
+            serveInBackground(engine);
+            Process router = start("full", sockets, discoveryPort, knownListSetting(engine));
             try (BufferedReader log = router.inputReader()) {
-                int port = port(log);
+                int port = awaitListeningPort(log);
                 Socket watch = discovery.accept();
-                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
+                ServeTest.send(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
                 ServeTest.readUntil(log, " list-confirmed ");
-                drain(log, logged);
+                collectInBackground(log, logged);
                 stopDiscovery(discovery, watch);
-                servedClient.connect(new InetSocketAddress(HERE, port));
-                ask(servedClient, "first");
-                assertEquals("HTTP/1.1 200 OK", answered(servedClient));
+                servedClient.connect(new InetSocketAddress(LOOPBACK, port));
+                sendRequest(servedClient, "first");
+                assertEquals("HTTP/1.1 200 OK", readStatusLine(servedClient));
                 connectIdleClients(sockets + 200, port, idleClients);
                 assertOpenDescriptorsAtMost(sockets, router);
                 assertRecoversInTime(discoveryPort, port);
@@ -188,11 +188,11 @@
             Socket client = new Socket();
             opened.add(client);
             try {
-                client.connect(new InetSocketAddress(HERE, port), 20);
+                client.connect(new InetSocketAddress(LOOPBACK, port), 20);
                 if (i % 3 == 0) {
-                    ServeTest.say(client, "GET /up HTTP/1.1\r\n\r\n");
+                    ServeTest.send(client, "GET /up HTTP/1.1\r\n\r\n");
                 } else if (i % 3 == 1) {
-                    ServeTest.say(client, "GET /up HT");
+                    ServeTest.send(client, "GET /up HT");
                 }
             } catch (IOException e) {
                 // No more are accepted, or it was closed to free its descriptor.
@@ -201,23 +201,23 @@
     }
 
     private static void assertOpenDescriptorsAtMost(int limit, Process router) throws IOException {
-        long files;
+        long openDescriptors;
         try (var descriptors = Files.list(Path.of("/proc/" + router.pid() + "/fd"))) {
-            files = descriptors.count();
+            openDescriptors = descriptors.count();
         }
-        assertTrue(files <= limit, files + " descriptors of " + limit);
+        assertTrue(openDescriptors <= limit, openDescriptors + " descriptors of " + limit);
     }
 
     /** Discovery comes back: within {@link #RECOVERY_NANOS} it is watched again, and a new client is served. */
     private static void assertRecoversInTime(int discoveryPort, int port) throws Exception {
-        long begun = System.nanoTime();
-        try (ServerSocket discovery = new ServerSocket(discoveryPort, 8, HERE)) {
+        long startNanos = System.nanoTime();
+        try (ServerSocket discovery = new ServerSocket(discoveryPort, 8, LOOPBACK)) {
             discovery.setSoTimeout(RECOVERY_MILLIS);
             try (Socket watch = discovery.accept()) {
                 assertTrue(ServeTest.readUntil(ServeTest.reader(watch), "GET ").contains("follow=1"));
-                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
-                assertTrue(System.nanoTime() - begun < RECOVERY_NANOS, "in time");
-                assertNewClientIsServed(port, begun);
+                ServeTest.send(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
+                assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "in time");
+                assertNewClientIsServed(port, startNanos);
             }
         }
     }
@@ -226,44 +226,44 @@
      * A connection to the upstream is to be had as well, and a client that comes again after being rejected is
      * accepted: capacity is freed from connections that have been idle for 2 s.
      */
-    private static void assertNewClientIsServed(int port, long begun) throws Exception {
+    private static void assertNewClientIsServed(int port, long startNanos) throws Exception {
         String status = "";
         for (int i = 0; !"HTTP/1.1 200 OK".equals(status); i++) {
-            assertTrue(System.nanoTime() - begun < RECOVERY_NANOS, "turned away: " + status);
-            try (Socket client = new Socket(HERE, port)) {
-                ask(client, "again" + i);
-                status = answered(client);
+            assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "turned away: " + status);
+            try (Socket client = new Socket(LOOPBACK, port)) {
+                sendRequest(client, "again" + i);
+                status = readStatusLine(client);
             }
             Thread.sleep(50);
         }
     }
 
     @Test
-    void idleClientsFillFewDescriptorsWhileDiscoveryIsDown() throws Exception {
-        idleClientsFill(256);
+    void recoversWhenIdleClientsExhaust256Descriptors() throws Exception {
+        assertRecoversBesideIdleClients(256);
     }
 
     @Test
-    void idleClientsFillManyDescriptorsWhileDiscoveryIsDown() throws Exception {
-        idleClientsFill(1024);
+    void recoversWhenIdleClientsExhaust1024Descriptors() throws Exception {
+        assertRecoversBesideIdleClients(1024);
     }
 
     /** With a list of its own, whatever discovery does; without one, as soon as a slow one has sent it. */
     @Test
-    void aRestartedRouterIsReadyInTime() throws Exception {
+    void routerIsReadyInTimeWhateverDiscoveryDoes() throws Exception {
         List<Process> routers = new ArrayList<>();
         List<ServerSocket> servers = new ArrayList<>();
-        try (ServerSocket engine = new ServerSocket(0, 512, HERE)) {
-            serve(engine);
+        try (ServerSocket engine = new ServerSocket(0, 512, LOOPBACK)) {
+            serveInBackground(engine);
             for (DiscoveryFault fault : DiscoveryFault.values()) {
-                ServerSocket discovery = new ServerSocket(0, 64, HERE);
+                ServerSocket discovery = new ServerSocket(0, 64, LOOPBACK);
                 servers.add(discovery);
-                serveFaulty(discovery, fault, list(engine) + "\n");
-                long begun = System.nanoTime();
-                String known = fault == DiscoveryFault.SLOW ? "" : known(engine);
-                Process router = start(fault.name(), 256, discovery.getLocalPort(), known);
+                serveFaulty(discovery, fault, listOf(engine) + "\n");
+                long startNanos = System.nanoTime();
+                String knownList = fault == DiscoveryFault.ANSWERS_LATE ? "" : knownListSetting(engine);
+                Process router = start(fault.name(), 256, discovery.getLocalPort(), knownList);
                 routers.add(router);
-                assertReadyInTime(router, fault, begun);
+                assertReadyInTime(router, fault, startNanos);
             }
         } finally {
             routers.forEach(Process::destroyForcibly);
@@ -274,25 +274,25 @@
     }
 
     @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
-    private static void assertReadyInTime(Process router, DiscoveryFault fault, long begun) throws Exception {
+    private static void assertReadyInTime(Process router, DiscoveryFault fault, long startNanos) throws Exception {
         BufferedReader log = router.inputReader();
-        int port = port(log);
-        drain(log, new StringBuffer());
+        int port = awaitListeningPort(log);
+        collectInBackground(log, new StringBuffer());
         String status = "";
         for (int i = 0; !status.contains(" 200 "); i++) {
-            assertTrue(System.nanoTime() - begun < START_NANOS, fault + ": not ready in time");
+            assertTrue(System.nanoTime() - startNanos < START_NANOS, fault + ": not ready in time");
             // Clients send requests already.
-            try (Socket earlyClient = new Socket(HERE, port);
-                    Socket healthCheck = new Socket(HERE, port)) {
-                ask(earlyClient, "early" + i);
-                ServeTest.say(healthCheck, "GET /up HTTP/1.1\r\n\r\n");
-                status = answered(healthCheck);
+            try (Socket earlyClient = new Socket(LOOPBACK, port);
+                    Socket healthCheck = new Socket(LOOPBACK, port)) {
+                sendRequest(earlyClient, "early" + i);
+                ServeTest.send(healthCheck, "GET /up HTTP/1.1\r\n\r\n");
+                status = readStatusLine(healthCheck);
             }
             Thread.sleep(20);
         }
-        try (Socket client = new Socket(HERE, port)) {
-            ask(client, "served");
-            assertEquals("HTTP/1.1 200 OK", answered(client), fault + ": it said that it can serve");
+        try (Socket client = new Socket(LOOPBACK, port)) {
+            sendRequest(client, "served");
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(client), fault + ": it said that it can serve");
         }
     }
 
@@ -320,14 +320,14 @@
     private static void answerFaultily(Socket watch, DiscoveryFault fault, String list)
             throws IOException, InterruptedException {
         switch (fault) {
-            case SAYS_503 -> ServeTest.say(watch, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-            case CUTS -> {
-                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "20\r\n{\"revision\":3,");
+            case ANSWERS_503 -> ServeTest.send(watch, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            case CLOSES_MID_CHUNK -> {
+                ServeTest.send(watch, CHUNKED_RESPONSE_HEAD + "20\r\n{\"revision\":3,");
                 watch.close();
             }
-            case SLOW -> {
+            case ANSWERS_LATE -> {
                 Thread.sleep(SLOW_DISCOVERY_MILLIS);
-                ServeTest.say(
+                ServeTest.send(
                         watch, CHUNKED_RESPONSE_HEAD + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             }
             default -> {
--- a/src/test/java/magpiehub/EventDelayTest.java
+++ b/src/test/java/magpiehub/EventDelayTest.java
@@ -31,11 +31,11 @@
     private static final int STREAMS = 16;
     private static final int EVENTS = 30;
     private static final long EVENT_GAP_MS = 100;
-    private static final long MOST_DELAY_NANOS = 300_000_000;
-    private static final int LARGE_EVENT = 32 * 1024;
-    private static final int SMALL_BUFFER = 4 * 1024;
+    private static final long MAX_DELAY_NANOS = 300_000_000;
+    private static final int LARGE_EVENT_BYTES = 32 * 1024;
+    private static final int RECEIVE_BUFFER_BYTES = 4 * 1024;
     /** Stops a process for three quarters of each tenth of a second; says how long each stop took (ms). */
-    private static final String QUARTER_OF_A_CORE =
+    private static final String THROTTLE_SCRIPT =
             """
             use Time::HiRes qw(time sleep); $| = 1;
             while (1) {
@@ -45,8 +45,8 @@
             """;
 
     private static final long STOP_MS = 75;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final Pattern WRITTEN_AT = Pattern.compile("\"content\":\"(\\d+)\"");
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final Pattern SEND_TIME = Pattern.compile("\"content\":\"(\\d+)\"");
 
     @TempDir
     Path folder;
@@ -55,43 +55,43 @@
     /** How late this machine wakes a thread of the test itself, as it does the router's. */
     private final LongAccumulator longestOversleep = new LongAccumulator(Math::max, 0);
 
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean finished = new AtomicBoolean();
 
     @Test
     void eventsArePassedOnInTimeOnAQuarterOfACore() throws Exception {
-        play();
-        long most = MOST_DELAY_NANOS + longestOversleep.get();
+        measureDelays();
+        long maxDelay = MAX_DELAY_NANOS + longestOversleep.get();
         assertTrue(
-                longestDelay.get() <= most,
+                longestDelay.get() <= maxDelay,
                 "an event took " + longestDelay.get() / 1_000_000 + " ms, " + longestOversleep.get() / 1_000_000
                         + " ms of lateness of the machine's own");
     }
 
-    private void play() throws Exception {
+    private void measureDelays() throws Exception {
         try (RouterProcess router = new RouterProcess(Files.createTempFile(folder, "junit", ".tmp"))) {
             router.start();
-            try (Socket watch = router.watched()) {
-                int port = router.port();
-                router.serve(EventDelayTest::answer);
-                try (Socket unread = ask(port, "large")) {
+            try (Socket watch = router.acceptWatch()) {
+                int port = router.awaitListeningPort();
+                router.serveConnections(EventDelayTest::answerRequest);
+                try (Socket unread = openRequest(port, "large")) {
                     List<BufferedReader> answers = new ArrayList<>();
                     for (int i = 0; i < STREAMS; i++) {
-                        BufferedReader answer = ServeTest.reader(ask(port, "stream" + i));
+                        BufferedReader answer = ServeTest.reader(openRequest(port, "stream" + i));
                         ServeTest.readUntil(answer, "200 OK");
                         answers.add(answer);
                     }
                     Process throttle = new ProcessBuilder(
                                     "perl",
                                     "-e",
-                                    QUARTER_OF_A_CORE,
+                                    THROTTLE_SCRIPT,
                                     Long.toString(router.process().pid()))
                             .start();
                     try {
-                        router.threads.execute(this::oversleep);
-                        router.threads.execute(() -> stops(throttle));
-                        assertEquals(EVENTS * STREAMS, eventsOf(answers, router.threads));
+                        router.threads.execute(this::measureOversleep);
+                        router.threads.execute(() -> measureStops(throttle));
+                        assertEquals(EVENTS * STREAMS, countEvents(answers, router.threads));
                     } finally {
-                        over.set(true);
+                        finished.set(true);
                         throttle.destroyForcibly();
                     }
                 }
@@ -99,10 +99,10 @@
         }
     }
 
-    private int eventsOf(List<BufferedReader> answers, ExecutorService threads) throws Exception {
+    private int countEvents(List<BufferedReader> answers, ExecutorService threads) throws Exception {
         List<Future<Integer>> counts = new ArrayList<>();
         for (BufferedReader answer : answers) {
-            counts.add(threads.submit(() -> eventsOf(answer)));
+            counts.add(threads.submit(() -> countEvents(answer)));
         }
         int events = 0;
         for (Future<Integer> count : counts) {
@@ -112,12 +112,12 @@
     }
 
     /** Reads a stream to its last chunk; returns how many events it had. */
-    private int eventsOf(BufferedReader answer) throws IOException {
+    private int countEvents(BufferedReader answer) throws IOException {
         int events = 0;
         for (String line = answer.readLine(); line != null && !line.equals("0"); line = answer.readLine()) {
-            Matcher written = WRITTEN_AT.matcher(line);
-            if (written.find()) {
-                longestDelay.accumulate(System.nanoTime() - Long.parseLong(written.group(1)));
+            Matcher sendTime = SEND_TIME.matcher(line);
+            if (sendTime.find()) {
+                longestDelay.accumulate(System.nanoTime() - Long.parseLong(sendTime.group(1)));
                 events++;
             }
         }
@@ -125,50 +125,50 @@
     }
 
     /** What a stop takes longer than it should, it adds to the lateness of the machine. */
-    private void stops(Process throttle) {
+    private void measureStops(Process throttle) {
         throttle.inputReader()
                 .lines()
                 .forEach(ms -> longestOversleep.accumulate((Long.parseLong(ms) - STOP_MS) * 1_000_000));
     }
 
-    private void oversleep() {
+    private void measureOversleep() {
         try {
-            while (!over.get()) {
-                long until = System.nanoTime() + 10_000_000;
+            while (!finished.get()) {
+                long wakeTime = System.nanoTime() + 10_000_000;
                 Thread.sleep(10);
-                longestOversleep.accumulate(System.nanoTime() - until);
+                longestOversleep.accumulate(System.nanoTime() - wakeTime);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static Socket ask(int port, String id) throws IOException {
+    private static Socket openRequest(int port, String id) throws IOException {
         Socket client = new Socket();
-        client.setReceiveBufferSize(SMALL_BUFFER);
+        client.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         client.connect(new InetSocketAddress(RouterProcess.LOOPBACK, port));
-        ServeTest.say(client, RouterProcess.ask(id, "60000"));
+        ServeTest.send(client, RouterProcess.chatRequest(id, "60000"));
         return client;
     }
 
     // ---- The engine -----------------------------------------------------------------------------------
-    private static void answer(Socket connection) {
+    private static void answerRequest(Socket connection) {
         try (connection) {
             connection.setTcpNoDelay(true);
             BufferedReader request = ServeTest.reader(connection);
-            String id = RouterProcess.request(request);
-            ServeTest.say(connection, HEAD);
+            String id = RouterProcess.readRequest(request);
+            ServeTest.send(connection, RESPONSE_HEAD);
             if (id.equals("large")) {
-                String filling = "x".repeat(LARGE_EVENT);
+                String padding = "x".repeat(LARGE_EVENT_BYTES);
                 while (true) {
-                    event(connection, filling);
+                    sendEvent(connection, padding);
                 }
             }
             for (int i = 0; i < EVENTS; i++) {
-                event(connection, Long.toString(System.nanoTime()));
+                sendEvent(connection, Long.toString(System.nanoTime()));
                 Thread.sleep(EVENT_GAP_MS);
             }
-            ServeTest.say(connection, "0\r\n\r\n");
+            ServeTest.send(connection, "0\r\n\r\n");
         } catch (IOException e) {
             // The router has ended it: the large stream, once the test is over.
         } catch (InterruptedException e) {
@@ -176,11 +176,11 @@
         }
     }
 
-    private static void event(Socket connection, String content) throws IOException {
+    private static void sendEvent(Socket connection, String content) throws IOException {
         byte[] event = ("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + content
                         + "\"},\"finish_reason\":null}]}\n\n")
                 .getBytes(StandardCharsets.UTF_8);
-        ServeTest.say(
+        ServeTest.send(
                 connection,
                 Integer.toHexString(event.length) + "\r\n" + new String(event, StandardCharsets.UTF_8) + "\r\n");
     }
--- a/src/test/java/magpiehub/ExchangeReplayer.java
+++ b/src/test/java/magpiehub/ExchangeReplayer.java
@@ -61,19 +61,19 @@
 
     private ClientListener clients;
     private PlatformDiscovery discovery;
-    private Thread module;
-    private RequestDispatcher actor;
+    private Thread dispatcherThread;
+    private RequestDispatcher dispatcher;
     private CountDownLatch dispatcherHold;
-    private boolean messages;
-    private int most = 64;
-    private String allowances = "{}";
+    private boolean usesMessagesProtocol;
+    private int maxClients = 64;
+    private String streamLimits = "{}";
     private FlowController streams;
     private String siteFile = "site.json";
-    private boolean resume = true;
-    private boolean pushed;
-    private String known = "";
+    private boolean clientsResume = true;
+    private boolean listsArePushed;
+    private String knownMembers = "";
     /** Whether the file itself plays discovery; else the player confirms the list of the start. */
-    private boolean playsDiscovery;
+    private boolean scriptPlaysDiscovery;
 
     private int heartbeats;
 
@@ -85,7 +85,7 @@
                 replayer.step(line);
             }
             List<String> lines = Files.readAllLines(file);
-            replayer.playsDiscovery = lines.stream().anyMatch(line -> line.startsWith("d+"));
+            replayer.scriptPlaysDiscovery = lines.stream().anyMatch(line -> line.startsWith("d+"));
             for (String line : lines) {
                 lineNumber++;
                 try {
@@ -102,76 +102,78 @@
     /** Starts the router's parts, wired as {@link magpiehub.lifecycle.Router} does. */
     private void start() throws Exception {
         String settings = Files.readString(Path.of("src/test/resources/" + siteFile));
-        settings = resume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
-        settings = pushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
+        settings = clientsResume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
+        settings = listsArePushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
         SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(settings.getBytes(UTF_8), "settings"));
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        ExchangePeer d = peer("d");
-        d.listen();
-        ActorThreadPool crew = new ActorThreadPool();
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
+        ExchangePeer discoveryPeer = peer("d");
+        discoveryPeer.listen();
+        ActorThreadPool threadPool = new ActorThreadPool();
         streams = new FlowController(
                 StreamLimitsReader.parse(
-                        ConfigurationObject.parse(allowances.getBytes(UTF_8), "streams.json"),
+                        ConfigurationObject.parse(streamLimits.getBytes(UTF_8), "streams.json"),
                         site.routing().classes(),
                         64 << 20),
                 site,
                 clock,
                 log);
-        UpstreamPool engines = new UpstreamPool(site, 64, clock, log, crew, streams);
+        UpstreamPool engines = new UpstreamPool(site, 64, clock, log, threadPool, streams);
         engines.start();
-        discovery = new PlatformDiscovery("127.0.0.1:" + d.listeningPort(), () -> site, engines, clock, log, 7);
-        actor = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
-        engines.setDispatcher(actor);
-        ProtocolAdapter front = messages
+        discovery =
+                new PlatformDiscovery("127.0.0.1:" + discoveryPeer.listeningPort(), () -> site, engines, clock, log, 7);
+        dispatcher = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
+        engines.setDispatcher(dispatcher);
+        ProtocolAdapter adapter = usesMessagesProtocol
                 ? new MessagesProtocol(() -> site, new MessagesSettings("", "chat", "", Map.of()), null)
                 : new PlatformProtocol(() -> site);
         clients = new ClientListener(
-                ListenerSocket.bind(any),
-                front,
-                actor,
+                ListenerSocket.bind(anyPort),
+                adapter,
+                dispatcher,
                 clock,
                 log,
                 discovery::hasUsableList,
                 log::counters,
-                most,
-                crew,
+                maxClients,
+                threadPool,
                 streams);
         clients.start();
         log.start();
-        discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes(UTF_8));
-        module = DaemonThreads.newThread("module", actor::run);
-        module.start();
-        if (!playsDiscovery) {
-            openWatch(d);
+        discovery.start(
+                dispatcher, ("{\"revision\":1,\"complete\":true,\"members\":[" + knownMembers + "]}").getBytes(UTF_8));
+        dispatcherThread = DaemonThreads.newThread("dispatcher", dispatcher::run);
+        dispatcherThread.start();
+        if (!scriptPlaysDiscovery) {
+            openWatch(discoveryPeer);
         }
     }
 
     /** Lets the router open its watch now, and confirms the list that it was started with. */
-    private void openWatch(ExchangePeer d) throws Exception {
+    private void openWatch(ExchangePeer discoveryPeer) throws Exception {
         discovery.watch();
-        d.acceptFor(d);
-        d.append("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        sendHeartbeat(d);
+        discoveryPeer.acceptFor(discoveryPeer);
+        discoveryPeer.append("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        sendHeartbeat(discoveryPeer);
         // The list is counted before its lease is there.
         await(() -> logged.toString(StandardCharsets.UTF_8).contains(" list-confirmed "), "the list was not confirmed");
     }
 
-    private void sendHeartbeat(ExchangePeer d) throws Exception {
+    private void sendHeartbeat(ExchangePeer discoveryPeer) throws Exception {
         heartbeats++;
-        d.sendChunk("\n");
+        discoveryPeer.sendChunk("\n");
         await(() -> hasCounter("discovery_beats " + heartbeats), "no heartbeat was read");
     }
 
     /** Lets time pass; a discovery that the file does not play writes its heartbeats meanwhile. */
-    private void passTime(long millis) throws Exception {
+    private void advanceClock(long millis) throws Exception {
         long left = millis;
-        while (!playsDiscovery && left > HEARTBEAT_MILLIS) {
+        while (!scriptPlaysDiscovery && left > HEARTBEAT_MILLIS) {
             clock.advanceMillis(HEARTBEAT_MILLIS);
             left -= HEARTBEAT_MILLIS;
             sendHeartbeat(peer("d"));
         }
         clock.advanceMillis(left);
-        if (!playsDiscovery) {
+        if (!scriptPlaysDiscovery) {
             sendHeartbeat(peer("d"));
         }
     }
@@ -184,19 +186,19 @@
         String[] words = line.split(" ", 2);
         String argument = words.length > 1 ? words[1] : "";
         if (!prepare(words[0], argument) && !control(words[0], argument)) {
-            stepOfPeer(words[0], argument);
+            peerStep(words[0], argument);
         }
     }
 
     /** A step before the start; false if it is none. */
     private boolean prepare(String command, String argument) throws IOException {
         switch (command) {
-            case "front" -> messages = argument.equals("messages");
-            case "streams" -> allowances = argument;
+            case "front" -> usesMessagesProtocol = argument.equals("messages");
+            case "streams" -> streamLimits = argument;
             case "site" -> siteFile = argument;
-            case "no-resume" -> resume = false;
-            case "pushed" -> pushed = true;
-            case "most" -> most = Integer.parseInt(argument);
+            case "no-resume" -> clientsResume = false;
+            case "pushed" -> listsArePushed = true;
+            case "most" -> maxClients = Integer.parseInt(argument);
             case "engines" -> addUpstreams(argument.split(" "));
             case "address" -> addListeningPeer(argument);
             default -> {
@@ -209,7 +211,7 @@
     private void addUpstreams(String[] names) throws IOException {
         for (String name : names) {
             addListeningPeer(name);
-            known += (known.isEmpty() ? "" : ",") + member(name, "Ready");
+            knownMembers += (knownMembers.isEmpty() ? "" : ",") + member(name, "Ready");
         }
     }
 
@@ -225,9 +227,9 @@
             case "start" -> start();
             case "move" -> discovery.changeAddress(
                     "127.0.0.1:" + peers.get(argument).listeningPort());
-            case "clock" -> passTime(Long.parseLong(argument));
+            case "clock" -> advanceClock(Long.parseLong(argument));
             case "counter" -> await(() -> hasCounter(argument), "the counter never came to " + argument);
-            case "passes" -> passTimeUntilCounter(argument);
+            case "passes" -> advanceClockUntilCounter(argument);
             case "hold" -> holdDispatcher();
             case "release" -> dispatcherHold.countDown();
             case "stop" -> clients.stopAccepting();
@@ -243,7 +245,7 @@
     }
 
     /** Time passes, so many milliseconds at once, until a counter has come to its value. */
-    private void passTimeUntilCounter(String argument) throws Exception {
+    private void advanceClockUntilCounter(String argument) throws Exception {
         String[] words = argument.split(" ", 2);
         long stepMillis = Long.parseLong(words[0]);
         String counter = words[1];
@@ -260,7 +262,7 @@
     private void holdDispatcher() {
         CountDownLatch hold = new CountDownLatch(1);
         dispatcherHold = hold;
-        actor.execute(() -> {
+        dispatcher.execute(() -> {
             try {
                 hold.await();
             } catch (InterruptedException e) {
@@ -277,7 +279,7 @@
     }
 
     /** A step of one party: its name, a sign for what it does, and an argument. */
-    private void stepOfPeer(String nameAndAction, String argument) throws Exception {
+    private void peerStep(String nameAndAction, String argument) throws Exception {
         int nameLength = 0;
         while (nameLength < nameAndAction.length() && Character.isLetterOrDigit(nameAndAction.charAt(nameLength))) {
             nameLength++;
@@ -291,11 +293,11 @@
         if (!peer.isConnected() && !peer.isListening()) {
             peer.connect(clients.port());
         }
-        boolean played = changeConnection(peer, action, argument)
+        boolean recognized = changeConnection(peer, action, argument)
                 || send(peer, action, argument)
                 || receive(peer, action, argument)
                 || exchangeRequest(name, peer, action, argument);
-        if (!played) {
+        if (!recognized) {
             throw new IllegalArgumentException("no such step");
         }
     }
@@ -376,7 +378,7 @@
                 if (peer.isListening()) {
                     assertMatches("{*\"stream\":true*}", peer.readText(peer.readContentLength()));
                 } else {
-                    chatClient.send(name, peer, argument, messages);
+                    chatClient.send(name, peer, argument, usesMessagesProtocol);
                 }
             }
             case ":" -> assertEquals(argument, peer.awaitBegun(), "begun");
@@ -441,7 +443,7 @@
         }
         if (clients != null) {
             clients.stopAccepting();
-            module.interrupt();
+            dispatcherThread.interrupt();
         }
     }
 }
--- a/src/test/java/magpiehub/ExchangesTest.java
+++ b/src/test/java/magpiehub/ExchangesTest.java
@@ -9,15 +9,15 @@
 
 /** Plays every recorded exchange, each against a router of its own. */
 class ExchangesTest {
-    public static List<Path> files() throws IOException {
+    public static List<Path> exchangeFiles() throws IOException {
         try (var all = Files.list(Path.of("src/test/resources/exchanges"))) {
             return all.filter(f -> f.toString().endsWith(".txt")).sorted().toList();
         }
     }
 
     @ParameterizedTest(name = "{0}")
-    @MethodSource("files")
-    void isPlayedToItsEnd(Path file) throws Exception {
+    @MethodSource("exchangeFiles")
+    void replaysToTheEnd(Path file) throws Exception {
         ExchangeReplayer.replay(file);
     }
 }
--- a/src/test/java/magpiehub/FakeDiscovery.java
+++ b/src/test/java/magpiehub/FakeDiscovery.java
@@ -32,9 +32,9 @@
 
     private static void sendHeartbeats(Socket watch) {
         try (watch) {
-            ServeTest.say(watch, HEAD);
+            ServeTest.send(watch, HEAD);
             while (true) {
-                ServeTest.say(watch, HEARTBEAT);
+                ServeTest.send(watch, HEARTBEAT);
                 TimeUnit.SECONDS.sleep(PERIOD_SECONDS);
             }
         } catch (IOException | InterruptedException e) {
--- a/src/test/java/magpiehub/FifoScheduling.java
+++ b/src/test/java/magpiehub/FifoScheduling.java
@@ -12,11 +12,11 @@
  * out all changes: a process for each would itself disturb what is shown.
  */
 final class FifoScheduling implements AutoCloseable {
-    private static final int MAX_THREADS_AHEAD = 3;
+    private static final int MAX_PRIORITIZED_THREADS = 3;
 
     private final Process shell;
     private final OutputStream commands;
-    private final List<Long> threadsAhead = new ArrayList<>();
+    private final List<Long> prioritizedThreadIds = new ArrayList<>();
 
     FifoScheduling() throws IOException {
         shell = new ProcessBuilder("sh")
@@ -37,16 +37,18 @@
     }
 
     /** Takes the threads that run ahead back, and lets others do so; returns how many. */
-    int changeThreadsAhead(List<ThreadSample> threads, SplittableRandom random) throws IOException {
+    int changePrioritizedThreads(List<ThreadSample> threads, SplittableRandom random) throws IOException {
         StringBuilder command = new StringBuilder();
-        threadsAhead.forEach(id -> command.append("chrt -f -p 1 ").append(id).append(';'));
-        threadsAhead.clear();
-        for (int left = random.nextInt(MAX_THREADS_AHEAD + 1); left > 0 && !threads.isEmpty(); left--) {
-            threadsAhead.add(threads.get(random.nextInt(threads.size())).id());
+        prioritizedThreadIds.forEach(
+                id -> command.append("chrt -f -p 1 ").append(id).append(';'));
+        prioritizedThreadIds.clear();
+        for (int left = random.nextInt(MAX_PRIORITIZED_THREADS + 1); left > 0 && !threads.isEmpty(); left--) {
+            prioritizedThreadIds.add(threads.get(random.nextInt(threads.size())).id());
         }
-        threadsAhead.forEach(id -> command.append("chrt -f -p 2 ").append(id).append(';'));
+        prioritizedThreadIds.forEach(
+                id -> command.append("chrt -f -p 2 ").append(id).append(';'));
         execute(command.append(':').toString());
-        return threadsAhead.size();
+        return prioritizedThreadIds.size();
     }
 
     private void execute(String line) throws IOException {
--- a/src/test/java/magpiehub/KnownRedTest.java
+++ b/src/test/java/magpiehub/KnownRedTest.java
@@ -23,19 +23,19 @@
     @TempDir
     Path folder;
 
-    private String said;
+    private String output;
 
-    private int run(String what, String list) throws Exception {
+    private int runScript(String mode, String list) throws Exception {
         Path root = Files.createTempDirectory(folder, "junit");
         Files.writeString(root.resolve("KNOWN-RED.txt"), list);
         write(root.resolve("src/test/java/a/ATest.java"), "void good() {}\nvoid bad() {}\n");
         write(root.resolve("lab/src/test/java/b/BTest.java"), "void each() {}\n");
         write(root.resolve("lab/target/surefire-reports/TEST-a.ATest.xml"), REPORT);
-        Process p = new ProcessBuilder("bash", ".ci/known-red", what, root.toString())
+        Process process = new ProcessBuilder("bash", ".ci/known-red", mode, root.toString())
                 .redirectErrorStream(true)
                 .start();
-        said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return p.waitFor();
+        output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return process.waitFor();
     }
 
     private static void write(Path file, String text) throws IOException {
@@ -44,20 +44,20 @@
     }
 
     @Test
-    void anyNumberOfEntriesThatNameTestsIsTakenAndPrinted() throws Exception {
-        assertEquals(0, run("check", ""));
-        assertEquals("", said);
+    void entriesThatNameTestsAreAcceptedAndPrinted() throws Exception {
+        assertEquals(0, runScript("check", ""));
+        assertEquals("", output);
         String list = "a.ATest#bad; make test, seed 1; it is slow; 34\n\na.ATest#good; make test, no seed; seen; 34\n"
                 + "b.BTest#each[x]; make test, no seed; seen; 9\na.ATest#bad; make test, seed 2; seen; 35\n";
-        assertEquals(0, run("check", list), said);
+        assertEquals(0, runScript("check", list), output);
         for (String entry : list.split("\n+")) {
-            assertTrue(said.contains("known red: " + entry + "\n"), said);
+            assertTrue(output.contains("known red: " + entry + "\n"), output);
         }
     }
 
     @Test
-    void anEntryThatNamesNoTestOrLacksAPartFails() throws Exception {
-        for (String bad : new String[] {
+    void entryThatNamesNoTestOrLacksAFieldIsRejected() throws Exception {
+        for (String invalid : new String[] {
             "a.ATest#none; make test, no seed; seen; 1",
             "c.ATest#bad; make test, no seed; seen; 1",
             "a.ATest; make test, no seed; seen; 1",
@@ -69,45 +69,45 @@
             "a.ATest#bad; make test, no seed; seen; soon",
             "a.ATest#bad"
         }) {
-            assertEquals(1, run("check", bad + "\n"), bad);
+            assertEquals(1, runScript("check", invalid + "\n"), invalid);
         }
     }
 
     @Test
-    void onlyListedFailuresArePassedOver() throws Exception {
+    void onlyListedFailuresAreIgnored() throws Exception {
         String every = "a.ATest#every[three.txt]; make test, no seed; seen; 1\n";
         assertEquals(
                 0,
-                run(
+                runScript(
                         "judge",
                         "a.ATest#bad; make test, no seed; seen; 1\na.ATest#each[two.txt]; make test, no seed; seen; 1\n"
                                 + every),
-                said);
-        assertTrue(said.contains("passed over: a.ATest#bad\n"), said);
-        assertTrue(said.contains("passed over: a.ATest#every[three.txt]\n"), said);
-        assertEquals(1, run("judge", "a.ATest#bad; make test, no seed; seen; 1\n"));
-        assertTrue(said.contains("not listed: a.ATest#each[two.txt]\n"), said);
-        assertTrue(said.contains("not listed: a.ATest#every[three.txt]\n"), said);
+                output);
+        assertTrue(output.contains("passed over: a.ATest#bad\n"), output);
+        assertTrue(output.contains("passed over: a.ATest#every[three.txt]\n"), output);
+        assertEquals(1, runScript("judge", "a.ATest#bad; make test, no seed; seen; 1\n"));
+        assertTrue(output.contains("not listed: a.ATest#each[two.txt]\n"), output);
+        assertTrue(output.contains("not listed: a.ATest#every[three.txt]\n"), output);
         assertEquals(
                 1,
-                run(
+                runScript(
                         "judge",
                         "a.ATest#bad; make test, no seed; seen; 1\na.ATest#each[one.txt]; make test, no seed; seen; 1\n"
                                 + every));
         assertEquals(
                 1,
-                run(
+                runScript(
                         "judge",
                         "a.ATest#bad; make test, no seed; seen; 1\na.ATest#each[two.txt]; make test, no seed; seen; 1\n"
                                 + "a.ATest#every; make test, no seed; seen; 1\n"));
     }
 
     @Test
-    void theProjectsOwnListIsInOrder() throws Exception {
-        Process p = new ProcessBuilder("bash", ".ci/known-red", "check")
+    void theProjectsOwnListIsValid() throws Exception {
+        Process process = new ProcessBuilder("bash", ".ci/known-red", "check")
                 .redirectErrorStream(true)
                 .start();
-        said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, p.waitFor(), said);
+        output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, process.waitFor(), output);
     }
 }
--- a/src/test/java/magpiehub/MailboxTimedWaitTest.java
+++ b/src/test/java/magpiehub/MailboxTimedWaitTest.java
@@ -16,16 +16,16 @@
     private static final int TAKES = 4_000;
 
     /** Two threads on one core: the taker has priority, and interrupts the poster at any step. */
-    public static final class Hammer {
-        private Hammer() {}
+    public static final class MailboxProcess {
+        private MailboxProcess() {}
 
         public static void main(String[] args) throws IOException {
-            Mailbox<Object> box = new Mailbox<>(MonotonicClock.SYSTEM, 1);
+            Mailbox<Object> mailbox = new Mailbox<>(MonotonicClock.SYSTEM, 1);
             DaemonThreads.newThread("taker", () -> {
                         try {
                             for (int i = 0; i < TAKES; i++) {
-                                box.take(MonotonicClock.SYSTEM.micros() + 30 + i % 90);
-                                while (box.poll() != null) {
+                                mailbox.take(MonotonicClock.SYSTEM.micros() + 30 + i % 90);
+                                while (mailbox.poll() != null) {
                                     // Takes all there is.
                                 }
                             }
@@ -38,7 +38,7 @@
             System.out.println("begun");
             System.in.read();
             while (true) {
-                box.post(args);
+                mailbox.post(args);
             }
         }
     }
@@ -47,10 +47,10 @@
      * With a {@link java.util.concurrent.locks.Condition} in the mailbox, the taker was seen to spin after 124 waits.
      */
     @Test
-    void aTimedWaitEndsWhileItsSignallerStandsStill() throws Exception {
+    void timedWaitDoesNotSpinWhileThePosterIsSuspended() throws Exception {
         Assumptions.assumeTrue(FifoScheduling.isAllowed(), "the first-in-first-out class");
         String core = Integer.toString(Runtime.getRuntime().availableProcessors() - 1);
-        Process p = new ProcessBuilder(
+        Process process = new ProcessBuilder(
                         "taskset",
                         "-c",
                         core,
@@ -62,33 +62,33 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        Hammer.class.getName())
+                        MailboxProcess.class.getName())
                 .redirectErrorStream(true)
                 .start();
-        try (BufferedReader out = p.inputReader()) {
+        try (BufferedReader out = process.inputReader()) {
             assertEquals("begun", out.readLine());
-            long taker = taker(p.pid()).id();
+            long taker = sampleTaker(process.pid()).id();
             assertEquals(
                     0,
                     new ProcessBuilder("chrt", "-f", "-p", "2", Long.toString(taker))
                             .start()
                             .waitFor());
-            p.getOutputStream().write('\n');
-            p.getOutputStream().flush();
+            process.getOutputStream().write('\n');
+            process.getOutputStream().flush();
             CpuRunTracker runs = new CpuRunTracker();
-            while (p.isAlive()) {
-                ThreadSample sample = taker(p.pid());
+            while (process.isAlive()) {
+                ThreadSample sample = sampleTaker(process.pid());
                 if (sample != null) {
                     assertEquals(-1, runs.record(sample), "ms of CPU without a wait");
                 }
             }
-            assertEquals(0, p.exitValue());
+            assertEquals(0, process.exitValue());
         } finally {
-            p.destroyForcibly().waitFor();
+            process.destroyForcibly().waitFor();
         }
     }
 
-    private static ThreadSample taker(long pid) {
+    private static ThreadSample sampleTaker(long pid) {
         try {
             List<ThreadSample> all = ThreadSample.ofProcess(pid);
             return all.stream()
--- a/src/test/java/magpiehub/ProtocolEquivalenceTest.java
+++ b/src/test/java/magpiehub/ProtocolEquivalenceTest.java
@@ -9,7 +9,7 @@
 /** One recorded trace through both client protocols: each request has the same outcome at the same time. */
 class ProtocolEquivalenceTest {
     @Test
-    void bothDialectsGiveEqualOutcomesAtEqualTimes() throws Exception {
+    void bothProtocolsGiveEqualOutcomesAtEqualTimes() throws Exception {
         Path trace = Path.of("src/test/resources/trace.txt");
         List<String> platform = ExchangeReplayer.replay(trace, "front platform");
         List<String> messages = ExchangeReplayer.replay(trace, "front messages");
--- a/src/test/java/magpiehub/RouterProcess.java
+++ b/src/test/java/magpiehub/RouterProcess.java
@@ -33,10 +33,10 @@
             "serve");
 
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final int PATIENCE_MS = 30_000;
+    private static final int ACCEPT_TIMEOUT_MS = 30_000;
     private static final int BACKLOG = 64;
-    private static final String ID = "X-Call-Id: ";
-    private static final String LENGTH = "Content-Length: ";
+    private static final String CALL_ID_HEADER = "X-Call-Id: ";
+    private static final String CONTENT_LENGTH_HEADER = "Content-Length: ";
 
     final ServerSocket engine;
     final ServerSocket discovery;
@@ -56,35 +56,37 @@
         this.config = config;
         engine = listen();
         discovery = listen();
-        ServeTest.write(config, discovery, engine);
+        ServeTest.writeConfiguration(config, discovery, engine);
     }
 
     /** A socket of the test's own whose calls end after a while. */
     static ServerSocket listen() throws IOException {
         ServerSocket server = new ServerSocket(0, BACKLOG, LOOPBACK);
-        server.setSoTimeout(PATIENCE_MS);
+        server.setSoTimeout(ACCEPT_TIMEOUT_MS);
         return server;
     }
 
     /** A client's request; the time that it waits is in milliseconds. */
-    static String ask(String id, String budgetMs) {
-        return "POST /v1/chat/completions HTTP/1.1\r\n" + ID + id + "\r\nX-Call-Class: chat\r\n" + "X-Budget-Ms: "
-                + budgetMs + "\r\n" + LENGTH + "2\r\n\r\n{}";
+    static String chatRequest(String id, String budgetMs) {
+        return "POST /v1/chat/completions HTTP/1.1\r\n" + CALL_ID_HEADER + id + "\r\nX-Call-Class: chat\r\n"
+                + "X-Budget-Ms: " + budgetMs + "\r\n" + CONTENT_LENGTH_HEADER + "2\r\n\r\n{}";
     }
 
     /** Reads one request as an engine does, head and body; returns its id. */
-    static String request(BufferedReader from) throws IOException {
+    static String readRequest(BufferedReader input) throws IOException {
         String id = "";
         int length = 0;
-        for (String line = from.readLine(); line == null || !line.isEmpty(); line = from.readLine()) {
+        for (String line = input.readLine(); line == null || !line.isEmpty(); line = input.readLine()) {
             if (line == null) {
                 throw new EOFException("the connection ended in a request");
             }
-            id = line.startsWith(ID) ? line.substring(ID.length()) : id;
-            length = line.startsWith(LENGTH) ? Integer.parseInt(line.substring(LENGTH.length())) : length;
+            id = line.startsWith(CALL_ID_HEADER) ? line.substring(CALL_ID_HEADER.length()) : id;
+            length = line.startsWith(CONTENT_LENGTH_HEADER)
+                    ? Integer.parseInt(line.substring(CONTENT_LENGTH_HEADER.length()))
+                    : length;
         }
         for (int i = 0; i < length; i++) {
-            from.read();
+            input.read();
         }
         return id;
     }
@@ -95,7 +97,7 @@
     }
 
     /** Replaces a part of the configuration. */
-    void configure(String part, String replacement) throws IOException {
+    void replaceInConfiguration(String part, String replacement) throws IOException {
         Files.writeString(config, configuration().replace(part, replacement));
     }
 
@@ -105,11 +107,11 @@
 
     /** Starts it by a command; discovery is named by the variable too, as the platform does. */
     void start(List<String> command) throws IOException {
-        ProcessBuilder b = new ProcessBuilder(command);
-        b.environment().put("ROUTER_CONFIG", config.toString());
-        b.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME"));
-        b.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
-        process = b.redirectErrorStream(true).start();
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().put("ROUTER_CONFIG", config.toString());
+        builder.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME"));
+        builder.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
+        process = builder.redirectErrorStream(true).start();
         log = process.inputReader();
     }
 
@@ -118,24 +120,24 @@
     }
 
     /** The first line of its log with a part. */
-    String logged(String part) throws IOException {
+    String awaitLogLine(String part) throws IOException {
         return ServeTest.readUntil(log, part);
     }
 
     /** Takes its watch of the list and answers it with a heartbeat. */
-    Socket watched() throws IOException {
+    Socket acceptWatch() throws IOException {
         Socket watch = discovery.accept();
-        ServeTest.say(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+        ServeTest.send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         return watch;
     }
 
     /** Waits for its start; returns the port that it serves at. */
-    int port() throws IOException {
-        return Integer.parseInt(logged(" started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+    int awaitListeningPort() throws IOException {
+        return Integer.parseInt(awaitLogLine(" started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
     /** Lets the engine answer each connection on a thread of its own, for as long as its socket is open. */
-    void serve(Consumer<Socket> answer) {
+    void serveConnections(Consumer<Socket> answer) {
         threads.execute(() -> {
             try {
                 while (true) {
--- a/src/test/java/magpiehub/ServeTest.java
+++ b/src/test/java/magpiehub/ServeTest.java
@@ -22,35 +22,35 @@
  *  configuration is taken on SIGHUP. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 public class ServeTest {
-    private static final String ASK = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
+    private static final String REQUEST = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
             + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
 
     /** Guards against a word that never comes, as where SIGHUP is ignored from the start: it fails then. */
     @TempDir
     Path folder;
 
-    static BufferedReader reader(Socket s) throws IOException {
-        s.setSoTimeout(30_000);
-        return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
+    static BufferedReader reader(Socket socket) throws IOException {
+        socket.setSoTimeout(30_000);
+        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     }
 
     /** The first line with a part; fails with all that came if the text ends before. */
     public static String readUntil(BufferedReader in, String part) throws IOException {
         StringBuilder seen = new StringBuilder();
-        for (String l = in.readLine(); l != null; l = in.readLine()) {
-            seen.append(l).append('\n');
-            if (l.contains(part)) {
-                return l;
+        for (String line = in.readLine(); line != null; line = in.readLine()) {
+            seen.append(line).append('\n');
+            if (line.contains(part)) {
+                return line;
             }
         }
         throw new AssertionError("no line has " + part + ": " + seen);
     }
 
-    static void say(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+    static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    static void write(Path config, ServerSocket discovery, ServerSocket engine) throws IOException {
+    static void writeConfiguration(Path config, ServerSocket discovery, ServerSocket engine) throws IOException {
         Files.writeString(
                 config,
                 "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
@@ -61,34 +61,34 @@
                         + engine.getLocalPort() + "\",\"phase\":\"Ready\"}]}}");
     }
 
-    public static void sendSighup(Process p) throws Exception {
+    public static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
-                new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
                         .start()
                         .waitFor());
     }
 
-    private RouterProcess router() throws IOException {
+    private RouterProcess newRouter() throws IOException {
         return new RouterProcess(Files.createTempFile(folder, "junit", ".tmp"));
     }
 
     @Test
-    void aNewFileIsTakenOnSighupAndABadOneChangesNothing() throws Exception {
-        try (RouterProcess router = router();
+    void sighupLoadsAValidConfigurationAndIgnoresAnInvalidOne() throws Exception {
+        try (RouterProcess router = newRouter();
                 ServerSocket second = RouterProcess.listen()) {
             router.start();
-            try (Socket watch = router.watched()) {
-                router.logged(" started ");
+            try (Socket watch = router.acceptWatch()) {
+                router.awaitLogLine(" started ");
                 Files.writeString(router.config, "{\"name\":");
                 router.sendSighup();
-                router.logged(" reload-failed ");
-                write(router.config, second, router.engine);
-                router.configure("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":300");
+                router.awaitLogLine(" reload-failed ");
+                writeConfiguration(router.config, second, router.engine);
+                router.replaceInConfiguration("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":300");
                 router.sendSighup();
                 try (Socket moved = second.accept()) {
                     assertTrue(readUntil(reader(moved), "GET ").contains("/discovery/hosts?follow=1 "));
-                    assertTrue(router.logged(" reloaded ").contains("changed=\"settings.limits\" needs"));
+                    assertTrue(router.awaitLogLine(" reloaded ").contains("changed=\"settings.limits\" needs"));
                 }
                 assertTrue(router.process().isAlive());
             }
@@ -98,48 +98,48 @@
     /** Classes come and go with a new file; what is under way keeps its own, and a bad file changes
      * nothing. */
     @Test
-    void newSettingsHoldAtOnceAndABadFileChangesNothing() throws Exception {
-        try (RouterProcess router = router()) {
-            String old = router.configuration();
-            String fresh = old.replace("\"name\":\"chat\"", "\"name\":\"talk\"");
+    void changedClassesApplyToNewRequestsOnly() throws Exception {
+        try (RouterProcess router = newRouter()) {
+            String original = router.configuration();
+            String changed = original.replace("\"name\":\"chat\"", "\"name\":\"talk\"");
             router.start();
-            try (Socket watch = router.watched()) {
-                int port = router.port();
+            try (Socket watch = router.acceptWatch()) {
+                int port = router.awaitListeningPort();
                 try (Socket before = connect(port);
                         Socket after = connect(port)) {
-                    say(before, ASK);
-                    try (Socket at = router.engine.accept()) {
-                        readUntil(reader(at), "X-Budget-Ms");
-                        Files.writeString(router.config, fresh);
+                    send(before, REQUEST);
+                    try (Socket upstream = router.engine.accept()) {
+                        readUntil(reader(upstream), "X-Budget-Ms");
+                        Files.writeString(router.config, changed);
                         router.sendSighup();
-                        assertTrue(router.logged(" reloaded ").contains("changed=\"settings.classes\""));
-                        for (String bad : List.of(
+                        assertTrue(router.awaitLogLine(" reloaded ").contains("changed=\"settings.classes\""));
+                        for (String invalid : List.of(
                                 "",
-                                old.substring(0, old.length() - 1),
-                                old.replace("\"mostTries\":3,", ""),
-                                old.replace("\"aimMs\":1000,", ""),
-                                old.replace("\"mostTries\":3", "\"mostTries\":0"),
-                                old.replace("\"deadlineMs\":4000", "\"deadlineMs\":\"soon\""),
-                                old.replace("\"deadlineMs\":4000", "\"deadlineMs\":-1"))) {
-                            Files.writeString(router.config, bad);
+                                original.substring(0, original.length() - 1),
+                                original.replace("\"mostTries\":3,", ""),
+                                original.replace("\"aimMs\":1000,", ""),
+                                original.replace("\"mostTries\":3", "\"mostTries\":0"),
+                                original.replace("\"deadlineMs\":4000", "\"deadlineMs\":\"soon\""),
+                                original.replace("\"deadlineMs\":4000", "\"deadlineMs\":-1"))) {
+                            Files.writeString(router.config, invalid);
                             router.sendSighup();
-                            router.logged(" reload-failed ");
+                            router.awaitLogLine(" reload-failed ");
                         }
                         // Under way since before: it has its class still.
-                        say(
-                                at,
+                        send(
+                                upstream,
                                 "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
                                         + "9\r\ndata: x\n\n\r\n0\r\n\r\n");
                         assertEquals("HTTP/1.1 200 OK", reader(before).readLine());
                     }
                     BufferedReader answer = reader(after);
-                    say(after, ASK.replace("Call-Id: 1", "Call-Id: 2"));
+                    send(after, REQUEST.replace("Call-Id: 1", "Call-Id: 2"));
                     assertEquals("HTTP/1.1 400 Bad Request", answer.readLine(), "the class has vanished");
                 }
                 try (Socket client = connect(port)) {
-                    say(client, ASK.replace("Call-Id: 1", "Call-Id: 3").replace("Class: chat", "Class: talk"));
-                    try (Socket at = router.engine.accept()) {
-                        readUntil(reader(at), "X-Call-Id: 3");
+                    send(client, REQUEST.replace("Call-Id: 1", "Call-Id: 3").replace("Class: chat", "Class: talk"));
+                    try (Socket upstream = router.engine.accept()) {
+                        readUntil(reader(upstream), "X-Call-Id: 3");
                     }
                 }
             }
@@ -152,41 +152,41 @@
 
     /** As from nohup: nobody can send it new settings, and whoever looks after it is to know. */
     @Test
-    void aStartThatIgnoresHangupsSaysSo() throws Exception {
+    void routerStartedWithSighupIgnoredLogsThatItCannotReload() throws Exception {
         List<String> ignoring = new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
         ignoring.addAll(RouterProcess.COMMAND);
-        try (RouterProcess router = router()) {
+        try (RouterProcess router = newRouter()) {
             router.start(ignoring);
-            router.logged(" reload-impossible ");
+            router.awaitLogLine(" reload-impossible ");
             router.sendSighup();
-            router.logged(" started ");
+            router.awaitLogLine(" started ");
         }
     }
 
     /** Before that, a request would wait in the socket and its deadline be counted from too late. */
     @Test
-    void aRouterListensOnlyOnceItCanRead() throws Exception {
+    void routerListensOnlyWhenItCanReadRequests() throws Exception {
         int port;
         try (ServerSocket free = RouterProcess.listen()) {
             port = free.getLocalPort();
         }
-        try (RouterProcess router = router()) {
-            router.configure("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
+        try (RouterProcess router = newRouter()) {
+            router.replaceInConfiguration("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
             long begun = System.nanoTime();
             router.start();
-            long listens = listens(port, router.process());
-            router.logged(" started ");
+            long listeningSince = awaitConnectable(port, router.process());
+            router.awaitLogLine(" started ");
             long started = System.nanoTime();
             assertTrue(
-                    started - listens < (started - begun) / 5,
-                    "listens at " + (listens - begun) / 1_000_000 + " ms of " + (started - begun) / 1_000_000);
+                    started - listeningSince < (started - begun) / 5,
+                    "listens at " + (listeningSince - begun) / 1_000_000 + " ms of " + (started - begun) / 1_000_000);
         }
     }
 
     /** When a connection first came up. */
-    private static long listens(int port, Process p) throws Exception {
-        while (p.isAlive()) {
-            try (Socket s = connect(port)) {
+    private static long awaitConnectable(int port, Process process) throws Exception {
+        while (process.isAlive()) {
+            try (Socket socket = connect(port)) {
                 return System.nanoTime();
             } catch (java.net.ConnectException e) {
                 Thread.sleep(5); // Refused: looks again until the process ends.
@@ -197,19 +197,19 @@
 
     /** The first class is what a start rehearses with: no name of one may end it. */
     @Test
-    void aSiteWhoseNamesAreNotAsciiStarts() throws Exception {
+    void routerStartsWithClassNamesThatAreNotPlainAscii() throws Exception {
         for (String name : List.of("résumé", "圖書館", " chat", "a\\tb")) {
-            try (RouterProcess router = router()) {
-                router.configure("\"name\":\"chat\"", "\"name\":\"" + name + "\"");
+            try (RouterProcess router = newRouter()) {
+                router.replaceInConfiguration("\"name\":\"chat\"", "\"name\":\"" + name + "\"");
                 router.start();
-                router.logged(" started ");
+                router.awaitLogLine(" started ");
             }
         }
     }
 
     @Test
-    void aRehearsalServesAndEnds() throws Exception {
-        Process p = new ProcessBuilder(
+    void rehearsalServesRequestsAndExits() throws Exception {
+        Process process = new ProcessBuilder(
                         ProcessHandle.current().info().command().orElse("java"),
                         "-cp",
                         System.getProperty("java.class.path"),
@@ -217,48 +217,48 @@
                         "rehearse")
                 .redirectErrorStream(true)
                 .start();
-        try (BufferedReader log = p.inputReader()) {
+        try (BufferedReader log = process.inputReader()) {
             assertTrue(readUntil(log, " counters ").contains("answered_served=\"2\""));
-            assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-            assertEquals(0, p.exitValue());
+            assertTrue(process.waitFor(30, TimeUnit.SECONDS));
+            assertEquals(0, process.exitValue());
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
         }
     }
 
     /** The process is ended whether or not engines answer: nothing is to be left without a word. */
     @Test
-    void whatHasNotBegunIsRefusedBeforeTheEnd() throws Exception {
-        assertTrue(atSigterm(false).contains("answered_refused=\"1\" answered_served=\"1\""));
+    void requestWithoutAnAnswerIsRefusedBeforeTheProcessEnds() throws Exception {
+        assertTrue(countersAfterSigterm(false).contains("answered_refused=\"1\" answered_served=\"1\""));
     }
 
     @Test
-    void whatIsHeldAtSigtermIsAnswered() throws Exception {
-        assertTrue(atSigterm(true).contains("answered_served=\"2\""));
+    void requestsInFlightAtSigtermAreAnswered() throws Exception {
+        assertTrue(countersAfterSigterm(true).contains("answered_served=\"2\""));
     }
 
     /** One request that has begun when SIGTERM comes; returns the counters at the end. */
-    private String atSigterm(boolean served) throws Exception {
-        try (RouterProcess router = router()) {
+    private String countersAfterSigterm(boolean upstreamAnswers) throws Exception {
+        try (RouterProcess router = newRouter()) {
             router.start();
-            try (Socket watch = router.watched()) {
-                int port = router.port();
+            try (Socket watch = router.acceptWatch()) {
+                int port = router.awaitListeningPort();
                 try (Socket client = connect(port)) {
-                    say(client, ASK);
-                    try (Socket at = router.engine.accept()) {
-                        readUntil(reader(at), "X-Budget-Ms");
-                        try (Socket kept = connect(port)) {
-                            say(kept, "GET /up HTTP/1.1\r\n\r\n");
-                            BufferedReader answers = reader(kept);
+                    send(client, REQUEST);
+                    try (Socket upstream = router.engine.accept()) {
+                        readUntil(reader(upstream), "X-Budget-Ms");
+                        try (Socket keptOpen = connect(port)) {
+                            send(keptOpen, "GET /up HTTP/1.1\r\n\r\n");
+                            BufferedReader answers = reader(keptOpen);
                             readUntil(answers, "up");
                             router.process().toHandle().destroy();
-                            router.logged(" stopping ");
+                            router.awaitLogLine(" stopping ");
                             // Clients use what stays open: a request there is taken, not left without a word.
-                            say(kept, ASK.replace("Id: 1", "Id: 2"));
-                            try (Socket other = router.engine.accept()) {
-                                readUntil(reader(other), "X-Budget-Ms");
-                                say(
-                                        other,
+                            send(keptOpen, REQUEST.replace("Id: 1", "Id: 2"));
+                            try (Socket secondUpstream = router.engine.accept()) {
+                                readUntil(reader(secondUpstream), "X-Budget-Ms");
+                                send(
+                                        secondUpstream,
                                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                                 + "9\r\ndata: y\n\n\r\n0\r\n\r\n");
                                 readUntil(answers, "200 OK");
@@ -269,23 +269,24 @@
                                 assertEquals("0", answers.readLine());
                             }
                         }
-                        if (served) {
-                            say(
-                                    at,
+                        if (upstreamAnswers) {
+                            send(
+                                    upstream,
                                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                             + "9\r\ndata: x\n\n\r\n0\r\n\r\n");
                         }
                         BufferedReader answer = reader(client);
                         assertEquals(
-                                served ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 Service Unavailable", answer.readLine());
+                                upstreamAnswers ? "HTTP/1.1 200 OK" : "HTTP/1.1 503 Service Unavailable",
+                                answer.readLine());
                         assertEquals(
-                                served ? 1 : 0,
+                                upstreamAnswers ? 1 : 0,
                                 answer.lines().filter(l -> l.equals("0")).count(),
                                 "the last chunk");
                     }
                 }
-                String counters = router.logged(" counters ");
-                assertTrue(router.logged(" stopped ").contains("held=\"0\""));
+                String counters = router.awaitLogLine(" counters ");
+                assertTrue(router.awaitLogLine(" stopped ").contains("held=\"0\""));
                 assertTrue(router.process().waitFor(30, TimeUnit.SECONDS));
                 return counters;
             }
--- a/src/test/java/magpiehub/SpinWaitDetector.java
+++ b/src/test/java/magpiehub/SpinWaitDetector.java
@@ -39,8 +39,8 @@
     private static final int DEFAULT_SECONDS = 30;
     private static final int SHUTDOWN_TIMEOUT_SECONDS = 30;
     private static final int MAX_SAMPLE_INTERVAL_MILLIS = 50;
-    private static final int MIN_TURN_MILLIS = 500;
-    private static final int MAX_TURN_MILLIS = 2_500;
+    private static final int MIN_PRIORITY_MILLIS = 500;
+    private static final int MAX_PRIORITY_MILLIS = 2_500;
     private static final int REPORTED_THREADS = 4;
     private static final int EXIT_NOT_ALLOWED = 2;
 
@@ -56,12 +56,12 @@
     private final AtomicInteger requests = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicInteger wrong = new AtomicInteger();
+    private final AtomicInteger unanswered = new AtomicInteger();
     private final CountDownLatch started = new CountDownLatch(1);
-    private int threadsRunAhead;
+    private int prioritizedThreads;
     private Process router;
     private volatile int port;
-    private volatile boolean over;
+    private volatile boolean finished;
 
     private SpinWaitDetector(long seed, Path folder) throws IOException {
         this.seed = seed;
@@ -72,21 +72,21 @@
     }
 
     // ---- Peers ----------------------------------------------------------------------------------------
-    private interface Service {
-        void serve(Socket s) throws IOException, InterruptedException;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws IOException, InterruptedException;
     }
 
-    private ServerSocket serve(Service service) throws IOException {
+    private ServerSocket serve(ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
         servers.add(server);
         DaemonThreads.newThread("accept", () -> {
                     while (!server.isClosed()) {
                         try {
-                            Socket s = server.accept();
-                            s.setTcpNoDelay(true);
+                            Socket socket = server.accept();
+                            socket.setTcpNoDelay(true);
                             DaemonThreads.newThread("peer", () -> {
-                                        try (s) {
-                                            service.serve(s);
+                                        try (socket) {
+                                            handler.handle(socket);
                                         } catch (IOException | InterruptedException e) {
                                             // The router has ended its side.
                                         }
@@ -101,8 +101,8 @@
         return server;
     }
 
-    private static void say(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     private static String chunk(String text) {
@@ -110,62 +110,63 @@
     }
 
     /** Engines: some break a stream, some answer that they are full, as the request's id says. */
-    private static void engine(Socket s) throws IOException, InterruptedException {
-        HttpReader in = new HttpReader(s.getInputStream(), () -> 0);
+    private static void answerAsEngine(Socket socket) throws IOException, InterruptedException {
+        HttpReader in = new HttpReader(socket.getInputStream(), () -> 0);
         while (in.awaitMessage()) {
-            HttpHead h = in.readRequestHead();
-            in.readBody(h);
-            int kind = h.headers().get("X-Call-Id").hashCode() & 15;
-            if (kind == 0) {
-                say(s, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+            HttpHead head = in.readRequestHead();
+            in.readBody(head);
+            int scenario = head.headers().get("X-Call-Id").hashCode() & 15;
+            if (scenario == 0) {
+                send(socket, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
-            say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            send(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 6; i++) {
                 TimeUnit.MILLISECONDS.sleep(10);
-                say(s, chunk("data: {\"choices\":[{\"index\":0,\"delta\":{}}]}\n\n"));
-                if (kind == 1 && i == 2) {
+                send(socket, chunk("data: {\"choices\":[{\"index\":0,\"delta\":{}}]}\n\n"));
+                if (scenario == 1 && i == 2) {
                     return;
                 }
             }
-            say(s, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
+            send(socket, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
         }
     }
 
-    private void list(Socket s, String members) throws IOException, InterruptedException {
-        say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (int revision = 2; !over; revision++) {
-            say(s, chunk("{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + members + "]}\n"));
+    private void sendLists(Socket socket, String members) throws IOException, InterruptedException {
+        send(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        for (int revision = 2; !finished; revision++) {
+            send(socket, chunk("{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + members + "]}\n"));
             TimeUnit.MILLISECONDS.sleep(300);
         }
     }
 
     /** Clients: some stay, some ask once, some leave in the middle. */
-    private void client(int number, SplittableRandom own) {
-        for (int i = 0; !over; i++) {
-            try (Socket s = new Socket()) {
-                s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 5_000);
-                s.setSoTimeout(20_000);
-                HttpReader in = new HttpReader(s.getInputStream(), () -> 0);
-                for (int k = own.nextInt(1, 6); k > 0 && !over; k--, i++) {
+    private void runClient(int number, SplittableRandom clientRandom) {
+        for (int i = 0; !finished; i++) {
+            try (Socket socket = new Socket()) {
+                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 5_000);
+                socket.setSoTimeout(20_000);
+                HttpReader in = new HttpReader(socket.getInputStream(), () -> 0);
+                for (int remaining = clientRandom.nextInt(1, 6); remaining > 0 && !finished; remaining--, i++) {
                     requests.incrementAndGet();
-                    say(
-                            s,
+                    send(
+                            socket,
                             "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + number + "." + i
-                                    + "\r\nX-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: " + own.nextInt(64)
+                                    + "\r\nX-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: "
+                                    + clientRandom.nextInt(64)
                                     + "\r\nX-Budget-Ms: 4000\r\nContent-Length: 2\r\n\r\n{}");
-                    if (own.nextInt(12) == 0) {
-                        TimeUnit.MILLISECONDS.sleep(own.nextInt(40));
-                        k = 0; // Leaves with its request in hand.
-                    } else if (answer(in)) {
-                        TimeUnit.MILLISECONDS.sleep(own.nextInt(40));
+                    if (clientRandom.nextInt(12) == 0) {
+                        TimeUnit.MILLISECONDS.sleep(clientRandom.nextInt(40));
+                        remaining = 0; // Leaves with its request in hand.
+                    } else if (readResponse(in)) {
+                        TimeUnit.MILLISECONDS.sleep(clientRandom.nextInt(40));
                     } else {
-                        k = 0;
+                        remaining = 0;
                     }
                 }
             } catch (IOException e) {
-                wrong.addAndGet(
-                        over || (e.getMessage() != null && e.getMessage().contains("refused")) ? 0 : 1);
+                unanswered.addAndGet(
+                        finished || (e.getMessage() != null && e.getMessage().contains("refused")) ? 0 : 1);
             } catch (InterruptedException e) {
                 return;
             }
@@ -173,30 +174,30 @@
     }
 
     /** Whether the connection goes on. */
-    private boolean answer(HttpReader in) throws IOException, InterruptedException {
+    private boolean readResponse(HttpReader in) throws IOException, InterruptedException {
         if (!in.awaitMessage()) {
             return false; // Closed while it was idle, or at the end: no rule is about that here.
         }
-        HttpHead h = in.readResponseHead();
-        if (h.status() == 200) {
+        HttpHead head = in.readResponseHead();
+        if (head.status() == 200) {
             try {
-                in.readEvents(h, e -> {});
+                in.readEvents(head, e -> {});
             } catch (IOException e) {
                 refused.incrementAndGet(); // Its engine broke it.
                 return false;
             }
             served.incrementAndGet();
         } else {
-            in.readBody(h);
+            in.readBody(head);
             refused.incrementAndGet();
         }
-        return !h.closesConnection();
+        return !head.closesConnection();
     }
 
     // ---- The router -----------------------------------------------------------------------------------
-    private void start(boolean planted) throws IOException {
+    private void start(boolean withSpin) throws IOException {
         Path configuration = writeConfiguration();
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", command(planted)).redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", command(withSpin)).redirectErrorStream(true);
         builder.environment().put("ROUTER_CONFIG", configuration.toString());
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment()
@@ -217,10 +218,10 @@
                     .append(i)
                     .append("\",\"host_port\":\"")
                     .append("127.0.0.1:")
-                    .append(serve(SpinWaitDetector::engine).getLocalPort())
+                    .append(serve(SpinWaitDetector::answerAsEngine).getLocalPort())
                     .append("\",\"phase\":\"Ready\"}");
         }
-        ServerSocket discovery = serve(s -> list(s, known.toString()));
+        ServerSocket discovery = serve(socket -> sendLists(socket, known.toString()));
         Path configuration = folder.resolve("router.json");
         Files.writeString(
                 configuration,
@@ -232,12 +233,12 @@
     }
 
     /** The deploy file's command, on one core in the first-in-first-out class, with the classes under test. */
-    private String command(boolean planted) throws IOException {
+    private String command(boolean withSpin) throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        String mainClass = planted ? SpinWaitMain.class.getName() : "magpiehub.Main";
+        String mainClass = withSpin ? SpinWaitMain.class.getName() : "magpiehub.Main";
         return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'))
                 .replace("exec java", "exec taskset -c " + core + " chrt -f 1 java")
                 .replace(
@@ -309,12 +310,12 @@
     }
 
     /** Plays for some seconds; describes a thread that was found to spin, which ends the play. */
-    private Optional<String> play(int seconds) throws Exception {
+    private Optional<String> watchThreads(int seconds) throws Exception {
         Process competitor = startCompetitor();
         try (FifoScheduling scheduling = new FifoScheduling()) {
-            return play(System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds), scheduling);
+            return watchThreads(System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds), scheduling);
         } finally {
-            over = true;
+            finished = true;
             competitor.destroyForcibly();
         }
     }
@@ -339,18 +340,18 @@
         return competitor;
     }
 
-    private Optional<String> play(long endNanos, FifoScheduling scheduling) throws Exception {
+    private Optional<String> watchThreads(long endNanos, FifoScheduling scheduling) throws Exception {
         boolean hasClients = false;
-        long nextTurnNanos = 0;
+        long nextChangeNanos = 0;
         while (System.nanoTime() < endNanos) {
             if (!hasClients && started.getCount() == 0) {
                 startClients();
                 hasClients = true;
             }
-            if (System.nanoTime() >= nextTurnNanos) {
-                int turnMillis = random.nextInt(MIN_TURN_MILLIS, MAX_TURN_MILLIS);
-                nextTurnNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(turnMillis);
-                threadsRunAhead += scheduling.changeThreadsAhead(ThreadSample.ofProcess(router.pid()), random);
+            if (System.nanoTime() >= nextChangeNanos) {
+                int priorityMillis = random.nextInt(MIN_PRIORITY_MILLIS, MAX_PRIORITY_MILLIS);
+                nextChangeNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(priorityMillis);
+                prioritizedThreads += scheduling.changePrioritizedThreads(ThreadSample.ofProcess(router.pid()), random);
             }
             Optional<String> spinning = findSpinningThread();
             if (spinning.isPresent()) {
@@ -364,23 +365,24 @@
     private void startClients() {
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
-            SplittableRandom own = random.split();
-            DaemonThreads.newThread("client", () -> client(number, own)).start();
+            SplittableRandom clientRandom = random.split();
+            DaemonThreads.newThread("client", () -> runClient(number, clientRandom))
+                    .start();
         }
     }
 
     // ---- The verdict ----------------------------------------------------------------------------------
     /** Runs a router for some seconds and reports; whether no thread spun and every request had an answer. */
-    private boolean run(int seconds, boolean planted) throws Exception {
+    private boolean run(int seconds, boolean withSpin) throws Exception {
         Optional<String> spinning;
-        boolean ended;
+        boolean exited;
         try {
-            start(planted);
-            spinning = play(seconds);
+            start(withSpin);
+            spinning = watchThreads(seconds);
             router.toHandle().destroy();
-            ended = spinning.isPresent() || router.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            exited = spinning.isPresent() || router.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } finally {
-            over = true;
+            finished = true;
             router.destroyForcibly().waitFor();
             for (ServerSocket server : servers) {
                 server.close();
@@ -388,10 +390,10 @@
         }
         reportCpuTime();
         spinning.ifPresent(thread -> System.out.println("out of bounds: " + thread));
-        boolean ok = spinning.isEmpty() && ended && served.get() > 0 && wrong.get() == 0;
+        boolean ok = spinning.isEmpty() && exited && served.get() > 0 && unanswered.get() == 0;
         System.out.println("proof step seed=" + seed + " requests=" + requests + " served=" + served
-                + " refused=" + refused + " without_answer=" + wrong + " ran_ahead=" + threadsRunAhead
-                + " ended=" + ended + " longest_run_ms:" + longestRuns() + (ok ? " ok" : " short"));
+                + " refused=" + refused + " without_answer=" + unanswered + " ran_ahead=" + prioritizedThreads
+                + " ended=" + exited + " longest_run_ms:" + longestRuns() + (ok ? " ok" : " short"));
         return ok;
     }
 
@@ -420,13 +422,13 @@
     public static void main(String[] args) throws Exception {
         long seed = Long.parseLong(args[0]);
         int seconds = args.length > 1 ? Integer.parseInt(args[1]) : DEFAULT_SECONDS;
-        boolean planted = args.length > 2 && args[2].equals("spin");
+        boolean withSpin = args.length > 2 && args[2].equals("spin");
         if (!FifoScheduling.isAllowed()) {
             System.out.println("proof step: no right to the scheduler's first-in-first-out class (chrt -f)");
             System.exit(EXIT_NOT_ALLOWED);
         }
         Path folder = Files.createTempDirectory("proof-step");
-        boolean ok = new SpinWaitDetector(seed, folder).run(seconds, planted);
+        boolean ok = new SpinWaitDetector(seed, folder).run(seconds, withSpin);
         System.exit(ok ? 0 : 1);
     }
 }
--- a/src/test/java/magpiehub/SpinWaitMain.java
+++ b/src/test/java/magpiehub/SpinWaitMain.java
@@ -9,18 +9,18 @@
 /** The program with a spinning wait planted in it, to show that {@link SpinWaitDetector} finds one. */
 public final class SpinWaitMain {
     private static final long WAITER_START_MICROS = 3_000_000;
-    private static final long TELLER_START_MICROS = 3_500_000;
+    private static final long RELEASER_START_MICROS = 3_500_000;
 
     private SpinWaitMain() {}
 
     public static void main(String[] args) throws IOException {
-        AtomicBoolean told = new AtomicBoolean();
-        startLater(WAITER_START_MICROS, "planted-waiter", () -> {
-            while (!told.get()) {
+        AtomicBoolean released = new AtomicBoolean();
+        startLater(WAITER_START_MICROS, "spin-waiter", () -> {
+            while (!released.get()) {
                 Thread.onSpinWait();
             }
         });
-        startLater(TELLER_START_MICROS, "planted-teller", () -> told.set(true));
+        startLater(RELEASER_START_MICROS, "spin-releaser", () -> released.set(true));
         Main.main(args);
     }
 
--- a/src/test/java/magpiehub/StaleEndpointListTest.java
+++ b/src/test/java/magpiehub/StaleEndpointListTest.java
@@ -22,17 +22,18 @@
 class StaleEndpointListTest {
     private static final String REJECTED = "HTTP/1.1 503 Service Unavailable";
     private static final String SERVED = "HTTP/1.1 200 OK";
-    private static final String STREAM = SERVED + "\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n0\r\n\r\n";
+    private static final String STREAM_RESPONSE =
+            SERVED + "\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n0\r\n\r\n";
     private static final String BUDGET_MS = "3000";
 
     /** How long the server is watched for a request that must not come. */
-    private static final int WATCHED_MS = 500;
+    private static final int NO_REQUEST_WAIT_MS = 500;
 
     /** A change counts as received 6 s after discovery had it, and nothing is sent from 2 s and 0.05 s later on. */
-    private static final long LAST_SEND_MS = 8_050;
+    private static final long SEND_CUTOFF_MS = 8_050;
 
     /** How long discovery holds each call that it answers 503 while it is down. */
-    private static final long HELD_WHILE_DOWN_MS = 2_000;
+    private static final long REJECTION_DELAY_MS = 2_000;
 
     private static final int SECONDS_DOWN = 12;
 
@@ -54,56 +55,56 @@
     @Test
     void restartedRouterSendsNothingToAServerThatLeftWhileItWasDown() throws Exception {
         router.start();
-        int port = router.port();
-        assertEquals(REJECTED, ask(port, "1"), "while discovery has not answered");
+        int port = router.awaitListeningPort();
+        assertEquals(REJECTED, sendRequest(port, "1"), "while discovery has not answered");
         try (Socket watch = router.discovery.accept()) {
-            String gone = "{\"revision\":2,\"complete\":false,\"members\":[{\"id\":\"e\",\"phase\":\"Gone\"}]}\n";
-            ServeTest.say(
+            String removal = "{\"revision\":2,\"complete\":false,\"members\":[{\"id\":\"e\",\"phase\":\"Gone\"}]}\n";
+            ServeTest.send(
                     watch,
-                    SERVED + "\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(gone.length()) + "\r\n"
-                            + gone + "\r\n");
-            router.logged(" list ");
-            assertEquals(REJECTED, ask(port, "2"), "after the news that the server has left");
+                    SERVED + "\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(removal.length()) + "\r\n"
+                            + removal + "\r\n");
+            router.awaitLogLine(" list ");
+            assertEquals(REJECTED, sendRequest(port, "2"), "after the news that the server has left");
         }
         assertNothingWasSent();
     }
 
     @Test
     void restartedRouterServesOnceDiscoveryHasConfirmedItsList() throws Exception {
-        router.serve(StaleEndpointListTest::stream);
+        router.serveConnections(StaleEndpointListTest::serveStreams);
         router.start();
-        int port = router.port();
-        try (Socket watch = router.watched()) {
+        int port = router.awaitListeningPort();
+        try (Socket watch = router.acceptWatch()) {
             awaitReady(port);
-            assertEquals(SERVED, ask(port, "1"));
+            assertEquals(SERVED, sendRequest(port, "1"));
         }
     }
 
     @Test
     void routerSendsNothingOnAListThatDiscoveryNoLongerConfirms() throws Exception {
         router.start();
-        int port = router.port();
-        try (Socket watch = router.watched()) {
+        int port = router.awaitListeningPort();
+        try (Socket watch = router.acceptWatch()) {
             awaitReady(port);
             // Discovery can be reached from here on, and never answers.
-            TimeUnit.MILLISECONDS.sleep(LAST_SEND_MS);
-            assertEquals(REJECTED, ask(port, "1"));
+            TimeUnit.MILLISECONDS.sleep(SEND_CUTOFF_MS);
+            assertEquals(REJECTED, sendRequest(port, "1"));
         }
         assertNothingWasSent();
     }
 
     @Test
     void routerServesOnItsLastListWhileDiscoveryIsDown() throws Exception {
-        router.serve(StaleEndpointListTest::stream);
+        router.serveConnections(StaleEndpointListTest::serveStreams);
         router.start();
-        int port = router.port();
-        try (Socket watch = router.watched()) {
+        int port = router.awaitListeningPort();
+        try (Socket watch = router.acceptWatch()) {
             awaitReady(port);
         }
         router.threads.execute(this::rejectCalls);
         for (int second = 1; second <= SECONDS_DOWN; second++) {
             TimeUnit.SECONDS.sleep(1);
-            assertEquals(SERVED, ask(port, Integer.toString(second)), "after " + second + " s");
+            assertEquals(SERVED, sendRequest(port, Integer.toString(second)), "after " + second + " s");
         }
     }
 
@@ -121,20 +122,20 @@
 
     private static void rejectLate(Socket call) {
         try (call) {
-            TimeUnit.MILLISECONDS.sleep(HELD_WHILE_DOWN_MS);
-            ServeTest.say(call, REJECTED + "\r\nContent-Length: 0\r\n\r\n");
+            TimeUnit.MILLISECONDS.sleep(REJECTION_DELAY_MS);
+            ServeTest.send(call, REJECTED + "\r\nContent-Length: 0\r\n\r\n");
         } catch (IOException | InterruptedException e) {
             // The router has given the call up, or the test is over.
         }
     }
 
     /** Serves requests on a connection until its router closes it. */
-    private static void stream(Socket connection) {
+    private static void serveStreams(Socket connection) {
         try (connection) {
             BufferedReader requests = ServeTest.reader(connection);
             while (true) {
-                RouterProcess.request(requests);
-                ServeTest.say(connection, STREAM);
+                RouterProcess.readRequest(requests);
+                ServeTest.send(connection, STREAM_RESPONSE);
             }
         } catch (IOException e) {
             // The router has closed it, or the test is over.
@@ -142,9 +143,9 @@
     }
 
     /** Sends a request on a connection of its own; returns the first line of the answer. */
-    private static String ask(int port, String id) throws IOException {
+    private static String sendRequest(int port, String id) throws IOException {
         try (Socket client = new Socket(RouterProcess.LOOPBACK, port)) {
-            ServeTest.say(client, RouterProcess.ask(id, BUDGET_MS));
+            ServeTest.send(client, RouterProcess.chatRequest(id, BUDGET_MS));
             return ServeTest.reader(client).readLine();
         }
     }
@@ -157,13 +158,13 @@
 
     private static boolean isReady(int port) throws IOException {
         try (Socket client = new Socket(RouterProcess.LOOPBACK, port)) {
-            ServeTest.say(client, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n");
+            ServeTest.send(client, "GET /up HTTP/1.1\r\nConnection: close\r\n\r\n");
             return ServeTest.reader(client).readLine().equals(SERVED);
         }
     }
 
     private void assertNothingWasSent() throws IOException {
-        router.engine.setSoTimeout(WATCHED_MS);
+        router.engine.setSoTimeout(NO_REQUEST_WAIT_MS);
         assertThrows(SocketTimeoutException.class, () -> router.engine.accept().close(), "a request was sent");
     }
 }
--- a/src/test/java/magpiehub/UpgradeTest.java
+++ b/src/test/java/magpiehub/UpgradeTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Whole processes as operators run them: two versions on one listening socket, and what was said to one
+ * Whole processes as operators run them: two versions on one listening socket, and what was launcherOutput to one
  * holds on the other. A launcher holds the socket, as the platform does, and starts each process with it
  * as descriptor 0.
  */
@@ -49,9 +49,9 @@
             kill 'KILL', 0;
             """;
 
-    private static final String ASK = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: %s\r\n"
+    private static final String REQUEST = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: %s\r\n"
             + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nConnection: close\r\n"
+    private static final String RESPONSE = "HTTP/1.1 200 OK\r\nConnection: close\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n0\r\n\r\n";
 
     /** Guards against a word that never comes: the test fails then, and does not hang. */
@@ -62,7 +62,7 @@
     private ServerSocket engine;
     private ServerSocket discovery;
     private Process launcher;
-    private BufferedReader said;
+    private BufferedReader launcherOutput;
     private int port;
 
     @BeforeEach
@@ -73,8 +73,8 @@
         discovery = new ServerSocket(0, 8, loopback);
         FakeDiscovery.serve(discovery);
         Path config = Files.createTempFile(folder, "junit", ".tmp");
-        ServeTest.write(config, discovery, engine);
-        ProcessBuilder b = new ProcessBuilder(
+        ServeTest.writeConfiguration(config, discovery, engine);
+        ProcessBuilder builder = new ProcessBuilder(
                 "perl",
                 "-e",
                 LAUNCHER,
@@ -83,17 +83,17 @@
                 System.getProperty("java.class.path"),
                 "magpiehub.Main",
                 "serve");
-        b.environment().put("ROUTER_CONFIG", config.toString());
-        b.environment().put("TMPDIR", folder.toString());
-        b.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
-        launcher = b.redirectErrorStream(true).start();
-        said = launcher.inputReader();
-        port = Integer.parseInt(said.readLine());
+        builder.environment().put("ROUTER_CONFIG", config.toString());
+        builder.environment().put("TMPDIR", folder.toString());
+        builder.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
+        launcher = builder.redirectErrorStream(true).start();
+        launcherOutput = launcher.inputReader();
+        port = Integer.parseInt(launcherOutput.readLine());
     }
 
     @AfterEach
     @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-    void end() throws IOException {
+    void killProcesses() throws IOException {
         launcher.descendants().forEach(ProcessHandle::destroyForcibly);
         launcher.destroyForcibly();
         engine.close();
@@ -101,50 +101,52 @@
     }
 
     /** Starts a version; returns its console's port. */
-    private int version() throws IOException {
+    private int startVersion() throws IOException {
         int console;
         try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
             console = free.getLocalPort();
         }
         launcher.outputWriter().write(console + "\n");
         launcher.outputWriter().flush();
-        ServeTest.readUntil(said, " started ");
+        ServeTest.readUntil(launcherOutput, " started ");
         return console;
     }
 
-    private String call(int console, String line) throws IOException {
-        try (Socket s = new Socket(loopback, console)) {
-            s.setSoTimeout(30_000);
-            s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+    private String callConsole(int console, String line) throws IOException {
+        try (Socket socket = new Socket(loopback, console)) {
+            socket.setSoTimeout(30_000);
+            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
+                    .readLine();
         }
     }
 
-    private Socket ask(String id) throws IOException {
-        Socket s = new Socket(loopback, port);
-        s.setSoTimeout(30_000);
-        s.getOutputStream().write(ASK.formatted(id).getBytes(StandardCharsets.US_ASCII));
-        return s;
+    private Socket sendRequest(String id) throws IOException {
+        Socket socket = new Socket(loopback, port);
+        socket.setSoTimeout(30_000);
+        socket.getOutputStream().write(REQUEST.formatted(id).getBytes(StandardCharsets.US_ASCII));
+        return socket;
     }
 
     /** A request as the engine gets it, read whole: bytes from an engine that was asked nothing are spoilt.
      */
-    private Socket asked() throws IOException {
-        Socket s = engine.accept();
-        s.setSoTimeout(30_000);
-        BufferedReader in = new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
+    private Socket acceptRequest() throws IOException {
+        Socket socket = engine.accept();
+        socket.setSoTimeout(30_000);
+        BufferedReader in =
+                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
         ServeTest.readUntil(in, "X-Budget-Ms");
         assertEquals("", in.readLine());
         assertEquals('{', in.read());
         assertEquals('}', in.read());
-        return s;
+        return socket;
     }
 
-    private static String first(Socket s) throws IOException {
-        return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII)).readLine();
+    private static String readStatusLine(Socket socket) throws IOException {
+        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII)).readLine();
     }
 
-    private long old() {
+    private long oldestProcessId() {
         return launcher.children()
                 .min(java.util.Comparator.comparingLong(ProcessHandle::pid))
                 .orElseThrow()
@@ -153,80 +155,80 @@
 
     /** Requests before, during and after: each gets exactly one answer, and only the old process ends. */
     @Test
-    void aNewVersionTakesTheSocketOverAndNothingIsLost() throws Exception {
-        int first = version();
-        assertTrue(call(first, "status").startsWith("SUCCESS active"));
+    void newVersionTakesOverTheSocketWithoutLosingRequests() throws Exception {
+        int first = startVersion();
+        assertTrue(callConsole(first, "status").startsWith("SUCCESS active"));
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            clients.add(ask("a" + i));
+            clients.add(sendRequest("a" + i));
         }
         List<Socket> held = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            held.add(asked());
+            held.add(acceptRequest());
         }
-        int second = version();
-        assertTrue(call(second, "status").startsWith("SUCCESS active"));
-        ProcessHandle older = ProcessHandle.of(old()).orElseThrow();
+        int second = startVersion();
+        assertTrue(callConsole(second, "status").startsWith("SUCCESS active"));
+        ProcessHandle older = ProcessHandle.of(oldestProcessId()).orElseThrow();
         older.destroy();
-        assertTrue(ServeTest.readUntil(said, " stopping ").contains("succeeded=\"true\""));
+        assertTrue(ServeTest.readUntil(launcherOutput, " stopping ").contains("succeeded=\"true\""));
         // The old one accepts no more: these are the new one's, and are not mixed up with what the old one
         // holds.
         for (int i = 0; i < 4; i++) {
-            clients.add(ask("b" + i));
-            held.add(asked());
+            clients.add(sendRequest("b" + i));
+            held.add(acceptRequest());
         }
-        for (Socket s : held) {
-            s.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
+        for (Socket socket : held) {
+            socket.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
         }
         for (Socket c : clients) {
-            assertEquals("HTTP/1.1 200 OK", first(c));
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(c));
             c.close();
         }
-        assertTrue(ServeTest.readUntil(said, " stopped ").contains("held=\"0\""));
+        assertTrue(ServeTest.readUntil(launcherOutput, " stopped ").contains("held=\"0\""));
         older.onExit().get(30, TimeUnit.SECONDS);
-        assertTrue(call(second, "status").startsWith("SUCCESS"));
-        try (Socket c = ask("c")) {
-            asked().getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
-            assertEquals("HTTP/1.1 200 OK", first(c));
+        assertTrue(callConsole(second, "status").startsWith("SUCCESS"));
+        try (Socket c = sendRequest("c")) {
+            acceptRequest().getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(c));
         }
     }
 
     @Test
-    void whatWasSaidHoldsOnBothProcessesAndOverTheUpgrade() throws Exception {
-        int first = version();
-        assertEquals("FAILURE no engine of that id was ever listed", call(first, "maint-on x"));
-        assertEquals("SUCCESS out e", call(first, "maint-on e"));
-        assertEquals("SUCCESS out e", call(first, "maint-on e"));
-        try (Socket c = ask("a")) {
-            assertEquals("HTTP/1.1 503 Service Unavailable", first(c));
+    void operatorCommandsApplyToBothProcessesAndSurviveTheUpgrade() throws Exception {
+        int first = startVersion();
+        assertEquals("FAILURE no engine of that id was ever listed", callConsole(first, "maint-on x"));
+        assertEquals("SUCCESS out e", callConsole(first, "maint-on e"));
+        assertEquals("SUCCESS out e", callConsole(first, "maint-on e"));
+        try (Socket c = sendRequest("a")) {
+            assertEquals("HTTP/1.1 503 Service Unavailable", readStatusLine(c));
         }
-        int second = version();
-        assertEquals("SUCCESS active out=1", call(second, "status"));
-        assertEquals("SUCCESS standby", call(second, "standby"));
-        ServeTest.readUntil(said, " standby ");
-        ServeTest.readUntil(said, " standby "); // On both: each logs it.
+        int second = startVersion();
+        assertEquals("SUCCESS active out=1", callConsole(second, "status"));
+        assertEquals("SUCCESS standby", callConsole(second, "standby"));
+        ServeTest.readUntil(launcherOutput, " standby ");
+        ServeTest.readUntil(launcherOutput, " standby "); // On both: each logs it.
         try (Socket up = new Socket(loopback, port)) {
             up.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertEquals("HTTP/1.1 503 Service Unavailable", first(up));
+            assertEquals("HTTP/1.1 503 Service Unavailable", readStatusLine(up));
         }
-        ProcessHandle older = ProcessHandle.of(old()).orElseThrow();
+        ProcessHandle older = ProcessHandle.of(oldestProcessId()).orElseThrow();
         older.destroy(); // SIGTERM during standby.
         older.onExit().get(30, TimeUnit.SECONDS);
-        assertEquals("SUCCESS active", call(second, "active"));
-        assertEquals("SUCCESS back e", call(second, "maint-off e"));
-        try (Socket c = ask("b")) {
-            asked().getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
-            assertEquals("HTTP/1.1 200 OK", first(c));
+        assertEquals("SUCCESS active", callConsole(second, "active"));
+        assertEquals("SUCCESS back e", callConsole(second, "maint-off e"));
+        try (Socket c = sendRequest("b")) {
+            acceptRequest().getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
+            assertEquals("HTTP/1.1 200 OK", readStatusLine(c));
         }
     }
 
     /** A state file that is torn is named in the log and starts nothing wrong. */
     @Test
-    void aTornStateFileNeverFailsAStart() throws Exception {
+    void truncatedStateFileDoesNotPreventAStart() throws Exception {
         Files.writeString(folder.resolve("magpiehub-n.operators"), "{\"form\":\"magpie");
         launcher.outputWriter().write("0\n");
         launcher.outputWriter().flush();
-        ServeTest.readUntil(said, " operators-file-unreadable ");
-        ServeTest.readUntil(said, " started ");
+        ServeTest.readUntil(launcherOutput, " operators-file-unreadable ");
+        ServeTest.readUntil(launcherOutput, " started ");
     }
 }
