--- a/src/test/java/magpiehub/ArchitectureTest.java
+++ b/src/test/java/magpiehub/ArchitectureTest.java
@@ -21,9 +21,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The layers of docs/architecture.md: which package may use which, and what no package may hold. */
+/** Checks the layers of docs/architecture.md: the dependencies between packages, and names banned from the sources. */
 class ArchitectureTest {
-    /** Packages from the lowest layer to the highest; one may use only those before it. */
+    /** Packages from the lowest layer to the highest; a package may depend only on those before it. */
     private static final List<String> LAYERS = List.of(
             "routing",
             "concurrent",
@@ -42,7 +42,7 @@
             "simulator",
             "lifecycle");
 
-    /** Shorter names, such as a zone called "x", are ordinary words elsewhere. */
+    /** Shorter names, such as a zone called "x", also occur in the sources as ordinary literals. */
     private static final int MIN_NAME_LENGTH = 4;
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
@@ -91,7 +91,7 @@
                 .check(CLASSES);
     }
 
-    /** Classes, tenants, zones and models of the examples and variants are read, never known. */
+    /** Names of classes, tenants, zones and models come from the configuration and are never hard-coded. */
     @Test
     void sourcesContainNoNamesOfADeployment() throws IOException {
         Set<String> names = deploymentNames();
@@ -103,7 +103,7 @@
                     sources.filter(p -> p.toString().endsWith(".java")).toList()) {
                 Matcher matcher = literal.matcher(Files.readString(source));
                 while (matcher.find()) {
-                    assertFalse(names.contains(matcher.group(1)), source + " holds \"" + matcher.group(1) + "\"");
+                    assertFalse(names.contains(matcher.group(1)), source + " contains \"" + matcher.group(1) + "\"");
                 }
             }
         }
--- a/src/test/java/magpiehub/ChatClient.java
+++ b/src/test/java/magpiehub/ChatClient.java
@@ -7,11 +7,11 @@
 import magpiehub.concurrent.DaemonThreads;
 
 /**
- * Sends a recorded exchange's chat requests in one client protocol. A thread of each request's own reads the answer
- * and notes when it began, and how and when it ended.
+ * Sends the chat requests of a recorded exchange in either client protocol. One thread per request reads the answer and
+ * records when it began, how it ended and when.
  */
 final class ChatClient {
-    /** A chunk of 32 KiB that holds one event. */
+    /** One event in a chunk of 32 KiB. */
     private static final String LARGE_EVENT_CHUNK = "8000\r\ndata:" + "x".repeat(0x7ff9) + "\n\n\r\n";
 
     private static final String LAST_CHUNK = "0\r\n\r\n";
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Served only with the last chunk; a head alone, or events without it, is a broken stream. */
+    /** Reads an answer; it counts as served only with its last chunk, and as broken if the stream ends before that. */
     private String readAnswer(ExchangePeer peer) throws IOException {
         String status = peer.readLine().split(" ")[1];
         int length = peer.readContentLength();
@@ -63,9 +63,9 @@
         }
     }
 
-    /** Sends events of at least so many bytes in all, and the last chunk, by a thread: it may have to wait. */
+    /** Sends at least {@code bytes} of events and the last chunk, on a thread of its own since writes may block. */
     static void sendEventsInBackground(Socket socket, int bytes) {
-        DaemonThreads.newThread("sends", () -> sendEvents(socket, bytes)).start();
+        DaemonThreads.newThread("event-sender", () -> sendEvents(socket, bytes)).start();
     }
 
     private static void sendEvents(Socket socket, int bytes) {
@@ -76,7 +76,7 @@
             }
             socket.getOutputStream().write(LAST_CHUNK.getBytes(UTF_8));
         } catch (IOException e) {
-            // The connection has ended, which the next steps of the exchange look at.
+            // The connection has ended; later steps of the exchange check for that.
         }
     }
 }
--- a/src/test/java/magpiehub/ClientDisconnectTest.java
+++ b/src/test/java/magpiehub/ClientDisconnectTest.java
@@ -5,11 +5,11 @@
 import java.lang.management.ManagementFactory;
 import org.junit.jupiter.api.Test;
 
-/** Many clients that disconnect, more than a recorded exchange has lines for. */
+/** Hundreds of clients that disconnect, too many to write out as a recorded exchange. */
 class ClientDisconnectTest {
     private static final int CLIENTS = 300;
 
-    /** Clients that connect, send one request and disconnect, one after another: no thread is started for each. */
+    /** Clients that connect, send one request and disconnect in turn: connections reuse the router's threads. */
     @Test
     void shortConnectionsShareThreads() throws Exception {
         try (ExchangeReplayer replayer = new ExchangeReplayer()) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Their requests wait for the dispatcher: none reaches an upstream, and a client that stays is served. */
+    /** Requests of clients that disconnect before dispatch reach no upstream, and a client that stays is served. */
     @Test
     void noRequestOfABurstOfDisconnectedClientsIsForwarded() throws Exception {
         try (ExchangeReplayer replayer = new ExchangeReplayer()) {
--- a/src/test/java/magpiehub/CpuRunTracker.java
+++ b/src/test/java/magpiehub/CpuRunTracker.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Finds threads that spin: CPU time outside the kernel that a thread has used since it last waited. */
+/** Detects spinning threads by the user-mode CPU time that each has used since it last waited. */
 final class CpuRunTracker {
-    /** A run of this length without a wait or system calls is too long. */
+    /** A thread that runs for this long without a wait or system calls is reported. */
     private static final long MAX_RUN_MILLIS = 1_000;
 
-    /** A thread whose time in the kernel is a larger part of its time outside makes system calls. */
+    /** A thread with a larger ratio of system to user time makes system calls, and so does not spin. */
     private static final double MAX_SYSTEM_SHARE = 0.2;
 
     private static final int MILLIS_PER_SECOND = 1000;
@@ -20,7 +20,7 @@
 
     private final Map<String, Long> longestRunMillis = new TreeMap<>();
 
-    /** Records a sample; returns the length of the thread's run in milliseconds, or -1 if it is within the bound. */
+    /** Records a sample; returns the thread's CPU time since its last wait in ms, or -1 if it is within the bound. */
     long record(ThreadSample sample) {
         ThreadSample start = runStarts.get(sample.id());
         if (start == null || start.waits() != sample.waits()) {
@@ -37,7 +37,7 @@
         return runMillis >= MAX_RUN_MILLIS ? runMillis : WITHIN_BOUND;
     }
 
-    /** The longest run without a wait in milliseconds, by the thread's name. */
+    /** The longest CPU time without a wait in milliseconds, by thread name. */
     Map<String, Long> longestRunMillis() {
         return longestRunMillis;
     }
--- a/src/test/java/magpiehub/CpuRunTrackerTest.java
+++ b/src/test/java/magpiehub/CpuRunTrackerTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the proof of waits counts: CPU time of a thread that has neither waited nor made system calls. */
+/** Only CPU time of a thread that neither waits nor makes system calls counts as a spin. */
 class CpuRunTrackerTest {
-    private final CpuRunTracker runs = new CpuRunTracker();
+    private final CpuRunTracker tracker = new CpuRunTracker();
 
-    /** Ticks of 10 ms. */
+    /** CPU times are in ticks of 10 ms. */
     private long record(long user, long system, long waits) {
-        return runs.record(new ThreadSample(7, "t", user, system, waits));
+        return tracker.record(new ThreadSample(7, "t", user, system, waits));
     }
 
     @Test
@@ -18,7 +18,7 @@
         assertEquals(-1, record(50, 1, 3));
         assertEquals(-1, record(149, 1, 3));
         assertEquals(1_000, record(150, 1, 3));
-        assertEquals(1_000L, runs.longestRunMillis().get("t").longValue());
+        assertEquals(1_000L, tracker.longestRunMillis().get("t").longValue());
     }
 
     @Test
--- a/src/test/java/magpiehub/DescriptorLimitAndDiscoveryOutageTest.java
+++ b/src/test/java/magpiehub/DescriptorLimitAndDiscoveryOutageTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The router as a process that is short of file descriptors, or starts while discovery fails: what it must be able to
- * do all the same. The limit on descriptors is the system's own.
+ * A router process that runs out of file descriptors while discovery is down, or starts while discovery fails: it must
+ * still serve clients and reach discovery again. The descriptor limit is the operating system's ({@code ulimit -n}).
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class DescriptorLimitAndDiscoveryOutageTest {
@@ -34,14 +34,14 @@
     private static final int SLOW_DISCOVERY_MILLIS = 3_000;
 
     /** How long a router may take from its start until it is ready. */
-    private static final long START_NANOS = 10_000_000_000L;
+    private static final long MAX_START_NANOS = 10_000_000_000L;
 
     /** How long the router may take to watch discovery and serve a new client once discovery is back. */
     private static final int RECOVERY_MILLIS = 6_000;
 
     private static final long RECOVERY_NANOS = RECOVERY_MILLIS * 1_000_000L;
 
-    /** How discovery fails while a router starts. */
+    /** How discovery behaves while a router starts. */
     private enum DiscoveryFault {
         REFUSES,
         NEVER_ANSWERS,
@@ -86,7 +86,7 @@
                 ServeTest.readUntil(log, " started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
-    /** Nothing that a test does not wait for may fill a pipe. */
+    /** Reads the log on a thread of its own: a full pipe would block the router. */
     private static void collectInBackground(BufferedReader log, StringBuffer lines) {
         DaemonThreads.newThread("log", () -> {
                     try {
@@ -134,7 +134,7 @@
                 }
             }
         } catch (IOException e) {
-            // The router has closed it.
+            // The router closed the connection.
         }
     }
 
@@ -151,7 +151,7 @@
         try (ServerSocket engine = new ServerSocket(0, 512, LOOPBACK);
                 Socket servedClient = new Socket()) {
             serveInBackground(engine);
-            Process router = start("full", sockets, discoveryPort, knownListSetting(engine));
+            Process router = start("idle-clients", sockets, discoveryPort, knownListSetting(engine));
             try (BufferedReader log = router.inputReader()) {
                 int port = awaitListeningPort(log);
                 Socket watch = discovery.accept();
@@ -166,7 +166,7 @@
                 assertOpenDescriptorsAtMost(sockets, router);
                 assertRecoversInTime(discoveryPort, port);
                 assertFalse(logged.indexOf("accept-failure") >= 0, logged.toString());
-                assertTrue(logged.indexOf("discovery-failed") >= 0, "the log is written still");
+                assertTrue(logged.indexOf("discovery-failed") >= 0, "the log is still written");
             } finally {
                 router.destroyForcibly();
                 for (Socket client : idleClients) {
@@ -176,13 +176,13 @@
         }
     }
 
-    /** Ends the router's watch; its further connections are refused. */
+    /** Ends the router's watch; further connections to discovery are refused. */
     private static void stopDiscovery(ServerSocket discovery, Socket watch) throws IOException {
         discovery.close();
         watch.close();
     }
 
-    /** Opens connections that are answered and stay, that stop within a request, and that send nothing. */
+    /** Opens connections that stay open after an answer, stop in the middle of a request, or send nothing. */
     private static void connectIdleClients(int count, int port, List<Socket> opened) {
         for (int i = 0; i < count; i++) {
             Socket client = new Socket();
@@ -195,7 +195,7 @@
                     ServeTest.send(client, "GET /up HT");
                 }
             } catch (IOException e) {
-                // No more are accepted, or it was closed to free its descriptor.
+                // The router accepts no more, or closed the connection to free its descriptor.
             }
         }
     }
@@ -216,20 +216,20 @@
             try (Socket watch = discovery.accept()) {
                 assertTrue(ServeTest.readUntil(ServeTest.reader(watch), "GET ").contains("follow=1"));
                 ServeTest.send(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
-                assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "in time");
+                assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "discovery was not watched again in time");
                 assertNewClientIsServed(port, startNanos);
             }
         }
     }
 
     /**
-     * A connection to the upstream is to be had as well, and a client that comes again after being rejected is
-     * accepted: capacity is freed from connections that have been idle for 2 s.
+     * A client that retries after being rejected is accepted, and an upstream connection can be opened for it: the
+     * router closes connections that have been idle for 2 s to free their descriptors.
      */
     private static void assertNewClientIsServed(int port, long startNanos) throws Exception {
         String status = "";
         for (int i = 0; !"HTTP/1.1 200 OK".equals(status); i++) {
-            assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "turned away: " + status);
+            assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "not served in time: " + status);
             try (Socket client = new Socket(LOOPBACK, port)) {
                 sendRequest(client, "again" + i);
                 status = readStatusLine(client);
@@ -248,7 +248,7 @@
         assertRecoversBesideIdleClients(1024);
     }
 
-    /** With a list of its own, whatever discovery does; without one, as soon as a slow one has sent it. */
+    /** With a list in its configuration whatever discovery does; without one, once slow discovery has sent it. */
     @Test
     void routerIsReadyInTimeWhateverDiscoveryDoes() throws Exception {
         List<Process> routers = new ArrayList<>();
@@ -280,8 +280,8 @@
         collectInBackground(log, new StringBuffer());
         String status = "";
         for (int i = 0; !status.contains(" 200 "); i++) {
-            assertTrue(System.nanoTime() - startNanos < START_NANOS, fault + ": not ready in time");
-            // Clients send requests already.
+            assertTrue(System.nanoTime() - startNanos < MAX_START_NANOS, fault + ": not ready in time");
+            // Clients send requests before the router is ready.
             try (Socket earlyClient = new Socket(LOOPBACK, port);
                     Socket healthCheck = new Socket(LOOPBACK, port)) {
                 sendRequest(earlyClient, "early" + i);
@@ -292,7 +292,8 @@
         }
         try (Socket client = new Socket(LOOPBACK, port)) {
             sendRequest(client, "served");
-            assertEquals("HTTP/1.1 200 OK", readStatusLine(client), fault + ": it said that it can serve");
+            assertEquals(
+                    "HTTP/1.1 200 OK", readStatusLine(client), fault + ": not served although the health check passed");
         }
     }
 
@@ -310,7 +311,7 @@
                             open.add(watch);
                             answerFaultily(watch, fault, list);
                         } catch (IOException | InterruptedException e) {
-                            // The next one.
+                            // This watch has ended; accepts the next.
                         }
                     }
                 })
--- a/src/test/java/magpiehub/EventDelayTest.java
+++ b/src/test/java/magpiehub/EventDelayTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * How long events take through a router that runs for a quarter of the time only, as on a share of a core:
- * many streams of one engine, beside a client that reads nothing of a large one.
+ * Limits the delay of events through a router that gets a quarter of a core: many streams from one engine, beside a
+ * client that reads nothing of a large stream.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class EventDelayTest {
@@ -34,7 +34,7 @@
     private static final long MAX_DELAY_NANOS = 300_000_000;
     private static final int LARGE_EVENT_BYTES = 32 * 1024;
     private static final int RECEIVE_BUFFER_BYTES = 4 * 1024;
-    /** Stops a process for three quarters of each tenth of a second; says how long each stop took (ms). */
+    /** Stops a process for 75 ms of every 100 ms; prints how long each stop lasted, in milliseconds. */
     private static final String THROTTLE_SCRIPT =
             """
             use Time::HiRes qw(time sleep); $| = 1;
@@ -52,19 +52,19 @@
     Path folder;
 
     private final LongAccumulator longestDelay = new LongAccumulator(Math::max, 0);
-    /** How late this machine wakes a thread of the test itself, as it does the router's. */
-    private final LongAccumulator longestOversleep = new LongAccumulator(Math::max, 0);
+    /** The machine's scheduling delay, in nanoseconds: how late it wakes a thread of the test, or ends a stop. */
+    private final LongAccumulator longestSchedulingDelay = new LongAccumulator(Math::max, 0);
 
     private final AtomicBoolean finished = new AtomicBoolean();
 
     @Test
     void eventsArePassedOnInTimeOnAQuarterOfACore() throws Exception {
         measureDelays();
-        long maxDelay = MAX_DELAY_NANOS + longestOversleep.get();
+        long maxDelay = MAX_DELAY_NANOS + longestSchedulingDelay.get();
         assertTrue(
                 longestDelay.get() <= maxDelay,
-                "an event took " + longestDelay.get() / 1_000_000 + " ms, " + longestOversleep.get() / 1_000_000
-                        + " ms of lateness of the machine's own");
+                "an event took " + longestDelay.get() / 1_000_000 + " ms, " + longestSchedulingDelay.get() / 1_000_000
+                        + " ms of scheduling delay on this machine");
     }
 
     private void measureDelays() throws Exception {
@@ -87,7 +87,7 @@
                                     Long.toString(router.process().pid()))
                             .start();
                     try {
-                        router.threads.execute(this::measureOversleep);
+                        router.threads.execute(this::measureSchedulingDelay);
                         router.threads.execute(() -> measureStops(throttle));
                         assertEquals(EVENTS * STREAMS, countEvents(answers, router.threads));
                     } finally {
@@ -111,7 +111,7 @@
         return events;
     }
 
-    /** Reads a stream to its last chunk; returns how many events it had. */
+    /** Reads a stream to its last chunk and measures each event's delay; returns the number of events. */
     private int countEvents(BufferedReader answer) throws IOException {
         int events = 0;
         for (String line = answer.readLine(); line != null && !line.equals("0"); line = answer.readLine()) {
@@ -124,19 +124,19 @@
         return events;
     }
 
-    /** What a stop takes longer than it should, it adds to the lateness of the machine. */
+    /** Counts the time by which a stop exceeds its 75 ms as scheduling delay of the machine. */
     private void measureStops(Process throttle) {
         throttle.inputReader()
                 .lines()
-                .forEach(ms -> longestOversleep.accumulate((Long.parseLong(ms) - STOP_MS) * 1_000_000));
+                .forEach(ms -> longestSchedulingDelay.accumulate((Long.parseLong(ms) - STOP_MS) * 1_000_000));
     }
 
-    private void measureOversleep() {
+    private void measureSchedulingDelay() {
         try {
             while (!finished.get()) {
                 long wakeTime = System.nanoTime() + 10_000_000;
                 Thread.sleep(10);
-                longestOversleep.accumulate(System.nanoTime() - wakeTime);
+                longestSchedulingDelay.accumulate(System.nanoTime() - wakeTime);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -151,7 +151,7 @@
         return client;
     }
 
-    // ---- The engine -----------------------------------------------------------------------------------
+    // ---- Upstream -----------------------------------------------------------------------------------
     private static void answerRequest(Socket connection) {
         try (connection) {
             connection.setTcpNoDelay(true);
@@ -170,7 +170,7 @@
             }
             ServeTest.send(connection, "0\r\n\r\n");
         } catch (IOException e) {
-            // The router has ended it: the large stream, once the test is over.
+            // The router closed the connection: the large stream ends so when the test is over.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/magpiehub/ExchangePeer.java
+++ b/src/test/java/magpiehub/ExchangePeer.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One party of a recorded exchange, with the connection that it speaks on now. Blocking; used by one thread. */
+/** One party of a recorded exchange, with its current connection. Blocking; used by one thread. */
 final class ExchangePeer {
-    /** How long a step may take before the test fails. Nothing is decided by it. */
+    /** How long a step may take before the test fails; no outcome depends on it otherwise. */
     static final int STEP_TIMEOUT_MILLIS = 60_000;
 
     private static final int ACCEPT_BACKLOG = 8;
@@ -56,10 +56,10 @@
         use(new Socket("127.0.0.1", port));
     }
 
-    /** Accepts a connection, on which {@code speaker} speaks from now on. */
-    void acceptFor(ExchangePeer speaker) throws IOException {
+    /** Accepts a connection, which {@code user} uses from now on. */
+    void acceptFor(ExchangePeer user) throws IOException {
         server.setSoTimeout(STEP_TIMEOUT_MILLIS);
-        speaker.use(server.accept());
+        user.use(server.accept());
     }
 
     private void use(Socket newSocket) throws IOException {
@@ -88,7 +88,7 @@
         return new String(bytes, UTF_8);
     }
 
-    /** Reads the rest of a message's head; returns the content length that it names, or 0. */
+    /** Reads the rest of a message's head; returns its content length, or 0 if it has none. */
     int readContentLength() throws IOException {
         int length = 0;
         for (String line = readLine(); !line.isEmpty(); line = readLine()) {
@@ -109,7 +109,7 @@
         return Integer.parseInt(readLine(), 16);
     }
 
-    /** Reads chunks to the last one, which has no data; returns the length of all. */
+    /** Reads all chunks up to the empty last one; returns their total length. */
     int readAllChunks() throws IOException {
         int total = 0;
         for (int length = readChunkLength(); length > 0; length = readChunkLength()) {
@@ -119,7 +119,7 @@
         return total;
     }
 
-    /** Whether the connection has ended, be it by a reset. */
+    /** Whether the connection has ended, in order or by a reset. */
     boolean hasEnded() {
         try {
             return read() < 0;
@@ -130,12 +130,12 @@
         }
     }
 
-    /** Adds to what the next {@link #flush} sends. */
+    /** Appends to the head that the next {@link #flush} sends. */
     void append(String text) throws IOException {
         headToSend.write(text.getBytes(UTF_8));
     }
 
-    /** Whether the head to send names the length of a body that is still to come. */
+    /** Whether the head has a placeholder for the length of a body that has not been given yet. */
     boolean awaitsBody() {
         return headToSend.toString(UTF_8).contains("@LEN");
     }
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Begins to watch for the answer to a request that has been sent. */
+    /** Prepares the futures for the answer to a request that has been sent. */
     void expectAnswer() {
         begun = new CompletableFuture<>();
         outcome = new CompletableFuture<>();
--- a/src/test/java/magpiehub/ExchangeReplayer.java
+++ b/src/test/java/magpiehub/ExchangeReplayer.java
@@ -40,14 +40,14 @@
 import magpiehub.upstream.UpstreamPool;
 
 /**
- * Plays a recorded exchange against a router on loopback sockets: the clients, upstreams and discovery of a text file,
- * with a clock that moves only when the file says so. {@code src/test/resources/exchanges/README.md} describes the
- * file's steps. No step waits for time to pass.
+ * Replays a recorded exchange against a router on loopback sockets: a text file scripts the clients, upstreams and
+ * discovery, and the clock, which advances only by a step. {@code src/test/resources/exchanges/README.md} describes the
+ * steps. No step depends on real time.
  */
 final class ExchangeReplayer implements AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long POLL_INTERVAL_NANOS = 500_000;
-    /** How often discovery writes a heartbeat where the file has no part for it. */
+    /** Discovery's heartbeat interval where the script does not play discovery. */
     private static final long HEARTBEAT_MILLIS = 2_000;
 
     private final ManualClock clock = new ManualClock();
@@ -56,7 +56,7 @@
             new SyslogEventLog(new PrintStream(logged, true, StandardCharsets.UTF_8), "test", 1);
     private final Map<String, ExchangePeer> peers = new LinkedHashMap<>();
     private final ChatClient chatClient = new ChatClient(clock);
-    /** What each answered request came to, in the order of the file. */
+    /** The outcome of each answered request, in the order of the script. */
     private final List<String> results = new ArrayList<>();
 
     private ClientListener clients;
@@ -72,12 +72,12 @@
     private boolean clientsResume = true;
     private boolean listsArePushed;
     private String knownMembers = "";
-    /** Whether the file itself plays discovery; else the player confirms the list of the start. */
+    /** Whether the script plays discovery; otherwise the replayer does, and confirms the initial list. */
     private boolean scriptPlaysDiscovery;
 
     private int heartbeats;
 
-    /** Plays a file after some steps that come before it; returns what the requests that it sent came to. */
+    /** Replays a script after some preceding steps; returns the outcomes of the requests that it sent. */
     static List<String> replay(Path file, String... stepsBefore) throws Exception {
         int lineNumber = 0;
         try (ExchangeReplayer replayer = new ExchangeReplayer()) {
@@ -148,13 +148,13 @@
         }
     }
 
-    /** Lets the router open its watch now, and confirms the list that it was started with. */
+    /** Makes the router open its watch, and confirms its initial list. */
     private void openWatch(ExchangePeer discoveryPeer) throws Exception {
         discovery.watch();
         discoveryPeer.acceptFor(discoveryPeer);
         discoveryPeer.append("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         sendHeartbeat(discoveryPeer);
-        // The list is counted before its lease is there.
+        // The list's counter changes before its lease starts, so the log line is awaited.
         await(() -> logged.toString(StandardCharsets.UTF_8).contains(" list-confirmed "), "the list was not confirmed");
     }
 
@@ -164,7 +164,7 @@
         await(() -> hasCounter("discovery_beats " + heartbeats), "no heartbeat was read");
     }
 
-    /** Lets time pass; a discovery that the file does not play writes its heartbeats meanwhile. */
+    /** Advances the clock; unless the script plays discovery, heartbeats are sent meanwhile. */
     private void advanceClock(long millis) throws Exception {
         long left = millis;
         while (!scriptPlaysDiscovery && left > HEARTBEAT_MILLIS) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Plays one line of an exchange. */
+    /** Executes one line of a script. */
     void step(String line) throws Exception {
         if (line.isBlank() || line.startsWith("#")) {
             return;
@@ -190,7 +190,7 @@
         }
     }
 
-    /** A step before the start; false if it is none. */
+    /** Executes a step that configures the router before its start; false if the command is not one. */
     private boolean prepare(String command, String argument) throws IOException {
         switch (command) {
             case "front" -> usesMessagesProtocol = argument.equals("messages");
@@ -221,14 +221,14 @@
         peers.put(name, peer);
     }
 
-    /** A step that concerns the router or the clock; false if it is none. */
+    /** Executes a step for the router or the clock; false if the command is not one. */
     private boolean control(String command, String argument) throws Exception {
         switch (command) {
             case "start" -> start();
             case "move" -> discovery.changeAddress(
                     "127.0.0.1:" + peers.get(argument).listeningPort());
             case "clock" -> advanceClock(Long.parseLong(argument));
-            case "counter" -> await(() -> hasCounter(argument), "the counter never came to " + argument);
+            case "counter" -> await(() -> hasCounter(argument), "the counter never reached " + argument);
             case "passes" -> advanceClockUntilCounter(argument);
             case "hold" -> holdDispatcher();
             case "release" -> dispatcherHold.countDown();
@@ -244,7 +244,7 @@
         return true;
     }
 
-    /** Time passes, so many milliseconds at once, until a counter has come to its value. */
+    /** Advances the clock in steps of the given milliseconds until a counter has the given value. */
     private void advanceClockUntilCounter(String argument) throws Exception {
         String[] words = argument.split(" ", 2);
         long stepMillis = Long.parseLong(words[0]);
@@ -255,10 +255,10 @@
                     clock.advanceMillis(reached ? 0 : stepMillis);
                     return reached;
                 },
-                "the counter never came to " + counter);
+                "the counter never reached " + counter);
     }
 
-    /** Keeps the dispatcher's thread waiting, so that messages stay in its mailbox until it is released. */
+    /** Blocks the dispatcher's thread, so that messages stay in its mailbox until it is released. */
     private void holdDispatcher() {
         CountDownLatch hold = new CountDownLatch(1);
         dispatcherHold = hold;
@@ -278,7 +278,7 @@
                 + "\",\"size\":1.0,\"up_since_ms\":0}";
     }
 
-    /** A step of one party: its name, a sign for what it does, and an argument. */
+    /** Executes a step of one party: its name, the symbol of an action, and an argument. */
     private void peerStep(String nameAndAction, String argument) throws Exception {
         int nameLength = 0;
         while (nameLength < nameAndAction.length() && Character.isLetterOrDigit(nameAndAction.charAt(nameLength))) {
@@ -344,7 +344,7 @@
         return true;
     }
 
-    /** A head is sent when its last line is there, unless its body's length is not known yet. */
+    /** Sends a head with its empty last line, unless the length of its body is still unknown. */
     private static void sendLine(ExchangePeer peer, String line) throws IOException {
         peer.append(line + "\r\n");
         if (line.isEmpty() && !peer.awaitsBody()) {
@@ -371,7 +371,7 @@
         return true;
     }
 
-    /** A chat request as a whole: sent by a client or received by an upstream, its answer's begin and outcome. */
+    /** Sends or receives a whole chat request, or checks when its answer began or what its outcome is. */
     private boolean exchangeRequest(String name, ExchangePeer peer, String action, String argument) throws Exception {
         switch (action) {
             case "?" -> {
@@ -398,7 +398,7 @@
         assertTrue(matches(toRegex(pattern), actual), "got: " + actual);
     }
 
-    /** The regular expression of a text in which {@code *} stands for any text. */
+    /** The regular expression for a pattern in which {@code *} matches any text. */
     private static String toRegex(String pattern) {
         return Pattern.quote(pattern).replace("*", "\\E.*\\Q");
     }
@@ -407,7 +407,7 @@
         return Pattern.compile(regex, Pattern.DOTALL).matcher(text).matches();
     }
 
-    /** Puts in line ends, and the address of a party for {@code @NAME@}. */
+    /** Replaces escaped line ends, and {@code @NAME@} by the address of that party. */
     private String unescape(String text) {
         String result = text.replace("\\n", "\n").replace("\\r", "\r");
         for (Map.Entry<String, ExchangePeer> entry : peers.entrySet()) {
@@ -427,7 +427,7 @@
         return ("\n" + log.counters() + streams.metrics()).contains("\n" + nameAndValue + "\n");
     }
 
-    /** Waits for something that the router does by itself; the limit is for failing only. */
+    /** Waits for a condition that the router brings about by itself; the time limit only makes a test fail. */
     private static void await(BooleanSupplier condition, String failure) throws Exception {
         long end = System.nanoTime() + ExchangePeer.STEP_TIMEOUT_MILLIS * NANOS_PER_MILLI;
         while (!condition.getAsBoolean()) {
--- a/src/test/java/magpiehub/ExchangesTest.java
+++ b/src/test/java/magpiehub/ExchangesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays every recorded exchange, each against a router of its own. */
+/** Replays every recorded exchange, each against a new router. */
 class ExchangesTest {
     public static List<Path> exchangeFiles() throws IOException {
         try (var all = Files.list(Path.of("src/test/resources/exchanges"))) {
--- a/src/test/java/magpiehub/FakeDiscovery.java
+++ b/src/test/java/magpiehub/FakeDiscovery.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.TimeUnit;
 import magpiehub.concurrent.DaemonThreads;
 
-/** A discovery whose list never changes: each watch gets heartbeats, until its socket is closed. */
+/** A discovery service whose list never changes: each watch gets heartbeats until its socket is closed. */
 final class FakeDiscovery {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String HEARTBEAT = "1\r\n\n\r\n";
-    private static final int PERIOD_SECONDS = 1;
+    private static final int HEARTBEAT_INTERVAL_SECONDS = 1;
 
     private FakeDiscovery() {}
 
-    /** Serves the watches of a socket on threads of their own. */
+    /** Accepts watches on a socket and serves each on a thread of its own. */
     static void serve(ServerSocket discovery) {
         DaemonThreads.newThread("discovery", () -> acceptWatches(discovery)).start();
     }
@@ -35,10 +35,10 @@
             ServeTest.send(watch, HEAD);
             while (true) {
                 ServeTest.send(watch, HEARTBEAT);
-                TimeUnit.SECONDS.sleep(PERIOD_SECONDS);
+                TimeUnit.SECONDS.sleep(HEARTBEAT_INTERVAL_SECONDS);
             }
         } catch (IOException | InterruptedException e) {
-            // The router has closed it, or the test is over.
+            // The router closed the watch, or the test is over.
         }
     }
 }
--- a/src/test/java/magpiehub/FifoScheduling.java
+++ b/src/test/java/magpiehub/FifoScheduling.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Gives threads of a process priority over its others, in the scheduler's first-in-first-out class. One shell carries
- * out all changes: a process for each would itself disturb what is shown.
+ * Gives some threads of a process priority over its others, in the scheduler's first-in-first-out class. One shell
+ * makes all changes, since a process for each would disturb the run that is observed.
  */
 final class FifoScheduling implements AutoCloseable {
     private static final int MAX_PRIORITIZED_THREADS = 3;
@@ -26,7 +26,7 @@
         commands = shell.getOutputStream();
     }
 
-    /** Whether this process has the right to use the class. */
+    /** Whether this process may use the scheduling class. */
     static boolean isAllowed() throws Exception {
         return new ProcessBuilder("chrt", "-f", "1", "true")
                         .redirectErrorStream(true)
@@ -36,13 +36,15 @@
                 == 0;
     }
 
-    /** Takes the threads that run ahead back, and lets others do so; returns how many. */
+    /** Resets the prioritized threads and picks others at random; returns how many were picked. */
     int changePrioritizedThreads(List<ThreadSample> threads, SplittableRandom random) throws IOException {
         StringBuilder command = new StringBuilder();
         prioritizedThreadIds.forEach(
                 id -> command.append("chrt -f -p 1 ").append(id).append(';'));
         prioritizedThreadIds.clear();
-        for (int left = random.nextInt(MAX_PRIORITIZED_THREADS + 1); left > 0 && !threads.isEmpty(); left--) {
+        for (int remaining = random.nextInt(MAX_PRIORITIZED_THREADS + 1);
+                remaining > 0 && !threads.isEmpty();
+                remaining--) {
             prioritizedThreadIds.add(threads.get(random.nextInt(threads.size())).id());
         }
         prioritizedThreadIds.forEach(
--- a/src/test/java/magpiehub/FloodTest.java
+++ b/src/test/java/magpiehub/FloodTest.java
@@ -20,22 +20,22 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router as a process whose clients send much at once and go, or whose engine's answers never end. */
+/** A router process whose clients pipeline many requests and disconnect, or whose engine sends endless responses. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FloodTest {
     private static final int CLIENTS = 40;
     private static final int REQUESTS_PER_CLIENT = 60;
-    /** An attempt that begins so long after its client's close is a fault; the platform allows two a day. */
+    /** An attempt that begins later than this after its client's close is a fault; the platform allows two a day. */
     private static final long MAX_ATTEMPT_DELAY_NANOS = 100_000_000;
 
     private static final int MAX_LATE_ATTEMPTS = 2;
-    /** The id of the request whose answer never ends. */
+    /** The id of the request whose response never ends. */
     private static final String ENDLESS_ID = "endless";
 
     private static final String COMPLETE_RESPONSE =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
 
-    /** What an engine says first, and what it then says again and again. */
+    /** What an engine sends first, and what it then repeats without end. */
     private record EndlessResponse(String start, String repeated) {}
 
     private static final List<EndlessResponse> ENDLESS_RESPONSES = List.of(
@@ -53,10 +53,12 @@
     /** When each request reached the engine (ns). */
     private final Map<String, Long> attemptNanosById = new ConcurrentHashMap<>();
 
-    private final LongAccumulator longestOversleep = new LongAccumulator(Math::max, 0);
+    private final LongAccumulator longestSchedulingDelay = new LongAccumulator(Math::max, 0);
 
-    /** Many requests in one write, and a reset right after it: next to nothing of it is sent on once they
-     *  have gone, and who stays is served. */
+    /**
+     * Clients write many requests at once and reset the connection: at most two of the requests are forwarded more than
+     * 100 ms after that, and a client that stays connected is served.
+     */
     @Test
     void requestsOfDisconnectedClientsAreNotForwarded() throws Exception {
         try (RouterProcess router = new RouterProcess(Files.createTempFile(folder, "junit", ".tmp"))) {
@@ -76,18 +78,20 @@
                 assertTrue(router.process().isAlive());
             }
         }
-        long maxDelay = MAX_ATTEMPT_DELAY_NANOS + longestOversleep.get();
+        long maxDelay = MAX_ATTEMPT_DELAY_NANOS + longestSchedulingDelay.get();
         List<String> late = new ArrayList<>();
         attemptNanosById.forEach((id, at) -> {
             if (closeNanosById.containsKey(id) && at - closeNanosById.get(id) > maxDelay) {
                 late.add(id);
             }
         });
-        assertTrue(late.size() <= MAX_LATE_ATTEMPTS, "sent on after their clients had gone: " + late);
+        assertTrue(late.size() <= MAX_LATE_ATTEMPTS, "forwarded after their clients had disconnected: " + late);
     }
 
-    /** Each endless answer costs its attempt and nothing else: the client gets one final answer that is not
-     *  200, and the next request is served. */
+    /**
+     * An endless response fails its attempt and nothing else: the client gets one final answer that is not 200, and the
+     * next request is served.
+     */
     @Test
     void endlessResponsesAreAborted() throws Exception {
         for (EndlessResponse endless : ENDLESS_RESPONSES) {
@@ -119,13 +123,14 @@
         client.close();
         long now = System.nanoTime();
         ids.forEach(id -> closeNanosById.put(id, now));
+        // How late the machine wakes this thread is added to the bound.
         long wakeTime = System.nanoTime() + 10_000_000;
         Thread.sleep(10);
-        longestOversleep.accumulate(System.nanoTime() - wakeTime);
+        longestSchedulingDelay.accumulate(System.nanoTime() - wakeTime);
         return null;
     }
 
-    /** The status line of the answer to one request. */
+    /** Sends a request on a new connection; returns the status line of its answer. */
     private static String requestStatusLine(int port, String id, String budgetMs) throws IOException {
         try (Socket client = new Socket(RouterProcess.LOOPBACK, port)) {
             ServeTest.send(client, RouterProcess.chatRequest(id, budgetMs));
@@ -140,7 +145,7 @@
         }
     }
 
-    // ---- The engine -----------------------------------------------------------------------------------
+    // ---- Upstream -----------------------------------------------------------------------------------
     private void answerRequests(Socket connection) {
         try (connection;
                 BufferedReader requests = ServeTest.reader(connection)) {
@@ -149,11 +154,11 @@
                 ServeTest.send(connection, COMPLETE_RESPONSE);
             }
         } catch (IOException e) {
-            // The router has closed it.
+            // The router closed the connection.
         }
     }
 
-    /** Answers one request without end, until the router closes the connection, and all others at once. */
+    /** Answers one request without end until the router closes the connection, and all others at once. */
     private void sendEndlessResponse(Socket connection, EndlessResponse endless) {
         try (connection;
                 BufferedReader requests = ServeTest.reader(connection)) {
@@ -165,7 +170,7 @@
                 ServeTest.send(connection, endless.repeated);
             }
         } catch (IOException e) {
-            // The router has given it up.
+            // The router aborted the attempt.
         }
     }
 }
--- a/src/test/java/magpiehub/KnownRedTest.java
+++ b/src/test/java/magpiehub/KnownRedTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The list of tests that are known to fail: what CI takes, and what it does not. */
+/** The script that checks the list of known test failures, and ignores those failures in CI. */
 class KnownRedTest {
     private static final String REPORT = "<testsuite>"
             + "<testcase name=\"good\" classname=\"a.ATest\" time=\"1\"/>"
--- a/src/test/java/magpiehub/MailboxTimedWaitTest.java
+++ b/src/test/java/magpiehub/MailboxTimedWaitTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Assumptions;
 import org.junit.jupiter.api.Test;
 
-/** A wait on a mailbox uses no CPU time, at whatever step the thread that posts is suspended. */
+/** A timed wait on a mailbox does not spin, at whatever point the posting thread is suspended. */
 class MailboxTimedWaitTest {
     private static final int TAKES = 4_000;
 
-    /** Two threads on one core: the taker has priority, and interrupts the poster at any step. */
+    /** Two threads on one core: the taker has priority, and preempts the poster at arbitrary points. */
     public static final class MailboxProcess {
         private MailboxProcess() {}
 
@@ -26,7 +26,7 @@
                             for (int i = 0; i < TAKES; i++) {
                                 mailbox.take(MonotonicClock.SYSTEM.micros() + 30 + i % 90);
                                 while (mailbox.poll() != null) {
-                                    // Takes all there is.
+                                    // Empties the mailbox.
                                 }
                             }
                             System.exit(0);
@@ -44,7 +44,7 @@
     }
 
     /**
-     * With a {@link java.util.concurrent.locks.Condition} in the mailbox, the taker was seen to spin after 124 waits.
+     * A mailbox built on a {@link java.util.concurrent.locks.Condition} made the taker spin after 124 waits.
      */
     @Test
     void timedWaitDoesNotSpinWhileThePosterIsSuspended() throws Exception {
@@ -96,7 +96,7 @@
                     .findFirst()
                     .orElse(null);
         } catch (IOException e) {
-            return null; // It has ended.
+            return null; // The process has ended.
         }
     }
 }
--- a/src/test/java/magpiehub/ManualClock.java
+++ b/src/test/java/magpiehub/ManualClock.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import magpiehub.concurrent.MonotonicClock;
 
-/** A clock that goes forward only when told; whoever waits for it looks again every millisecond. */
+/** A clock that advances only on request; waiting threads check it again every millisecond. */
 final class ManualClock implements MonotonicClock {
     private static final long START_MICROS = 1_000_000_000_000L;
     private static final int MICROS_PER_MILLI = 1000;
@@ -16,7 +16,7 @@
     }
 
     @Override
-    @SuppressWarnings("WaitNotInLoop") // Callers look at the clock again in a loop.
+    @SuppressWarnings("WaitNotInLoop") // Callers check the clock again in a loop.
     public void await(Object monitor, long until) throws InterruptedException {
         monitor.wait(1);
     }
@@ -25,7 +25,7 @@
         nowMicros.addAndGet(millis * MICROS_PER_MILLI);
     }
 
-    /** The time since the clock was made. */
+    /** The time by which the clock has advanced since its creation. */
     long elapsedMillis() {
         return (micros() - START_MICROS) / MICROS_PER_MILLI;
     }
--- a/src/test/java/magpiehub/ProtocolEquivalenceTest.java
+++ b/src/test/java/magpiehub/ProtocolEquivalenceTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One recorded trace through both client protocols: each request has the same outcome at the same time. */
+/** A recorded trace gives each request the same outcome at the same time in both client protocols. */
 class ProtocolEquivalenceTest {
     @Test
     void bothProtocolsGiveEqualOutcomesAtEqualTimes() throws Exception {
--- a/src/test/java/magpiehub/RouterProcess.java
+++ b/src/test/java/magpiehub/RouterProcess.java
@@ -14,12 +14,14 @@
 import java.util.function.Consumer;
 
 /**
- * A router as a process of its own, with one engine and one discovery whose sockets the test holds. It is
+ * A router in a separate process, with one upstream and one discovery service whose sockets belong to the test. It is
  * configured before it is started, and killed when it is closed.
  */
 final class RouterProcess implements AutoCloseable {
-    /** The command that starts a router from the classes under test, with what the platform's command says of
-     *  compilation and memory: another JVM's own work would show in how long things take. */
+    /**
+     * Starts a router from the classes under test, with the platform's options for compilation and memory: the work of
+     * a JVM with other options would distort measured times.
+     */
     static final List<String> COMMAND = List.of(
             ProcessHandle.current().info().command().orElse("java"),
             "-XX:+UseSerialGC",
@@ -41,7 +43,7 @@
     final ServerSocket engine;
     final ServerSocket discovery;
     final Path config;
-    /** For what the test does beside the router; ended with it. */
+    /** Runs the test's background work until the router is closed. */
     final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
@@ -51,7 +53,7 @@
     private Process process;
     private BufferedReader log;
 
-    /** A router that has not been started; its configuration is written to the file. */
+    /** Writes the router's configuration to a file; does not start it. */
     RouterProcess(Path config) throws IOException {
         this.config = config;
         engine = listen();
@@ -59,20 +61,20 @@
         ServeTest.writeConfiguration(config, discovery, engine);
     }
 
-    /** A socket of the test's own whose calls end after a while. */
+    /** A server socket of the test, whose calls time out after {@link #ACCEPT_TIMEOUT_MS}. */
     static ServerSocket listen() throws IOException {
         ServerSocket server = new ServerSocket(0, BACKLOG, LOOPBACK);
         server.setSoTimeout(ACCEPT_TIMEOUT_MS);
         return server;
     }
 
-    /** A client's request; the time that it waits is in milliseconds. */
+    /** The text of a client's request with a time budget in milliseconds. */
     static String chatRequest(String id, String budgetMs) {
         return "POST /v1/chat/completions HTTP/1.1\r\n" + CALL_ID_HEADER + id + "\r\nX-Call-Class: chat\r\n"
                 + "X-Budget-Ms: " + budgetMs + "\r\n" + CONTENT_LENGTH_HEADER + "2\r\n\r\n{}";
     }
 
-    /** Reads one request as an engine does, head and body; returns its id. */
+    /** Reads one request, head and body, as an upstream does; returns its id. */
     static String readRequest(BufferedReader input) throws IOException {
         String id = "";
         int length = 0;
@@ -91,12 +93,12 @@
         return id;
     }
 
-    /** The configuration as it stands. */
+    /** The current content of the configuration file. */
     String configuration() throws IOException {
         return Files.readString(config);
     }
 
-    /** Replaces a part of the configuration. */
+    /** Replaces a part of the configuration file. */
     void replaceInConfiguration(String part, String replacement) throws IOException {
         Files.writeString(config, configuration().replace(part, replacement));
     }
@@ -105,7 +107,7 @@
         start(COMMAND);
     }
 
-    /** Starts it by a command; discovery is named by the variable too, as the platform does. */
+    /** Starts the router by a command; like the platform, sets discovery's address in an environment variable too. */
     void start(List<String> command) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("ROUTER_CONFIG", config.toString());
@@ -119,30 +121,30 @@
         return process;
     }
 
-    /** The first line of its log with a part. */
+    /** Waits for a log line that contains {@code part}, and returns it. */
     String awaitLogLine(String part) throws IOException {
         return ServeTest.readUntil(log, part);
     }
 
-    /** Takes its watch of the list and answers it with a heartbeat. */
+    /** Accepts the router's watch of the endpoint list and answers it with a heartbeat. */
     Socket acceptWatch() throws IOException {
         Socket watch = discovery.accept();
         ServeTest.send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         return watch;
     }
 
-    /** Waits for its start; returns the port that it serves at. */
+    /** Waits until the router has started; returns the port it listens at. */
     int awaitListeningPort() throws IOException {
         return Integer.parseInt(awaitLogLine(" started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
-    /** Lets the engine answer each connection on a thread of its own, for as long as its socket is open. */
-    void serveConnections(Consumer<Socket> answer) {
+    /** Handles each upstream connection on a thread of its own, for as long as the upstream's socket is open. */
+    void serveConnections(Consumer<Socket> handler) {
         threads.execute(() -> {
             try {
                 while (true) {
                     Socket connection = engine.accept();
-                    threads.execute(() -> answer.accept(connection));
+                    threads.execute(() -> handler.accept(connection));
                 }
             } catch (IOException e) {
                 // The test is over.
--- a/src/test/java/magpiehub/ServeTest.java
+++ b/src/test/java/magpiehub/ServeTest.java
@@ -18,14 +18,16 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole program as a process: what it held at SIGTERM is answered before it ends, and a new
- *  configuration is taken on SIGHUP. */
+/**
+ * The router as a process: it answers requests in flight before it ends on SIGTERM, and loads a new configuration on
+ * SIGHUP. The time limit makes a test fail where an expected line never comes, as where SIGHUP is ignored from the
+ * start.
+ */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 public class ServeTest {
     private static final String REQUEST = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
             + "X-Call-Class: chat\r\nX-Budget-Ms: 60000\r\nContent-Length: 2\r\n\r\n{}";
 
-    /** Guards against a word that never comes, as where SIGHUP is ignored from the start: it fails then. */
     @TempDir
     Path folder;
 
@@ -34,7 +36,7 @@
         return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     }
 
-    /** The first line with a part; fails with all that came if the text ends before. */
+    /** Reads up to the first line that contains {@code part}; fails with all lines read if the input ends before. */
     public static String readUntil(BufferedReader in, String part) throws IOException {
         StringBuilder seen = new StringBuilder();
         for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -76,17 +78,17 @@
     @Test
     void sighupLoadsAValidConfigurationAndIgnoresAnInvalidOne() throws Exception {
         try (RouterProcess router = newRouter();
-                ServerSocket second = RouterProcess.listen()) {
+                ServerSocket newDiscovery = RouterProcess.listen()) {
             router.start();
             try (Socket watch = router.acceptWatch()) {
                 router.awaitLogLine(" started ");
                 Files.writeString(router.config, "{\"name\":");
                 router.sendSighup();
                 router.awaitLogLine(" reload-failed ");
-                writeConfiguration(router.config, second, router.engine);
+                writeConfiguration(router.config, newDiscovery, router.engine);
                 router.replaceInConfiguration("\"connectTimeoutMs\":250", "\"connectTimeoutMs\":300");
                 router.sendSighup();
-                try (Socket moved = second.accept()) {
+                try (Socket moved = newDiscovery.accept()) {
                     assertTrue(readUntil(reader(moved), "GET ").contains("/discovery/hosts?follow=1 "));
                     assertTrue(router.awaitLogLine(" reloaded ").contains("changed=\"settings.limits\" needs"));
                 }
@@ -95,8 +97,10 @@
         }
     }
 
-    /** Classes come and go with a new file; what is under way keeps its own, and a bad file changes
-     * nothing. */
+    /**
+     * A new configuration replaces the classes for new requests; a request in flight keeps its class, and an invalid
+     * configuration changes nothing.
+     */
     @Test
     void changedClassesApplyToNewRequestsOnly() throws Exception {
         try (RouterProcess router = newRouter()) {
@@ -105,9 +109,9 @@
             router.start();
             try (Socket watch = router.acceptWatch()) {
                 int port = router.awaitListeningPort();
-                try (Socket before = connect(port);
-                        Socket after = connect(port)) {
-                    send(before, REQUEST);
+                try (Socket oldClassClient = connect(port);
+                        Socket removedClassClient = connect(port)) {
+                    send(oldClassClient, REQUEST);
                     try (Socket upstream = router.engine.accept()) {
                         readUntil(reader(upstream), "X-Budget-Ms");
                         Files.writeString(router.config, changed);
@@ -125,16 +129,16 @@
                             router.sendSighup();
                             router.awaitLogLine(" reload-failed ");
                         }
-                        // Under way since before: it has its class still.
+                        // This request was in flight before the reload and keeps its class.
                         send(
                                 upstream,
                                 "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
                                         + "9\r\ndata: x\n\n\r\n0\r\n\r\n");
-                        assertEquals("HTTP/1.1 200 OK", reader(before).readLine());
+                        assertEquals("HTTP/1.1 200 OK", reader(oldClassClient).readLine());
                     }
-                    BufferedReader answer = reader(after);
-                    send(after, REQUEST.replace("Call-Id: 1", "Call-Id: 2"));
-                    assertEquals("HTTP/1.1 400 Bad Request", answer.readLine(), "the class has vanished");
+                    BufferedReader answer = reader(removedClassClient);
+                    send(removedClassClient, REQUEST.replace("Call-Id: 1", "Call-Id: 2"));
+                    assertEquals("HTTP/1.1 400 Bad Request", answer.readLine(), "the class has been removed");
                 }
                 try (Socket client = connect(port)) {
                     send(client, REQUEST.replace("Call-Id: 1", "Call-Id: 3").replace("Class: chat", "Class: talk"));
@@ -150,7 +154,7 @@
         return new Socket(RouterProcess.LOOPBACK, port);
     }
 
-    /** As from nohup: nobody can send it new settings, and whoever looks after it is to know. */
+    /** A process started with SIGHUP ignored, as by nohup, cannot reload, and tells its operator so. */
     @Test
     void routerStartedWithSighupIgnoredLogsThatItCannotReload() throws Exception {
         List<String> ignoring = new ArrayList<>(List.of("sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
@@ -163,7 +167,7 @@
         }
     }
 
-    /** Before that, a request would wait in the socket and its deadline be counted from too late. */
+    /** Otherwise requests would wait in the socket's backlog, and their deadlines would be counted from too late. */
     @Test
     void routerListensOnlyWhenItCanReadRequests() throws Exception {
         int port;
@@ -172,30 +176,31 @@
         }
         try (RouterProcess router = newRouter()) {
             router.replaceInConfiguration("127.0.0.1:0\"", "127.0.0.1:" + port + "\"");
-            long begun = System.nanoTime();
+            long launched = System.nanoTime();
             router.start();
             long listeningSince = awaitConnectable(port, router.process());
             router.awaitLogLine(" started ");
             long started = System.nanoTime();
             assertTrue(
-                    started - listeningSince < (started - begun) / 5,
-                    "listens at " + (listeningSince - begun) / 1_000_000 + " ms of " + (started - begun) / 1_000_000);
+                    started - listeningSince < (started - launched) / 5,
+                    "listened after " + (listeningSince - launched) / 1_000_000 + " ms of "
+                            + (started - launched) / 1_000_000);
         }
     }
 
-    /** When a connection first came up. */
+    /** Waits until a connection can be opened; returns the time in nanoseconds. */
     private static long awaitConnectable(int port, Process process) throws Exception {
         while (process.isAlive()) {
             try (Socket socket = connect(port)) {
                 return System.nanoTime();
             } catch (java.net.ConnectException e) {
-                Thread.sleep(5); // Refused: looks again until the process ends.
+                Thread.sleep(5); // Refused: tries again until the process ends.
             }
         }
-        throw new AssertionError("it ended");
+        throw new AssertionError("the router ended before it listened");
     }
 
-    /** The first class is what a start rehearses with: no name of one may end it. */
+    /** The rehearsal at start uses the first class, whose name must not make it fail. */
     @Test
     void routerStartsWithClassNamesThatAreNotPlainAscii() throws Exception {
         for (String name : List.of("résumé", "圖書館", " chat", "a\\tb")) {
@@ -226,7 +231,7 @@
         }
     }
 
-    /** The process is ended whether or not engines answer: nothing is to be left without a word. */
+    /** The process ends whether or not upstreams answer, and every request must get an answer before. */
     @Test
     void requestWithoutAnAnswerIsRefusedBeforeTheProcessEnds() throws Exception {
         assertTrue(countersAfterSigterm(false).contains("answered_refused=\"1\" answered_served=\"1\""));
@@ -237,7 +242,7 @@
         assertTrue(countersAfterSigterm(true).contains("answered_served=\"2\""));
     }
 
-    /** One request that has begun when SIGTERM comes; returns the counters at the end. */
+    /** Sends SIGTERM while a request is in flight; returns the counters logged at the end. */
     private String countersAfterSigterm(boolean upstreamAnswers) throws Exception {
         try (RouterProcess router = newRouter()) {
             router.start();
@@ -253,7 +258,7 @@
                             readUntil(answers, "up");
                             router.process().toHandle().destroy();
                             router.awaitLogLine(" stopping ");
-                            // Clients use what stays open: a request there is taken, not left without a word.
+                            // Clients still use open connections: a request there is accepted and answered.
                             send(keptOpen, REQUEST.replace("Id: 1", "Id: 2"));
                             try (Socket secondUpstream = router.engine.accept()) {
                                 readUntil(reader(secondUpstream), "X-Budget-Ms");
@@ -263,7 +268,7 @@
                                                 + "9\r\ndata: y\n\n\r\n0\r\n\r\n");
                                 readUntil(answers, "200 OK");
                                 readUntil(answers, "data: y");
-                                // Who leaves before the end has come may be counted as one who has left.
+                                // A client that closes before the last chunk may be counted as disconnected.
                                 assertEquals("", answers.readLine());
                                 assertEquals("", answers.readLine());
                                 assertEquals("0", answers.readLine());
--- a/src/test/java/magpiehub/SpinWaitDetector.java
+++ b/src/test/java/magpiehub/SpinWaitDetector.java
@@ -24,14 +24,15 @@
 import magpiehub.http.HttpReader;
 
 /**
- * Shows that no thread of a router spins while it waits for another. The program runs as a process, by the options of
- * the deploy file's {@code run}, on one core and in the scheduler's first-in-first-out class, where a thread goes on
- * until it waits. A seed lets some threads run ahead of all others for a while, so that the others stand still
- * wherever they are, and another process takes a part of the core. A thread that spins until another one has done
- * something then never ends, and is seen by its CPU time: a second of it without a wait. The verdict does not depend
- * on times off the wall.
+ * Checks that no thread of a router spins while it waits for another one. The router runs as a process with the options
+ * of the deploy file's {@code run}, on one core and in the scheduler's first-in-first-out class, where a thread runs
+ * until it waits. At intervals, randomly chosen threads get priority over all others, which suspends the others at
+ * arbitrary points, and a competing process uses part of the core. A thread that spins until another thread has acted
+ * then never stops, and is detected by one second of CPU time without a wait. The result does not depend on wall-clock
+ * time.
  *
- * <p>{@code SpinWaitDetector SEED [SECONDS] [spin]}; {@code spin} plants such a thread. The last line says ok or short.
+ * <p>Usage: {@code SpinWaitDetector SEED [SECONDS] [spin]}; {@code spin} injects a spinning thread. The last line of
+ * output ends with {@code ok} or {@code short}.
  */
 public final class SpinWaitDetector {
     private static final int ENGINES = 8;
@@ -49,7 +50,7 @@
     private final Path folder;
     private final String core;
     private final CpuRunTracker cpuRuns = new CpuRunTracker();
-    /** CPU time so far of each thread seen, in clock ticks, by its name and id. */
+    /** Total CPU time of each thread seen, in clock ticks, by name and id. */
     private final Map<String, Long> cpuTicks = new TreeMap<>();
 
     private final List<ServerSocket> servers = new ArrayList<>();
@@ -88,7 +89,7 @@
                                         try (socket) {
                                             handler.handle(socket);
                                         } catch (IOException | InterruptedException e) {
-                                            // The router has ended its side.
+                                            // The router closed the connection.
                                         }
                                     })
                                     .start();
@@ -109,7 +110,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Engines: some break a stream, some answer that they are full, as the request's id says. */
+    /** Answers requests as an upstream; the hash of a request's id selects those to reject or to break off. */
     private static void answerAsEngine(Socket socket) throws IOException, InterruptedException {
         HttpReader in = new HttpReader(socket.getInputStream(), () -> 0);
         while (in.awaitMessage()) {
@@ -140,7 +141,7 @@
         }
     }
 
-    /** Clients: some stay, some ask once, some leave in the middle. */
+    /** Sends one or more requests on each connection; some requests are abandoned by closing the connection. */
     private void runClient(int number, SplittableRandom clientRandom) {
         for (int i = 0; !finished; i++) {
             try (Socket socket = new Socket()) {
@@ -157,7 +158,7 @@
                                     + "\r\nX-Budget-Ms: 4000\r\nContent-Length: 2\r\n\r\n{}");
                     if (clientRandom.nextInt(12) == 0) {
                         TimeUnit.MILLISECONDS.sleep(clientRandom.nextInt(40));
-                        remaining = 0; // Leaves with its request in hand.
+                        remaining = 0; // Disconnects while its request is in flight.
                     } else if (readResponse(in)) {
                         TimeUnit.MILLISECONDS.sleep(clientRandom.nextInt(40));
                     } else {
@@ -173,17 +174,17 @@
         }
     }
 
-    /** Whether the connection goes on. */
+    /** Reads a response and counts it; returns whether the connection can be used again. */
     private boolean readResponse(HttpReader in) throws IOException, InterruptedException {
         if (!in.awaitMessage()) {
-            return false; // Closed while it was idle, or at the end: no rule is about that here.
+            return false; // Closed while idle, or at shutdown, which is allowed.
         }
         HttpHead head = in.readResponseHead();
         if (head.status() == 200) {
             try {
                 in.readEvents(head, e -> {});
             } catch (IOException e) {
-                refused.incrementAndGet(); // Its engine broke it.
+                refused.incrementAndGet(); // The upstream broke off the stream.
                 return false;
             }
             served.incrementAndGet();
@@ -194,7 +195,7 @@
         return !head.closesConnection();
     }
 
-    // ---- The router -----------------------------------------------------------------------------------
+    // ---- Router ---------------------------------------------------------------------------------------
     private void start(boolean withSpin) throws IOException {
         Path configuration = writeConfiguration();
         ProcessBuilder builder = new ProcessBuilder("sh", "-c", command(withSpin)).redirectErrorStream(true);
@@ -232,7 +233,7 @@
         return configuration;
     }
 
-    /** The deploy file's command, on one core in the first-in-first-out class, with the classes under test. */
+    /** The deploy file's command, changed to use one core, the first-in-first-out class and the classes under test. */
     private String command(boolean withSpin) throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
@@ -263,7 +264,7 @@
     }
 
     // ---- Scheduling and sampling ----------------------------------------------------------------------
-    /** Samples all threads once; describes one whose run is over the bound. */
+    /** Samples all threads once; describes the first one found whose CPU time without a wait is over the bound. */
     private Optional<String> findSpinningThread() throws IOException, InterruptedException {
         for (ThreadSample thread : ThreadSample.ofProcess(router.pid())) {
             cpuTicks.put(thread.name() + " " + thread.id(), thread.userTicks() + thread.systemTicks());
@@ -276,9 +277,9 @@
         return Optional.empty();
     }
 
-    /** The thread's stack, read from outside: the process is not asked, since it may not answer. */
+    /** The thread's stack, read from outside the process, which may not respond to a request for it. */
     private String stack(long thread) throws IOException, InterruptedException {
-        stopRouterOnAllCores();
+        stopRouter();
         Process jstack = new ProcessBuilder(
                         "timeout",
                         "20",
@@ -288,20 +289,20 @@
                         Long.toString(router.pid()))
                 .redirectErrorStream(true)
                 .start();
-        String all = new String(jstack.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        int id = all.indexOf("nid=0x" + Long.toHexString(thread) + " ");
-        int start = all.lastIndexOf("\n\"", Math.max(0, id)) + 1;
-        int end = all.indexOf("\n\"", Math.max(start, id));
+        String stacks = new String(jstack.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        int id = stacks.indexOf("nid=0x" + Long.toHexString(thread) + " ");
+        int start = stacks.lastIndexOf("\n\"", Math.max(0, id)) + 1;
+        int end = stacks.indexOf("\n\"", Math.max(start, id));
         return id < 0
-                ? "no stack of a Java thread: " + all.substring(0, Math.min(all.length(), 600))
-                : all.substring(start, end < 0 ? all.length() : end).stripTrailing();
+                ? "no stack of a Java thread: " + stacks.substring(0, Math.min(stacks.length(), 600))
+                : stacks.substring(start, end < 0 ? stacks.length() : end).stripTrailing();
     }
 
     /**
-     * Stops the router by its first thread on another core: whoever attaches waits for each thread to stop, and those
-     * would wait for the one that runs.
+     * Stops the router, with its first thread allowed on all cores: a debugger that attaches waits until each thread
+     * has stopped, and on one core they would wait for the spinning thread.
      */
-    private void stopRouterOnAllCores() throws IOException, InterruptedException {
+    private void stopRouter() throws IOException, InterruptedException {
         String pid = Long.toString(router.pid());
         int lastCore = Runtime.getRuntime().availableProcessors() - 1;
         new ProcessBuilder("sh", "-c", "kill -STOP " + pid + "; taskset -pc 0-" + lastCore + " " + pid + " >/dev/null")
@@ -309,7 +310,7 @@
                 .waitFor();
     }
 
-    /** Plays for some seconds; describes a thread that was found to spin, which ends the play. */
+    /** Watches threads for some seconds; describes the first spinning one, which ends the run. */
     private Optional<String> watchThreads(int seconds) throws Exception {
         Process competitor = startCompetitor();
         try (FifoScheduling scheduling = new FifoScheduling()) {
@@ -321,8 +322,8 @@
     }
 
     /**
-     * A process that goes first and has the core for a part of each moment. A stop of the whole router would end a
-     * wait of the kind looked for, since what goes on after it is put in another order.
+     * Starts a process of higher priority that uses the core at short intervals. Stopping the whole router instead
+     * would end spin waits, since its threads are scheduled in another order when it continues.
      */
     private Process startCompetitor() throws IOException {
         Process competitor = new ProcessBuilder(
@@ -371,8 +372,8 @@
         }
     }
 
-    // ---- The verdict ----------------------------------------------------------------------------------
-    /** Runs a router for some seconds and reports; whether no thread spun and every request had an answer. */
+    // ---- Result ---------------------------------------------------------------------------------------
+    /** Runs a router for some seconds and reports; returns whether no thread spun and every request was answered. */
     private boolean run(int seconds, boolean withSpin) throws Exception {
         Optional<String> spinning;
         boolean exited;
@@ -403,8 +404,10 @@
                 nameAndId.substring(0, nameAndId.lastIndexOf(' ')),
                 ticks * 1000 / ThreadSample.TICKS_PER_SECOND,
                 Long::sum));
-        long all = millisByName.values().stream().mapToLong(Long::longValue).sum();
-        System.out.printf(Locale.ROOT, "cpu_ms=%d operators=%d%n", all, millisByName.getOrDefault("operators", 0L));
+        long totalMillis =
+                millisByName.values().stream().mapToLong(Long::longValue).sum();
+        System.out.printf(
+                Locale.ROOT, "cpu_ms=%d operators=%d%n", totalMillis, millisByName.getOrDefault("operators", 0L));
     }
 
     private String longestRuns() {
@@ -424,7 +427,7 @@
         int seconds = args.length > 1 ? Integer.parseInt(args[1]) : DEFAULT_SECONDS;
         boolean withSpin = args.length > 2 && args[2].equals("spin");
         if (!FifoScheduling.isAllowed()) {
-            System.out.println("proof step: no right to the scheduler's first-in-first-out class (chrt -f)");
+            System.out.println("proof step: no permission to use the scheduler's first-in-first-out class (chrt -f)");
             System.exit(EXIT_NOT_ALLOWED);
         }
         Path folder = Files.createTempDirectory("proof-step");
--- a/src/test/java/magpiehub/SpinWaitMain.java
+++ b/src/test/java/magpiehub/SpinWaitMain.java
@@ -6,7 +6,7 @@
 import magpiehub.concurrent.Mailbox;
 import magpiehub.concurrent.MonotonicClock;
 
-/** The program with a spinning wait planted in it, to show that {@link SpinWaitDetector} finds one. */
+/** The router's main class with an injected spin wait, to show that {@link SpinWaitDetector} detects one. */
 public final class SpinWaitMain {
     private static final long WAITER_START_MICROS = 3_000_000;
     private static final long RELEASER_START_MICROS = 3_500_000;
--- a/src/test/java/magpiehub/StaleEndpointListTest.java
+++ b/src/test/java/magpiehub/StaleEndpointListTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requests sent to servers that have left, by a router process whose endpoint list is out of date. */
+/** A router process must not send requests to servers that have left, although its endpoint list is out of date. */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class StaleEndpointListTest {
     private static final String REJECTED = "HTTP/1.1 503 Service Unavailable";
@@ -26,13 +26,13 @@
             SERVED + "\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n0\r\n\r\n";
     private static final String BUDGET_MS = "3000";
 
-    /** How long the server is watched for a request that must not come. */
+    /** How long the test waits for a request that must not reach the server. */
     private static final int NO_REQUEST_WAIT_MS = 500;
 
-    /** A change counts as received 6 s after discovery had it, and nothing is sent from 2 s and 0.05 s later on. */
+    /** A list change counts as received 6 s after discovery had it; nothing may be sent 2 s and 0.05 s after that. */
     private static final long SEND_CUTOFF_MS = 8_050;
 
-    /** How long discovery holds each call that it answers 503 while it is down. */
+    /** How long discovery delays its answer 503 to each call while it is down. */
     private static final long REJECTION_DELAY_MS = 2_000;
 
     private static final int SECONDS_DOWN = 12;
@@ -64,7 +64,7 @@
                     SERVED + "\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(removal.length()) + "\r\n"
                             + removal + "\r\n");
             router.awaitLogLine(" list ");
-            assertEquals(REJECTED, sendRequest(port, "2"), "after the news that the server has left");
+            assertEquals(REJECTED, sendRequest(port, "2"), "after the update that the server has left");
         }
         assertNothingWasSent();
     }
@@ -86,7 +86,7 @@
         int port = router.awaitListeningPort();
         try (Socket watch = router.acceptWatch()) {
             awaitReady(port);
-            // Discovery can be reached from here on, and never answers.
+            // From here on discovery accepts connections but never answers.
             TimeUnit.MILLISECONDS.sleep(SEND_CUTOFF_MS);
             assertEquals(REJECTED, sendRequest(port, "1"));
         }
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Answers calls as the platform's discovery does while it is down. */
+    /** Answers calls with a late 503, as the platform's discovery does while it is down. */
     private void rejectCalls() {
         try (ServerSocket discovery = router.discovery) {
             while (true) {
@@ -125,11 +125,11 @@
             TimeUnit.MILLISECONDS.sleep(REJECTION_DELAY_MS);
             ServeTest.send(call, REJECTED + "\r\nContent-Length: 0\r\n\r\n");
         } catch (IOException | InterruptedException e) {
-            // The router has given the call up, or the test is over.
+            // The router aborted the call, or the test is over.
         }
     }
 
-    /** Serves requests on a connection until its router closes it. */
+    /** Serves requests on a connection until the router closes it. */
     private static void serveStreams(Socket connection) {
         try (connection) {
             BufferedReader requests = ServeTest.reader(connection);
@@ -138,11 +138,11 @@
                 ServeTest.send(connection, STREAM_RESPONSE);
             }
         } catch (IOException e) {
-            // The router has closed it, or the test is over.
+            // The router closed the connection, or the test is over.
         }
     }
 
-    /** Sends a request on a connection of its own; returns the first line of the answer. */
+    /** Sends a request on a new connection; returns the status line of the answer. */
     private static String sendRequest(int port, String id) throws IOException {
         try (Socket client = new Socket(RouterProcess.LOOPBACK, port)) {
             ServeTest.send(client, RouterProcess.chatRequest(id, BUDGET_MS));
--- a/src/test/java/magpiehub/ThreadSample.java
+++ b/src/test/java/magpiehub/ThreadSample.java
@@ -8,23 +8,23 @@
 import java.util.List;
 
 /**
- * What /proc says about a thread at one moment.
+ * The scheduling statistics of a thread at one moment, read from /proc.
  *
- * @param id the kernel's number of the thread
- * @param userTicks CPU time outside the kernel so far, in the kernel's clock ticks
- * @param systemTicks CPU time inside the kernel so far, in the kernel's clock ticks
- * @param waits how often it has waited so far
+ * @param id the kernel's thread id
+ * @param userTicks total CPU time in user mode, in clock ticks
+ * @param systemTicks total CPU time in kernel mode, in clock ticks
+ * @param waits number of voluntary context switches so far
  */
 record ThreadSample(long id, String name, long userTicks, long systemTicks, long waits) {
-    /** The kernel's clock ticks a second. */
+    /** The kernel's clock ticks per second. */
     static final long TICKS_PER_SECOND = 100;
 
-    /** Places in /proc's {@code stat}, counted from the field after the thread's name. */
+    /** Field indices in the {@code stat} file, counted from the field after the thread's name. */
     private static final int USER_TICKS_FIELD = 11;
 
     private static final int SYSTEM_TICKS_FIELD = 12;
 
-    /** A sample of each thread of a process, in the order of their numbers as texts. */
+    /** Samples each thread of a process, in the order of their ids as strings. */
     static List<ThreadSample> ofProcess(long pid) throws IOException {
         List<Path> tasks;
         try (var files = Files.list(Path.of("/proc/" + pid + "/task"))) {
--- a/src/test/java/magpiehub/UpgradeTest.java
+++ b/src/test/java/magpiehub/UpgradeTest.java
@@ -13,6 +13,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -22,13 +23,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Whole processes as operators run them: two versions on one listening socket, and what was launcherOutput to one
- * holds on the other. A launcher holds the socket, as the platform does, and starts each process with it
- * as descriptor 0.
+ * Upgrades between router processes as operators run them: two versions share one listening socket, and an operator's
+ * command to one applies to the other. A launcher holds the socket, as the platform does, and starts each process with
+ * it as descriptor 0. The time limits make a test fail, rather than hang, where an expected line never comes.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class UpgradeTest {
-    /** Says the socket's port, then starts the program for each line that names a console's port. */
+    /** Prints the socket's port, then starts a router for each input line, which gives the router's console port. */
     private static final String LAUNCHER =
             """
             use Socket; $| = 1; $SIG{CHLD} = 'IGNORE';
@@ -54,7 +55,6 @@
     private static final String RESPONSE = "HTTP/1.1 200 OK\r\nConnection: close\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n0\r\n\r\n";
 
-    /** Guards against a word that never comes: the test fails then, and does not hang. */
     @TempDir
     Path folder;
 
@@ -100,7 +100,7 @@
         discovery.close();
     }
 
-    /** Starts a version; returns its console's port. */
+    /** Starts a router process; returns its console port. */
     private int startVersion() throws IOException {
         int console;
         try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
@@ -128,7 +128,9 @@
         return socket;
     }
 
-    /** A request as the engine gets it, read whole: bytes from an engine that was asked nothing are spoilt.
+    /**
+     * Accepts a connection and reads its whole request: bytes that an upstream sends before it has been asked
+     * anything count as a malformed response.
      */
     private Socket acceptRequest() throws IOException {
         Socket socket = engine.accept();
@@ -148,12 +150,12 @@
 
     private long oldestProcessId() {
         return launcher.children()
-                .min(java.util.Comparator.comparingLong(ProcessHandle::pid))
+                .min(Comparator.comparingLong(ProcessHandle::pid))
                 .orElseThrow()
                 .pid();
     }
 
-    /** Requests before, during and after: each gets exactly one answer, and only the old process ends. */
+    /** Requests before, during and after an upgrade get exactly one answer each, and only the old process ends. */
     @Test
     void newVersionTakesOverTheSocketWithoutLosingRequests() throws Exception {
         int first = startVersion();
@@ -168,11 +170,11 @@
         }
         int second = startVersion();
         assertTrue(callConsole(second, "status").startsWith("SUCCESS active"));
-        ProcessHandle older = ProcessHandle.of(oldestProcessId()).orElseThrow();
-        older.destroy();
+        ProcessHandle oldProcess = ProcessHandle.of(oldestProcessId()).orElseThrow();
+        oldProcess.destroy();
         assertTrue(ServeTest.readUntil(launcherOutput, " stopping ").contains("succeeded=\"true\""));
-        // The old one accepts no more: these are the new one's, and are not mixed up with what the old one
-        // holds.
+        // The old process accepts no more: these requests go to the new one, and are not mixed up with those that the
+        // old one still holds.
         for (int i = 0; i < 4; i++) {
             clients.add(sendRequest("b" + i));
             held.add(acceptRequest());
@@ -185,7 +187,7 @@
             c.close();
         }
         assertTrue(ServeTest.readUntil(launcherOutput, " stopped ").contains("held=\"0\""));
-        older.onExit().get(30, TimeUnit.SECONDS);
+        oldProcess.onExit().get(30, TimeUnit.SECONDS);
         assertTrue(callConsole(second, "status").startsWith("SUCCESS"));
         try (Socket c = sendRequest("c")) {
             acceptRequest().getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
@@ -206,14 +208,14 @@
         assertEquals("SUCCESS active out=1", callConsole(second, "status"));
         assertEquals("SUCCESS standby", callConsole(second, "standby"));
         ServeTest.readUntil(launcherOutput, " standby ");
-        ServeTest.readUntil(launcherOutput, " standby "); // On both: each logs it.
+        ServeTest.readUntil(launcherOutput, " standby "); // Each process logs it.
         try (Socket up = new Socket(loopback, port)) {
             up.getOutputStream().write("GET /up HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertEquals("HTTP/1.1 503 Service Unavailable", readStatusLine(up));
         }
-        ProcessHandle older = ProcessHandle.of(oldestProcessId()).orElseThrow();
-        older.destroy(); // SIGTERM during standby.
-        older.onExit().get(30, TimeUnit.SECONDS);
+        ProcessHandle oldProcess = ProcessHandle.of(oldestProcessId()).orElseThrow();
+        oldProcess.destroy(); // SIGTERM during standby.
+        oldProcess.onExit().get(30, TimeUnit.SECONDS);
         assertEquals("SUCCESS active", callConsole(second, "active"));
         assertEquals("SUCCESS back e", callConsole(second, "maint-off e"));
         try (Socket c = sendRequest("b")) {
@@ -222,7 +224,7 @@
         }
     }
 
-    /** A state file that is torn is named in the log and starts nothing wrong. */
+    /** A truncated state file is logged, and the router starts without it. */
     @Test
     void truncatedStateFileDoesNotPreventAStart() throws Exception {
         Files.writeString(folder.resolve("magpiehub-n.operators"), "{\"form\":\"magpie");
