--- a/src/main/java/magpiehub/downstream/ConnectionMonitor.java
+++ b/src/main/java/magpiehub/downstream/ConnectionMonitor.java
@@ -4,13 +4,13 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * Looks at all connections periodically: expires their timers, cuts those whose clients do not read, and closes idle
- * ones while clients are sent away. {@link #run} occupies a thread of its own.
+ * Checks all connections periodically: expires their timers, disconnects clients that do not read, and closes idle
+ * connections while draining. {@link #run} occupies a thread of its own.
  */
 final class ConnectionMonitor {
     private static final long PERIOD_MICROS = 50_000;
-    /** No limit on a client's pause beside that of its request's class. */
-    private static final long NO_LIMIT = Long.MAX_VALUE;
+    /** No limit on a client's stall besides that of the request's class. */
+    private static final long NO_STALL_LIMIT = Long.MAX_VALUE;
 
     private final ListenerSocket listenerSocket;
     private final ListenerServices services;
@@ -24,7 +24,7 @@
 
     /** Runs until the listening socket and the last connection are closed. */
     void run() {
-        // Stays empty: taking from it waits by the clock, which need not be the system's.
+        // Stays empty: taking from it waits on the given clock, which need not be the system clock.
         Mailbox<ClientMessage> empty = new Mailbox<>(services.clock(), 0);
         try {
             long nowMicros = services.clock().micros();
@@ -41,9 +41,9 @@
     private void checkConnections(long nowMicros) {
         for (ClientConnection connection : services.connections().all()) {
             connection.checkTimer(nowMicros);
-            connection.cutIfStalled(nowMicros, NO_LIMIT, StreamOutcome.CLIENT_STALLED);
+            connection.disconnectIfStalled(nowMicros, NO_STALL_LIMIT, StreamOutcome.CLIENT_STALLED);
         }
-        eviction.closeDrained(services.drain(), nowMicros, PERIOD_MICROS);
+        eviction.drainIdle(services.drain(), nowMicros, PERIOD_MICROS);
         services.actorThreads().checkForStall();
     }
 }
