--- a/src/main/java/magpiehub/routing/ReplicaSelector.java
+++ b/src/main/java/magpiehub/routing/ReplicaSelector.java
@@ -1,23 +1,23 @@
 package magpiehub.routing;
 
 /**
- * Chooses the replica of an attempt: one that has the key's tokens cached; else the next one with capacity on the ring
- * from the key's position; else a busy one that has the tokens; else whichever may take it at all.
+ * Selects the replica of an attempt. In order of preference: one that has the affinity key's tokens cached, the next
+ * one with capacity on the ring from the key's position, a busy one that has the tokens cached, any that is allowed.
  */
 final class ReplicaSelector {
-    /** Replicas looked at beyond the affinity entry before the request settles for a busy one. */
+    /** Maximum number of replicas examined on a ring, and of affinity entries examined in the fallback. */
     private static final int MAX_STEPS = 6;
 
-    /** Replicas looked at, in one walk from a random place, before no replica is found. */
+    /** Maximum number of replicas examined from a random start before selection fails. */
     private static final int MAX_LAST_RESORT_STEPS = 4 * MAX_STEPS;
 
-    /** Affinity entries that one replica can serve from its cache, for all routers together; each counts its part. */
+    /** Affinity entries that a replica can serve from its cache, over all routers; each router uses an equal share. */
     private static final int CACHED_KEYS_PER_REPLICA = 512;
 
-    /** A router's part is not less than this, however many routers there are. */
-    private static final int LEAST_CACHED_KEYS = 16;
+    /** Lower bound of a router's share of these entries. */
+    private static final int MIN_CACHED_KEYS = 16;
 
-    /** Makes a conversation's position in its zones' traffic independent of its other hashes. */
+    /** Makes a conversation's position in a zone's traffic independent of its other hashes. */
     private static final long ZONE_POSITION_SALT = 0x51ab3c7d90e2f614L;
 
     private final ActiveSettings settings;
@@ -27,12 +27,12 @@
     private final ZoneAffinity zoneAffinity;
     private final Mechanisms mechanisms;
     private final SplitMix64 random;
-    /** Position of requests without a key: they go round the fleet. */
-    private long rotation;
-    /** The current request's place in its zones' traffic, 0 to 1: the same for a whole conversation. */
+    /** Counter from which ring positions of requests without a key are derived, which spreads them over the fleet. */
+    private long keylessRequestCount;
+    /** Position of the current request in a zone's traffic, from 0 to 1; the same for a whole conversation. */
     private double zonePosition;
 
-    /** The mechanisms that may forbid a replica or find it busy. */
+    /** The mechanisms that decide whether a replica is allowed and has capacity. */
     record Mechanisms(
             LoadTracker load,
             OutlierDetector outliers,
@@ -59,11 +59,12 @@
     }
 
     /**
-     * The replica for a request's next attempt, null if no replica may take it or the endpoint list is out of date.
+     * Returns the replica for a request's next attempt, null if no replica is allowed or the endpoint list is out of
+     * date.
      *
-     * @param width replicas that the request's affinity key is spread over
+     * @param targetReplicaCount number of replicas that the request's affinity key is spread over
      */
-    Replica select(RequestInFlight request, int width, long now) {
+    Replica select(RequestInFlight request, int targetReplicaCount, long now) {
         if (!fleet.isValid(now)) {
             return null;
         }
@@ -74,27 +75,27 @@
         }
         AffinityEntry entry = request.affinityEntry();
         if (entry != null) {
-            entry.retainReady(width);
+            entry.retainReady(targetReplicaCount);
         }
-        boolean isPlaced = entry != null && entry.size() >= width;
+        boolean isEntryComplete = entry != null && entry.size() >= targetReplicaCount;
         Replica busy = null;
-        if (isPlaced || (entry != null && entry.size() > 0 && request.hasAttempts())) {
-            int first = firstInRotation(request);
+        if (isEntryComplete || (entry != null && entry.size() > 0 && request.hasAttempts())) {
+            int first = startIndex(request);
             Replica cached = selectCached(request, first, now);
             if (cached != null) {
                 return cached;
             }
             busy = selectBusyCached(request, first, now);
         }
-        Replica next = selectFromRings(request, isPlaced, now);
-        request.setServedOutsideAffinity(next == null || isPlaced || request.hasAttempts());
+        Replica next = selectFromRings(request, isEntryComplete, now);
+        request.setServedOutsideAffinity(next == null || isEntryComplete || request.hasAttempts());
         if (!request.isServedOutsideAffinity() && entry != null) {
-            entry.addFirst(next, width);
+            entry.addFirst(next, targetReplicaCount);
         }
         if (next != null) {
             return next;
         }
-        return busy != null ? busy : selectUnderPressure(request, now);
+        return busy != null ? busy : selectFallback(request, now);
     }
 
     private static long conversation(RoutingRequest request) {
@@ -103,23 +104,24 @@
 
     // ---- Affinity ---------------------------------------------------------------------------------------
     /**
-     * Where in the entry the search begins. A session enters a prefix's entry at its own place, so that its next turn
-     * finds its tokens there; everything else takes the replicas in turn, which are kept in that order.
+     * Returns the index in the entry at which the search starts. A session starts at a fixed replica of a prefix's
+     * entry, so that its next turn finds its tokens there. All other requests use the replicas round-robin, in the
+     * entry's order.
      */
-    private static int firstInRotation(RequestInFlight request) {
+    private static int startIndex(RequestInFlight request) {
         AffinityEntry entry = request.affinityEntry();
         int first = 0;
-        for (int i = 1; i < entry.size() && !rotates(request); i++) {
+        for (int i = 1; i < entry.size() && !usesRoundRobin(request); i++) {
             first = rank(request, entry.get(i)) > rank(request, entry.get(first)) ? i : first;
         }
         return first;
     }
 
-    private static boolean rotates(RequestInFlight request) {
+    private static boolean usesRoundRobin(RequestInFlight request) {
         return request.affinityEntry().isSession() || request.request().sessionId() == 0;
     }
 
-    /** A session's own order of replicas: one that joins or leaves an entry moves its own sessions only. */
+    /** Rank of a replica for a session (rendezvous hashing): a replica that joins or leaves moves only its sessions. */
     private static long rank(RequestInFlight request, Replica replica) {
         return SplitMix64.mix(request.request().sessionId() ^ replica.hash());
     }
@@ -130,7 +132,7 @@
             int index = (first + step) % entry.size();
             Replica replica = entry.get(index);
             if (isAllowed(request, replica, now) && isAvailable(replica, now)) {
-                if (rotates(request)) {
+                if (usesRoundRobin(request)) {
                     entry.moveToBack(index);
                 }
                 return replica;
@@ -151,30 +153,31 @@
     }
 
     // ---- Rings ------------------------------------------------------------------------------------------
-    private Replica selectFromRings(RequestInFlight request, boolean isPlaced, long now) {
+    private Replica selectFromRings(RequestInFlight request, boolean isEntryComplete, long now) {
         AffinityEntry entry = request.affinityEntry();
-        long position = entry != null ? entry.ringPosition() : SplitMix64.mix(rotation++);
-        HashRing ring = zoneAffinity.ringFor(entry != null ? position : rotation);
-        Replica replica = walk(ring, position, request, isPlaced, now);
+        long position = entry != null ? entry.ringPosition() : SplitMix64.mix(keylessRequestCount++);
+        HashRing ring = zoneAffinity.ringFor(entry != null ? position : keylessRequestCount);
+        Replica replica = findAvailable(ring, position, request, isEntryComplete, now);
         return replica == null && ring != fleet.fullRing()
-                ? walk(fleet.fullRing(), position, request, isPlaced, now)
+                ? findAvailable(fleet.fullRing(), position, request, isEntryComplete, now)
                 : replica;
     }
 
-    /** The next available replica with room for one more key, in turn from the position on the ring. */
-    private Replica walk(HashRing ring, long position, RequestInFlight request, boolean isPlaced, long now) {
+    /** Returns the next available replica from the position on the ring that has room for another key, null if none. */
+    private Replica findAvailable(
+            HashRing ring, long position, RequestInFlight request, boolean isEntryComplete, long now) {
         int cachedKeys = Math.max(
-                LEAST_CACHED_KEYS, CACHED_KEYS_PER_REPLICA / settings.get().instanceCount());
+                MIN_CACHED_KEYS, CACHED_KEYS_PER_REPLICA / settings.get().instanceCount());
         int start = ring.firstPointFrom(position);
-        Replica last = null;
-        int looked = 0;
-        for (int step = 0; step < ring.pointCount() && looked < MAX_STEPS; step++) {
+        Replica previous = null;
+        int examined = 0;
+        for (int step = 0; step < ring.pointCount() && examined < MAX_STEPS; step++) {
             Replica replica = ring.replicaAt(start + step);
-            if (replica != last) {
-                last = replica;
-                looked++;
+            if (replica != previous) {
+                previous = replica;
+                examined++;
                 if (isAvailable(replica, now)
-                        && (isPlaced || replica.affinityEntryCount() < cachedKeys)
+                        && (isEntryComplete || replica.affinityEntryCount() < cachedKeys)
                         && !request.hasAffinityTo(replica)
                         && isAllowed(request, replica, now)) {
                     return replica;
@@ -184,15 +187,15 @@
         return null;
     }
 
-    // ---- Exceptions -------------------------------------------------------------------------------------
+    // ---- Fallbacks --------------------------------------------------------------------------------------
     /**
-     * All replicas are at capacity or busy. One of the least recently used affinity entry takes the request, and leaves
-     * that entry; if that finds none, any ready replica does, from a random place in one short walk.
+     * Selects a replica when all are at capacity or busy: one of the least recently used affinity entries, which is
+     * then removed from that entry, or else any ready replica within a bounded search from a random start.
      */
-    private Replica selectUnderPressure(RequestInFlight request, long now) {
-        int looked = 0;
+    private Replica selectFallback(RequestInFlight request, long now) {
+        int examined = 0;
         AffinityEntry entry = affinityTable.oldest();
-        while (entry != null && looked < MAX_STEPS) {
+        while (entry != null && examined < MAX_STEPS) {
             for (int i = 0; i < entry.size(); i++) {
                 Replica replica = entry.get(i);
                 if (isReachable(replica, now) && isAllowed(request, replica, now)) {
@@ -201,7 +204,7 @@
                 }
             }
             entry = affinityTable.nextNewer(entry);
-            looked++;
+            examined++;
         }
         return selectLastResort(request, now);
     }
@@ -217,7 +220,7 @@
         return null;
     }
 
-    /** One new request goes to a closed zone as its trial, if one is due and health checks are not allowed. */
+    /** Returns a replica of a closed zone if a trial is due there and health checks are not allowed, otherwise null. */
     private Replica selectZoneTrial(RequestInFlight request, long now) {
         if (!zones.plansFailover() || settings.get().limits().allowsHealthChecks() || request.hasAttempts()) {
             return null;
@@ -245,14 +248,14 @@
     }
 
     // ---- Eligibility ------------------------------------------------------------------------------------
-    /** Whether this request may go there: not twice, only where a repeat is safe, and within slow start. */
+    /** Returns whether the request may be sent there: not twice, only if a retry is safe, and within slow start. */
     private boolean isAllowed(RequestInFlight request, Replica replica, long now) {
         return !request.wasSentTo(replica)
                 && mechanisms.retries.allowsAttempt(request, replica, now)
                 && mechanisms.slowStart.allowsAttempt(replica, now);
     }
 
-    /** Whether attempts may go there at all: ready, not ejected, in a zone that accepts the request. */
+    /** Returns whether the replica is ready, not ejected, and in a zone that accepts the request. */
     private boolean isReachable(Replica replica, long now) {
         return replica.isReady()
                 && mechanisms.outliers.allowsAttempt(replica, now)
@@ -260,12 +263,13 @@
     }
 
     /**
-     * Whether it takes ordinary traffic now. While the fleet is overloaded a key stays, however busy its replica is:
-     * elsewhere its tokens would be computed anew and push the next one over. Where few tokens are found anyway, as
-     * after a release, a short queue is worth more than the place.
+     * Returns whether the replica gets regular traffic now. While the fleet is overloaded, a key stays at its replica
+     * however busy it is: another replica would have to recompute its tokens and become overloaded in turn. If few
+     * tokens are found cached anyway, as after a release, a short queue matters more than affinity.
      */
     private boolean isAvailable(Replica replica, long now) {
-        boolean keysStay = mechanisms.overload.isOverloaded() && mechanisms.promptCache.isHitRatioHigh();
-        return isReachable(replica, now) && (keysStay || mechanisms.load.hasCapacity(replica, fleet.readyCount(), now));
+        boolean prefersAffinity = mechanisms.overload.isOverloaded() && mechanisms.promptCache.isHitRatioHigh();
+        return isReachable(replica, now)
+                && (prefersAffinity || mechanisms.load.hasCapacity(replica, fleet.readyCount(), now));
     }
 }
