--- a/src/test/java/magpiehub/FullHouseTest.java
+++ b/src/test/java/magpiehub/DescriptorLimitAndDiscoveryOutageTest.java
@@ -21,46 +21,46 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The router as a process that is short of file descriptors, or starts while discovery fails: what it must be able to
- * do all the same. The limit on descriptors is the system's own.
+ * A router process that runs out of file descriptors while discovery is down, or starts while discovery fails: it must
+ * still serve clients and reach discovery again. The descriptor limit is the operating system's ({@code ulimit -n}).
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class FullHouseTest {
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-    private static final String CONTENT = "{\"stream\":true}";
+class DescriptorLimitAndDiscoveryOutageTest {
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    private static final String REQUEST_BODY = "{\"stream\":true}";
 
     private static final String CHUNKED_RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static final int SLOW_DISCOVERY_MILLIS = 3_000;
 
     /** How long a router may take from its start until it is ready. */
-    private static final long START_NANOS = 10_000_000_000L;
+    private static final long MAX_START_NANOS = 10_000_000_000L;
 
     /** How long the router may take to watch discovery and serve a new client once discovery is back. */
     private static final int RECOVERY_MILLIS = 6_000;
 
     private static final long RECOVERY_NANOS = RECOVERY_MILLIS * 1_000_000L;
 
-    /** How discovery fails while a router starts. */
+    /** How discovery behaves while a router starts. */
     private enum DiscoveryFault {
         REFUSES,
         NEVER_ANSWERS,
-        SAYS_503,
-        CUTS,
-        SLOW
+        ANSWERS_503,
+        CLOSES_MID_CHUNK,
+        ANSWERS_LATE
     }
 
     @TempDir
     Path folder;
 
-    private Process start(String name, int sockets, int discoveryPort, String known) throws IOException {
+    private Process start(String name, int sockets, int discoveryPort, String knownList) throws IOException {
         Path config = Files.createTempFile(folder, "junit", ".tmp");
         Files.writeString(
                 config,
                 "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\","
                         + "\"discovery\":\"127.0.0.1:" + discoveryPort + "\",\"seed\":\"7\","
                         + "\"limits\":{\"sockets\":" + sockets + "},\"settings\":"
-                        + Files.readString(Path.of("src/test/resources/site.json")) + known + "}");
+                        + Files.readString(Path.of("src/test/resources/site.json")) + knownList + "}");
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
@@ -72,21 +72,22 @@
         return builder.redirectErrorStream(true).start();
     }
 
-    private static String list(ServerSocket engine) {
+    private static String listOf(ServerSocket engine) {
         return "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"e\",\"host_port\":\"127.0.0.1:"
                 + engine.getLocalPort() + "\",\"phase\":\"Ready\"}]}";
     }
 
-    private static String known(ServerSocket engine) {
-        return ",\"known\":" + list(engine);
+    private static String knownListSetting(ServerSocket engine) {
+        return ",\"known\":" + listOf(engine);
     }
 
-    private static int port(BufferedReader log) throws IOException {
-        return Integer.parseInt(ServeTest.until(log, " started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+    private static int awaitListeningPort(BufferedReader log) throws IOException {
+        return Integer.parseInt(
+                ServeTest.readUntil(log, " started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
-    /** Nothing that a test does not wait for may fill a pipe. */
-    private static void drain(BufferedReader log, StringBuffer lines) {
+    /** Reads the log on a thread of its own: a full pipe would block the router. */
+    private static void collectInBackground(BufferedReader log, StringBuffer lines) {
         DaemonThreads.newThread("log", () -> {
                     try {
                         for (String line = log.readLine(); line != null; line = log.readLine()) {
@@ -99,16 +100,16 @@
                 .start();
     }
 
-    private static void ask(Socket client, String id) throws IOException {
-        ServeTest.say(
+    private static void sendRequest(Socket client, String id) throws IOException {
+        ServeTest.send(
                 client,
                 "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + id
-                        + "\r\nX-Call-Class: chat\r\nX-Budget-Ms: 20000\r\nContent-Length: " + CONTENT.length()
-                        + "\r\n\r\n" + CONTENT);
+                        + "\r\nX-Call-Class: chat\r\nX-Budget-Ms: 20000\r\nContent-Length: " + REQUEST_BODY.length()
+                        + "\r\n\r\n" + REQUEST_BODY);
     }
 
     /** An upstream that answers each request at once. */
-    private static void serve(ServerSocket engine) {
+    private static void serveInBackground(ServerSocket engine) {
         DaemonThreads.newThread("engine", () -> {
                     while (!engine.isClosed()) {
                         try {
@@ -128,44 +129,44 @@
                 BufferedReader in = ServeTest.reader(connection)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.isEmpty()) {
-                    in.read(new char[CONTENT.length()]);
-                    ServeTest.say(connection, CHUNKED_RESPONSE_HEAD + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
+                    in.read(new char[REQUEST_BODY.length()]);
+                    ServeTest.send(connection, CHUNKED_RESPONSE_HEAD + "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n");
                 }
             }
         } catch (IOException e) {
-            // The router has closed it.
+            // The router closed the connection.
         }
     }
 
-    private static String answered(Socket client) throws IOException {
+    private static String readStatusLine(Socket client) throws IOException {
         return ServeTest.reader(client).readLine();
     }
 
     @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
-    private void idleClientsFill(int sockets) throws Exception {
+    private void assertRecoversBesideIdleClients(int sockets) throws Exception {
         List<Socket> idleClients = new ArrayList<>();
         StringBuffer logged = new StringBuffer();
-        ServerSocket discovery = new ServerSocket(0, 8, HERE);
+        ServerSocket discovery = new ServerSocket(0, 8, LOOPBACK);
         int discoveryPort = discovery.getLocalPort();
-        try (ServerSocket engine = new ServerSocket(0, 512, HERE);
+        try (ServerSocket engine = new ServerSocket(0, 512, LOOPBACK);
                 Socket servedClient = new Socket()) {
-            serve(engine);
-            Process router = start("full", sockets, discoveryPort, known(engine));
+            serveInBackground(engine);
+            Process router = start("idle-clients", sockets, discoveryPort, knownListSetting(engine));
             try (BufferedReader log = router.inputReader()) {
-                int port = port(log);
+                int port = awaitListeningPort(log);
                 Socket watch = discovery.accept();
-                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
-                ServeTest.until(log, " list-confirmed ");
-                drain(log, logged);
+                ServeTest.send(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
+                ServeTest.readUntil(log, " list-confirmed ");
+                collectInBackground(log, logged);
                 stopDiscovery(discovery, watch);
-                servedClient.connect(new InetSocketAddress(HERE, port));
-                ask(servedClient, "first");
-                assertEquals("HTTP/1.1 200 OK", answered(servedClient));
+                servedClient.connect(new InetSocketAddress(LOOPBACK, port));
+                sendRequest(servedClient, "first");
+                assertEquals("HTTP/1.1 200 OK", readStatusLine(servedClient));
                 connectIdleClients(sockets + 200, port, idleClients);
                 assertOpenDescriptorsAtMost(sockets, router);
                 assertRecoversInTime(discoveryPort, port);
                 assertFalse(logged.indexOf("accept-failure") >= 0, logged.toString());
-                assertTrue(logged.indexOf("discovery-failed") >= 0, "the log is written still");
+                assertTrue(logged.indexOf("discovery-failed") >= 0, "the log is still written");
             } finally {
                 router.destroyForcibly();
                 for (Socket client : idleClients) {
@@ -175,94 +176,94 @@
         }
     }
 
-    /** Ends the router's watch; its further connections are refused. */
+    /** Ends the router's watch; further connections to discovery are refused. */
     private static void stopDiscovery(ServerSocket discovery, Socket watch) throws IOException {
         discovery.close();
         watch.close();
     }
 
-    /** Opens connections that are answered and stay, that stop within a request, and that send nothing. */
+    /** Opens connections that stay open after an answer, stop in the middle of a request, or send nothing. */
     private static void connectIdleClients(int count, int port, List<Socket> opened) {
         for (int i = 0; i < count; i++) {
             Socket client = new Socket();
             opened.add(client);
             try {
-                client.connect(new InetSocketAddress(HERE, port), 20);
+                client.connect(new InetSocketAddress(LOOPBACK, port), 20);
                 if (i % 3 == 0) {
-                    ServeTest.say(client, "GET /up HTTP/1.1\r\n\r\n");
+                    ServeTest.send(client, "GET /up HTTP/1.1\r\n\r\n");
                 } else if (i % 3 == 1) {
-                    ServeTest.say(client, "GET /up HT");
+                    ServeTest.send(client, "GET /up HT");
                 }
             } catch (IOException e) {
-                // No more are accepted, or it was closed to free its descriptor.
+                // The router accepts no more, or closed the connection to free its descriptor.
             }
         }
     }
 
     private static void assertOpenDescriptorsAtMost(int limit, Process router) throws IOException {
-        long files;
+        long openDescriptors;
         try (var descriptors = Files.list(Path.of("/proc/" + router.pid() + "/fd"))) {
-            files = descriptors.count();
+            openDescriptors = descriptors.count();
         }
-        assertTrue(files <= limit, files + " descriptors of " + limit);
+        assertTrue(openDescriptors <= limit, openDescriptors + " descriptors of " + limit);
     }
 
     /** Discovery comes back: within {@link #RECOVERY_NANOS} it is watched again, and a new client is served. */
     private static void assertRecoversInTime(int discoveryPort, int port) throws Exception {
-        long begun = System.nanoTime();
-        try (ServerSocket discovery = new ServerSocket(discoveryPort, 8, HERE)) {
+        long startNanos = System.nanoTime();
+        try (ServerSocket discovery = new ServerSocket(discoveryPort, 8, LOOPBACK)) {
             discovery.setSoTimeout(RECOVERY_MILLIS);
             try (Socket watch = discovery.accept()) {
-                assertTrue(ServeTest.until(ServeTest.reader(watch), "GET ").contains("follow=1"));
-                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
-                assertTrue(System.nanoTime() - begun < RECOVERY_NANOS, "in time");
-                assertNewClientIsServed(port, begun);
+                assertTrue(ServeTest.readUntil(ServeTest.reader(watch), "GET ").contains("follow=1"));
+                ServeTest.send(watch, CHUNKED_RESPONSE_HEAD + "1\r\n\n\r\n");
+                assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "discovery was not watched again in time");
+                assertNewClientIsServed(port, startNanos);
             }
         }
     }
 
     /**
-     * A connection to the upstream is to be had as well, and a client that comes again after being rejected is
-     * accepted: capacity is freed from connections that have been idle for 2 s.
+     * A client that retries after being rejected is accepted, and an upstream connection can be opened for it: the
+     * router closes connections that have been idle for 2 s to free their descriptors.
      */
-    private static void assertNewClientIsServed(int port, long begun) throws Exception {
+    private static void assertNewClientIsServed(int port, long startNanos) throws Exception {
         String status = "";
         for (int i = 0; !"HTTP/1.1 200 OK".equals(status); i++) {
-            assertTrue(System.nanoTime() - begun < RECOVERY_NANOS, "turned away: " + status);
-            try (Socket client = new Socket(HERE, port)) {
-                ask(client, "again" + i);
-                status = answered(client);
+            assertTrue(System.nanoTime() - startNanos < RECOVERY_NANOS, "not served in time: " + status);
+            try (Socket client = new Socket(LOOPBACK, port)) {
+                sendRequest(client, "again" + i);
+                status = readStatusLine(client);
             }
             Thread.sleep(50);
         }
     }
 
     @Test
-    void idleClientsFillFewDescriptorsWhileDiscoveryIsDown() throws Exception {
-        idleClientsFill(256);
+    void recoversWhenIdleClientsExhaust256Descriptors() throws Exception {
+        assertRecoversBesideIdleClients(256);
     }
 
     @Test
-    void idleClientsFillManyDescriptorsWhileDiscoveryIsDown() throws Exception {
-        idleClientsFill(1024);
+    void recoversWhenIdleClientsExhaust1024Descriptors() throws Exception {
+        assertRecoversBesideIdleClients(1024);
     }
 
-    /** With a list of its own, whatever discovery does; without one, as soon as a slow one has sent it. */
+    /** With a list in its configuration whatever discovery does; without one, once slow discovery has sent it. */
     @Test
-    void aRestartedRouterIsReadyInTime() throws Exception {
+    void routerIsReadyInTimeWhateverDiscoveryDoes() throws Exception {
         List<Process> routers = new ArrayList<>();
         List<ServerSocket> servers = new ArrayList<>();
-        try (ServerSocket engine = new ServerSocket(0, 512, HERE)) {
-            serve(engine);
+        try (ServerSocket engine = new ServerSocket(0, 512, LOOPBACK)) {
+            serveInBackground(engine);
             for (DiscoveryFault fault : DiscoveryFault.values()) {
-                ServerSocket discovery = new ServerSocket(0, 64, HERE);
+                ServerSocket discovery = new ServerSocket(0, 64, LOOPBACK);
                 servers.add(discovery);
-                serveFaulty(discovery, fault, list(engine) + "\n");
-                long begun = System.nanoTime();
-                String known = fault == DiscoveryFault.SLOW ? "" : known(engine);
-                Process router = start(fault.name(), 256, discovery.getLocalPort(), known);
+                serveFaulty(discovery, fault, listOf(engine) + "\n");
+                long startNanos = System.nanoTime();
+                String knownList = fault == DiscoveryFault.ANSWERS_LATE ? "" : knownListSetting(engine);
+                Process router = start(fault.name(), 256, discovery.getLocalPort(), knownList);
                 routers.add(router);
-                assertReadyInTime(router, fault, begun);
+                assertReadyInTime(router, fault, startNanos);
             }
         } finally {
             routers.forEach(Process::destroyForcibly);
@@ -273,25 +274,26 @@
     }
 
     @SuppressWarnings("JdkObsolete") // StringBuffer: written by one thread and read by another.
-    private static void assertReadyInTime(Process router, DiscoveryFault fault, long begun) throws Exception {
+    private static void assertReadyInTime(Process router, DiscoveryFault fault, long startNanos) throws Exception {
         BufferedReader log = router.inputReader();
-        int port = port(log);
-        drain(log, new StringBuffer());
+        int port = awaitListeningPort(log);
+        collectInBackground(log, new StringBuffer());
         String status = "";
         for (int i = 0; !status.contains(" 200 "); i++) {
-            assertTrue(System.nanoTime() - begun < START_NANOS, fault + ": not ready in time");
-            // Clients send requests already.
-            try (Socket earlyClient = new Socket(HERE, port);
-                    Socket healthCheck = new Socket(HERE, port)) {
-                ask(earlyClient, "early" + i);
-                ServeTest.say(healthCheck, "GET /up HTTP/1.1\r\n\r\n");
-                status = answered(healthCheck);
+            assertTrue(System.nanoTime() - startNanos < MAX_START_NANOS, fault + ": not ready in time");
+            // Clients send requests before the router is ready.
+            try (Socket earlyClient = new Socket(LOOPBACK, port);
+                    Socket healthCheck = new Socket(LOOPBACK, port)) {
+                sendRequest(earlyClient, "early" + i);
+                ServeTest.send(healthCheck, "GET /up HTTP/1.1\r\n\r\n");
+                status = readStatusLine(healthCheck);
             }
             Thread.sleep(20);
         }
-        try (Socket client = new Socket(HERE, port)) {
-            ask(client, "served");
-            assertEquals("HTTP/1.1 200 OK", answered(client), fault + ": it said that it can serve");
+        try (Socket client = new Socket(LOOPBACK, port)) {
+            sendRequest(client, "served");
+            assertEquals(
+                    "HTTP/1.1 200 OK", readStatusLine(client), fault + ": not served although the health check passed");
         }
     }
 
@@ -309,7 +311,7 @@
                             open.add(watch);
                             answerFaultily(watch, fault, list);
                         } catch (IOException | InterruptedException e) {
-                            // The next one.
+                            // This watch has ended; accepts the next.
                         }
                     }
                 })
@@ -319,14 +321,14 @@
     private static void answerFaultily(Socket watch, DiscoveryFault fault, String list)
             throws IOException, InterruptedException {
         switch (fault) {
-            case SAYS_503 -> ServeTest.say(watch, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-            case CUTS -> {
-                ServeTest.say(watch, CHUNKED_RESPONSE_HEAD + "20\r\n{\"revision\":3,");
+            case ANSWERS_503 -> ServeTest.send(watch, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+            case CLOSES_MID_CHUNK -> {
+                ServeTest.send(watch, CHUNKED_RESPONSE_HEAD + "20\r\n{\"revision\":3,");
                 watch.close();
             }
-            case SLOW -> {
+            case ANSWERS_LATE -> {
                 Thread.sleep(SLOW_DISCOVERY_MILLIS);
-                ServeTest.say(
+                ServeTest.send(
                         watch, CHUNKED_RESPONSE_HEAD + Integer.toHexString(list.length()) + "\r\n" + list + "\r\n");
             }
             default -> {
--- a/src/test/java/magpiehub/Player.java
+++ b/src/test/java/magpiehub/ExchangeReplayer.java
@@ -40,14 +40,14 @@
 import magpiehub.upstream.UpstreamPool;
 
 /**
- * Plays a recorded exchange against a router on loopback sockets: the clients, upstreams and discovery of a text file,
- * with a clock that moves only when the file says so. {@code src/test/resources/exchanges/README.md} describes the
- * file's steps. No step waits for time to pass.
+ * Replays a recorded exchange against a router on loopback sockets: a text file scripts the clients, upstreams and
+ * discovery, and the clock, which advances only by a step. {@code src/test/resources/exchanges/README.md} describes the
+ * steps. No step depends on real time.
  */
-final class Player implements AutoCloseable {
+final class ExchangeReplayer implements AutoCloseable {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long POLL_INTERVAL_NANOS = 500_000;
-    /** How often discovery writes a heartbeat where the file has no part for it. */
+    /** Discovery's heartbeat interval where the script does not play discovery. */
     private static final long HEARTBEAT_MILLIS = 2_000;
 
     private final ManualClock clock = new ManualClock();
@@ -56,127 +56,129 @@
             new SyslogEventLog(new PrintStream(logged, true, StandardCharsets.UTF_8), "test", 1);
     private final Map<String, ExchangePeer> peers = new LinkedHashMap<>();
     private final ChatClient chatClient = new ChatClient(clock);
-    /** What each answered request came to, in the order of the file. */
+    /** The outcome of each answered request, in the order of the script. */
     private final List<String> results = new ArrayList<>();
 
     private ClientListener clients;
     private PlatformDiscovery discovery;
-    private Thread module;
-    private RequestDispatcher actor;
+    private Thread dispatcherThread;
+    private RequestDispatcher dispatcher;
     private CountDownLatch dispatcherHold;
-    private boolean messages;
-    private int most = 64;
-    private String allowances = "{}";
+    private boolean usesMessagesProtocol;
+    private int maxClients = 64;
+    private String streamLimits = "{}";
     private FlowController streams;
     private String siteFile = "site.json";
-    private boolean resume = true;
-    private boolean pushed;
-    private String known = "";
-    /** Whether the file itself plays discovery; else the player confirms the list of the start. */
-    private boolean playsDiscovery;
+    private boolean clientsResume = true;
+    private boolean listsArePushed;
+    private String knownMembers = "";
+    /** Whether the script plays discovery; otherwise the replayer does, and confirms the initial list. */
+    private boolean scriptPlaysDiscovery;
 
     private int heartbeats;
 
-    /** Plays a file after some steps that come before it; returns what the requests that it sent came to. */
-    static List<String> play(Path file, String... stepsBefore) throws Exception {
+    /** Replays a script after some preceding steps; returns the outcomes of the requests that it sent. */
+    static List<String> replay(Path file, String... stepsBefore) throws Exception {
         int lineNumber = 0;
-        try (Player player = new Player()) {
+        try (ExchangeReplayer replayer = new ExchangeReplayer()) {
             for (String line : stepsBefore) {
-                player.step(line);
+                replayer.step(line);
             }
             List<String> lines = Files.readAllLines(file);
-            player.playsDiscovery = lines.stream().anyMatch(line -> line.startsWith("d+"));
+            replayer.scriptPlaysDiscovery = lines.stream().anyMatch(line -> line.startsWith("d+"));
             for (String line : lines) {
                 lineNumber++;
                 try {
-                    player.step(line);
+                    replayer.step(line);
                 } catch (Exception | AssertionError e) {
                     String place = file.getFileName() + ":" + lineNumber + ": " + line;
-                    throw new AssertionError(place + "\n" + e + "\n" + player.log.counters() + player.logged, e);
+                    throw new AssertionError(place + "\n" + e + "\n" + replayer.log.counters() + replayer.logged, e);
                 }
             }
-            return player.results;
+            return replayer.results;
         }
     }
 
     /** Starts the router's parts, wired as {@link magpiehub.lifecycle.Router} does. */
     private void start() throws Exception {
         String settings = Files.readString(Path.of("src/test/resources/" + siteFile));
-        settings = resume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
-        settings = pushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
+        settings = clientsResume ? settings : settings.replace("\"resume\":true", "\"resume\":false");
+        settings = listsArePushed ? settings.replace("\"subscribe\"", "\"automatic\"") : settings;
         SiteSettings site = SiteSettingsParser.parse(ConfigurationObject.parse(settings.getBytes(UTF_8), "settings"));
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
-        ExchangePeer d = peer("d");
-        d.listen();
-        ActorThreadPool crew = new ActorThreadPool();
+        InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
+        ExchangePeer discoveryPeer = peer("d");
+        discoveryPeer.listen();
+        ActorThreadPool threadPool = new ActorThreadPool();
         streams = new FlowController(
                 StreamLimitsReader.parse(
-                        ConfigurationObject.parse(allowances.getBytes(UTF_8), "streams.json"),
+                        ConfigurationObject.parse(streamLimits.getBytes(UTF_8), "streams.json"),
                         site.routing().classes(),
                         64 << 20),
                 site,
                 clock,
                 log);
-        UpstreamPool engines = new UpstreamPool(site, 64, clock, log, crew, streams);
+        UpstreamPool engines = new UpstreamPool(site, 64, clock, log, threadPool, streams);
         engines.start();
-        discovery = new PlatformDiscovery("127.0.0.1:" + d.listeningPort(), () -> site, engines, clock, log, 7);
-        actor = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
-        engines.setDispatcher(actor);
-        ProtocolAdapter front = messages
+        discovery =
+                new PlatformDiscovery("127.0.0.1:" + discoveryPeer.listeningPort(), () -> site, engines, clock, log, 7);
+        dispatcher = new RequestDispatcher(site.routing(), 7, clock, engines, discovery, log);
+        engines.setDispatcher(dispatcher);
+        ProtocolAdapter adapter = usesMessagesProtocol
                 ? new MessagesProtocol(() -> site, new MessagesSettings("", "chat", "", Map.of()), null)
                 : new PlatformProtocol(() -> site);
         clients = new ClientListener(
-                ListenerSocket.bind(any),
-                front,
-                actor,
+                ListenerSocket.bind(anyPort),
+                adapter,
+                dispatcher,
                 clock,
                 log,
                 discovery::hasUsableList,
                 log::counters,
-                most,
-                crew,
+                maxClients,
+                threadPool,
                 streams);
         clients.start();
         log.start();
-        discovery.start(actor, ("{\"revision\":1,\"complete\":true,\"members\":[" + known + "]}").getBytes(UTF_8));
-        module = DaemonThreads.newThread("module", actor::run);
-        module.start();
-        if (!playsDiscovery) {
-            openWatch(d);
+        discovery.start(
+                dispatcher, ("{\"revision\":1,\"complete\":true,\"members\":[" + knownMembers + "]}").getBytes(UTF_8));
+        dispatcherThread = DaemonThreads.newThread("dispatcher", dispatcher::run);
+        dispatcherThread.start();
+        if (!scriptPlaysDiscovery) {
+            openWatch(discoveryPeer);
         }
     }
 
-    /** Lets the router open its watch now, and confirms the list that it was started with. */
-    private void openWatch(ExchangePeer d) throws Exception {
+    /** Makes the router open its watch, and confirms its initial list. */
+    private void openWatch(ExchangePeer discoveryPeer) throws Exception {
         discovery.watch();
-        d.acceptFor(d);
-        d.append("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        sendHeartbeat(d);
-        // The list is counted before its lease is there.
+        discoveryPeer.acceptFor(discoveryPeer);
+        discoveryPeer.append("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        sendHeartbeat(discoveryPeer);
+        // The list's counter changes before its lease starts, so the log line is awaited.
         await(() -> logged.toString(StandardCharsets.UTF_8).contains(" list-confirmed "), "the list was not confirmed");
     }
 
-    private void sendHeartbeat(ExchangePeer d) throws Exception {
+    private void sendHeartbeat(ExchangePeer discoveryPeer) throws Exception {
         heartbeats++;
-        d.sendChunk("\n");
+        discoveryPeer.sendChunk("\n");
         await(() -> hasCounter("discovery_beats " + heartbeats), "no heartbeat was read");
     }
 
-    /** Lets time pass; a discovery that the file does not play writes its heartbeats meanwhile. */
-    private void passTime(long millis) throws Exception {
+    /** Advances the clock; unless the script plays discovery, heartbeats are sent meanwhile. */
+    private void advanceClock(long millis) throws Exception {
         long left = millis;
-        while (!playsDiscovery && left > HEARTBEAT_MILLIS) {
+        while (!scriptPlaysDiscovery && left > HEARTBEAT_MILLIS) {
             clock.advanceMillis(HEARTBEAT_MILLIS);
             left -= HEARTBEAT_MILLIS;
             sendHeartbeat(peer("d"));
         }
         clock.advanceMillis(left);
-        if (!playsDiscovery) {
+        if (!scriptPlaysDiscovery) {
             sendHeartbeat(peer("d"));
         }
     }
 
-    /** Plays one line of an exchange. */
+    /** Executes one line of a script. */
     void step(String line) throws Exception {
         if (line.isBlank() || line.startsWith("#")) {
             return;
@@ -184,19 +186,19 @@
         String[] words = line.split(" ", 2);
         String argument = words.length > 1 ? words[1] : "";
         if (!prepare(words[0], argument) && !control(words[0], argument)) {
-            stepOfPeer(words[0], argument);
+            peerStep(words[0], argument);
         }
     }
 
-    /** A step before the start; false if it is none. */
+    /** Executes a step that configures the router before its start; false if the command is not one. */
     private boolean prepare(String command, String argument) throws IOException {
         switch (command) {
-            case "front" -> messages = argument.equals("messages");
-            case "streams" -> allowances = argument;
+            case "front" -> usesMessagesProtocol = argument.equals("messages");
+            case "streams" -> streamLimits = argument;
             case "site" -> siteFile = argument;
-            case "no-resume" -> resume = false;
-            case "pushed" -> pushed = true;
-            case "most" -> most = Integer.parseInt(argument);
+            case "no-resume" -> clientsResume = false;
+            case "pushed" -> listsArePushed = true;
+            case "most" -> maxClients = Integer.parseInt(argument);
             case "engines" -> addUpstreams(argument.split(" "));
             case "address" -> addListeningPeer(argument);
             default -> {
@@ -209,7 +211,7 @@
     private void addUpstreams(String[] names) throws IOException {
         for (String name : names) {
             addListeningPeer(name);
-            known += (known.isEmpty() ? "" : ",") + member(name, "Ready");
+            knownMembers += (knownMembers.isEmpty() ? "" : ",") + member(name, "Ready");
         }
     }
 
@@ -219,15 +221,15 @@
         peers.put(name, peer);
     }
 
-    /** A step that concerns the router or the clock; false if it is none. */
+    /** Executes a step for the router or the clock; false if the command is not one. */
     private boolean control(String command, String argument) throws Exception {
         switch (command) {
             case "start" -> start();
             case "move" -> discovery.changeAddress(
                     "127.0.0.1:" + peers.get(argument).listeningPort());
-            case "clock" -> passTime(Long.parseLong(argument));
-            case "counter" -> await(() -> hasCounter(argument), "the counter never came to " + argument);
-            case "passes" -> passTimeUntilCounter(argument);
+            case "clock" -> advanceClock(Long.parseLong(argument));
+            case "counter" -> await(() -> hasCounter(argument), "the counter never reached " + argument);
+            case "passes" -> advanceClockUntilCounter(argument);
             case "hold" -> holdDispatcher();
             case "release" -> dispatcherHold.countDown();
             case "stop" -> clients.stopAccepting();
@@ -242,8 +244,8 @@
         return true;
     }
 
-    /** Time passes, so many milliseconds at once, until a counter has come to its value. */
-    private void passTimeUntilCounter(String argument) throws Exception {
+    /** Advances the clock in steps of the given milliseconds until a counter has the given value. */
+    private void advanceClockUntilCounter(String argument) throws Exception {
         String[] words = argument.split(" ", 2);
         long stepMillis = Long.parseLong(words[0]);
         String counter = words[1];
@@ -253,14 +255,14 @@
                     clock.advanceMillis(reached ? 0 : stepMillis);
                     return reached;
                 },
-                "the counter never came to " + counter);
+                "the counter never reached " + counter);
     }
 
-    /** Keeps the dispatcher's thread waiting, so that messages stay in its mailbox until it is released. */
+    /** Blocks the dispatcher's thread, so that messages stay in its mailbox until it is released. */
     private void holdDispatcher() {
         CountDownLatch hold = new CountDownLatch(1);
         dispatcherHold = hold;
-        actor.execute(() -> {
+        dispatcher.execute(() -> {
             try {
                 hold.await();
             } catch (InterruptedException e) {
@@ -276,8 +278,8 @@
                 + "\",\"size\":1.0,\"up_since_ms\":0}";
     }
 
-    /** A step of one party: its name, a sign for what it does, and an argument. */
-    private void stepOfPeer(String nameAndAction, String argument) throws Exception {
+    /** Executes a step of one party: its name, the symbol of an action, and an argument. */
+    private void peerStep(String nameAndAction, String argument) throws Exception {
         int nameLength = 0;
         while (nameLength < nameAndAction.length() && Character.isLetterOrDigit(nameAndAction.charAt(nameLength))) {
             nameLength++;
@@ -291,11 +293,11 @@
         if (!peer.isConnected() && !peer.isListening()) {
             peer.connect(clients.port());
         }
-        boolean played = changeConnection(peer, action, argument)
+        boolean recognized = changeConnection(peer, action, argument)
                 || send(peer, action, argument)
                 || receive(peer, action, argument)
                 || exchangeRequest(name, peer, action, argument);
-        if (!played) {
+        if (!recognized) {
             throw new IllegalArgumentException("no such step");
         }
     }
@@ -342,7 +344,7 @@
         return true;
     }
 
-    /** A head is sent when its last line is there, unless its body's length is not known yet. */
+    /** Sends a head with its empty last line, unless the length of its body is still unknown. */
     private static void sendLine(ExchangePeer peer, String line) throws IOException {
         peer.append(line + "\r\n");
         if (line.isEmpty() && !peer.awaitsBody()) {
@@ -369,14 +371,14 @@
         return true;
     }
 
-    /** A chat request as a whole: sent by a client or received by an upstream, its answer's begin and outcome. */
+    /** Sends or receives a whole chat request, or checks when its answer began or what its outcome is. */
     private boolean exchangeRequest(String name, ExchangePeer peer, String action, String argument) throws Exception {
         switch (action) {
             case "?" -> {
                 if (peer.isListening()) {
                     assertMatches("{*\"stream\":true*}", peer.readText(peer.readContentLength()));
                 } else {
-                    chatClient.send(name, peer, argument, messages);
+                    chatClient.send(name, peer, argument, usesMessagesProtocol);
                 }
             }
             case ":" -> assertEquals(argument, peer.awaitBegun(), "begun");
@@ -396,7 +398,7 @@
         assertTrue(matches(toRegex(pattern), actual), "got: " + actual);
     }
 
-    /** The regular expression of a text in which {@code *} stands for any text. */
+    /** The regular expression for a pattern in which {@code *} matches any text. */
     private static String toRegex(String pattern) {
         return Pattern.quote(pattern).replace("*", "\\E.*\\Q");
     }
@@ -405,7 +407,7 @@
         return Pattern.compile(regex, Pattern.DOTALL).matcher(text).matches();
     }
 
-    /** Puts in line ends, and the address of a party for {@code @NAME@}. */
+    /** Replaces escaped line ends, and {@code @NAME@} by the address of that party. */
     private String unescape(String text) {
         String result = text.replace("\\n", "\n").replace("\\r", "\r");
         for (Map.Entry<String, ExchangePeer> entry : peers.entrySet()) {
@@ -425,7 +427,7 @@
         return ("\n" + log.counters() + streams.metrics()).contains("\n" + nameAndValue + "\n");
     }
 
-    /** Waits for something that the router does by itself; the limit is for failing only. */
+    /** Waits for a condition that the router brings about by itself; the time limit only makes a test fail. */
     private static void await(BooleanSupplier condition, String failure) throws Exception {
         long end = System.nanoTime() + ExchangePeer.STEP_TIMEOUT_MILLIS * NANOS_PER_MILLI;
         while (!condition.getAsBoolean()) {
@@ -441,7 +443,7 @@
         }
         if (clients != null) {
             clients.stopAccepting();
-            module.interrupt();
+            dispatcherThread.interrupt();
         }
     }
 }
--- a/src/test/java/magpiehub/RouterProcess.java
+++ b/src/test/java/magpiehub/RouterProcess.java
@@ -14,12 +14,14 @@
 import java.util.function.Consumer;
 
 /**
- * A router as a process of its own, with one engine and one discovery whose sockets the test holds. It is
+ * A router in a separate process, with one upstream and one discovery service whose sockets belong to the test. It is
  * configured before it is started, and killed when it is closed.
  */
 final class RouterProcess implements AutoCloseable {
-    /** The command that starts a router from the classes under test, with what the platform's command says of
-     *  compilation and memory: another JVM's own work would show in how long things take. */
+    /**
+     * Starts a router from the classes under test, with the platform's options for compilation and memory: the work of
+     * a JVM with other options would distort measured times.
+     */
     static final List<String> COMMAND = List.of(
             ProcessHandle.current().info().command().orElse("java"),
             "-XX:+UseSerialGC",
@@ -33,15 +35,15 @@
             "serve");
 
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-    private static final int PATIENCE_MS = 30_000;
+    private static final int ACCEPT_TIMEOUT_MS = 30_000;
     private static final int BACKLOG = 64;
-    private static final String ID = "X-Call-Id: ";
-    private static final String LENGTH = "Content-Length: ";
+    private static final String CALL_ID_HEADER = "X-Call-Id: ";
+    private static final String CONTENT_LENGTH_HEADER = "Content-Length: ";
 
     final ServerSocket engine;
     final ServerSocket discovery;
     final Path config;
-    /** For what the test does beside the router; ended with it. */
+    /** Runs the test's background work until the router is closed. */
     final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
@@ -51,51 +53,53 @@
     private Process process;
     private BufferedReader log;
 
-    /** A router that has not been started; its configuration is written to the file. */
+    /** Writes the router's configuration to a file; does not start it. */
     RouterProcess(Path config) throws IOException {
         this.config = config;
         engine = listen();
         discovery = listen();
-        ServeTest.write(config, discovery, engine);
+        ServeTest.writeConfiguration(config, discovery, engine);
     }
 
-    /** A socket of the test's own whose calls end after a while. */
+    /** A server socket of the test, whose calls time out after {@link #ACCEPT_TIMEOUT_MS}. */
     static ServerSocket listen() throws IOException {
         ServerSocket server = new ServerSocket(0, BACKLOG, LOOPBACK);
-        server.setSoTimeout(PATIENCE_MS);
+        server.setSoTimeout(ACCEPT_TIMEOUT_MS);
         return server;
     }
 
-    /** A client's request; the time that it waits is in milliseconds. */
-    static String ask(String id, String budgetMs) {
-        return "POST /v1/chat/completions HTTP/1.1\r\n" + ID + id + "\r\nX-Call-Class: chat\r\n" + "X-Budget-Ms: "
-                + budgetMs + "\r\n" + LENGTH + "2\r\n\r\n{}";
+    /** The text of a client's request with a time budget in milliseconds. */
+    static String chatRequest(String id, String budgetMs) {
+        return "POST /v1/chat/completions HTTP/1.1\r\n" + CALL_ID_HEADER + id + "\r\nX-Call-Class: chat\r\n"
+                + "X-Budget-Ms: " + budgetMs + "\r\n" + CONTENT_LENGTH_HEADER + "2\r\n\r\n{}";
     }
 
-    /** Reads one request as an engine does, head and body; returns its id. */
-    static String request(BufferedReader from) throws IOException {
+    /** Reads one request, head and body, as an upstream does; returns its id. */
+    static String readRequest(BufferedReader input) throws IOException {
         String id = "";
         int length = 0;
-        for (String line = from.readLine(); line == null || !line.isEmpty(); line = from.readLine()) {
+        for (String line = input.readLine(); line == null || !line.isEmpty(); line = input.readLine()) {
             if (line == null) {
                 throw new EOFException("the connection ended in a request");
             }
-            id = line.startsWith(ID) ? line.substring(ID.length()) : id;
-            length = line.startsWith(LENGTH) ? Integer.parseInt(line.substring(LENGTH.length())) : length;
+            id = line.startsWith(CALL_ID_HEADER) ? line.substring(CALL_ID_HEADER.length()) : id;
+            length = line.startsWith(CONTENT_LENGTH_HEADER)
+                    ? Integer.parseInt(line.substring(CONTENT_LENGTH_HEADER.length()))
+                    : length;
         }
         for (int i = 0; i < length; i++) {
-            from.read();
+            input.read();
         }
         return id;
     }
 
-    /** The configuration as it stands. */
+    /** The current content of the configuration file. */
     String configuration() throws IOException {
         return Files.readString(config);
     }
 
-    /** Replaces a part of the configuration. */
-    void configure(String part, String replacement) throws IOException {
+    /** Replaces a part of the configuration file. */
+    void replaceInConfiguration(String part, String replacement) throws IOException {
         Files.writeString(config, configuration().replace(part, replacement));
     }
 
@@ -103,13 +107,13 @@
         start(COMMAND);
     }
 
-    /** Starts it by a command; discovery is named by the variable too, as the platform does. */
+    /** Starts the router by a command; like the platform, sets discovery's address in an environment variable too. */
     void start(List<String> command) throws IOException {
-        ProcessBuilder b = new ProcessBuilder(command);
-        b.environment().put("ROUTER_CONFIG", config.toString());
-        b.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME"));
-        b.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
-        process = b.redirectErrorStream(true).start();
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().put("ROUTER_CONFIG", config.toString());
+        builder.environment().keySet().removeAll(List.of("ROUTER_LISTEN", "ROUTER_NAME"));
+        builder.environment().put("ROUTER_DISCOVERY", "127.0.0.1:" + discovery.getLocalPort());
+        process = builder.redirectErrorStream(true).start();
         log = process.inputReader();
     }
 
@@ -117,30 +121,30 @@
         return process;
     }
 
-    /** The first line of its log with a part. */
-    String logged(String part) throws IOException {
-        return ServeTest.until(log, part);
+    /** Waits for a log line that contains {@code part}, and returns it. */
+    String awaitLogLine(String part) throws IOException {
+        return ServeTest.readUntil(log, part);
     }
 
-    /** Takes its watch of the list and answers it with a heartbeat. */
-    Socket watched() throws IOException {
+    /** Accepts the router's watch of the endpoint list and answers it with a heartbeat. */
+    Socket acceptWatch() throws IOException {
         Socket watch = discovery.accept();
-        ServeTest.say(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+        ServeTest.send(watch, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         return watch;
     }
 
-    /** Waits for its start; returns the port that it serves at. */
-    int port() throws IOException {
-        return Integer.parseInt(logged(" started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
+    /** Waits until the router has started; returns the port it listens at. */
+    int awaitListeningPort() throws IOException {
+        return Integer.parseInt(awaitLogLine(" started ").replaceAll(".*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
-    /** Lets the engine answer each connection on a thread of its own, for as long as its socket is open. */
-    void serve(Consumer<Socket> answer) {
+    /** Handles each upstream connection on a thread of its own, for as long as the upstream's socket is open. */
+    void serveConnections(Consumer<Socket> handler) {
         threads.execute(() -> {
             try {
                 while (true) {
                     Socket connection = engine.accept();
-                    threads.execute(() -> answer.accept(connection));
+                    threads.execute(() -> handler.accept(connection));
                 }
             } catch (IOException e) {
                 // The test is over.
@@ -148,8 +152,8 @@
         });
     }
 
-    void hangUp() throws Exception {
-        ServeTest.hangUp(process);
+    void sendSighup() throws Exception {
+        ServeTest.sendSighup(process);
     }
 
     @Override
--- a/src/test/java/magpiehub/StepProof.java
+++ b/src/test/java/magpiehub/SpinWaitDetector.java
@@ -24,23 +24,24 @@
 import magpiehub.http.HttpReader;
 
 /**
- * Shows that no thread of a router spins while it waits for another. The program runs as a process, by the options of
- * the deploy file's {@code run}, on one core and in the scheduler's first-in-first-out class, where a thread goes on
- * until it waits. A seed lets some threads run ahead of all others for a while, so that the others stand still
- * wherever they are, and another process takes a part of the core. A thread that spins until another one has done
- * something then never ends, and is seen by its CPU time: a second of it without a wait. The verdict does not depend
- * on times off the wall.
+ * Checks that no thread of a router spins while it waits for another one. The router runs as a process with the options
+ * of the deploy file's {@code run}, on one core and in the scheduler's first-in-first-out class, where a thread runs
+ * until it waits. At intervals, randomly chosen threads get priority over all others, which suspends the others at
+ * arbitrary points, and a competing process uses part of the core. A thread that spins until another thread has acted
+ * then never stops, and is detected by one second of CPU time without a wait. The result does not depend on wall-clock
+ * time.
  *
- * <p>{@code StepProof SEED [SECONDS] [spin]}; {@code spin} plants such a thread. The last line says ok or short.
+ * <p>Usage: {@code SpinWaitDetector SEED [SECONDS] [spin]}; {@code spin} injects a spinning thread. The last line of
+ * output ends with {@code ok} or {@code short}.
  */
-public final class StepProof {
+public final class SpinWaitDetector {
     private static final int ENGINES = 8;
     private static final int CLIENTS = 24;
     private static final int DEFAULT_SECONDS = 30;
     private static final int SHUTDOWN_TIMEOUT_SECONDS = 30;
     private static final int MAX_SAMPLE_INTERVAL_MILLIS = 50;
-    private static final int MIN_TURN_MILLIS = 500;
-    private static final int MAX_TURN_MILLIS = 2_500;
+    private static final int MIN_PRIORITY_MILLIS = 500;
+    private static final int MAX_PRIORITY_MILLIS = 2_500;
     private static final int REPORTED_THREADS = 4;
     private static final int EXIT_NOT_ALLOWED = 2;
 
@@ -49,21 +50,21 @@
     private final Path folder;
     private final String core;
     private final CpuRunTracker cpuRuns = new CpuRunTracker();
-    /** CPU time so far of each thread seen, in clock ticks, by its name and id. */
+    /** Total CPU time of each thread seen, in clock ticks, by name and id. */
     private final Map<String, Long> cpuTicks = new TreeMap<>();
 
     private final List<ServerSocket> servers = new ArrayList<>();
     private final AtomicInteger requests = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicInteger wrong = new AtomicInteger();
+    private final AtomicInteger unanswered = new AtomicInteger();
     private final CountDownLatch started = new CountDownLatch(1);
-    private int threadsRunAhead;
+    private int prioritizedThreads;
     private Process router;
     private volatile int port;
-    private volatile boolean over;
+    private volatile boolean finished;
 
-    private StepProof(long seed, Path folder) throws IOException {
+    private SpinWaitDetector(long seed, Path folder) throws IOException {
         this.seed = seed;
         this.random = new SplittableRandom(seed);
         this.folder = folder;
@@ -72,23 +73,23 @@
     }
 
     // ---- Peers ----------------------------------------------------------------------------------------
-    private interface Service {
-        void serve(Socket s) throws IOException, InterruptedException;
+    private interface ConnectionHandler {
+        void handle(Socket socket) throws IOException, InterruptedException;
     }
 
-    private ServerSocket serve(Service service) throws IOException {
+    private ServerSocket serve(ConnectionHandler handler) throws IOException {
         ServerSocket server = new ServerSocket(0, 512, InetAddress.getLoopbackAddress());
         servers.add(server);
         DaemonThreads.newThread("accept", () -> {
                     while (!server.isClosed()) {
                         try {
-                            Socket s = server.accept();
-                            s.setTcpNoDelay(true);
+                            Socket socket = server.accept();
+                            socket.setTcpNoDelay(true);
                             DaemonThreads.newThread("peer", () -> {
-                                        try (s) {
-                                            service.serve(s);
+                                        try (socket) {
+                                            handler.handle(socket);
                                         } catch (IOException | InterruptedException e) {
-                                            // The router has ended its side.
+                                            // The router closed the connection.
                                         }
                                     })
                                     .start();
@@ -101,102 +102,103 @@
         return server;
     }
 
-    private static void say(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     private static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** Engines: some break a stream, some answer that they are full, as the request's id says. */
-    private static void engine(Socket s) throws IOException, InterruptedException {
-        HttpReader in = new HttpReader(s.getInputStream(), () -> 0);
+    /** Answers requests as an upstream; the hash of a request's id selects those to reject or to break off. */
+    private static void answerAsEngine(Socket socket) throws IOException, InterruptedException {
+        HttpReader in = new HttpReader(socket.getInputStream(), () -> 0);
         while (in.awaitMessage()) {
-            HttpHead h = in.readRequestHead();
-            in.readBody(h);
-            int kind = h.headers().get("X-Call-Id").hashCode() & 15;
-            if (kind == 0) {
-                say(s, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+            HttpHead head = in.readRequestHead();
+            in.readBody(head);
+            int scenario = head.headers().get("X-Call-Id").hashCode() & 15;
+            if (scenario == 0) {
+                send(socket, "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
-            say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            send(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 6; i++) {
                 TimeUnit.MILLISECONDS.sleep(10);
-                say(s, chunk("data: {\"choices\":[{\"index\":0,\"delta\":{}}]}\n\n"));
-                if (kind == 1 && i == 2) {
+                send(socket, chunk("data: {\"choices\":[{\"index\":0,\"delta\":{}}]}\n\n"));
+                if (scenario == 1 && i == 2) {
                     return;
                 }
             }
-            say(s, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
+            send(socket, chunk("data: [DONE]\n\n") + "0\r\n\r\n");
         }
     }
 
-    private void list(Socket s, String members) throws IOException, InterruptedException {
-        say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        for (int revision = 2; !over; revision++) {
-            say(s, chunk("{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + members + "]}\n"));
+    private void sendLists(Socket socket, String members) throws IOException, InterruptedException {
+        send(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        for (int revision = 2; !finished; revision++) {
+            send(socket, chunk("{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + members + "]}\n"));
             TimeUnit.MILLISECONDS.sleep(300);
         }
     }
 
-    /** Clients: some stay, some ask once, some leave in the middle. */
-    private void client(int number, SplittableRandom own) {
-        for (int i = 0; !over; i++) {
-            try (Socket s = new Socket()) {
-                s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 5_000);
-                s.setSoTimeout(20_000);
-                HttpReader in = new HttpReader(s.getInputStream(), () -> 0);
-                for (int k = own.nextInt(1, 6); k > 0 && !over; k--, i++) {
+    /** Sends one or more requests on each connection; some requests are abandoned by closing the connection. */
+    private void runClient(int number, SplittableRandom clientRandom) {
+        for (int i = 0; !finished; i++) {
+            try (Socket socket = new Socket()) {
+                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 5_000);
+                socket.setSoTimeout(20_000);
+                HttpReader in = new HttpReader(socket.getInputStream(), () -> 0);
+                for (int remaining = clientRandom.nextInt(1, 6); remaining > 0 && !finished; remaining--, i++) {
                     requests.incrementAndGet();
-                    say(
-                            s,
+                    send(
+                            socket,
                             "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: " + number + "." + i
-                                    + "\r\nX-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: " + own.nextInt(64)
+                                    + "\r\nX-Call-Class: chat\r\nX-Caller: acme\r\nX-Route-Hash: "
+                                    + clientRandom.nextInt(64)
                                     + "\r\nX-Budget-Ms: 4000\r\nContent-Length: 2\r\n\r\n{}");
-                    if (own.nextInt(12) == 0) {
-                        TimeUnit.MILLISECONDS.sleep(own.nextInt(40));
-                        k = 0; // Leaves with its request in hand.
-                    } else if (answer(in)) {
-                        TimeUnit.MILLISECONDS.sleep(own.nextInt(40));
+                    if (clientRandom.nextInt(12) == 0) {
+                        TimeUnit.MILLISECONDS.sleep(clientRandom.nextInt(40));
+                        remaining = 0; // Disconnects while its request is in flight.
+                    } else if (readResponse(in)) {
+                        TimeUnit.MILLISECONDS.sleep(clientRandom.nextInt(40));
                     } else {
-                        k = 0;
+                        remaining = 0;
                     }
                 }
             } catch (IOException e) {
-                wrong.addAndGet(
-                        over || (e.getMessage() != null && e.getMessage().contains("refused")) ? 0 : 1);
+                unanswered.addAndGet(
+                        finished || (e.getMessage() != null && e.getMessage().contains("refused")) ? 0 : 1);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** Whether the connection goes on. */
-    private boolean answer(HttpReader in) throws IOException, InterruptedException {
+    /** Reads a response and counts it; returns whether the connection can be used again. */
+    private boolean readResponse(HttpReader in) throws IOException, InterruptedException {
         if (!in.awaitMessage()) {
-            return false; // Closed while it was idle, or at the end: no rule is about that here.
+            return false; // Closed while idle, or at shutdown, which is allowed.
         }
-        HttpHead h = in.readResponseHead();
-        if (h.status() == 200) {
+        HttpHead head = in.readResponseHead();
+        if (head.status() == 200) {
             try {
-                in.readEvents(h, e -> {});
+                in.readEvents(head, e -> {});
             } catch (IOException e) {
-                refused.incrementAndGet(); // Its engine broke it.
+                refused.incrementAndGet(); // The upstream broke off the stream.
                 return false;
             }
             served.incrementAndGet();
         } else {
-            in.readBody(h);
+            in.readBody(head);
             refused.incrementAndGet();
         }
-        return !h.closesConnection();
+        return !head.closesConnection();
     }
 
-    // ---- The router -----------------------------------------------------------------------------------
-    private void start(boolean planted) throws IOException {
+    // ---- Router ---------------------------------------------------------------------------------------
+    private void start(boolean withSpin) throws IOException {
         Path configuration = writeConfiguration();
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", command(planted)).redirectErrorStream(true);
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c", command(withSpin)).redirectErrorStream(true);
         builder.environment().put("ROUTER_CONFIG", configuration.toString());
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment()
@@ -217,10 +219,10 @@
                     .append(i)
                     .append("\",\"host_port\":\"")
                     .append("127.0.0.1:")
-                    .append(serve(StepProof::engine).getLocalPort())
+                    .append(serve(SpinWaitDetector::answerAsEngine).getLocalPort())
                     .append("\",\"phase\":\"Ready\"}");
         }
-        ServerSocket discovery = serve(s -> list(s, known.toString()));
+        ServerSocket discovery = serve(socket -> sendLists(socket, known.toString()));
         Path configuration = folder.resolve("router.json");
         Files.writeString(
                 configuration,
@@ -231,13 +233,13 @@
         return configuration;
     }
 
-    /** The deploy file's command, on one core in the first-in-first-out class, with the classes under test. */
-    private String command(boolean planted) throws IOException {
+    /** The deploy file's command, changed to use one core, the first-in-first-out class and the classes under test. */
+    private String command(boolean withSpin) throws IOException {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
-        String mainClass = planted ? PlantedSpin.class.getName() : "magpiehub.Main";
+        String mainClass = withSpin ? SpinWaitMain.class.getName() : "magpiehub.Main";
         return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'))
                 .replace("exec java", "exec taskset -c " + core + " chrt -f 1 java")
                 .replace(
@@ -262,7 +264,7 @@
     }
 
     // ---- Scheduling and sampling ----------------------------------------------------------------------
-    /** Samples all threads once; describes one whose run is over the bound. */
+    /** Samples all threads once; describes the first one found whose CPU time without a wait is over the bound. */
     private Optional<String> findSpinningThread() throws IOException, InterruptedException {
         for (ThreadSample thread : ThreadSample.ofProcess(router.pid())) {
             cpuTicks.put(thread.name() + " " + thread.id(), thread.userTicks() + thread.systemTicks());
@@ -275,9 +277,9 @@
         return Optional.empty();
     }
 
-    /** The thread's stack, read from outside: the process is not asked, since it may not answer. */
+    /** The thread's stack, read from outside the process, which may not respond to a request for it. */
     private String stack(long thread) throws IOException, InterruptedException {
-        stopRouterOnAllCores();
+        stopRouter();
         Process jstack = new ProcessBuilder(
                         "timeout",
                         "20",
@@ -287,20 +289,20 @@
                         Long.toString(router.pid()))
                 .redirectErrorStream(true)
                 .start();
-        String all = new String(jstack.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        int id = all.indexOf("nid=0x" + Long.toHexString(thread) + " ");
-        int start = all.lastIndexOf("\n\"", Math.max(0, id)) + 1;
-        int end = all.indexOf("\n\"", Math.max(start, id));
+        String stacks = new String(jstack.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        int id = stacks.indexOf("nid=0x" + Long.toHexString(thread) + " ");
+        int start = stacks.lastIndexOf("\n\"", Math.max(0, id)) + 1;
+        int end = stacks.indexOf("\n\"", Math.max(start, id));
         return id < 0
-                ? "no stack of a Java thread: " + all.substring(0, Math.min(all.length(), 600))
-                : all.substring(start, end < 0 ? all.length() : end).stripTrailing();
+                ? "no stack of a Java thread: " + stacks.substring(0, Math.min(stacks.length(), 600))
+                : stacks.substring(start, end < 0 ? stacks.length() : end).stripTrailing();
     }
 
     /**
-     * Stops the router by its first thread on another core: whoever attaches waits for each thread to stop, and those
-     * would wait for the one that runs.
+     * Stops the router, with its first thread allowed on all cores: a debugger that attaches waits until each thread
+     * has stopped, and on one core they would wait for the spinning thread.
      */
-    private void stopRouterOnAllCores() throws IOException, InterruptedException {
+    private void stopRouter() throws IOException, InterruptedException {
         String pid = Long.toString(router.pid());
         int lastCore = Runtime.getRuntime().availableProcessors() - 1;
         new ProcessBuilder("sh", "-c", "kill -STOP " + pid + "; taskset -pc 0-" + lastCore + " " + pid + " >/dev/null")
@@ -308,20 +310,20 @@
                 .waitFor();
     }
 
-    /** Plays for some seconds; describes a thread that was found to spin, which ends the play. */
-    private Optional<String> play(int seconds) throws Exception {
+    /** Watches threads for some seconds; describes the first spinning one, which ends the run. */
+    private Optional<String> watchThreads(int seconds) throws Exception {
         Process competitor = startCompetitor();
         try (FifoScheduling scheduling = new FifoScheduling()) {
-            return play(System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds), scheduling);
+            return watchThreads(System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds), scheduling);
         } finally {
-            over = true;
+            finished = true;
             competitor.destroyForcibly();
         }
     }
 
     /**
-     * A process that goes first and has the core for a part of each moment. A stop of the whole router would end a
-     * wait of the kind looked for, since what goes on after it is put in another order.
+     * Starts a process of higher priority that uses the core at short intervals. Stopping the whole router instead
+     * would end spin waits, since its threads are scheduled in another order when it continues.
      */
     private Process startCompetitor() throws IOException {
         Process competitor = new ProcessBuilder(
@@ -339,18 +341,18 @@
         return competitor;
     }
 
-    private Optional<String> play(long endNanos, FifoScheduling scheduling) throws Exception {
+    private Optional<String> watchThreads(long endNanos, FifoScheduling scheduling) throws Exception {
         boolean hasClients = false;
-        long nextTurnNanos = 0;
+        long nextChangeNanos = 0;
         while (System.nanoTime() < endNanos) {
             if (!hasClients && started.getCount() == 0) {
                 startClients();
                 hasClients = true;
             }
-            if (System.nanoTime() >= nextTurnNanos) {
-                int turnMillis = random.nextInt(MIN_TURN_MILLIS, MAX_TURN_MILLIS);
-                nextTurnNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(turnMillis);
-                threadsRunAhead += scheduling.changeThreadsAhead(ThreadSample.ofProcess(router.pid()), random);
+            if (System.nanoTime() >= nextChangeNanos) {
+                int priorityMillis = random.nextInt(MIN_PRIORITY_MILLIS, MAX_PRIORITY_MILLIS);
+                nextChangeNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(priorityMillis);
+                prioritizedThreads += scheduling.changePrioritizedThreads(ThreadSample.ofProcess(router.pid()), random);
             }
             Optional<String> spinning = findSpinningThread();
             if (spinning.isPresent()) {
@@ -364,23 +366,24 @@
     private void startClients() {
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
-            SplittableRandom own = random.split();
-            DaemonThreads.newThread("client", () -> client(number, own)).start();
+            SplittableRandom clientRandom = random.split();
+            DaemonThreads.newThread("client", () -> runClient(number, clientRandom))
+                    .start();
         }
     }
 
-    // ---- The verdict ----------------------------------------------------------------------------------
-    /** Runs a router for some seconds and reports; whether no thread spun and every request had an answer. */
-    private boolean run(int seconds, boolean planted) throws Exception {
+    // ---- Result ---------------------------------------------------------------------------------------
+    /** Runs a router for some seconds and reports; returns whether no thread spun and every request was answered. */
+    private boolean run(int seconds, boolean withSpin) throws Exception {
         Optional<String> spinning;
-        boolean ended;
+        boolean exited;
         try {
-            start(planted);
-            spinning = play(seconds);
+            start(withSpin);
+            spinning = watchThreads(seconds);
             router.toHandle().destroy();
-            ended = spinning.isPresent() || router.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            exited = spinning.isPresent() || router.waitFor(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } finally {
-            over = true;
+            finished = true;
             router.destroyForcibly().waitFor();
             for (ServerSocket server : servers) {
                 server.close();
@@ -388,10 +391,10 @@
         }
         reportCpuTime();
         spinning.ifPresent(thread -> System.out.println("out of bounds: " + thread));
-        boolean ok = spinning.isEmpty() && ended && served.get() > 0 && wrong.get() == 0;
+        boolean ok = spinning.isEmpty() && exited && served.get() > 0 && unanswered.get() == 0;
         System.out.println("proof step seed=" + seed + " requests=" + requests + " served=" + served
-                + " refused=" + refused + " without_answer=" + wrong + " ran_ahead=" + threadsRunAhead
-                + " ended=" + ended + " longest_run_ms:" + longestRuns() + (ok ? " ok" : " short"));
+                + " refused=" + refused + " without_answer=" + unanswered + " ran_ahead=" + prioritizedThreads
+                + " ended=" + exited + " longest_run_ms:" + longestRuns() + (ok ? " ok" : " short"));
         return ok;
     }
 
@@ -401,8 +404,10 @@
                 nameAndId.substring(0, nameAndId.lastIndexOf(' ')),
                 ticks * 1000 / ThreadSample.TICKS_PER_SECOND,
                 Long::sum));
-        long all = millisByName.values().stream().mapToLong(Long::longValue).sum();
-        System.out.printf(Locale.ROOT, "cpu_ms=%d operators=%d%n", all, millisByName.getOrDefault("operators", 0L));
+        long totalMillis =
+                millisByName.values().stream().mapToLong(Long::longValue).sum();
+        System.out.printf(
+                Locale.ROOT, "cpu_ms=%d operators=%d%n", totalMillis, millisByName.getOrDefault("operators", 0L));
     }
 
     private String longestRuns() {
@@ -420,13 +425,13 @@
     public static void main(String[] args) throws Exception {
         long seed = Long.parseLong(args[0]);
         int seconds = args.length > 1 ? Integer.parseInt(args[1]) : DEFAULT_SECONDS;
-        boolean planted = args.length > 2 && args[2].equals("spin");
+        boolean withSpin = args.length > 2 && args[2].equals("spin");
         if (!FifoScheduling.isAllowed()) {
-            System.out.println("proof step: no right to the scheduler's first-in-first-out class (chrt -f)");
+            System.out.println("proof step: no permission to use the scheduler's first-in-first-out class (chrt -f)");
             System.exit(EXIT_NOT_ALLOWED);
         }
         Path folder = Files.createTempDirectory("proof-step");
-        boolean ok = new StepProof(seed, folder).run(seconds, planted);
+        boolean ok = new SpinWaitDetector(seed, folder).run(seconds, withSpin);
         System.exit(ok ? 0 : 1);
     }
 }
