--- a/src/main/java/magpiehub/discovery/ConsulKeyValues.java
+++ b/src/main/java/magpiehub/discovery/ConsulKeyValues.java
@@ -6,8 +6,10 @@
 import java.util.Base64;
 
 /**
- * The values under a prefix of Consul's key-value store ({@code /v1/kv}). A value is one endpoint in the form of the
- * platform's discovery; where it names no id, the rest of the key behind the prefix is the id.
+ * Reads the endpoint list from the values under a prefix of Consul's key-value store ({@code /v1/kv}).
+ *
+ * <p>Each value describes one endpoint in the JSON format of the platform's discovery service. If it has no id, the id
+ * is the part of the key after the prefix.
  */
 final class ConsulKeyValues implements ConsulResource {
     private final String path;
@@ -25,7 +27,10 @@
         return path + "?recurse";
     }
 
-    /** The keys up to the first separator: a few bytes, under the index of all that is below. */
+    /**
+     * Lists only the keys up to the first separator. The response has a few bytes and carries the index of everything
+     * below the prefix.
+     */
     @Override
     public String indexTarget() {
         return path + "?keys&separator=%2F";
@@ -52,7 +57,7 @@
             }
         }
         if (key.endsWith("/") && value == null) {
-            return null; // What Consul's user interface creates for a folder.
+            return null; // A folder created in Consul's user interface.
         }
         return parseEntry(key, ConsulResource.parseIndex(modifyIndex), value == null ? "" : value);
     }
--- a/src/main/java/magpiehub/discovery/ConsulProtocol.java
+++ b/src/main/java/magpiehub/discovery/ConsulProtocol.java
@@ -6,14 +6,16 @@
 import magpiehub.http.HttpHead;
 
 /**
- * Endpoint lists in Consul, read through its HTTP interface (version 1) as its documentation of blocking queries, of
- * {@code /v1/health/service} and of {@code /v1/kv} describes it: {@code index} and {@code wait} with up to a sixteenth
- * of jitter, an index that must be above 0 and must not go back, {@code X-Consul-KnownLeader}, the token in
- * {@code X-Consul-Token}, {@code Retry-After} on 429. Reads are in the default consistency mode.
+ * Reads and watches endpoint lists in Consul through its HTTP API, version 1.
  *
- * <p>Each response is the complete list, so nothing can be missed between two of them. What a response costs is why
- * the caller leaves a time between two queries. Not covered: tags, weights, near, stale and cached reads, prepared
- * queries, more than one data centre.
+ * <p>Follows Consul's documentation of blocking queries, {@code /v1/health/service} and {@code /v1/kv}: {@code index}
+ * and {@code wait} with up to a sixteenth of jitter, an index that must be above 0 and must not decrease,
+ * {@code X-Consul-KnownLeader}, the token in {@code X-Consul-Token}, and {@code Retry-After} on 429. Reads use the
+ * default consistency mode.
+ *
+ * <p>Each response is the complete list, so no change can be missed between two responses. Complete lists are
+ * expensive, so the caller keeps a minimum interval between queries. Not supported: tags, weights, near, stale and
+ * cached reads, prepared queries, and more than one data centre.
  */
 final class ConsulProtocol implements RegistryProtocol {
     /** The header that carries the access token. */
@@ -22,10 +24,10 @@
     private static final int STATUS_NOT_FOUND = 404;
     private static final long MICROS_PER_MILLI = 1000;
 
-    /** Consul lengthens a wait by up to this part of it, so that clients do not all come back at once. */
+    /** Consul extends a wait by up to this fraction of it, so that clients do not all return at once. */
     private static final int WAIT_JITTER_DIVISOR = 16;
 
-    /** Consul has no histories that could be told apart. */
+    /** Consul's responses do not identify the history that an index belongs to. */
     private static final String NO_HISTORY = "";
 
     private static final long UNKNOWN_COUNT = -1;
@@ -40,12 +42,20 @@
         this.token = token;
     }
 
-    /** The instances of a service; {@code waitMicros} is how long a blocking query may take. */
+    /**
+     * Creates a protocol that reads the instances of a service.
+     *
+     * @param waitMicros the longest wait of a blocking query, before Consul's jitter
+     */
     static ConsulProtocol forHealth(String service, long waitMicros, String token, EndpointEntryParser entries) {
         return new ConsulProtocol(new ConsulServiceHealth(service, entries), waitMicros, token);
     }
 
-    /** The values under a prefix; {@code waitMicros} is how long a blocking query may take. */
+    /**
+     * Creates a protocol that reads the values under a key prefix.
+     *
+     * @param waitMicros the longest wait of a blocking query, before Consul's jitter
+     */
     static ConsulProtocol forKeyValues(String prefix, long waitMicros, String token, EndpointEntryParser entries) {
         return new ConsulProtocol(new ConsulKeyValues(prefix, entries), waitMicros, token);
     }
@@ -66,11 +76,11 @@
         readList(connection, resource.listTarget(), listener);
     }
 
-    /** Makes one blocking query. */
+    /** Sends one blocking query. */
     @Override
     public void watch(RegistryConnection connection, ListPosition after, RegistryEventListener listener)
             throws IOException, InterruptedException {
-        // By the documentation an index below 1 counts as none: such a query would never block.
+        // Consul ignores an index below 1, so a query with one would never block.
         String target = after.revision() < 1 ? resource.listTarget() : blockingTarget(after.revision());
         readList(connection, target, listener);
     }
@@ -104,7 +114,7 @@
         }
         List<ListItem> items =
                 JsonObjects.read(connection.body(head), parser -> JsonObjects.readObjects(parser, resource::readEntry));
-        items.removeIf(Objects::isNull); // Objects that are no entries.
+        items.removeIf(Objects::isNull); // Objects that are not entries, such as folders.
         return items;
     }
 
@@ -112,9 +122,9 @@
         int alsoAccepted = resource.isEmptyWhenNotFound() ? STATUS_NOT_FOUND : 0;
         HttpHead head = connection.send("GET", target, null, alsoAccepted, TOKEN_HEADER, token);
         if ("false".equalsIgnoreCase(head.headers().get("X-Consul-KnownLeader"))) {
-            // The server may have been cut off from the others, and its data be old.
+            // The server may be partitioned from the cluster and serve stale data.
             connection.discardBody(head);
-            throw new RegistryErrorException("no known leader");
+            throw new RegistryErrorException("Consul server has no known leader");
         }
         return head;
     }
@@ -125,7 +135,7 @@
             long number = Long.parseUnsignedLong(index == null ? "" : index);
             return new ListPosition(NO_HISTORY, 0, Math.max(0, number));
         } catch (NumberFormatException e) {
-            throw new RegistryErrorException("no X-Consul-Index");
+            throw new RegistryErrorException("response has no valid X-Consul-Index header");
         }
     }
 }
--- a/src/main/java/magpiehub/discovery/ConsulResource.java
+++ b/src/main/java/magpiehub/discovery/ConsulResource.java
@@ -3,24 +3,26 @@
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
 
-/** A part of Consul's HTTP interface that holds an endpoint list: what is requested, and how an entry is read. */
+/** A resource of Consul's HTTP API that holds an endpoint list: its request targets and the format of its entries. */
 interface ConsulResource {
-    /** The target of a request for the complete list, an array of objects. */
+    /** Returns the target of a request for the complete list, a JSON array of objects. */
     String listTarget();
 
-    /** The target of a request whose response is small and carries the index of the complete list. */
+    /** Returns the target of a request whose response is small and carries the index of the complete list. */
     String indexTarget();
 
-    /** Whether the status 404 stands for an empty list. */
+    /** Returns whether a response with status 404 means that the list is empty. */
     boolean isEmptyWhenNotFound();
 
     /**
-     * Reads the entry that the parser stands at the start of. One that can't be understood gives an item that says
-     * why; null is an object that is no entry.
+     * Reads the entry that starts at the parser's current token.
+     *
+     * @return the entry, an unreadable item with the reason if the entry is invalid, or null if the object is not an
+     *     entry
      */
     ListItem readEntry(JsonParser parser) throws IOException;
 
-    /** An index that Consul writes as a text or number; 0 where it is none. */
+    /** Parses an index; returns 0 if the text is not a number. */
     static long parseIndex(String text) {
         try {
             return Long.parseLong(text);
--- a/src/main/java/magpiehub/discovery/ConsulServiceHealth.java
+++ b/src/main/java/magpiehub/discovery/ConsulServiceHealth.java
@@ -7,11 +7,11 @@
 import magpiehub.routing.EndpointState;
 
 /**
- * The instances of a service by Consul's health interface ({@code /v1/health/service}).
+ * Reads the endpoint list from the instances of a service in Consul's health API ({@code /v1/health/service}).
  *
- * <p>An endpoint is an instance: its address, its {@code Meta} ({@code locality}, {@code flavor}, {@code cell},
- * {@code size}, {@code phase}, {@code up_since_ms}) and its checks. An instance with a critical check, and so one in
- * maintenance, is draining: it gets no new requests, and those that it has may end.
+ * <p>Each instance is an endpoint, described by its address, its {@code Meta} ({@code locality}, {@code flavor},
+ * {@code cell}, {@code size}, {@code phase}, {@code up_since_ms}) and its checks. An instance with a critical check,
+ * which includes one in maintenance, is draining: it receives no new requests and may finish those in progress.
  */
 final class ConsulServiceHealth implements ConsulResource {
     private final String path;
@@ -27,7 +27,7 @@
         return path;
     }
 
-    /** A filter that nothing passes: the response is an empty list under the index of the complete one. */
+    /** Uses a filter that matches no instance: the response is empty but carries the index of the complete list. */
     @Override
     public String indexTarget() {
         return path + "?filter=" + PercentEncoding.encode("Service.ID == \"\"");
@@ -45,7 +45,7 @@
         return instance.toItem();
     }
 
-    /** One element of the response while it is read. */
+    /** One element of the response while it is being parsed. */
     private static final class Instance {
         private final EndpointEntryBuilder fields;
         private String nodeName = "";
--- a/src/main/java/magpiehub/discovery/ConsulServiceRegistration.java
+++ b/src/main/java/magpiehub/discovery/ConsulServiceRegistration.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * A router's entry in Consul: an instance of a service with a TTL check ({@code /v1/agent/service/register},
- * {@code /v1/agent/check/pass}, {@code /v1/agent/service/deregister}). Consul removes the instance when its check has
+ * Registers a router in Consul as an instance of a service with a TTL check ({@code /v1/agent/service/register},
+ * {@code /v1/agent/check/pass}, {@code /v1/agent/service/deregister}). Consul removes the instance once its check has
  * been critical for a minute.
  */
 final class ConsulServiceRegistration implements RegistrationProtocol {
@@ -20,7 +20,11 @@
     private final long ttlMicros;
     private final String token;
 
-    /** The instance {@code id} of a service; {@code token} is null where the agent asks for none. */
+    /**
+     * Creates the registration of one instance of a service.
+     *
+     * @param token the access token, or null if the agent requires none
+     */
     ConsulServiceRegistration(String service, String id, String address, long ttlMicros, String token) {
         this.service = service;
         this.id = id;
@@ -74,7 +78,7 @@
         }
     }
 
-    /** 404 by today's documentation; agents before 1.12 answer 500 and name the missing check. */
+    /** Current agents respond with 404; agents before 1.12 respond with 500 and a message about the missing check. */
     private static boolean isUnknownInstance(HttpStatusException failure) {
         return failure.statusCode() == STATUS_NOT_FOUND
                 || (failure.statusCode() == STATUS_INTERNAL_ERROR
--- a/src/main/java/magpiehub/discovery/EtcdClient.java
+++ b/src/main/java/magpiehub/discovery/EtcdClient.java
@@ -5,10 +5,10 @@
 import magpiehub.http.HttpHead;
 
 /**
- * Calls to etcd's JSON gateway, authenticated where the cluster asks for it: {@code /v3/auth/authenticate} exchanges
- * name and password for a token, which may expire at any time.
+ * Sends calls to etcd's JSON gateway, with authentication if the cluster requires it: {@code /v3/auth/authenticate}
+ * exchanges user name and password for a token, which may expire at any time.
  *
- * <p>Several threads may call, each on a connection of its own; they share the token.
+ * <p>Thread-safe if each thread uses its own connection; the token is shared.
  */
 final class EtcdClient {
     private static final int STATUS_UNAUTHORIZED = 401;
@@ -16,18 +16,22 @@
     private final EtcdCredentials credentials;
     private volatile String token;
 
-    /** A client; {@code credentials} is null where the cluster asks for no authentication. */
+    /**
+     * Creates a client.
+     *
+     * @param credentials null if the cluster requires no authentication
+     */
     EtcdClient(EtcdCredentials credentials) {
         this.credentials = credentials;
     }
 
     /**
-     * Makes a call, after authentication where there is no token. If the token turns out to be invalid, a new one is
-     * fetched and the call repeated once.
+     * Sends a call, after authenticating if there is no token. If etcd rejects the token, the client fetches a new one
+     * and retries the call once.
      *
-     * @return the head of a response whose body holds JSON
+     * @return the head of a response with a JSON body
      * @throws EtcdStatusException if etcd reports that a revision is out of range
-     * @throws HttpStatusException for any other error that is reported
+     * @throws HttpStatusException if the response reports any other error
      */
     HttpHead call(RegistryConnection connection, String path, byte[] body) throws IOException {
         for (int attempt = 0; ; attempt++) {
@@ -52,7 +56,7 @@
         return failure.statusCode() == STATUS_UNAUTHORIZED || (status != null && status.isUnauthenticated());
     }
 
-    /** Makes the next call authenticate anew. */
+    /** Discards the token, so that the next call authenticates again. */
     void invalidateToken() {
         token = null;
     }
@@ -65,7 +69,8 @@
         HttpHead head = connection.send("POST", "/v3/auth/authenticate", request, 0);
         String fetched = JsonObjects.read(connection.body(head), EtcdClient::readToken);
         if (fetched == null || fetched.isEmpty() || !isHeaderSafe(fetched)) {
-            throw new EtcdStatusException(EtcdStatusException.UNAUTHENTICATED, "the login gave no token");
+            throw new EtcdStatusException(
+                    EtcdStatusException.UNAUTHENTICATED, "authentication response has no valid token");
         }
         token = fetched;
         return fetched;
@@ -84,7 +89,7 @@
         return token;
     }
 
-    /** Whether a text consists of visible ASCII characters alone, so that it can't break out of a header. */
+    /** Returns whether a text has only visible ASCII characters, so that it can't inject headers. */
     private static boolean isHeaderSafe(String text) {
         return text.chars().noneMatch(c -> c <= ' ' || c >= 0x7f);
     }
--- a/src/main/java/magpiehub/discovery/EtcdCredentials.java
+++ b/src/main/java/magpiehub/discovery/EtcdCredentials.java
@@ -1,8 +1,8 @@
 package magpiehub.discovery;
 
-/** The user that a client logs in to etcd as. */
+/** The user name and password that a client authenticates with at etcd. */
 record EtcdCredentials(String user, String password) {
-    /** Credentials; null where {@code user} is null, since the cluster then asks for no authentication. */
+    /** Returns the credentials, or null if {@code user} is null, which means that the cluster requires none. */
     static EtcdCredentials of(String user, String password) {
         return user == null ? null : new EtcdCredentials(user, password);
     }
--- a/src/main/java/magpiehub/discovery/EtcdEntryReader.java
+++ b/src/main/java/magpiehub/discovery/EtcdEntryReader.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the endpoints that etcd's values describe, in the form of the platform's discovery. Where a value names no id,
- * the rest of the key behind the prefix is the id.
+ * Reads endpoints from etcd's values, which have the JSON format of the platform's discovery service. If a value has no
+ * id, the id is the part of the key after the prefix.
  */
 final class EtcdEntryReader {
     private final int prefixLength;
@@ -16,7 +16,7 @@
         this.entries = entries;
     }
 
-    /** The endpoint of a key; a value that can't be read gives an item that says why. */
+    /** Reads the endpoint of a key; returns an unreadable item with the reason if the value is invalid. */
     ListItem read(EtcdKeyValue keyValue) {
         String key = key(keyValue);
         long revision = keyValue.modRevision();
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The change that an event of a watch reports. */
+    /** Reads the change that a watch event reports. */
     ListItem read(EtcdWatchEvent event) {
         EtcdKeyValue keyValue = event.keyValue();
         return event.isDelete() ? ListItem.removed(key(keyValue), keyValue.modRevision()) : read(keyValue);
--- a/src/main/java/magpiehub/discovery/EtcdKeyRange.java
+++ b/src/main/java/magpiehub/discovery/EtcdKeyRange.java
@@ -5,15 +5,23 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A range of keys as etcd's requests name it: from {@code start} to {@code end}, the end excluded. */
+/**
+ * A range of keys in an etcd request.
+ *
+ * @param start the first key
+ * @param end the first key after the range; a single zero byte for a range without an end
+ */
 record EtcdKeyRange(byte[] start, byte[] end) {
-    /** All keys that begin with a prefix. */
+    /** Returns the range of all keys that start with a prefix. */
     static EtcdKeyRange ofPrefix(String prefix) {
         byte[] start = prefix.getBytes(StandardCharsets.UTF_8);
         return new EtcdKeyRange(start, firstKeyBehind(start));
     }
 
-    /** The prefix with its last byte below 0xff increased by one; the byte 0, etcd's open end, if there is none. */
+    /**
+     * Increments the last byte of a prefix that is below 0xff and drops the bytes after it. If all bytes are 0xff,
+     * returns a single zero byte, which etcd reads as an open end.
+     */
     private static byte[] firstKeyBehind(byte[] prefix) {
         for (int i = prefix.length - 1; i >= 0; i--) {
             if (prefix[i] != (byte) 0xff) {
@@ -25,12 +33,12 @@
         return new byte[] {0};
     }
 
-    /** The rest of this range behind a key. */
+    /** Returns the part of this range that follows a key. */
     EtcdKeyRange after(byte[] key) {
         return new EtcdKeyRange(Arrays.copyOf(key, key.length + 1), end);
     }
 
-    /** Writes the members of a request that name this range. */
+    /** Writes this range as the members {@code key} and {@code range_end} of a request. */
     void write(JsonGenerator generator) throws IOException {
         generator.writeBinaryField("key", start);
         generator.writeBinaryField("range_end", end);
--- a/src/main/java/magpiehub/discovery/EtcdKeyValue.java
+++ b/src/main/java/magpiehub/discovery/EtcdKeyValue.java
@@ -4,16 +4,16 @@
 import java.io.IOException;
 
 /**
- * A key of etcd with its value.
+ * An etcd key with its value.
  *
- * @param key empty if the response does not name it
- * @param value empty for a key that was deleted or whose value was not asked for
- * @param modRevision the revision of the key's last change; 0 if the response does not say
+ * @param key empty if the response does not contain it
+ * @param value empty if the key was deleted or the request asked for keys only
+ * @param modRevision the revision of the key's last modification; 0 if the response does not contain it
  */
 record EtcdKeyValue(byte[] key, byte[] value, long modRevision) {
     private static final byte[] NO_BYTES = {};
 
-    /** The key and value that the parser stands at the start of. */
+    /** Reads the key-value object that starts at the parser's current token. */
     static EtcdKeyValue read(JsonParser parser) throws IOException {
         byte[] key = NO_BYTES;
         byte[] value = NO_BYTES;
--- a/src/main/java/magpiehub/discovery/EtcdLeaseRegistration.java
+++ b/src/main/java/magpiehub/discovery/EtcdLeaseRegistration.java
@@ -6,8 +6,8 @@
 import magpiehub.http.HttpHead;
 
 /**
- * A router's entry in etcd: a key under a lease ({@code /v3/lease/grant}, {@code /v3/kv/put},
- * {@code /v3/lease/keepalive}, {@code /v3/lease/revoke}). The key goes when the lease does.
+ * Registers a router in etcd as a key attached to a lease ({@code /v3/lease/grant}, {@code /v3/kv/put},
+ * {@code /v3/lease/keepalive}, {@code /v3/lease/revoke}). etcd deletes the key when the lease expires or is revoked.
  */
 final class EtcdLeaseRegistration implements RegistrationProtocol {
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -20,7 +20,12 @@
     private final long ttlMicros;
     private long leaseId;
 
-    /** The entry {@code id} under a prefix; {@code address} is where the router listens. */
+    /**
+     * Creates the registration of one router.
+     *
+     * @param prefix the common prefix of the routers' keys
+     * @param address the address that the router listens on
+     */
     EtcdLeaseRegistration(EtcdClient client, String prefix, String id, String address, long ttlMicros) {
         this.client = client;
         this.key = prefix + id;
@@ -61,7 +66,7 @@
         HttpHead head = client.call(connection, "/v3/lease/keepalive", leaseRequest());
         Lease lease = JsonObjects.read(connection.body(head), EtcdLeaseRegistration::readKeepAliveResponse);
         if (lease.ttlSeconds <= 0) {
-            // A lease that has expired is answered with a TTL of 0, which the gateway leaves out.
+            // etcd reports a TTL of 0 for an expired lease, and the gateway omits zero values.
             throw new RegistrationLostException();
         }
         return lease.ttlSeconds * MICROS_PER_SECOND;
@@ -85,7 +90,7 @@
         try {
             connection.discardBody(client.call(connection, "/v3/lease/revoke", leaseRequest()));
         } catch (HttpStatusException e) {
-            // A lease that is not found has expired, and the entry with it.
+            // A lease that is not found has expired, and etcd has deleted its key.
             if (e.statusCode() != STATUS_NOT_FOUND) {
                 throw e;
             }
@@ -96,7 +101,7 @@
         return JsonObjects.toBytes(generator -> generator.writeStringField("ID", Long.toString(leaseId)));
     }
 
-    /** A lease as etcd's responses describe it; what they leave out is 0. */
+    /** A lease in a response from etcd; values that the response omits are 0. */
     private record Lease(long id, long ttlSeconds) {
         static final Lease NONE = new Lease(0, 0);
 
--- a/src/main/java/magpiehub/discovery/EtcdProtocol.java
+++ b/src/main/java/magpiehub/discovery/EtcdProtocol.java
@@ -9,18 +9,20 @@
 import magpiehub.http.HttpHead;
 
 /**
- * Endpoint lists in etcd, read through its v3 JSON gateway as etcd's documentation and its {@code rpc.proto} describe
- * it (versions 3.4 and later): {@code /v3/kv/range} in pages at one revision, and {@code /v3/watch} from a revision,
- * with created and cancelled responses, {@code compact_revision}, progress notifications and fragments.
+ * Reads and watches endpoint lists in etcd through its v3 JSON gateway, versions 3.4 and later.
  *
- * <p>64-bit numbers are accepted as texts or numbers, absent ones as 0; keys and values are Base64. Reads are
- * linearizable: a response is never older than what the cluster had committed when it was asked.
+ * <p>Follows etcd's documentation and its {@code rpc.proto}: {@code /v3/kv/range} in pages at one revision, and
+ * {@code /v3/watch} from a revision, with created and cancelled responses, {@code compact_revision}, progress
+ * notifications and fragments.
+ *
+ * <p>64-bit numbers are accepted as JSON strings or numbers, and absent ones are 0; keys and values are Base64. Reads
+ * are linearizable: a response reflects everything that the cluster had committed when it received the request.
  */
 final class EtcdProtocol implements RegistryProtocol {
-    /** Guards against a list that is compacted while it is read, each time: the call ends, and another is made. */
+    /** Limits how often one call restarts a list that is compacted while it is read; the call then fails. */
     private static final int MAX_RESTARTS = 3;
 
-    /** How many of the keys that changed last are compared to recognize a history. */
+    /** How many of the most recently modified keys are compared to detect that the history has changed. */
     private static final int COMPARED_KEYS = 16;
 
     private static final long CURRENT_REVISION = 0;
@@ -30,7 +32,11 @@
     private final EtcdEntryReader entryReader;
     private final int pageSize;
 
-    /** The keys under a prefix; {@code user} is null where the cluster asks for no authentication. */
+    /**
+     * Creates a protocol that reads the keys under a prefix.
+     *
+     * @param user null if the cluster requires no authentication
+     */
     EtcdProtocol(String prefix, int pageSize, String user, String password, EndpointEntryParser entries) {
         this.client = new EtcdClient(EtcdCredentials.of(user, password));
         this.range = EtcdKeyRange.ofPrefix(prefix);
@@ -64,7 +70,7 @@
         }
     }
 
-    /** Reads all pages at the revision of the first one. */
+    /** Reads all pages at the revision of the first page. */
     private void readPages(RegistryConnection connection, RegistryEventListener listener)
             throws IOException, InterruptedException {
         List<ListItem> items = new ArrayList<>();
@@ -73,7 +79,7 @@
         while (true) {
             EtcdRangeResponse page = readPage(connection, rest, position);
             if (position != null && !position.history().equals(page.header().history())) {
-                throw new ConfigurationException("the pages of one list are of two clusters");
+                throw new ConfigurationException("pages of one list come from different etcd clusters");
             }
             position = position == null ? page.header() : position;
             List<EtcdKeyValue> keyValues = page.keyValues();
@@ -110,7 +116,7 @@
         listener.onPositionChecked(newest.header(), newestRevision, newest.count());
     }
 
-    /** The key that changed last, without its value, and the count of all. */
+    /** Reads the most recently modified key, without its value, and the number of keys. */
     private EtcdRangeResponse readNewestKey(RegistryConnection connection) throws IOException {
         return callRange(connection, generator -> {
             writeNewestFirst(generator, 1);
@@ -119,8 +125,8 @@
     }
 
     /**
-     * Watches from the revision after the given position. What etcd holds at the position is reported before, so that
-     * the listener can cancel the call if this is another history.
+     * Watches from the revision after the given position. First reports the most recently modified keys at that
+     * position, so that the listener can cancel the call if they belong to a different history.
      */
     @Override
     public void watch(RegistryConnection connection, ListPosition after, RegistryEventListener listener)
@@ -133,7 +139,7 @@
                 stream.accept(EtcdWatchResponse.parse(line));
             }
         });
-        throw new EOFException("the watch ended");
+        throw new EOFException("etcd closed the watch stream");
     }
 
     private byte[] watchRequest(long startRevision) throws IOException {
@@ -147,7 +153,7 @@
         });
     }
 
-    /** Reports the keys that had changed last by a revision, and the count of all. */
+    /** Reports the most recently modified keys as of a revision, and the number of keys. */
     private void reportLastChanged(RegistryConnection connection, long revision, RegistryEventListener listener)
             throws IOException, InterruptedException {
         try {
@@ -189,7 +195,7 @@
         HttpHead head = client.call(connection, "/v3/kv/range", JsonObjects.toBytes(request));
         EtcdRangeResponse response = JsonObjects.read(connection.body(head), EtcdRangeResponse::read);
         if (response.header().revision() <= 0) {
-            throw new ConfigurationException("an answer without a revision");
+            throw new ConfigurationException("etcd range response has no revision");
         }
         return response;
     }
--- a/src/main/java/magpiehub/discovery/EtcdRangeResponse.java
+++ b/src/main/java/magpiehub/discovery/EtcdRangeResponse.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * The response to {@code /v3/kv/range}: one page of keys.
+ * A response to {@code /v3/kv/range}: one page of keys.
  *
- * @param header where the cluster stands
- * @param hasMore whether the range goes on behind the last key of this page
+ * @param header the cluster's current position
+ * @param hasMore whether the range has keys after the last one of this page
  * @param count the number of keys in the range, on all pages
  */
 record EtcdRangeResponse(ListPosition header, List<EtcdKeyValue> keyValues, boolean hasMore, long count) {
-    /** The response that the parser stands at the start of. */
+    /** Reads the response that starts at the parser's current token. */
     static EtcdRangeResponse read(JsonParser parser) throws IOException {
         ListPosition header = ListPosition.NONE;
         List<EtcdKeyValue> keyValues = List.of();
--- a/src/main/java/magpiehub/discovery/EtcdResponseHeader.java
+++ b/src/main/java/magpiehub/discovery/EtcdResponseHeader.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.IOException;
 
-/** Reads the header of etcd's responses, which says where the cluster stood when it answered. */
+/** Reads the header of an etcd response, which holds the cluster's position at the time of the response. */
 final class EtcdResponseHeader {
     private EtcdResponseHeader() {}
 
-    /** The header that the parser stands at the start of; numbers that are absent count as 0. */
+    /** Reads the header that starts at the parser's current token; absent numbers are 0. */
     static ListPosition read(JsonParser parser) throws IOException {
         long clusterId = 0;
         long raftTerm = 0;
--- a/src/main/java/magpiehub/discovery/EtcdStatusException.java
+++ b/src/main/java/magpiehub/discovery/EtcdStatusException.java
@@ -6,10 +6,10 @@
 
 /** An error that etcd or its JSON gateway reports with a gRPC status code. */
 final class EtcdStatusException extends RegistryErrorException {
-    /** gRPC's code for a revision that was compacted or lies in the future. */
+    /** The gRPC status code for a revision that was compacted or is in the future. */
     static final int OUT_OF_RANGE = 11;
 
-    /** gRPC's code for a missing, invalid or expired token. */
+    /** The gRPC status code for a missing, invalid or expired token. */
     static final int UNAUTHENTICATED = 16;
 
     private static final long serialVersionUID = 1L;
@@ -21,8 +21,10 @@
     }
 
     /**
-     * The gateway's report of a failed call, {@code {"error":"...","code":11,"message":"..."}}, out of an HTTP error's
-     * message; null if it holds none.
+     * Parses the gateway's error object, {@code {"error":"...","code":11,"message":"..."}}, from the message of an HTTP
+     * error.
+     *
+     * @return null if the message has no valid error object
      */
     static EtcdStatusException parse(HttpStatusException failure) {
         String text = failure.getMessage();
@@ -36,7 +38,7 @@
             int code = (int) error.number("code", 0);
             return new EtcdStatusException(code, error.text("message", error.text("error", "")));
         } catch (IOException | RuntimeException e) {
-            return null; // Cut off, or of something between the router and etcd.
+            return null; // Truncated, or sent by a proxy between the router and etcd.
         }
     }
 
--- a/src/main/java/magpiehub/discovery/EtcdWatchEvent.java
+++ b/src/main/java/magpiehub/discovery/EtcdWatchEvent.java
@@ -5,15 +5,15 @@
 import java.io.IOException;
 import magpiehub.config.ConfigurationException;
 
-/** A change of one key that a watch reports: it was put, or deleted. */
+/** An event of a watch: one key was put or deleted. */
 record EtcdWatchEvent(EtcdKeyValue keyValue, boolean isDelete) {
-    /** The number of DELETE in etcd's enumeration of event types. */
+    /** The numeric value of DELETE in etcd's event type enum. */
     private static final int TYPE_DELETE = 1;
 
     /**
-     * The event that the parser stands at the start of.
+     * Reads the event that starts at the parser's current token.
      *
-     * @throws ConfigurationException if it lacks the key or its revision
+     * @throws ConfigurationException if the event has no key or no modification revision
      */
     static EtcdWatchEvent read(JsonParser parser) throws IOException {
         EtcdKeyValue keyValue = null;
@@ -27,12 +27,12 @@
             }
         }
         if (keyValue == null || keyValue.modRevision() <= 0) {
-            throw new ConfigurationException("an event without a key and its revision");
+            throw new ConfigurationException("etcd watch event has no key or no mod_revision");
         }
         return new EtcdWatchEvent(keyValue, isDelete);
     }
 
-    /** The gateway writes the type's name or number, and leaves out PUT, which is 0. */
+    /** The gateway writes the type as a name or a number, and omits PUT, whose number is 0. */
     private static boolean readIsDelete(JsonParser parser) throws IOException {
         return parser.currentToken() == JsonToken.VALUE_STRING
                 ? parser.getText().equals("DELETE")
--- a/src/main/java/magpiehub/discovery/EtcdWatchResponse.java
+++ b/src/main/java/magpiehub/discovery/EtcdWatchResponse.java
@@ -7,7 +7,7 @@
 import magpiehub.config.ConfigurationObject;
 import magpiehub.config.Json;
 
-/** One line of the response to {@code /v3/watch}: {@code {"result":{...}}} or {@code {"error":{...}}}. */
+/** One line of a {@code /v3/watch} response stream: {@code {"result":{...}}} or {@code {"error":{...}}}. */
 final class EtcdWatchResponse {
     private ListPosition header = ListPosition.NONE;
     private boolean created;
@@ -20,7 +20,6 @@
 
     private EtcdWatchResponse() {}
 
-    /** Parses a line. */
     static EtcdWatchResponse parse(byte[] line) throws IOException {
         EtcdWatchResponse response = new EtcdWatchResponse();
         try (JsonParser parser = Json.FACTORY.createParser(line)) {
@@ -60,19 +59,19 @@
     }
 
     /**
-     * Where the cluster stands. In a response with events this is not the position of the last event: the response may
-     * leave out later events.
+     * Returns the cluster's current position. In a response with events this may be later than the position of the
+     * last event: the response may omit later events.
      */
     ListPosition header() {
         return header;
     }
 
-    /** Whether this is the first response, which reports that the watch was opened. */
+    /** Returns whether this is the first response, which confirms that etcd created the watch. */
     boolean isCreated() {
         return created;
     }
 
-    /** Whether etcd ended the watch, for {@link #cancelReason}. */
+    /** Returns whether etcd cancelled the watch, see {@link #cancelReason}. */
     boolean isCanceled() {
         return canceled;
     }
@@ -81,17 +80,17 @@
         return cancelReason;
     }
 
-    /** Whether more events of the same revision follow in the next response. */
+    /** Returns whether the next response continues the events of the same revision. */
     boolean isFragment() {
         return fragment;
     }
 
-    /** The oldest revision that etcd still has, if the watch asked for an older one; 0 otherwise. */
+    /** Returns the oldest available revision if the requested one was compacted, otherwise 0. */
     long compactRevision() {
         return compactRevision;
     }
 
-    /** The gateway's error, which ends the watch; null if there is none. */
+    /** Returns the gateway's error, which ends the watch, or null if there is none. */
     EtcdStatusException error() {
         return error;
     }
--- a/src/main/java/magpiehub/discovery/EtcdWatchStream.java
+++ b/src/main/java/magpiehub/discovery/EtcdWatchStream.java
@@ -6,18 +6,18 @@
 import magpiehub.config.ConfigurationException;
 
 /**
- * Reports the responses of one watch revision by revision: fragments are put together first, since a part of a
- * revision is a list that never existed.
+ * Reports the responses of one watch to a listener. Fragments are buffered until the last one has arrived, because
+ * applying part of a revision would produce a list that the registry never had.
  */
 final class EtcdWatchStream {
-    /** Guards against fragments without end. */
+    /** Bounds the buffer if etcd never sends the last fragment. */
     private static final int MAX_PENDING_CHANGES = 1_000_000;
 
     private final EtcdClient client;
     private final EtcdEntryReader entryReader;
     private final RegistryEventListener listener;
 
-    /** Changes of fragments whose last one has not come yet. */
+    /** Changes from fragments whose last one has not arrived yet. */
     private final List<ListItem> pendingChanges = new ArrayList<>();
 
     private long newestRevision;
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Takes the next response.
+     * Processes the next response.
      *
      * @throws EtcdStatusException if the response ends the watch
      */
@@ -44,7 +44,7 @@
         }
         if (response.isFragment()) {
             if (pendingChanges.size() > MAX_PENDING_CHANGES) {
-                throw new ConfigurationException("fragments without end");
+                throw new ConfigurationException("watch fragments exceed " + MAX_PENDING_CHANGES + " changes");
             }
             return;
         }
@@ -70,15 +70,16 @@
             throw response.error();
         }
         if (response.compactRevision() > 0) {
-            listener.onCompacted("oldest kept is " + response.compactRevision());
+            listener.onCompacted("oldest available revision is " + response.compactRevision());
             throw new EtcdStatusException(
-                    EtcdStatusException.OUT_OF_RANGE, "compacted at " + response.compactRevision());
+                    EtcdStatusException.OUT_OF_RANGE,
+                    "watch revision was compacted; oldest available revision is " + response.compactRevision());
         }
         if (response.isCanceled()) {
             if (response.cancelReason().contains("auth token")) {
                 client.invalidateToken();
             }
-            throw new EtcdStatusException(0, "cancelled: " + response.cancelReason());
+            throw new EtcdStatusException(0, "etcd cancelled the watch: " + response.cancelReason());
         }
     }
 }
--- a/src/main/java/magpiehub/discovery/HttpStatusException.java
+++ b/src/main/java/magpiehub/discovery/HttpStatusException.java
@@ -1,16 +1,16 @@
 package magpiehub.discovery;
 
-/** The registry answered with an HTTP status that the call does not expect. */
+/** The registry responded with an unexpected HTTP status. */
 final class HttpStatusException extends RegistryErrorException {
     private static final long serialVersionUID = 1L;
     private final int statusCode;
     private final long retryAfterMicros;
 
     /**
-     * An unexpected status.
+     * Creates an exception for a response.
      *
-     * @param body the beginning of the response's body, for people; may be empty
-     * @param retryAfterMicros how long the endpoint asks to be left alone (us); 0 if it does not say
+     * @param body the beginning of the response body, for the message; may be empty
+     * @param retryAfterMicros the wait requested by {@code Retry-After} (us); 0 if none
      */
     HttpStatusException(int statusCode, String body, long retryAfterMicros) {
         super("status " + statusCode + (body.isEmpty() ? "" : ": " + body));
@@ -22,7 +22,7 @@
         return statusCode;
     }
 
-    /** How long the endpoint asks to be left alone (us); 0 if it does not say. */
+    /** Returns the wait that the endpoint requested by {@code Retry-After} (us); 0 if none. */
     long retryAfterMicros() {
         return retryAfterMicros;
     }
--- a/src/main/java/magpiehub/discovery/RegistrationProtocol.java
+++ b/src/main/java/magpiehub/discovery/RegistrationProtocol.java
@@ -3,21 +3,21 @@
 import java.io.IOException;
 
 /**
- * How a router's own entry is written to one kind of registry, so that it expires unless it is renewed. Each method
- * makes its calls on the connection that it is given and blocks until they are over. One thread at a time.
+ * Registers a router in one kind of registry, with an entry that expires unless it is renewed. Each method sends its
+ * calls on the given connection and blocks until they have ended. Not thread-safe.
  */
 interface RegistrationProtocol {
     /**
      * Writes the entry.
      *
-     * @return how long it stands without a renewal (us)
+     * @return the time until the entry expires without a renewal (us)
      */
     long register(RegistryConnection connection) throws IOException;
 
     /**
      * Renews the entry.
      *
-     * @return how long it stands without another renewal (us)
+     * @return the time until the entry expires without another renewal (us)
      * @throws RegistrationLostException if the registry no longer has the entry
      */
     long keepAlive(RegistryConnection connection) throws IOException;
--- a/src/main/java/magpiehub/discovery/RegistrationState.java
+++ b/src/main/java/magpiehub/discovery/RegistrationState.java
@@ -1,35 +1,35 @@
 package magpiehub.discovery;
 
 /**
- * Whether this router's own entry stands in the registry, and what is to be done for it next: a state machine without
- * I/O or a clock. The results of calls go in, the next step and its time come out. Times are monotonic, in
- * microseconds. An instance belongs to one thread.
+ * Tracks whether this router's entry is in the registry and decides which call is due next. A state machine without I/O
+ * and without a clock: the caller reports the results of calls and asks for the next step and its time. Times are
+ * monotonic, in microseconds. Not thread-safe.
  */
 public final class RegistrationState {
-    /** What is to be done. The names of the calls among them appear in the log. */
+    /** The next step. Names of steps that are calls appear in the log. */
     public enum Step {
-        /** Nothing before {@link RegistrationState#nextStepAtMicros}. */
+        /** Wait until {@link RegistrationState#nextStepAtMicros}. */
         NONE,
         /** Write the entry. */
         REGISTER,
         /** Renew the entry. */
         KEEP,
-        /** Remove the entry, because the router stops. */
+        /** Remove the entry because the router is stopping. */
         DEREGISTER,
-        /** Nothing any more. */
+        /** Nothing is left to do. */
         DONE
     }
 
-    /** Renewals that fit into the time for which an entry stands, so that one or two may fail. */
+    /** The number of renewals per TTL, so that one or two may fail before the entry expires. */
     private static final int RENEWALS_PER_TTL = 3;
 
-    /** Guards against a registry that grants next to no time (us). */
+    /** Limits the rate of renewals if the registry grants a very short TTL (us). */
     private static final long MIN_RENEWAL_INTERVAL_MICROS = 100_000;
 
     private final long ttlMicros;
     private boolean registered;
 
-    /** Whether the entry may stand although it is not known to: a registration failed, or renewals did. */
+    /** Whether the entry may exist although that is not confirmed, after a failed registration or failed renewals. */
     private boolean possiblyRegistered;
 
     private boolean stopping;
@@ -37,13 +37,17 @@
     private long nextStepAtMicros;
     private long renewedAtMicros;
 
-    /** An entry that expires {@code ttlMicros} after its last renewal; the first step is to register it. */
+    /**
+     * Creates the state of an entry that is not registered yet; its registration is due at once.
+     *
+     * @param ttlMicros how long after its last renewal the entry expires
+     */
     public RegistrationState(long ttlMicros, long nowMicros) {
         this.ttlMicros = ttlMicros;
         this.nextStepAtMicros = nowMicros;
     }
 
-    /** The step that is due now. */
+    /** Returns the step that is due now. */
     public Step nextStep(long nowMicros) {
         if (done) {
             return Step.DONE;
@@ -55,23 +59,23 @@
             return Step.NONE;
         }
         if (registered && nowMicros - renewedAtMicros >= ttlMicros) {
-            // No renewal has succeeded for so long that the entry has expired.
+            // No renewal has succeeded within the TTL, so the entry has expired.
             registered = false;
             possiblyRegistered = true;
         }
         return registered ? Step.KEEP : Step.REGISTER;
     }
 
-    /** When {@link #nextStep} has something to do (us). */
+    /** Returns when the next step is due (us). */
     public long nextStepAtMicros() {
         return stopping ? Long.MIN_VALUE : nextStepAtMicros;
     }
 
     /**
-     * The entry was written.
+     * Records that the entry was written.
      *
      * @param sentAtMicros when the call was sent
-     * @param grantedMicros how long the entry stands from then; may differ from what was asked for
+     * @param grantedMicros the granted TTL, counted from then; may differ from the requested one
      */
     public void onRegistered(long sentAtMicros, long grantedMicros) {
         registered = true;
@@ -79,32 +83,32 @@
         onRenewed(sentAtMicros, grantedMicros);
     }
 
-    /** The entry was renewed by a call that was sent at a time, and stands so long from then. */
+    /** Records that a call sent at {@code sentAtMicros} renewed the entry for {@code grantedMicros} from then. */
     public void onRenewed(long sentAtMicros, long grantedMicros) {
         renewedAtMicros = sentAtMicros;
         long interval = Math.min(ttlMicros, grantedMicros) / RENEWALS_PER_TTL;
         nextStepAtMicros = sentAtMicros + Math.max(MIN_RENEWAL_INTERVAL_MICROS, interval);
     }
 
-    /** The registry does not have the entry: it is to be written again at once. */
+    /** Records that the registry has lost the entry: a new registration is due at once. */
     public void onLost(long nowMicros) {
         registered = false;
         nextStepAtMicros = nowMicros;
     }
 
-    /** A call failed; the next one is made after a backoff. */
+    /** Records that a call failed: the next one is due after the backoff. */
     public void onFailed(long nowMicros, long backoffMicros) {
-        possiblyRegistered |= !registered; // The call may have taken effect, and only its response been lost.
+        possiblyRegistered |= !registered; // The registry may have processed the call although the response was lost.
         nextStepAtMicros = nowMicros + backoffMicros;
     }
 
-    /** The router stops: the entry is to be removed if it may stand. */
+    /** Records that the router is stopping: the entry is to be removed if it may exist. */
     public void onStop() {
         stopping = true;
         done = !registered && !possiblyRegistered;
     }
 
-    /** The entry was removed, or could not be, and is left to expire. */
+    /** Records that the entry was removed, or that removing it failed and it will expire. */
     public void onDeregistered() {
         registered = false;
         done = true;
--- a/src/main/java/magpiehub/discovery/RegistryCall.java
+++ b/src/main/java/magpiehub/discovery/RegistryCall.java
@@ -1,37 +1,37 @@
 package magpiehub.discovery;
 
 /**
- * One call to a registry. The actor of {@link RegistryClient} creates it, a {@link RegistryCallChannel} makes
- * it. Fields that are neither final nor volatile belong to the actor's thread.
+ * One call to a registry. The actor of {@link RegistryClient} creates it, and a {@link RegistryCallChannel} executes
+ * it. Fields that are neither final nor volatile are used by the actor's thread only.
  */
 final class RegistryCall {
     final RegistrySession session;
     final RegistryCallKind kind;
-    /** The index of the registry's endpoint. */
+    /** The index of the endpoint in the registry's settings. */
     final int endpoint;
     /** The list's position when the call was created. */
     final ListPosition requestedAt;
 
     final long startedAtMicros;
-    /** Whether the call is the second read of a list that was doubted. */
+    /** Whether the call reads the list again to confirm a suspicious removal of endpoints. */
     final boolean confirmation;
 
-    /** Set by the channel; null until it is connected or connecting. */
+    /** Set by the channel; null before it starts to connect. */
     private volatile RegistryConnection connection;
 
     private volatile boolean cancelled;
-    /** Whether no event has come yet; the channel's thread writes it. */
+    /** Whether no event has been reported yet; written by the channel's thread. */
     private volatile boolean awaitsFirstEvent = true;
-    /** Whether the connection was lost between two calls; the channel's thread writes it. */
+    /** Whether the connection was lost between two calls; written by the channel's thread. */
     private volatile boolean lostWhileIdle;
 
     /** When the call times out. */
     long deadlineMicros;
 
     long lastEventAtMicros;
-    /** Whether the watch is open, so that only its events and checks tell whether it is alive. */
+    /** Whether the watch is open, so that its liveness is known only from events and position checks. */
     boolean watchOpen;
-    /** Whether it delivered a list that is older than what was known: the next one is requested at once. */
+    /** Whether the call delivered a list older than the known one, so that the next query is due at once. */
     boolean deliveredLaggingList;
 
     RegistryCall(
@@ -50,12 +50,12 @@
         this.confirmation = confirmation;
     }
 
-    /** The registry endpoint as {@code address:port}. */
+    /** Returns the registry endpoint as {@code address:port}. */
     String endpointAddress() {
         return session.settings().endpoints().get(endpoint);
     }
 
-    /** Ends the call by closing its connection. Any thread. */
+    /** Cancels the call by closing its connection. May be called from any thread. */
     void cancel() {
         cancelled = true;
         RegistryConnection open = connection;
@@ -68,7 +68,7 @@
         return cancelled;
     }
 
-    /** Names the connection that {@link #cancel} is to close. */
+    /** Sets the connection that {@link #cancel} closes. */
     void use(RegistryConnection by) {
         connection = by;
     }
@@ -89,7 +89,7 @@
         lostWhileIdle = true;
     }
 
-    /** When the registry last sent anything for this call; its start if it has not. Any thread. */
+    /** Returns when the registry last sent data for this call, or the call's start. May be called from any thread. */
     long lastReadMicros() {
         RegistryConnection open = connection;
         return open == null ? startedAtMicros : Math.max(startedAtMicros, open.lastReadMicros());
--- a/src/main/java/magpiehub/discovery/RegistryCallChannel.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallChannel.java
@@ -6,11 +6,11 @@
 import magpiehub.concurrent.Mailbox;
 
 /**
- * A thread that makes one call after another on a connection that it keeps open. One thread for all calls,
- * rather than one a call: a check each second would otherwise start a thread each second.
+ * Executes calls one after another on one thread, over a connection that it keeps open. The thread is shared by all
+ * calls, because a position check each second would otherwise start a thread each second.
  */
 final class RegistryCallChannel {
-    /** A connection closed sooner than this after its last use was not closed for being idle. */
+    /** A connection that is closed sooner than this after its last use was not closed by an idle timeout. */
     private static final long MIN_IDLE_MICROS = 2_000_000;
 
     private static final int MAILBOX_BYTES = 1 << 10;
@@ -24,7 +24,7 @@
 
     private final RegistryClientContext context;
     private final Mailbox<Task> tasks;
-    /** The open connection; null for none. */
+    /** The open connection, or null. */
     private RegistryConnection connection;
 
     private long lastUsedAtMicros;
@@ -36,12 +36,12 @@
         context.startThread(threadName, this::run);
     }
 
-    /** Makes a call once those before it have ended. Any thread. */
+    /** Queues a call behind those started before. May be called from any thread. */
     void start(RegistryCall call) {
         tasks.post(new MakeCall(call));
     }
 
-    /** Ends the thread once the calls before this have ended. Any thread. */
+    /** Ends the thread after the calls queued so far. May be called from any thread. */
     void stop() {
         tasks.post(new Stop());
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Makes a call, and posts {@link RegistryMessage.CallEnded} after its last event. */
+    /** Executes a call and posts {@link RegistryMessage.CallEnded} after its last event. */
     private void makeCall(RegistryCall call) throws InterruptedException {
         IOException failure = null;
         try {
@@ -75,7 +75,7 @@
         context.actor().post(new RegistryMessage.CallEnded(call, failure));
     }
 
-    /** Makes a call, once more on a new connection if the server had closed the idle one. */
+    /** Executes a call, and retries it once on a new connection if the server had closed the idle one. */
     private void exchangeWithRetry(RegistryCall call) throws IOException, InterruptedException {
         String endpoint = call.endpointAddress();
         boolean reused = connection != null && connection.endpoint().equals(endpoint) && !connection.isClosed();
@@ -88,9 +88,9 @@
             if (!reused || call.isCancelled() || !call.awaitsFirstEvent()) {
                 throw e;
             }
-            // A connection that the server closed after it was idle for long says nothing of the server. Between
-            // two queries of a list it was lost with all other routers' connections, which are idle at the
-            // same time.
+            // A server that closes a connection after a long idle time may be healthy, so the call is retried. A
+            // connection lost in the short pause between two list queries indicates a server failure: the idle
+            // connections of all other routers were lost at the same time.
             if (call.kind != RegistryCallKind.CHECK && context.clock().micros() - lastUsedAtMicros < MIN_IDLE_MICROS) {
                 call.markLostWhileIdle();
                 throw e;
@@ -118,7 +118,7 @@
             case LIST -> session.protocol().readList(connection, listener);
             case WATCH -> session.protocol().watch(connection, call.requestedAt, listener);
             case CHECK -> session.protocol().checkPosition(connection, listener);
-            default -> throw new IllegalStateException("no such call: " + call.kind);
+            default -> throw new IllegalStateException("unexpected call kind: " + call.kind);
         }
     }
 
--- a/src/main/java/magpiehub/discovery/RegistryCallEvent.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallEvent.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** What a call to a registry reports: the events of {@link RegistryEventListener} as messages. */
+/** An event of a call to a registry: the methods of {@link RegistryEventListener} as messages. */
 sealed interface RegistryCallEvent {
-    /** A watch was opened by a registry at this position. */
+    /** The registry opened a watch; {@code header} is its current position. */
     record WatchOpened(ListPosition header) implements RegistryCallEvent {}
 
     /** The complete list as of a position. */
     record CompleteListRead(ListPosition position, List<ListItem> items) implements RegistryCallEvent {}
 
-    /** All changes up to a position. */
+    /** All changes up to a position; empty if the registry only reports progress. */
     record ChangesReceived(ListPosition position, List<ListItem> items) implements RegistryCallEvent {}
 
-    /** What the registry had at the position that a watch resumes from. */
+    /** The most recently modified entries at the position that a watch resumes from, and the number of entries. */
     record WatchResumed(ListPosition header, List<ListItem> lastChanged, long count) implements RegistryCallEvent {}
 
-    /** The changes that were requested are no longer available. */
+    /** The requested changes are not available. */
     record Compacted(String reason) implements RegistryCallEvent {}
 
     /** The result of a position check. */
--- a/src/main/java/magpiehub/discovery/RegistryCallEventPoster.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallEventPoster.java
@@ -5,13 +5,13 @@
 import magpiehub.concurrent.Mailbox;
 
 /**
- * Posts the events of a call to the actor. Blocks while the actor's mailbox is full, so that only this call is
- * delayed.
+ * Posts the events of a call to the actor. Blocks while the actor's mailbox is full, which delays only this call.
  */
 final class RegistryCallEventPoster implements RegistryEventListener {
-    /** Estimates of an event's size in the mailbox. */
+    /** The estimated size of an event in the mailbox, without its items. */
     private static final int EVENT_BYTES = 64;
 
+    /** The estimated size of an item in the mailbox. */
     private static final int ITEM_BYTES = 256;
 
     private final RegistryCall call;
@@ -49,9 +49,9 @@
     }
 
     @Override
-    public void onPositionChecked(ListPosition header, long newest, long count)
+    public void onPositionChecked(ListPosition header, long newestRevision, long count)
             throws IOException, InterruptedException {
-        post(new RegistryCallEvent.PositionChecked(header, newest, count), EVENT_BYTES);
+        post(new RegistryCallEvent.PositionChecked(header, newestRevision, count), EVENT_BYTES);
     }
 
     private static int sizeOf(List<ListItem> items) {
--- a/src/main/java/magpiehub/discovery/RegistryCallKind.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallKind.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** What a call asks of a registry. */
+/** The kind of a call to a registry. */
 enum RegistryCallKind {
-    /** The complete list. */
+    /** Reads the complete list. */
     LIST,
-    /** The changes that follow a position. */
+    /** Waits for the changes after a position. */
     WATCH,
-    /** The position and the number of keys, beside an open watch. */
+    /** Reads the registry's position and number of keys while a watch is open. */
     CHECK;
 
     private final String logName = name().toLowerCase(Locale.ROOT);
 
-    /** The name in counters and in the event log. */
+    /** Returns the name used in counters and in the event log. */
     String logName() {
         return logName;
     }
--- a/src/main/java/magpiehub/discovery/RegistryCallTimeoutException.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallTimeoutException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A registry has not answered a call in time. */
+/** A call timed out because the registry did not respond. */
 final class RegistryCallTimeoutException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -15,15 +15,15 @@
 import magpiehub.upstream.UpstreamPool;
 
 /**
- * Follows the endpoint list in a key-value registry (etcd or Consul).
+ * Watches the endpoint list in a registry (etcd or Consul).
  *
- * <p>An actor: its thread owns the list and the sessions, and never blocks on a registry or the disk. Calls are
- * made by the threads of {@link RegistryCallChannel}, whose events come back as messages; events of a call that
- * is no longer current are dropped. The public methods only post messages, unless they say otherwise, and may
- * be called from any thread.
+ * <p>An actor: its thread owns the list and the sessions, and never blocks on a registry or the disk. Calls run on the
+ * threads of {@link RegistryCallChannel}, which post their events as messages; events of a call that is no longer
+ * current are dropped. Unless stated otherwise, the public methods only post messages and may be called from any
+ * thread.
  *
- * <p>After a change of the settings the old registry's events still count until the new one has delivered its
- * list.
+ * <p>After a change of the settings, events of the previous registry are still applied until the new one has delivered
+ * its list.
  */
 public final class RegistryClient implements EndpointSource {
     private static final int MAILBOX_BYTES = 16 << 20;
@@ -44,7 +44,7 @@
     private RegistryEventHandler events;
     private volatile RegistryStatistics statistics;
 
-    /** A client of the registry that the settings describe. */
+    /** Creates a client of the registry that the settings describe. */
     public RegistryClient(
             DiscoverySettings settings,
             Supplier<SiteSettings> site,
@@ -55,7 +55,7 @@
         this(settings, site, new EndpointListPublisher(upstreams), null, clock, log, seed);
     }
 
-    /** A client whose lists go to a listener instead of the upstream pool and the dispatcher, for tests. */
+    /** Creates a client for tests: its lists go to a listener instead of the upstream pool and the dispatcher. */
     RegistryClient(
             DiscoverySettings settings,
             Supplier<SiteSettings> site,
@@ -87,7 +87,7 @@
         this.cacheWriter = new EndpointListCacheWriter(parser, clock, this.log);
     }
 
-    /** Sets the observer; to be called before the start, by tests. */
+    /** Sets the observer, for tests; must be called before {@link #start}. */
     void observe(RegistryClientObserver by) {
         observer = by;
     }
@@ -95,7 +95,7 @@
     /**
      * Publishes the cached list, if there is one, on the caller's thread, and starts the actor.
      *
-     * @param saved not used: the last list of a registry is in a file of its own
+     * @param saved not used: this client caches the registry's list in a separate file
      */
     @Override
     public void start(RequestDispatcher dispatcher, byte[] saved) {
@@ -142,7 +142,7 @@
         return tracker.isKnown();
     }
 
-    /** Returns at once: the list on disk is enough, or the first one comes when it comes. */
+    /** Returns at once: the router starts with the cached list or without one until the registry responds. */
     @Override
     public void awaitUsableList(long timeoutMillis) {}
 
@@ -152,7 +152,7 @@
         mailbox.post(new RegistryMessage.ListRequested());
     }
 
-    /** Does nothing: the list is followed as long as the program runs. */
+    /** Does nothing: the client watches the list until it is stopped. */
     @Override
     public void unwatch() {}
 
@@ -162,7 +162,7 @@
         mailbox.post(new RegistryMessage.ListRequested());
     }
 
-    /** The overlay; its listener is to be set before the start. */
+    /** Returns the overlay, whose listener must be set before {@link #start}. */
     @Override
     public MaintenanceOverlay maintenanceOverlay() {
         return publisher.overlay();
@@ -174,17 +174,17 @@
         mailbox.post(new RegistryMessage.MaintenanceChanged(update));
     }
 
-    /** Follows the registry that other settings describe. */
+    /** Applies changed settings, and connects to the registry that they describe. */
     public void changeSettings(DiscoverySettings to) {
         mailbox.post(new RegistryMessage.SettingsChanged(to));
     }
 
-    /** Ends the client's calls and threads. */
+    /** Cancels the client's calls and ends its threads. */
     public void stop() {
         mailbox.post(new RegistryMessage.StopRequested());
     }
 
-    /** Bytes read from registries since the start. */
+    /** Returns the number of bytes read from registries since the start. */
     long bytesRead() {
         return bytesRead.get();
     }
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Waits for a message or a timer, and handles it; returns false after the client was stopped. */
+    /** Waits for a message or a timer and handles it; returns false once the client is stopped. */
     private boolean runTurn() throws InterruptedException {
         RegistryMessage message = mailbox.take(nextTimerMicros());
         long now = clock.micros();
@@ -222,7 +222,7 @@
             onTimer(now);
             statistics = currentStatistics();
         } catch (RuntimeException | OutOfMemoryError e) {
-            // Ends this turn only; a call that is left without a channel by it times out.
+            // The actor goes on with the next message. A call that was not passed to its channel times out.
             log.exception(e);
         }
         return true;
@@ -282,7 +282,7 @@
         }
     }
 
-    /** Ends the calls of a session that have timed out, and starts those that are due. */
+    /** Cancels the calls of a session that have timed out, and starts those that are due. */
     private void advance(RegistrySession session, long now) {
         for (RegistryCall call : session.openCalls()) {
             if (session.hasTimedOut(call, now)) {
--- a/src/main/java/magpiehub/discovery/RegistryClientContext.java
+++ b/src/main/java/magpiehub/discovery/RegistryClientContext.java
@@ -6,7 +6,7 @@
 import magpiehub.concurrent.MonotonicClock;
 
 /**
- * What the parts of one {@link RegistryClient} share.
+ * The objects that the components of one {@link RegistryClient} share.
  *
  * @param actor the mailbox of the client's actor
  * @param bytesRead counts the bytes read from registries
@@ -17,7 +17,7 @@
         Mailbox<RegistryMessage> actor,
         AtomicLong bytesRead,
         RegistryClientObserver observer) {
-    /** Starts a thread of the client. */
+    /** Starts a daemon thread and reports it to the observer. */
     void startThread(String name, Runnable body) {
         Thread thread = DaemonThreads.newThread(name, body);
         observer.threadStarting(thread);
--- a/src/main/java/magpiehub/discovery/RegistryClientObserver.java
+++ b/src/main/java/magpiehub/discovery/RegistryClientObserver.java
@@ -2,15 +2,15 @@
 
 /** Observes a {@link RegistryClient} in tests. */
 interface RegistryClientObserver {
-    /** Observes nothing. */
+    /** An observer that does nothing. */
     RegistryClientObserver NONE = (list, result, byWatch) -> {};
 
-    /** The list state was given an update; called on the client's actor thread. */
+    /** Called on the actor's thread after an update of the list, whatever its outcome. */
     void updated(EndpointListState list, ListUpdateResult result, boolean byWatch);
 
-    /** A connection is about to be made for a call; called on the call channel's thread. */
+    /** Called on the channel's thread before it connects for a call. */
     default void connecting(RegistryCallKind kind, String endpoint) {}
 
-    /** A thread of the client is about to start. */
+    /** Called before a thread of the client starts. */
     default void threadStarting(Thread thread) {}
 }
--- a/src/main/java/magpiehub/discovery/RegistryConnection.java
+++ b/src/main/java/magpiehub/discovery/RegistryConnection.java
@@ -19,27 +19,28 @@
 import magpiehub.http.Sockets;
 
 /**
- * An HTTP/1.1 connection, with TLS or without, to one endpoint of a registry. It carries one request at a time.
+ * An HTTP/1.1 connection to one endpoint of a registry, with or without TLS. It carries one request at a time.
  *
- * <p>One thread connects, sends and reads. It neither retries nor, unless {@link #setReadTimeout} is called, times
- * out: the holder ends a call in progress by {@link #close} from any thread, and the call fails with an exception.
+ * <p>One thread connects, sends and reads. The connection does not retry, and reads have no timeout unless
+ * {@link #setReadTimeout} is called: {@link #close} may be called from any thread and ends a call in progress with an
+ * exception.
  */
 final class RegistryConnection implements AutoCloseable {
-    /** Bounds a response's body: a list of 10,000 entries of Consul's health takes some 10 MB. */
+    /** The maximum size of a response body; a list of 10,000 instances from Consul's health API takes about 10 MB. */
     static final int MAX_RESPONSE_BYTES = 64 << 20;
 
-    /** Bounds one line of a watch: etcd answers with at most some 2 MB a page, and writes it in one chunk. */
+    /** The maximum length of one line of a watch; etcd sends pages of at most about 2 MB, each in one chunk. */
     private static final int MAX_LINE_BYTES = 8 << 20;
 
     /**
-     * Bounds how long a {@code Retry-After} is heeded (us): changes in the registry are to reach the router within
-     * 6 s, whatever an endpoint says of when to come back.
+     * The longest wait that {@code Retry-After} can request (us): changes in the registry must reach the router within
+     * 6 s, whatever wait an endpoint asks for.
      */
     private static final long MAX_RETRY_AFTER_MICROS = 2_000_000;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** How much of an error's body goes into the exception's message. */
+    /** How much of an error response's body is included in the exception message. */
     private static final int MAX_ERROR_TEXT_BYTES = 512;
 
     private static final int DRAIN_BUFFER_BYTES = 4096;
@@ -55,11 +56,11 @@
     private HttpReader input;
 
     /**
-     * A connection that {@link #connect} opens.
+     * Creates a connection, which {@link #connect} opens.
      *
      * @param endpoint host and port
-     * @param tls null for a plain connection
-     * @param bytesRead is increased by what is read
+     * @param tls null for a connection without TLS
+     * @param bytesRead counts the bytes read
      */
     RegistryConnection(String endpoint, SSLContext tls, MonotonicClock clock, AtomicLong bytesRead) {
         this.endpoint = endpoint;
@@ -69,12 +70,12 @@
         this.lastReadMicros = clock.micros();
     }
 
-    /** The host and port that this connection goes to. */
+    /** Returns the host and port that this connection connects to. */
     String endpoint() {
         return endpoint;
     }
 
-    /** Connects, and does the TLS handshake where TLS is used; the timeout bounds the TCP connect alone. */
+    /** Connects and performs the TLS handshake if TLS is used; the timeout applies to the TCP connect only. */
     void connect(int timeoutMillis) throws IOException {
         plainSocket.setTcpNoDelay(true);
         plainSocket.connect(HostPort.toSocketAddress(endpoint), timeoutMillis);
@@ -98,12 +99,12 @@
         secured.startHandshake();
     }
 
-    /** Bounds how long one read may block, for callers whose calls nobody else ends. */
+    /** Sets the timeout of a single read, for callers that have no other thread to close the connection. */
     void setReadTimeout(int timeoutMillis) throws IOException {
         plainSocket.setSoTimeout(timeoutMillis);
     }
 
-    /** When a byte was last read (us). Any thread. */
+    /** Returns when data was last read (us). May be called from any thread. */
     long lastReadMicros() {
         return lastReadMicros;
     }
@@ -111,15 +112,15 @@
     /**
      * Sends a request and reads the head of its response.
      *
-     * @param body a JSON text; null for none
-     * @param alsoAccepted a status besides 200 that is no error; 0 for none
-     * @param headers names and values in turn, without line ends; a header whose value is null is left out
+     * @param body the JSON body; null for none
+     * @param alsoAccepted a status other than 200 that is not an error; 0 for none
+     * @param headers alternating names and values, without line ends; a header with a null value is omitted
      * @throws HttpStatusException if the status is neither 200 nor {@code alsoAccepted}
      */
     HttpHead send(String method, String target, byte[] body, int alsoAccepted, String... headers) throws IOException {
         writeRequest(method, target, body, headers);
         if (!input.awaitMessage()) {
-            throw new EOFException("ended before an answer");
+            throw new EOFException("registry closed the connection before the response");
         }
         HttpHead head = input.readResponseHead();
         if (head.status() != 200 && head.status() != alsoAccepted) {
@@ -149,7 +150,9 @@
         out.flushTo(socket.getOutputStream());
     }
 
-    /** The body of a response. It must be read to its end before the next request, or the connection closed. */
+    /**
+     * Returns the body of a response. Before the next request, it must be read to its end, or the connection closed.
+     */
     InputStream body(HttpHead head) throws IOException {
         return input.openBody(head, MAX_RESPONSE_BYTES);
     }
@@ -159,12 +162,12 @@
         discard(body(head));
     }
 
-    /** Hands the body's lines to a consumer, each as soon as it is complete. */
+    /** Passes each line of the body to a consumer as soon as it is complete. */
     void readLines(HttpHead head, EventHandler consumer) throws IOException, InterruptedException {
         input.readLines(head, consumer, MAX_LINE_BYTES);
     }
 
-    /** The beginning of an error's body in one line, for people; closes the connection if it can't be read. */
+    /** Reads the beginning of an error response's body as one line; closes the connection if that fails. */
     private String readErrorText(HttpHead head) {
         try {
             InputStream body = body(head);
@@ -187,7 +190,7 @@
         }
     }
 
-    /** The wait that a {@code Retry-After} in seconds asks for (us), bounded; 0 if it is null or a date. */
+    /** Parses a {@code Retry-After} in seconds to a bounded wait (us); returns 0 if it is null or a date. */
     static long parseRetryAfterMicros(String value) {
         if (value == null) {
             return 0;
@@ -196,7 +199,7 @@
             long micros = (long) (Double.parseDouble(value) * MICROS_PER_SECOND);
             return Math.max(0, Math.min(MAX_RETRY_AFTER_MICROS, micros));
         } catch (NumberFormatException e) {
-            return 0; // A date: the backoff of the endpoint will do.
+            return 0; // A date is ignored; the endpoint's own backoff applies.
         }
     }
 
@@ -211,7 +214,7 @@
         Sockets.closeQuietly(plainSocket);
     }
 
-    /** Counts the bytes that are read and notes when. */
+    /** Counts the bytes read and records the time of the last read. */
     private final class CountingInputStream extends FilterInputStream {
         CountingInputStream(InputStream in) {
             super(in);
--- a/src/main/java/magpiehub/discovery/RegistryEndpoints.java
+++ b/src/main/java/magpiehub/discovery/RegistryEndpoints.java
@@ -4,18 +4,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects which of a registry's endpoints is called next, and when, by their health and backoff. A state
- * machine without I/O and without a clock; an instance belongs to one thread.
+ * Selects which of a registry's endpoints is called next, and when, by their health and backoff. A state machine
+ * without I/O and without a clock. Not thread-safe.
  *
- * <p>The backoff is decorrelated jitter: each wait is drawn between the base and three times the one before,
- * up to a cap, so that routers which lost a registry together do not return together. The first wait after a
- * connection that worked is drawn from the whole spread, for the same reason: at that time all of them have
- * waited equally long.
+ * <p>The backoff uses decorrelated jitter: each wait is random between the base and three times the previous wait, up
+ * to a cap, so that routers that lost a registry together do not reconnect together. For the same reason, the first
+ * wait after the loss of a working connection is random over the whole reconnect spread: at that time no router has
+ * waited yet, so their backoffs do not differ.
  */
 public final class RegistryEndpoints {
-    /** A further connection lost while the last spread may still run waits this part of the spread. */
+    /** A repeated connection loss, soon after the previous one, waits at most the spread divided by this. */
     private static final int REPEATED_LOSS_SPREAD_DIVISOR = 5;
-    /** For how many spreads after a loss another one counts as repeated. */
+    /** For how many reconnect spreads after a connection loss another loss counts as repeated. */
     private static final int REPEATED_LOSS_SPREADS = 2;
 
     private static final int BACKOFF_GROWTH = 3;
@@ -23,7 +23,7 @@
     private final BackoffSettings backoff;
     private final long[] readyAtMicros;
     private final long[] waitMicros;
-    /** Failures in a row. */
+    /** Consecutive failures. */
     private final int[] failures;
     /** Whether the endpoint's last call succeeded. */
     private final boolean[] worked;
@@ -32,7 +32,7 @@
     private int current;
     private long repeatedLossUntilMicros = Long.MIN_VALUE;
 
-    /** The state of {@code count} endpoints, none of which was called yet. */
+    /** Creates the state of {@code count} endpoints that have not been called yet. */
     public RegistryEndpoints(int count, BackoffSettings backoff, long seed) {
         this.backoff = backoff;
         random = new SplittableRandom(seed);
@@ -41,13 +41,13 @@
         failures = new int[count];
         worked = new boolean[count];
         Arrays.fill(readyAtMicros, Long.MIN_VALUE);
-        // Routers that start together are spread over the endpoints.
+        // Spreads routers that start together over the endpoints.
         current = (int) Math.floorMod(randomBelow(Long.MAX_VALUE), (long) count);
     }
 
     /**
-     * Selects the endpoint to call now: the one in use while it is ready, else the ready one with the fewest
-     * failures.
+     * Selects the endpoint to call now: the ready one with the fewest consecutive failures, and the one in use if
+     * several have equally few.
      *
      * @return its index, or -1 if none is ready
      */
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Selects an endpoint for a second read: another healthy one if any is ready, else as {@link #select}.
+     * Selects an endpoint for a confirming read: another healthy one if any is ready, otherwise as {@link #select}.
      *
      * @return its index, or -1 if none is ready
      */
@@ -80,12 +80,12 @@
         return select(nowMicros);
     }
 
-    /** When the first endpoint will be ready. */
+    /** Returns when the first endpoint will be ready. */
     public long nextReadyAtMicros() {
         return Arrays.stream(readyAtMicros).min().orElseThrow();
     }
 
-    /** Records that an endpoint has answered as it should. */
+    /** Records that an endpoint responded successfully. */
     public void recordSuccess(int endpoint) {
         failures[endpoint] = 0;
         waitMicros[endpoint] = 0;
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Records that an endpoint could not be called, did not answer, or ended its answer early.
+     * Records that a call failed: the connection failed or was lost, or the endpoint timed out or reported an error.
      *
-     * @param retryAfterMicros the least wait that the endpoint itself asked for; 0 for none
+     * @param retryAfterMicros the minimum wait that the endpoint requested; 0 for none
      */
     public void recordFailure(int endpoint, long nowMicros, EndpointFailure failure, long retryAfterMicros) {
         failures[endpoint]++;
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Records that an endpoint delivered what can't be current: the others are preferred, and this one is left alone
-     * for a while.
+     * Records that an endpoint delivered stale data: it is not called during the pause, and the other endpoints are
+     * preferred.
      */
     public void recordStaleAnswer(int endpoint, long nowMicros, long pauseMicros) {
         failures[endpoint]++;
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Other routers have likely lost their connections, too: every endpoint waits a part of the spread, or the
-     * next one would be overrun.
+     * Delays all endpoints by a random part of the reconnect spread. Other routers have likely lost their connections
+     * too, and would otherwise overload the next endpoint together.
      */
     private void spreadReconnects(int endpoint, long nowMicros, EndpointFailure failure) {
         long readyAt = nowMicros + randomBelow(Math.max(1, spreadMicros(nowMicros, failure)));
@@ -136,7 +136,7 @@
 
     private long spreadMicros(long nowMicros, EndpointFailure failure) {
         if (nowMicros < repeatedLossUntilMicros) {
-            // A second loss soon after waits less, or two would cost more than any single one may.
+            // Waits less after a repeated loss, so that two losses do not exceed the delay allowed for a single one.
             return backoff.spreadMicros() / REPEATED_LOSS_SPREAD_DIVISOR;
         }
         return failure == EndpointFailure.IDLE_CONNECTION_LOST
--- a/src/main/java/magpiehub/discovery/RegistryErrorException.java
+++ b/src/main/java/magpiehub/discovery/RegistryErrorException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The registry answered with an error, so the connection to it is healthy. */
+/** The registry responded with an error, which means that the connection itself is healthy. */
 class RegistryErrorException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/magpiehub/discovery/RegistryEventHandler.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventHandler.java
@@ -5,13 +5,13 @@
 import magpiehub.discovery.ListUpdateResult.Outcome;
 
 /**
- * Handles what the calls to a registry report: applies lists and changes, and decides what follows when a list
- * must be read anew or a call has failed. Belongs to the thread of {@link RegistryClient}'s actor.
+ * Handles the events of the calls to a registry: applies lists and changes, and decides what to do when the list must
+ * be read again or a call has failed. Used by the thread of {@link RegistryClient}'s actor only.
  */
 final class RegistryEventHandler {
     /**
-     * How long an endpoint that delivered an older list is left alone while others can be asked for a second
-     * read: two answers of one that lags are no restart with older data.
+     * How long an endpoint that delivered an older list is not called, so that another endpoint is asked for the second
+     * read: two older lists from the same lagging endpoint do not prove that the registry was restored from a backup.
      */
     private static final long SECOND_READ_PAUSE_MICROS = 1_000_000;
 
@@ -22,7 +22,7 @@
     private final EndpointListState list;
     private final RegistryEventLog log;
     private final RegistryClientObserver observer;
-    /** When any registry last answered as it should; 0 before the first answer. */
+    /** When a registry last responded successfully; 0 before the first response. */
     private long lastAnswerMicros;
 
     RegistryEventHandler(RegistrySessions sessions, RegistryListTracker tracker, RegistryClientContext context) {
@@ -33,7 +33,7 @@
         this.observer = context.observer();
     }
 
-    /** When any registry last answered as it should; 0 before the first answer. */
+    /** Returns when a registry last responded successfully; 0 before the first response. */
     long lastAnswerMicros() {
         return lastAnswerMicros;
     }
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Where only a complete list helps, ends the watch, so that the list is read at once. */
+    /** If only a complete list can resolve the result, cancels the main call, so that the list is read at once. */
     private boolean relistIfRequired(RegistryCall call, ListUpdateResult result, long nowMicros) {
         if (!result.requiresRelist()) {
             return false;
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Handles the end of a call; {@code failure} is null if it was complete. */
+    /** Handles the end of a call; {@code failure} is null if it succeeded. */
     void onEnded(RegistryCall call, IOException failure, long nowMicros) {
         RegistrySession session = call.session;
         boolean wasMain = session.remove(call, nowMicros);
@@ -179,7 +179,7 @@
         }
         boolean wasWatch = wasMain && call.kind == RegistryCallKind.WATCH;
         if (wasWatch && list.requiresRelist() && session.isListed()) {
-            return; // Compacted, or to be read anew: the endpoint is healthy.
+            return; // The list is compacted or must be read again, but the endpoint is healthy.
         }
         if (call.confirmation) {
             session.requestConfirmation();
--- a/src/main/java/magpiehub/discovery/RegistryEventLog.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventLog.java
@@ -29,7 +29,7 @@
         log.count("membership_unconfirmed");
     }
 
-    /** An exception ended a turn of the actor. */
+    /** Logs an exception that the actor caught while it handled a message or a timer. */
     void exception(Throwable exception) {
         StackTraceElement[] trace = exception.getStackTrace();
         log.count("registry_exceptions");
@@ -41,7 +41,7 @@
                 trace.length > 0 ? trace[0].toString() : "?");
     }
 
-    /** A registry answers again after a failure; {@code lagMillis} is how long none had answered. */
+    /** Logs that a registry responds again after a failure; {@code lagMillis} is how long none had responded. */
     void recovered(RegistryCall call, ListPosition position, long lagMillis) {
         log.log(
                 "registry-up",
--- a/src/main/java/magpiehub/discovery/RegistryListTracker.java
+++ b/src/main/java/magpiehub/discovery/RegistryListTracker.java
@@ -8,18 +8,18 @@
 import magpiehub.routing.EndpointListKind;
 
 /**
- * Publishes the endpoint list that a registry's events add up to, after {@link MembershipDamping}. Belongs to
- * the thread of {@link RegistryClient}'s actor.
+ * Tracks the endpoint list of a registry and publishes it after {@link MembershipDamping}. Used by the thread of
+ * {@link RegistryClient}'s actor only, unless stated otherwise.
  */
 final class RegistryListTracker {
     private final EndpointListState list = new EndpointListState();
     private final EndpointListListener listener;
     private final RegistryEventLog log;
-    /** Called where a second read of the list is to be made. */
+    /** Called when the list must be read again to confirm a removal of endpoints. */
     private final Runnable confirmationRequester;
 
     private MembershipDamping membership;
-    /** Keys that were logged as unreadable. */
+    /** Keys whose entries have been logged as unreadable. */
     private Set<String> loggedKeys = Set.of();
     /** Whether a complete list has been published since the start. */
     private volatile boolean known;
@@ -35,22 +35,22 @@
         this.confirmationRequester = confirmationRequester;
     }
 
-    /** The list as the registry has it. */
+    /** Returns the list as the registry has it. */
     EndpointListState list() {
         return list;
     }
 
-    /** What of the list is published. */
+    /** Returns the damping, which decides what part of the list is published. */
     MembershipDamping membership() {
         return membership;
     }
 
-    /** Whether a complete list has been published since the start. Any thread. */
+    /** Returns whether a complete list has been published since the start. May be called from any thread. */
     boolean isKnown() {
         return known;
     }
 
-    /** Applies a list from before this start; {@link #publishRestored} publishes it. */
+    /** Applies the list cached by a previous run; {@link #publishRestored} publishes it. */
     ListDelta restore(List<ListItem> items, long nowMicros) {
         ListDelta delta = list.restore(items);
         membership.apply(delta, nowMicros);
@@ -62,7 +62,7 @@
         listener.deliver(EndpointListKind.SAVED, membership.entries());
     }
 
-    /** Publishes changes that were applied to the list. */
+    /** Publishes changes that have been applied to the list. */
     void publish(ListDelta delta, long nowMicros) {
         List<EndpointEntry> changes = membership.apply(delta, nowMicros);
         if (membership.takeConfirmationRequest()) {
@@ -80,14 +80,14 @@
         }
     }
 
-    /** Tells the dispatcher that the list is as it was; nothing while it is not known. */
+    /** Reports to the listener that the list is unchanged; does nothing before the first complete list. */
     void publishUnchanged() {
         if (known) {
             listener.deliver(EndpointListKind.CHANGES, List.of());
         }
     }
 
-    /** Removes endpoints that a second read of the list does not name either. */
+    /** Removes the held endpoints that the second read of the list does not contain either. */
     void confirm(List<ListItem> items, long nowMicros) {
         Set<String> ids = new HashSet<>();
         for (ListItem item : items) {
@@ -98,7 +98,7 @@
         publishChanges(membership.applyConfirmation(ids, nowMicros));
     }
 
-    /** Publishes what is due by now. */
+    /** Publishes the changes that are due. */
     void onTimer(long nowMicros) {
         if (membership.nextTimerMicros() > nowMicros) {
             return;
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Starts damping anew with other settings, from the endpoints published so far. */
+    /** Restarts the damping with other settings, from the endpoints published so far. */
     void changeSettings(MembershipDamping.Settings settings, long nowMicros) {
         List<EndpointEntry> entries = membership.entries();
         membership = new MembershipDamping(settings);
--- a/src/main/java/magpiehub/discovery/RegistryMessage.java
+++ b/src/main/java/magpiehub/discovery/RegistryMessage.java
@@ -4,21 +4,21 @@
 
 /** A message to the actor of {@link RegistryClient}. */
 sealed interface RegistryMessage {
-    /** The dispatcher wants to know the list. */
+    /** The dispatcher requested the list. */
     record ListRequested() implements RegistryMessage {}
 
-    /** The operators' maintenance changed. */
+    /** The operators changed which endpoints are in maintenance. */
     record MaintenanceChanged(MaintenanceUpdate update) implements RegistryMessage {}
 
     /** The settings file changed. */
     record SettingsChanged(DiscoverySettings settings) implements RegistryMessage {}
 
-    /** The client is to end its calls and threads. */
+    /** The client must cancel its calls and end its threads. */
     record StopRequested() implements RegistryMessage {}
 
-    /** A call has reported something. */
+    /** A call has reported an event. */
     record CallEventReceived(RegistryCall call, RegistryCallEvent event) implements RegistryMessage {}
 
-    /** A call has ended; {@code failure} is null if it was complete. */
+    /** A call has ended; {@code failure} is null if it succeeded. */
     record CallEnded(RegistryCall call, IOException failure) implements RegistryMessage {}
 }
--- a/src/main/java/magpiehub/discovery/RegistryProtocols.java
+++ b/src/main/java/magpiehub/discovery/RegistryProtocols.java
@@ -1,6 +1,6 @@
 package magpiehub.discovery;
 
-/** Creates the protocol that the settings name. */
+/** Creates protocols from settings. */
 final class RegistryProtocols {
     private RegistryProtocols() {}
 
--- a/src/main/java/magpiehub/discovery/RegistrySession.java
+++ b/src/main/java/magpiehub/discovery/RegistrySession.java
@@ -4,22 +4,22 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * The calls to one registry: at most one main call (a list or a watch, whose events make the list) and one
- * beside it (a check that the watch is alive, or a second read of a doubted list). Decides when the next call
- * is due, which endpoint it goes to, and how long it may take. Belongs to the thread of {@link RegistryClient}'s
- * actor.
+ * Manages the calls to one registry: at most one main call (a list or a watch, whose events update the list) and at
+ * most one side call (a position check of the watch, or a second read that confirms a suspicious list). Decides when
+ * the next call is due, which endpoint it goes to, and when it times out. Used by the thread of
+ * {@link RegistryClient}'s actor only.
  */
 final class RegistrySession {
     /**
-     * How long a list that keeps coming may take at first: only for so long that another endpoint can deliver
-     * its own within the 6 s after which what a registry has must have reached the router.
+     * The initial limit on the duration of a list call that keeps receiving data. Leaves time for another endpoint to
+     * deliver its list within the 6 s in which the registry's content must reach the router.
      */
     private static final long MIN_LIST_PATIENCE_MICROS = 3_000_000;
-    /** How long a list that keeps coming may take at most. */
+    /** The highest limit on the duration of a list call that keeps receiving data. */
     private static final long MAX_LIST_PATIENCE_MICROS = 30_000_000;
-    /** After a check that saw more than the watch has delivered: how soon the next check decides. */
+    /** The delay of the deciding check after one that found changes that the watch has not delivered. */
     private static final long RECHECK_MICROS = 300_000;
-    /** Guards against a registry whose lists can't be followed: they are not read without a pause. */
+    /** The minimum interval between lists, in case each list must be read again as soon as it is applied. */
     private static final long MIN_LIST_INTERVAL_MICROS = 250_000;
 
     private final DiscoverySettings settings;
@@ -40,10 +40,10 @@
     private long nextMainCallMicros;
     private long nextCheckMicros = Long.MIN_VALUE;
     private long listedAtMicros = Long.MIN_VALUE / 2;
-    /** How long a list may keep coming: twice as long as the last one that was given up for it. */
+    /** The current limit on the duration of a list call: doubled when a call exceeds it. */
     private long listPatienceMicros = MIN_LIST_PATIENCE_MICROS;
 
-    /** Starts the session's threads; its first call is due at once. */
+    /** Creates a session and starts its threads; the first call is due at once. */
     RegistrySession(
             DiscoverySettings settings,
             EndpointEntryParser parser,
@@ -69,7 +69,7 @@
         return protocol;
     }
 
-    /** Null for connections without TLS. */
+    /** Returns the TLS context, or null for connections without TLS. */
     SSLContext tls() {
         return tls;
     }
@@ -78,17 +78,17 @@
         return endpoints;
     }
 
-    /** Whether this registry has delivered a complete list. */
+    /** Returns whether this registry has delivered a complete list. */
     boolean isListed() {
         return listed;
     }
 
-    /** The watch that is open, or null. */
+    /** Returns the watch in progress, or null. */
     RegistryCall watch() {
         return main != null && main.kind == RegistryCallKind.WATCH ? main : null;
     }
 
-    /** The calls in progress. */
+    /** Returns the calls in progress. */
     RegistryCall[] openCalls() {
         if (main == null) {
             return side == null ? new RegistryCall[0] : new RegistryCall[] {side};
@@ -96,12 +96,12 @@
         return side == null ? new RegistryCall[] {main} : new RegistryCall[] {main, side};
     }
 
-    /** Whether a call is one in progress, so that its events count. */
+    /** Returns whether a call is in progress, so that its events apply. */
     boolean isOpen(RegistryCall call) {
         return call == main || call == side;
     }
 
-    /** Requests a second read of the list beside the main call. */
+    /** Requests a second read of the list as a side call. */
     void requestConfirmation() {
         confirmationRequested = true;
     }
@@ -117,7 +117,7 @@
         sideChannel.stop();
     }
 
-    /** When a call is due or times out next. */
+    /** Returns when the next call is due or the next timeout occurs. */
     long nextTimerMicros() {
         long next = main == null ? nextMainCallMicros : main.deadlineMicros;
         if (side != null) {
@@ -126,7 +126,7 @@
         return Math.min(next, confirmationRequested ? endpoints.nextReadyAtMicros() : checkDueMicros());
     }
 
-    /** When the watch has been quiet long enough to be checked; {@link Long#MAX_VALUE} without an open watch. */
+    /** Returns when the next check of the silent watch is due; {@link Long#MAX_VALUE} without an open watch. */
     private long checkDueMicros() {
         RegistryCall watch = watch();
         if (watch == null || !watch.watchOpen) {
@@ -166,7 +166,7 @@
         if (kind == RegistryCallKind.WATCH && protocol.watchReturnsCompleteList()) {
             main.deadlineMicros += protocol.maxQuietMicros();
             main.watchOpen = true;
-            // The time between two queries counts: nothing was received in it either.
+            // The interval between two queries counts as silence too: nothing was received during it.
             main.lastEventAtMicros = Math.min(nowMicros, lastAnswerAtMicros);
         }
         mainChannel.start(main);
@@ -191,8 +191,8 @@
     }
 
     /**
-     * Whether a call has timed out. A list of which parts keep coming gets a later deadline, until it has taken
-     * too long altogether.
+     * Returns whether a call has timed out. The deadline of a list call that keeps receiving data is extended up to the
+     * limit on its total duration.
      */
     boolean hasTimedOut(RegistryCall call, long nowMicros) {
         if (call.deadlineMicros > nowMicros) {
@@ -211,9 +211,9 @@
     }
 
     /**
-     * Notes that an endpoint has answered as it should.
+     * Records that an endpoint responded successfully.
      *
-     * @return whether the last call before had failed
+     * @return whether the previous call had failed
      */
     boolean recordSuccess(RegistryCall call) {
         endpoints.recordSuccess(call.endpoint);
@@ -222,21 +222,21 @@
         return wasDown;
     }
 
-    /** Notes that a call has delivered a complete list that is now in force. */
+    /** Records that a call delivered a complete list that has been applied. */
     void recordList(RegistryCall call, long nowMicros) {
         listed = true;
         listedAtMicros = nowMicros;
-        long taken = call.kind == RegistryCallKind.LIST ? nowMicros - call.startedAtMicros : 0;
-        listPatienceMicros = Math.max(MIN_LIST_PATIENCE_MICROS, 2 * taken);
+        long durationMicros = call.kind == RegistryCallKind.LIST ? nowMicros - call.startedAtMicros : 0;
+        listPatienceMicros = Math.max(MIN_LIST_PATIENCE_MICROS, 2 * durationMicros);
     }
 
-    /** Makes the next check soon after one that saw more than the watch has delivered. */
+    /** Schedules the next check soon after one that found changes that the watch has not delivered. */
     void recheckSoon(RegistryCall check) {
         nextCheckMicros = check.startedAtMicros + Math.min(RECHECK_MICROS, settings.checkIntervalMicros());
         main.lastEventAtMicros = nextCheckMicros - settings.checkIntervalMicros();
     }
 
-    /** Cancels the main call, whose events no longer count; the next one is due at a time. */
+    /** Cancels the main call, whose events no longer apply; the next one is due at {@code nextCallMicros}. */
     void abandonMainCall(long nextCallMicros) {
         RegistryCall call = main;
         main = null;
@@ -261,14 +261,17 @@
         return true;
     }
 
-    /** Delays the next main call after one that ended well, where each answer to a watch is a complete list. */
+    /**
+     * Delays the next main call after a successful one to the minimum query interval, if each response to a watch is a
+     * complete list.
+     */
     void delayNextQuery(RegistryCall ended, long nowMicros) {
         if (protocol.watchReturnsCompleteList() && !ended.deliveredLaggingList) {
             nextMainCallMicros = Math.max(nowMicros, ended.startedAtMicros + settings.minQueryIntervalMicros());
         }
     }
 
-    /** Backs off after a call that failed and was removed. */
+    /** Records that a call failed, after its removal, and applies the backoff. */
     void recordFailure(
             RegistryCall call, boolean wasMain, EndpointFailure failure, long retryAfterMicros, long nowMicros) {
         endpoints.recordFailure(call.endpoint, nowMicros, failure, retryAfterMicros);
@@ -276,7 +279,7 @@
         if (wasMain) {
             nextMainCallMicros = Math.max(nowMicros, endpoints.nextReadyAtMicros());
         } else if (watch() != null && main.endpoint == call.endpoint) {
-            // The watch's endpoint no longer answers: a quiet watch on it can't be told from a dead one.
+            // The watch's endpoint no longer responds, so a silent watch can't be told from a broken one.
             abandonMainCall(Math.max(nowMicros, endpoints.nextReadyAtMicros()));
         }
     }
--- a/src/main/java/magpiehub/discovery/RegistrySessions.java
+++ b/src/main/java/magpiehub/discovery/RegistrySessions.java
@@ -1,12 +1,12 @@
 package magpiehub.discovery;
 
 /**
- * The current session and, while a newly configured registry has not delivered its list, the one before it,
- * whose events still count until then. Belongs to the actor's thread.
+ * Holds the current session and, until a newly configured registry has delivered its list, the previous one, whose
+ * events still apply until then. Used by the actor's thread only.
  */
 final class RegistrySessions {
     private RegistrySession current;
-    /** Null for none. */
+    /** The session of the previous registry, or null. */
     private RegistrySession former;
 
     RegistrySessions(RegistrySession first) {
@@ -17,12 +17,12 @@
         return current;
     }
 
-    /** The session of the registry before, or null. */
+    /** Returns the session of the previous registry, or null. */
     RegistrySession former() {
         return former;
     }
 
-    /** Makes a session the current one; the one before goes on if it is the only one with a list. */
+    /** Replaces the current session; the replaced one stays open if it is the only one that delivered a list. */
     void replace(RegistrySession by) {
         if (former == null && current.isListed()) {
             former = current;
@@ -32,7 +32,7 @@
         current = by;
     }
 
-    /** Closes the former session once the current one has delivered its list. */
+    /** Closes the previous session, after the current one has delivered its list. */
     void closeFormer() {
         if (former != null) {
             former.close();
@@ -48,7 +48,7 @@
         }
     }
 
-    /** When any session's call is due or times out next. */
+    /** Returns when the next call of any session is due or the next timeout occurs. */
     long nextTimerMicros() {
         long next = current.nextTimerMicros();
         return former == null ? next : Math.min(next, former.nextTimerMicros());
--- a/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
+++ b/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
@@ -13,8 +13,8 @@
 import magpiehub.config.HostPort;
 
 /**
- * Reads one object of the settings file with bounds and defaults. A field that is of the wrong type, out of
- * bounds, or never asked for is a {@link ConfigurationException} that names file and field.
+ * Reads one object of the settings file with bounds and defaults. A field that has the wrong type, is out of bounds, or
+ * is unknown causes a {@link ConfigurationException} that names the file and the field.
  */
 final class RegistrySettingsReader {
     private static final long MICROS_PER_MILLI = 1000;
@@ -38,12 +38,12 @@
         known.add(field);
         String value = fields.text(field, defaultValue);
         if (value != null && containsControlCharacter(value)) {
-            throw invalid(field, "must not hold control characters");
+            throw invalid(field, "must not contain control characters");
         }
         return value;
     }
 
-    /** A boolean, false where the field is absent. */
+    /** Reads a boolean; returns false if the field is absent. */
     boolean flag(String field) {
         known.add(field);
         return fields.flag(field, false);
@@ -58,12 +58,12 @@
         return value;
     }
 
-    /** A time in microseconds from a field in milliseconds. */
+    /** Reads a duration in milliseconds and returns it in microseconds. */
     long micros(String field, double defaultMillis, double minMillis, double maxMillis) {
         return Math.round(number(field, defaultMillis, minMillis, maxMillis) * MICROS_PER_MILLI);
     }
 
-    /** A list of at least one {@code address:port}. */
+    /** Reads a list of at least one {@code address:port}. */
     List<String> addresses(String field) {
         known.add(field);
         List<String> addresses = new ArrayList<>();
@@ -80,15 +80,15 @@
         return addresses;
     }
 
-    /** A path relative to a directory; null where the field is absent. */
+    /** Reads a path relative to a directory; returns null if the field is absent. */
     Path path(String field, Path directory) {
         String value = text(field, null);
         return value == null ? null : directory.resolve(value);
     }
 
     /**
-     * The first line of the file that the field names; null where the field is absent. A file that every
-     * account of the machine can read is rejected.
+     * Reads a secret from the first line of the file that the field names; returns null if the field is absent. A file
+     * that other users of the machine can read or write is rejected, as is one that its group can write.
      */
     String secret(String field, Path directory) throws IOException {
         Path file = path(field, directory);
@@ -108,13 +108,13 @@
         return secret;
     }
 
-    /** The reader of a nested object, which is empty where the field is absent. */
+    /** Returns a reader of a nested object, which is empty if the field is absent. */
     RegistrySettingsReader object(String field) {
         known.add(field);
         return new RegistrySettingsReader(fields.object(field));
     }
 
-    /** Rejects fields that nobody asked for. */
+    /** Rejects fields that have not been read; fields whose name starts with {@code //} are comments. */
     void rejectUnknownFields() {
         for (String field : fields.map().keySet()) {
             if (!known.contains(field) && !field.startsWith("//")) {
--- a/src/main/java/magpiehub/discovery/RegistryStatistics.java
+++ b/src/main/java/magpiehub/discovery/RegistryStatistics.java
@@ -1,9 +1,10 @@
 package magpiehub.discovery;
 
 /**
- * The state of a {@link RegistryClient} after a turn of its actor, for {@code /counters}.
+ * A snapshot of a {@link RegistryClient}'s state, for {@code /counters}. The actor takes one after each message or
+ * timer.
  *
- * @param lastAnswerMicros when a registry last answered; 0 before the first answer
+ * @param lastAnswerMicros when a registry last responded; 0 before the first response
  */
 record RegistryStatistics(
         ListPosition position,
@@ -17,7 +18,8 @@
     private static final long MICROS_PER_MILLI = 1000;
 
     /**
-     * One counter a line; {@code registry_silence_ms} is how long no registry has answered, -1 before one has.
+     * Formats one counter per line. {@code registry_silence_ms} is the time since a registry last responded, or -1
+     * before the first response.
      */
     String counterLines(long nowMicros, long bytesRead) {
         long silenceMillis = lastAnswerMicros == 0 ? -1 : (nowMicros - lastAnswerMicros) / MICROS_PER_MILLI;
--- a/src/main/java/magpiehub/discovery/RouterRegistration.java
+++ b/src/main/java/magpiehub/discovery/RouterRegistration.java
@@ -11,9 +11,9 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Keeps this router's own entry in the registry: registers it, renews it in time, and removes it when the router
- * stops. {@link RegistrationState} says what is due; a {@link RegistrationProtocol} makes the calls, on a thread of
- * this class.
+ * Maintains this router's entry in the registry: registers it, renews it before it expires, and removes it when the
+ * router stops. {@link RegistrationState} decides which call is due; a {@link RegistrationProtocol} executes the calls
+ * on a thread that this class starts.
  */
 public final class RouterRegistration {
     private static final long MICROS_PER_MILLI = 1000;
@@ -38,10 +38,11 @@
     private volatile RegistryConnection connection;
 
     /**
-     * A registration by settings that have {@code announce}.
+     * Creates a registration.
      *
-     * @param routerName the entry's id where the settings name none
-     * @param listenAddress the entry's address where the settings name none
+     * @param settings settings with an {@code announce} object
+     * @param routerName the entry's id if the settings have none
+     * @param listenAddress the entry's address if the settings have none
      */
     public RouterRegistration(
             DiscoverySettings settings,
@@ -74,15 +75,16 @@
                 registration.service(), id, address, registration.ttlMicros(), settings.secret());
     }
 
-    /** Starts its thread. */
+    /** Starts the registration's thread. */
     public void start() {
         DaemonThreads.newThread("registry-announce", this::run).start();
     }
 
     /**
-     * Removes the entry and waits until that is done, at most one and a half times as long as given. Any thread.
+     * Removes the entry and waits until that is done, for at most one and a half times the timeout. May be called
+     * from any thread.
      *
-     * <p>A call that hangs is cut off after half of the time, so that the last one can be made.
+     * <p>A call that is still in progress after half of the timeout is cancelled, so that the entry can be removed.
      */
     public void stop(long timeoutMillis) throws InterruptedException {
         mailbox.post(Message.STOP);
@@ -91,7 +93,7 @@
             inUse.close();
         }
         if (!done.await(timeoutMillis, TimeUnit.MILLISECONDS)) {
-            log.log("registry-deregister-failed", "id", id, "why", "no answer in time");
+            log.log("registry-deregister-failed", "id", id, "why", "registry did not respond before the stop timeout");
         }
     }
 
@@ -118,7 +120,7 @@
         }
     }
 
-    /** Performs a step on the endpoint that is ready, or puts it off; the removal is not put off. */
+    /** Performs a step on a ready endpoint, or postpones it if none is ready; the removal is never postponed. */
     private void perform(RegistrationState.Step step, long now) {
         int picked = endpoints.select(now);
         if (picked < 0 && step != RegistrationState.Step.DEREGISTER) {
@@ -173,7 +175,7 @@
         }
         state.onFailed(now, Math.max(settings.backoff().baseMicros(), endpoints.nextReadyAtMicros() - now));
         if (step == RegistrationState.Step.DEREGISTER) {
-            state.onDeregistered(); // It is tried once: what is left expires.
+            state.onDeregistered(); // The removal is tried once; otherwise the entry expires.
         }
     }
 
--- a/src/main/java/magpiehub/discovery/TlsContexts.java
+++ b/src/main/java/magpiehub/discovery/TlsContexts.java
@@ -12,14 +12,14 @@
 import javax.net.ssl.TrustManagerFactory;
 import magpiehub.config.ConfigurationException;
 
-/** Creates TLS contexts of clients that trust given certificate authorities. */
+/** Creates TLS contexts for clients that trust the given certificate authorities. */
 final class TlsContexts {
     private TlsContexts() {}
 
     /**
-     * A context that trusts the authorities of a PEM file, or those of the JDK where the file is null.
+     * Creates a context that trusts the authorities in a PEM file, or those of the JDK if the file is null.
      *
-     * @throws ConfigurationException if the file holds no certificate or can't be parsed
+     * @throws ConfigurationException if the file contains no certificate or can't be parsed
      */
     static SSLContext trusting(Path authorities) throws IOException {
         try {
@@ -47,7 +47,7 @@
             store.setCertificateEntry("ca" + count++, certificate);
         }
         if (count == 0) {
-            throw new ConfigurationException(authorities + " holds no certificate");
+            throw new ConfigurationException(authorities + " contains no certificate");
         }
         return store;
     }
