--- a/src/test/java/magpiehub/discovery/FakeConsulServer.java
+++ b/src/test/java/magpiehub/discovery/FakeConsulServer.java
@@ -14,8 +14,8 @@
 import magpiehub.http.HttpHead;
 
 /**
- * Serves a {@link FakeRegistry}'s keys by Consul's HTTP interface, written from its public description: blocking
- * queries of health and key-values, and an agent's registration of services.
+ * Serves a {@link FakeRegistry}'s keys through Consul's HTTP API, implemented from its public documentation: blocking
+ * queries of the health and key-value APIs, and the agent's registration of services.
  */
 final class FakeConsulServer {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -28,14 +28,14 @@
     private final ListCache healthLists = new ListCache();
     private final ListCache keyValueLists = new ListCache();
 
-    /** Instances as JSON, written once; guarded by {@code healthLists}. */
+    /** The JSON of each instance, cached; guarded by {@code healthLists}. */
     private final Map<FakeRegistry.Version, byte[]> instances = new HashMap<>();
 
     FakeConsulServer(FakeRegistry registry) {
         this.registry = registry;
     }
 
-    /** One snapshot's response body, which is written once for all clients. */
+    /** The response body of the last snapshot, cached for all clients. */
     private static final class ListCache {
         Map<String, FakeRegistry.Version> snapshot;
         byte[] body;
@@ -91,7 +91,7 @@
         endpoint.send(out, known ? 200 : 404, "", known ? "" : "Unknown check");
     }
 
-    /** Answers a query, after a wait where it is a blocking one. */
+    /** Responds to a query, after a wait if it is a blocking one. */
     private void answerQuery(
             FakeRegistryEndpoint endpoint, boolean isHealth, Map<String, String> parameters, OutputStream out)
             throws IOException, InterruptedException {
@@ -196,7 +196,7 @@
         });
     }
 
-    /** The value, or one with an unreadable address where it is no JSON object. */
+    /** Parses a value; returns one with an unreadable address if it is not a JSON object. */
     private static ConfigurationObject parseValue(byte[] value) throws IOException {
         try {
             return ConfigurationObject.parse(value, "value");
--- a/src/test/java/magpiehub/discovery/FakeEtcdServer.java
+++ b/src/test/java/magpiehub/discovery/FakeEtcdServer.java
@@ -18,8 +18,8 @@
 import magpiehub.http.HttpWriter;
 
 /**
- * Serves a {@link FakeRegistry}'s keys by etcd's JSON gateway, written from its public description: authentication,
- * ranges in pages, watches with fragments and compaction, and leases.
+ * Serves a {@link FakeRegistry}'s keys through etcd's JSON gateway, implemented from its public documentation:
+ * authentication, ranges in pages, watches with fragments and compaction, and leases.
  */
 final class FakeEtcdServer {
     private static final int CODE_INVALID_ARGUMENT = 3;
@@ -27,21 +27,21 @@
 
     private final FakeRegistry registry;
 
-    /** The tokens that are valid; guarded, as the other fields, by the registry's monitor. */
+    /** The valid tokens; guarded by the registry's monitor, as are the other fields. */
     final Set<String> tokens = new HashSet<>();
 
     int logins;
 
-    /** Keys by lease. */
+    /** The keys attached to each lease. */
     final Map<Long, Set<String>> leases = new HashMap<>();
 
-    /** A response of at most so many events is complete; larger ones come in fragments. */
+    /** The maximum number of events per watch response; larger ones are sent as fragments. */
     int eventsPerFragment = 50;
 
-    /** Called before each page of a list but the first. */
+    /** Called before each page of a list except the first. */
     Runnable betweenPages = () -> {};
 
-    /** Events as JSON, written once for all watches. */
+    /** The JSON of each event, cached for all watches. */
     private final Map<FakeRegistry.Change, String> eventTexts = new HashMap<>();
 
     FakeEtcdServer(FakeRegistry registry) {
@@ -197,7 +197,7 @@
         });
     }
 
-    /** Two JSON objects as one, with the members of both. */
+    /** Merges two JSON objects into one with the members of both. */
     private static byte[] join(byte[] first, byte[] second) {
         byte[] joined = Arrays.copyOf(first, first.length + second.length - 1);
         joined[first.length - 1] = ',';
@@ -236,7 +236,7 @@
         }
     }
 
-    /** Whether a watch has something to send; under the registry's monitor. */
+    /** Returns whether a watch has events to send. The caller holds the registry's monitor. */
     private boolean hasNews(FakeRegistryEndpoint endpoint, long fromRevision, String prefix) {
         return endpoint.fault != FakeRegistry.Fault.MUTE
                 && endpoint.fault != FakeRegistry.Fault.SILENT
@@ -277,7 +277,7 @@
         }
     }
 
-    /** Sends a line of a watch. Its letters beyond ASCII are not escaped, so that a cut may fall inside of one. */
+    /** Sends one line of a watch. Characters beyond ASCII are not escaped, so that a truncation may split one. */
     private void sendResult(FakeRegistryEndpoint endpoint, OutputStream out, JsonObjects.MemberWriter result)
             throws IOException {
         byte[] line = JsonObjects.toBytes(generator -> {
@@ -314,7 +314,7 @@
         });
     }
 
-    /** Answers the calls of a registration; under the registry's monitor. */
+    /** Responds to the calls of a registration. The caller holds the registry's monitor. */
     private void answerLease(FakeRegistryEndpoint endpoint, String path, ConfigurationObject request, OutputStream out)
             throws IOException {
         long id = Long.parseLong(request.text("ID", request.text("lease", "0")));
--- a/src/test/java/magpiehub/discovery/FakeRegistry.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistry.java
@@ -11,39 +11,39 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A registry for tests: one history of keys, several endpoints that fail as told, and two protocols, etcd's JSON
- * gateway ({@link FakeEtcdServer}) and Consul's HTTP interface ({@link FakeConsulServer}).
+ * A registry for tests: one history of keys, several endpoints with injected faults, and two protocols, etcd's JSON
+ * gateway ({@link FakeEtcdServer}) and Consul's HTTP API ({@link FakeConsulServer}).
  *
- * <p>Its monitor guards the data; it is notified of each change. A test may hold it to make several changes in one
- * moment.
+ * <p>The registry's monitor guards the data and is notified of each change. A test may hold the monitor to make several
+ * changes atomically.
  */
 final class FakeRegistry implements AutoCloseable {
     static final String PREFIX = "fleet/engines/";
     private static final int CACHED_SNAPSHOTS = 4;
 
-    /** How an endpoint fails. */
+    /** A fault of an endpoint. */
     enum Fault {
         NONE,
-        /** It resets whoever connects. */
+        /** It resets each new connection. */
         DOWN,
-        /** It accepts requests and answers none. */
+        /** It accepts requests and never responds. */
         SILENT,
-        /** It answers all but watches. */
+        /** It responds to all requests but sends nothing on watches. */
         MUTE,
-        /** Its responses come byte by byte. */
+        /** It sends its responses byte by byte, with pauses. */
         DRIPS,
         /** It rejects each token. */
         UNAUTHORISED,
-        /** It answers each request with 429. */
+        /** It responds to each request with 429. */
         REFUSING,
         /** It has no leader (Consul). */
         NO_LEADER
     }
 
-    /** A key's value from a revision on; null if it was deleted. */
+    /** The value of a key since a revision; null if the key was deleted. */
     record Version(long revision, byte[] value) {}
 
-    /** A change of one key. */
+    /** A change of one key; the value is null for a deletion. */
     record Change(long revision, String key, byte[] value) {}
 
     final FakeEtcdServer etcd = new FakeEtcdServer(this);
@@ -53,7 +53,7 @@
     /** The number of requests by path. */
     final Map<String, Integer> requestCounts = new ConcurrentHashMap<>();
 
-    /** The password in etcd and the token in Consul; null if none is asked for. */
+    /** The password in etcd and the token in Consul; null if none is required. */
     String password;
 
     String cluster = "14841639068965178418";
@@ -66,7 +66,7 @@
     private final Map<String, List<Version>> versionsByKey = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
 
-    /** The last few snapshots: hundreds of clients read the same one. */
+    /** A cache of recent snapshots, because hundreds of clients read the same one. */
     private final Map<String, Map<String, Version>> snapshots = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -103,7 +103,7 @@
         notifyAll();
     }
 
-    /** Changes several keys in one revision; a null value deletes. */
+    /** Changes several keys in one revision; a null value deletes the key. */
     synchronized void putAll(Map<String, String> jsonById) {
         revision++;
         jsonById.forEach((id, json) -> write(PREFIX + id, json == null ? null : json.getBytes(UTF_8)));
@@ -111,7 +111,7 @@
     }
 
     private void write(String key, byte[] value) {
-        snapshots.remove(revision + " " + PREFIX); // Of several changes in one revision.
+        snapshots.remove(revision + " " + PREFIX); // It is outdated if the revision has several changes.
         versionsByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(new Version(revision, value));
         changes.add(new Change(revision, key, value));
     }
@@ -120,13 +120,13 @@
         compacted = revision;
     }
 
-    /** Elects a new leader, which cuts all connections. */
+    /** Increments the leader's term and closes all connections, as an election of a leader does. */
     synchronized void electLeader() {
         term++;
         cutAll();
     }
 
-    /** Brings back what the registry held at the revision {@code to}; later writes go on from {@code newRevision}. */
+    /** Restores the data as of the revision {@code to}; later writes continue from {@code newRevision}. */
     synchronized void restore(long to, String newCluster, long newRevision) {
         snapshots.clear();
         versionsByKey.values().forEach(versions -> versions.removeIf(v -> v.revision > to));
@@ -143,7 +143,7 @@
         endpoints.forEach(FakeRegistryEndpoint::cut);
     }
 
-    /** The values as of a revision, by key. */
+    /** Returns the values as of a revision, by key. */
     synchronized Map<String, Version> snapshot(long at, String prefix) {
         long upTo = Math.min(at, revision);
         return snapshots.computeIfAbsent(upTo + " " + prefix, k -> readSnapshot(upTo, prefix));
@@ -171,7 +171,7 @@
         return null;
     }
 
-    /** The changes of a range of revisions, both included; under the monitor. */
+    /** Returns the changes in a range of revisions, bounds included. The caller holds the monitor. */
     List<Change> changes(long fromRevision, long toRevision, String prefix) {
         int first = changes.size();
         while (first > 0 && changes.get(first - 1).revision >= fromRevision) {
--- a/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
@@ -17,8 +17,8 @@
 import magpiehub.http.Sockets;
 
 /**
- * One endpoint of a {@link FakeRegistry}: a listening port that serves the registry's data, with the faults that a
- * test injects. It fails only as told. Its fields may be set from any thread.
+ * One endpoint of a {@link FakeRegistry}: a listening port that serves the registry's data, with the faults that a test
+ * injects and no others. Its fields may be set from any thread.
  */
 final class FakeRegistryEndpoint {
     private static final int BACKLOG = 512;
@@ -30,16 +30,16 @@
     private final int port;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    /** How requests from now on fail; set alone it leaves open connections as they are, see {@link #fault}. */
+    /** The fault of later requests. Setting the field alone does not affect open connections, see {@link #fault}. */
     volatile FakeRegistry.Fault fault = FakeRegistry.Fault.NONE;
 
-    /** How many revisions this endpoint is behind. */
+    /** By how many revisions this endpoint lags behind the registry. */
     volatile long revisionsBehind;
 
-    /** How many bytes of the next response, or of the next line of a watch, are written before a cut; -1 for all. */
+    /** After how many bytes the next response, or the next line of a watch, is truncated; -1 for none. */
     volatile int cutAfterBytes = NO_CUT;
 
-    /** How long each response is held back (ms). */
+    /** The delay of each response (ms). */
     volatile long delayMillis;
 
     FakeRegistryEndpoint(FakeRegistry registry) throws IOException {
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Injects a fault. Open connections are cut, unless the endpoint is only to fall silent. An endpoint that is down
-     * resets whoever connects, and keeps its port.
+     * Injects a fault. Closes open connections, unless the fault makes the endpoint or its watches silent. An endpoint
+     * that is down keeps its port and resets each new connection.
      */
     void fault(FakeRegistry.Fault injected) {
         fault = injected;
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Cuts all open connections. */
+    /** Closes all open connections. */
     void cut() {
         openSockets.forEach(Sockets::closeQuietly);
     }
@@ -77,11 +77,11 @@
         try {
             server.close();
         } catch (IOException e) {
-            // It is of no use any more either way.
+            // The port is not used any more, so a failure to close it has no effect on the test.
         }
     }
 
-    /** The revision that this endpoint shows; under the registry's monitor. */
+    /** Returns the revision that this endpoint reports. The caller holds the registry's monitor. */
     long visibleRevision() {
         return Math.max(1, registry.revision - revisionsBehind);
     }
@@ -113,7 +113,7 @@
                 serveRequest(in, socket.getOutputStream());
             }
         } catch (IOException | InterruptedException | RuntimeException e) {
-            // The client closed the connection, or this endpoint did.
+            // The client or this endpoint closed the connection.
         } finally {
             openSockets.remove(socket);
         }
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Writes a response; {@code headers} are lines of their own, each with its end. */
+    /** Writes a response; {@code headers} are complete lines with line ends. */
     void send(OutputStream out, int status, String headers, byte[] body) throws IOException {
         HttpWriter response = new HttpWriter();
         response.append("HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length + "\r\n\r\n");
@@ -160,7 +160,7 @@
         send(out, status, headers, body.getBytes(UTF_8));
     }
 
-    /** Writes all bytes, or as many as the injected faults let through. */
+    /** Writes all bytes, unless an injected fault delays or truncates them. */
     void write(OutputStream out, byte[] bytes) throws IOException {
         for (int i = 0; fault == FakeRegistry.Fault.DRIPS; i = Math.min(i + 1, bytes.length - 1)) {
             out.write(bytes, i, 1);
@@ -171,7 +171,7 @@
         if (length >= 0 && length < bytes.length) {
             cutAfterBytes = NO_CUT;
             out.write(bytes, 0, length);
-            throw new IOException("cut");
+            throw new IOException("response truncated by the test");
         }
         out.write(bytes);
     }
--- a/src/test/java/magpiehub/discovery/FaultScript.java
+++ b/src/test/java/magpiehub/discovery/FaultScript.java
@@ -8,36 +8,35 @@
 import java.util.concurrent.locks.LockSupport;
 import magpiehub.concurrent.MonotonicClock;
 
-/** Changes to a fake registry and faults of it, as a seed says; every kind of fault comes at least once. */
+/** A random sequence of changes and faults of a fake registry, determined by a seed, with each kind of fault once. */
 final class FaultScript {
-    /** So many changes are made at one moment. */
+    /** The number of changes made atomically. */
     private static final int BURST_SIZE = 25;
 
     private static final int MAX_PORT = 60_000;
     private static final long BURST_PAUSE_MILLIS = 30;
-    /** Longer than a client may take to notice that a watch is silent. */
+    /** Longer than a client may take to detect that a watch is silent. */
     private static final long SILENCE_MILLIS = 1800;
     /** Longer than the spread over which clients reconnect. */
     private static final long RECONNECT_MILLIS = 2100;
 
-    /** The faults. */
     private enum FaultKind {
-        /** All connections are cut. */
+        /** All connections are closed. */
         CUT,
-        /** A cut in the middle of whatever is written next: a line, a chunk, a character. */
+        /** The next data written is truncated, possibly within a line, a chunk or a character. */
         CUT_WITHIN_DATA,
-        /** Compacted while nobody could watch. */
+        /** The registry is compacted while all endpoints are down. */
         COMPACTION_WHILE_DOWN,
-        /** Restored from older data of the same history. */
+        /** The registry is restored from older data of the same history. */
         RESTORE,
-        /** Restored from older data as another history with higher revisions. */
+        /** The registry is restored from older data as a different history with higher revisions. */
         RESTORE_AS_OTHER_HISTORY,
         SILENT_ENDPOINT,
         SILENT_WATCHES,
         LEADER_CHANGE,
         REJECTED_TOKENS_OR_NO_LEADER,
         REJECTED_REQUESTS,
-        /** One endpoint lags, and connections are cut, so that clients move to it. */
+        /** One endpoint lags, and all connections are closed, so that clients reconnect to it. */
         LAGGING_ENDPOINT,
         /** A compaction between the pages of a list. */
         COMPACTION_WITHIN_LIST,
@@ -56,7 +55,7 @@
     private final List<Long> reconnectsMicros = new ArrayList<>();
     private int changesMade;
 
-    /** A script over so many endpoints, which the model has already. */
+    /** Creates a script that changes {@code endpoints} endpoints, which the model already contains. */
     FaultScript(
             RegistryModel model,
             MonotonicClock clock,
@@ -77,12 +76,12 @@
         return changesMade;
     }
 
-    /** How long after the restart each client connected again; 0 for one that did not. */
+    /** Returns how long after the restart each client reconnected; 0 for a client that did not. */
     List<Long> reconnectsMicros() {
         return reconnectsMicros;
     }
 
-    /** Waits without a call that may be interrupted. */
+    /** Waits uninterruptibly. */
     static void pause(long millis) {
         long end = System.nanoTime() + millis * 1_000_000;
         while (System.nanoTime() < end) {
@@ -90,7 +89,7 @@
         }
     }
 
-    /** Runs all faults in drawn order, with at least so many changes before, during and after them. */
+    /** Runs all faults in random order, with at least {@code changes} changes before, during and after them. */
     void run(int changes) {
         List<FaultKind> order = shuffledFaults();
         long oldRevision = registry.revision;
@@ -113,7 +112,8 @@
         for (int i = order.size() - 1; i > 0; i--) {
             Collections.swap(order, i, random.nextInt(i + 1));
         }
-        // First, out of a calm: what is measured then is how routers that lost it together reconnect.
+        // The restart comes first, from a steady state, because it measures how clients reconnect after losing their
+        // connections together.
         Collections.swap(order, 0, order.indexOf(FaultKind.RESTART));
         return order;
     }
@@ -136,7 +136,7 @@
         if (kind == 0) {
             model.delete(id);
         } else if (kind == 1) {
-            // Removed and back under its id at another address, inside one burst.
+            // Removes the endpoint and adds it back at another address within one burst.
             model.delete(id);
             model.put(id, "Ready", randomPort());
             changesMade++;
--- a/src/test/java/magpiehub/discovery/FaultTally.java
+++ b/src/test/java/magpiehub/discovery/FaultTally.java
@@ -2,15 +2,15 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What was found wrong in a run, over all clients. Thread-safe. */
+/** Counts the inconsistencies found in a run, over all clients. Thread-safe. */
 final class FaultTally {
-    /** Endpoints that a client lacked or had otherwise than the registry. */
+    /** Endpoints that were missing in a client's list, or differed from the registry's. */
     final AtomicLong missed = new AtomicLong();
     /** Changes that a client reported twice. */
     final AtomicLong repeated = new AtomicLong();
-    /** Older data that a client reported after newer. */
+    /** Older data that a client reported after newer data. */
     final AtomicLong regressed = new AtomicLong();
-    /** Complete lists compared with what the registry had at their position. */
+    /** Complete lists that were compared with the registry's data at their position. */
     final AtomicLong samples = new AtomicLong();
 
     long wrong() {
--- a/src/test/java/magpiehub/discovery/PollingBaseline.java
+++ b/src/test/java/magpiehub/discovery/PollingBaseline.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.locks.LockSupport;
 import magpiehub.concurrent.MonotonicClock;
 
-/** The alternative to watching that the client's cost is compared with: reads the complete list each second. */
+/** The baseline for the client's cost: reads the complete list each second instead of watching it. */
 final class PollingBaseline extends Thread {
     private static final long INTERVAL_NANOS = 1_000_000_000L;
     private static final long MAX_PARK_NANOS = 100_000_000;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Applies complete lists, and ignores all else. */
+    /** Applies complete lists and ignores other events. */
     private static final class ListApplier implements RegistryEventListener {
         private final EndpointListState list = new EndpointListState();
 
@@ -83,6 +83,6 @@
         public void onCompacted(String reason) {}
 
         @Override
-        public void onPositionChecked(ListPosition header, long newest, long count) {}
+        public void onPositionChecked(ListPosition header, long newestRevision, long count) {}
     }
 }
--- a/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
@@ -13,19 +13,19 @@
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
 
-/** A running registry client with what it has published, counted and logged. */
+/** Runs a registry client and records what it publishes, counts and logs. */
 final class RecordingRegistryClient implements RegistryClientObserver, AutoCloseable {
     private static final int TAIL_LENGTH = 3000;
     private static final int BRIEF_LENGTH = 500;
 
     final RegistryClient client;
     final RecordingEventLog log = new RecordingEventLog();
-    /** What the dispatcher would have: endpoints published and not removed. */
+    /** The endpoints that have been published and not removed. */
     final Map<String, EndpointEntry> fleet = new ConcurrentHashMap<>();
-    /** The first or latest contradiction among the list's changes; empty for none. */
+    /** The latest inconsistency among the list's changes; empty if there is none. */
     volatile String fault = "";
 
-    /** The endpoints that the changes add up to. */
+    /** The result of applying all changes. */
     private final Map<String, EndpointEntry> shadow = new HashMap<>();
 
     /** Starts a client. */
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Checks that the changes alone add up to the list, and name nothing that has not changed. */
+    /** Checks that applying the changes gives the list, and that they contain only entries that have changed. */
     @Override
     public void updated(EndpointListState list, ListUpdateResult result, boolean byWatch) {
         if (result.delta() == null) {
@@ -63,11 +63,11 @@
         }
         for (String id : result.delta().removed()) {
             if (shadow.remove(id) == null) {
-                fault = "gone twice " + id;
+                fault = "removed twice " + id;
             }
         }
         if (shadow.size() != list.size()) {
-            fault = "deltas add up to " + shadow.size() + ", the view has " + list.size();
+            fault = "changes add up to " + shadow.size() + " endpoints, the list has " + list.size();
         }
     }
 
@@ -75,11 +75,11 @@
         return log.counted(counter);
     }
 
-    /** Waits until this client has what the registry has, and nothing contradictory was published. */
+    /** Waits until this client has published the registry's endpoints, and checks that its changes are consistent. */
     void awaitEqualTo(FakeRegistry registry) {
         RegistryFixtures.await(
                 () -> isEqualTo(registry),
-                () -> "fleet " + brief(fleet) + "\ntruth " + brief(RegistryFixtures.describe(registry)) + "\n"
+                () -> "published " + brief(fleet) + "\nregistry " + brief(RegistryFixtures.describe(registry)) + "\n"
                         + log.counts() + "\n" + log.tail(TAIL_LENGTH));
         assertTrue(fault.isEmpty(), fault);
     }
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Clients of a fake registry, with each protocol, through connection losses, compactions and restores. */
+/** Tests clients of a fake registry, with each protocol, during connection losses, compactions and restores. */
 class RegistryClientTest {
     public static List<String> kinds() {
         return List.of("etcd", "consul-health", "consul-kv");
@@ -65,10 +65,10 @@
         connect(kind, "");
         burst(100, 500);
         client.awaitEqualTo(registry);
-        assertTrue(!kind.equals("etcd") || client.counted("registry_lists") == 1, "one whole list in etcd");
+        assertTrue(!kind.equals("etcd") || client.counted("registry_lists") == 1, "etcd reads one complete list");
     }
 
-    /** Chunks, lines and the letters beyond ASCII in them are cut at many places, in the middle of bursts. */
+    /** Truncates responses at many offsets during changes: within chunks, lines and characters beyond ASCII. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void partialDataIsNeverApplied(String kind) throws Exception {
@@ -133,7 +133,7 @@
         client.awaitEqualTo(registry);
     }
 
-    /** The revisions go on as if nothing had been: only what the registry has at the client's position differs. */
+    /** The revisions continue past the client's position: only the data at that position shows that it was restored. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void restoredRegistryBeyondTheClientsPositionIsRelisted(String kind) throws Exception {
@@ -201,7 +201,7 @@
         RegistryFixtures.await(() -> client.log.contains("why silent"), () -> client.log.toString());
     }
 
-    /** An endpoint whose responses come byte by byte is never silent; another delivers the list within 6 s. */
+    /** An endpoint that sends byte by byte is never silent, but another one must deliver the list within 6 s. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void slowListIsReplacedInTime(String kind) throws Exception {
@@ -213,7 +213,7 @@
         registry.endpoints.get(1).fault(Fault.NONE);
         long back = System.nanoTime();
         client.awaitEqualTo(registry);
-        assertTrue(System.nanoTime() - back < 6_000_000_000L, "in time");
+        assertTrue(System.nanoTime() - back < 6_000_000_000L, "list within 6 s");
         registry.endpoints.get(0).fault(Fault.NONE);
     }
 
@@ -268,7 +268,7 @@
             burst(100, 100);
             client.client.changeSettings(RegistryFixtures.settings(kind, second.addresses(), ""));
             burst(200, 100);
-            // The second one has delivered nothing yet: the first one's changes still count.
+            // The second registry has delivered nothing yet, so the first one's changes still apply.
             client.awaitEqualTo(registry);
             second.endpoints.get(0).fault(Fault.NONE);
             client.awaitEqualTo(second);
@@ -296,7 +296,7 @@
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
         burst(100, 50);
         RegistryFixtures.await(() -> client.counted("registry_failures") > 3, () -> client.log.toString());
-        assertFalse(client.fleet.isEmpty(), "kept, not emptied");
+        assertFalse(client.fleet.isEmpty(), "the list is kept during the outage");
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
         RegistryFixtures.await(() -> client.log.contains("registry-up"), () -> client.log.toString());
--- a/src/test/java/magpiehub/discovery/RegistryConnectionTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryConnectionTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long a registry may ask to be left alone. */
+/** Tests the bounds of {@code Retry-After}. */
 class RegistryConnectionTest {
     private static final long S = 1_000_000;
 
-    /** A registry that wants no calls for a minute is called again in time all the same. */
+    /** A registry that requests a wait of a minute is still called again early enough for changes to arrive in time. */
     @Test
     void retryAfterIsBounded() {
         assertEquals(0, RegistryConnection.parseRetryAfterMicros(null));
--- a/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
@@ -19,13 +19,13 @@
             int at = endpoints.select(0);
             endpoints.recordSuccess(at);
             endpoints.recordFailure(at, S, EndpointFailure.CONNECTION_LOST, 0);
-            assertEquals(-1, endpoints.select(S - 1), "none of them at once");
+            assertEquals(-1, endpoints.select(S - 1), "no endpoint is ready at once");
             first.add(endpoints.nextReadyAtMicros());
         }
         long[] times = first.stream().mapToLong(t -> t).toArray();
         assertTrue(
                 times[times.length * 95 / 100] - times[times.length * 5 / 100] > S,
-                "the middle nine tenths take over a second");
+                "the 5th and 95th percentile are more than a second apart");
     }
 
     @Test
@@ -37,27 +37,26 @@
             one.recordFailure(0, now, EndpointFailure.CONNECTION_LOST, 0);
             long wait = one.nextReadyAtMicros() - now;
             assertTrue(wait >= 100_000 && wait <= 1_500_000, "" + wait);
-            assertTrue(wait <= Math.max(300_000, 3 * longest), "at most three times the one before");
+            assertTrue(wait <= Math.max(300_000, 3 * longest), "at most three times the longest wait before");
             longest = Math.max(longest, wait);
             now += wait;
         }
         assertTrue(longest > S);
         one.recordFailure(0, now, EndpointFailure.ERROR_RESPONSE, 5 * S);
-        assertEquals(-1, one.select(now + 5 * S - 1), "it said itself when to return");
+        assertEquals(-1, one.select(now + 5 * S - 1), "Retry-After is respected");
         RegistryEndpoints two = new RegistryEndpoints(2, new BackoffSettings(100_000, 1_500_000, S), 3);
         int first = two.select(0);
         two.recordSuccess(first);
         two.recordFailure(first, 0, EndpointFailure.TIMEOUT, 0);
-        assertEquals(1 - first, two.select(0), "a silent one is left at once");
+        assertEquals(1 - first, two.select(0), "another endpoint is used at once after a timeout");
         two.recordSuccess(first);
         two.recordFailure(first, 0, EndpointFailure.ERROR_RESPONSE, 0);
-        assertEquals(
-                1 - first, two.select(0), "one that answers with an error is no restart: another is asked at once");
+        assertEquals(1 - first, two.select(0), "another endpoint is used at once after an error response");
         two.recordSuccess(1 - first);
-        assertEquals(1 - first, two.select(10 * S), "the one in use stays in use");
+        assertEquals(1 - first, two.select(10 * S), "the endpoint in use is kept");
         two.recordSuccess(first);
         two.recordStaleAnswer(1 - first, 10 * S, S);
         two.recordFailure(first, 10 * S - 1, EndpointFailure.TIMEOUT, 0);
-        assertEquals(first, two.select(11 * S), "not even after another failed once");
+        assertEquals(first, two.select(11 * S), "the other endpoint is preferred, although it failed once");
     }
 }
--- a/src/test/java/magpiehub/discovery/RegistryFaultInjection.java
+++ b/src/test/java/magpiehub/discovery/RegistryFaultInjection.java
@@ -16,19 +16,20 @@
 import magpiehub.config.ConfigurationObject;
 
 /**
- * A randomized fault test of the registry client: clients follow a fake registry that changes, compacts, breaks
- * and is restored from older data as a seed says, and all that they report is compared with the model.
+ * A randomized fault test of the registry client. Clients watch a fake registry whose changes, compactions, faults and
+ * restores from older data are determined by a seed, and all their reports are compared with a model.
  *
- * <p>{@code RegistryFaultInjection SEED [ENDPOINTS CHANGES CLIENTS COMPLETE]}; the last line says ok or short.
+ * <p>Usage: {@code RegistryFaultInjection SEED [ENDPOINTS CHANGES CLIENTS COMPLETE]}. The last line of the output ends
+ * with {@code ok} or {@code short}.
  */
 public final class RegistryFaultInjection {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long SETTLE_MICROS = 5 * MICROS_PER_SECOND;
-    /** A change must reach each client within this time. */
+    /** The maximum time until a change reaches a client. */
     private static final long MAX_LAG_MILLIS = 3000;
-    /** Clients that lost the registry together must reconnect over this time. */
+    /** The minimum time over which clients that lost the registry together must reconnect. */
     private static final long MIN_SPREAD_MILLIS = 750;
-    /** The spread is measured where enough clients lost the registry together to have one. */
+    /** The spread is checked only with enough clients for a meaningful percentile. */
     private static final int MIN_CLIENTS_FOR_SPREAD = 50;
 
     private static final int REGISTRY_ENDPOINTS = 3;
@@ -40,10 +41,10 @@
     /**
      * The size of a run.
      *
-     * @param changes changes at least
-     * @param clients clients without a dispatcher
-     * @param completeClients clients with a dispatcher and an upstream pool
-     * @param settleMicros how long the clients have at the end to agree with the registry
+     * @param changes the minimum number of changes
+     * @param clients the number of clients without a dispatcher
+     * @param completeClients the number of clients with a dispatcher and an upstream pool
+     * @param settleMicros how long the clients may take at the end to agree with the registry
      */
     record Scale(int endpoints, int changes, int clients, int completeClients, long settleMicros) {}
 
@@ -51,12 +52,12 @@
      * The result of a run.
      *
      * @param line the measurements in one line
-     * @param exceeded the bounds that did not hold
-     * @param wrong updates missed, repeated and regressed
+     * @param exceeded the bounds that were violated
+     * @param wrong the number of updates missed, repeated or regressed
      */
     record Outcome(String line, List<String> exceeded, long wrong) {}
 
-    /** Measurements by name, and the bounds that did not hold. */
+    /** Measurements by name, and the bounds that were violated. */
     private record Measurements(Map<String, String> values, List<String> exceeded) {
         private Measurements() {
             this(new TreeMap<>(), new ArrayList<>());
@@ -81,11 +82,11 @@
         this.model = new RegistryModel(registry, CLOCK);
     }
 
-    /** Runs the faults on etcd and on Consul. */
+    /** Runs the faults with etcd and then with Consul. */
     static Outcome run(long seed, Scale scale) throws Exception {
         FaultTally tally = new FaultTally();
         Measurements all = new Measurements();
-        // One after the other, so that the measurements of one do not depend on the other.
+        // Runs them in sequence, so that they do not affect each other's measurements.
         for (boolean etcd : new boolean[] {true, false}) {
             Measurements measured = new RegistryFaultInjection(etcd, seed, scale, tally).measure();
             all.values.putAll(measured.values);
@@ -111,7 +112,7 @@
         FaultScript script = new FaultScript(model, CLOCK, seed, scale.endpoints, etcd, clients);
         script.run(scale.changes);
         settle(scale.settleMicros);
-        // With nothing to report: what watching costs while nothing changes.
+        // Measures the cost of watching while nothing changes.
         long quietBytes = -bytesRead();
         long quietBaselineBytes = -baseline.bytesRead.get();
         FaultScript.pause(QUIET_MILLIS);
@@ -160,7 +161,7 @@
         return DiscoverySettings.of(ConfigurationObject.parse(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
-    /** Waits until no client's list differs from the registry's, or the time is over. */
+    /** Waits until all clients' lists equal the registry's, at most for the given time. */
     private void settle(long maxMicros) {
         long end = CLOCK.micros() + maxMicros;
         Map<String, Integer> expected = model.currentCells();
@@ -169,7 +170,7 @@
         }
     }
 
-    /** The clients without a dispatcher, whose cost is measured. */
+    /** Returns the clients without a dispatcher, whose cost is measured. */
     private List<VerifiedRegistryClient> measuredClients() {
         return clients.subList(0, scale.clients);
     }
@@ -191,7 +192,7 @@
         return nanos;
     }
 
-    /** Stops the clients, counts where their lists differ from the registry's, and returns all their lags. */
+    /** Stops the clients, counts the differences between their lists and the registry's, and returns all lags. */
     private List<Long> stopClients() {
         List<Long> lagsMicros = new ArrayList<>();
         Map<String, Integer> expected = model.currentCells();
@@ -216,7 +217,7 @@
         return lagsMicros;
     }
 
-    /** Per client, as a part of what the baseline needed. */
+    /** Formats the cost per client relative to the baseline's. */
     private String ratio(String format, long total, long baseline) {
         return String.format(Locale.ROOT, format, (double) total / scale.clients / Math.max(1, baseline));
     }
--- a/src/test/java/magpiehub/discovery/RegistryFaultTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryFaultTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The randomized fault test at a small scale. */
+/** Runs the randomized fault test at a small scale. */
 class RegistryFaultTest {
     private static final long S = 1_000_000;
 
-    /** Nothing is missed, repeated or taken back. The times measured are no part of the test. */
+    /** Checks that no change is missed, repeated or reverted. The measured times are not checked. */
     @Test
     void noFaultMakesAClientMissRepeatOrTakeBackAChange() throws Exception {
         RegistryFaultInjection.Scale scale = new RegistryFaultInjection.Scale(60, 400, 6, 2, 60 * S);
--- a/src/test/java/magpiehub/discovery/RegistryFixtures.java
+++ b/src/test/java/magpiehub/discovery/RegistryFixtures.java
@@ -15,14 +15,14 @@
 import magpiehub.config.SiteSettings;
 import magpiehub.config.SiteSettingsParser;
 
-/** Settings, entries and waiting for tests of the registry client. */
+/** Settings, entries and a polling wait for tests of the registry client. */
 final class RegistryFixtures {
     private static final long TIMEOUT_NANOS = 30_000_000_000L;
     private static final long POLL_NANOS = 500_000;
 
     private RegistryFixtures() {}
 
-    /** The readable endpoints that a registry has: address, state and cell by id. */
+    /** Returns the readable endpoints of a registry: address, state and cell by id. */
     static Map<String, String> describe(FakeRegistry registry) {
         Map<String, String> endpoints = new TreeMap<>();
         registry.snapshot(Long.MAX_VALUE, FakeRegistry.PREFIX).forEach((key, version) -> {
@@ -35,26 +35,26 @@
                                 + " " + (fields.text("phase", "Ready").equals("Ready") ? "LIVE" : "DRAINING") + " "
                                 + (int) fields.number("cell", 0));
             } catch (IOException | RuntimeException e) {
-                // One of those that the client is to leave out.
+                // An unreadable entry, which the client must skip.
             }
         });
         return endpoints;
     }
 
-    /** A site with one zone and one machine type. */
+    /** Creates a site with one zone and one machine type. */
     static Supplier<SiteSettings> site() throws IOException {
         SiteSettings site = SiteSettingsParser.parse(
                 ConfigurationObject.parse("{\"zones\":[\"a\"],\"machineTypes\":[\"m\"]}".getBytes(UTF_8), "settings"));
         return () -> site;
     }
 
-    /** An entry whose address and cell follow from a number. */
+    /** Creates an entry whose port and cell are derived from a number. */
     static String entryJson(int number, String phase) {
         return "{\"host_port\":\"127.0.0.1:" + (1000 + number % 60_000) + "\",\"phase\":\"" + phase + "\",\"cell\":"
                 + number + "}";
     }
 
-    /** Settings with short waits; {@code more} are further members of the file. */
+    /** Creates settings with short intervals; {@code more} is appended to the file's members. */
     static DiscoverySettings settings(String kind, List<String> endpoints, String more) throws IOException {
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", endpoints) + "\"],"
                 + "\"prefix\":\"" + FakeRegistry.PREFIX + "\",\"service\":\"engines\",\"reconnect_spread_ms\":50,"
@@ -64,7 +64,7 @@
         return DiscoverySettings.of(ConfigurationObject.parse(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
-    /** Waits for a condition; fails with the message after 30 s. */
+    /** Waits for a condition; fails with the given message after 30 s. */
     static void await(BooleanSupplier condition, Supplier<String> message) {
         long end = System.nanoTime() + TIMEOUT_NANOS;
         while (!condition.getAsBoolean()) {
--- a/src/test/java/magpiehub/discovery/RegistryModel.java
+++ b/src/test/java/magpiehub/discovery/RegistryModel.java
@@ -11,8 +11,8 @@
 import magpiehub.concurrent.MonotonicClock;
 
 /**
- * What a fake registry should have made known, with the times of all changes. Each change has a number, which
- * stands in the cell of its entry. Changes are made by one thread; the clients' threads read.
+ * The changes that clients of a fake registry must report, with their times. Each change has a number, which is stored
+ * in the cell of its entry. One thread makes the changes; the clients' threads read them.
  */
 final class RegistryModel {
     private static final String ENTRY =
@@ -20,27 +20,27 @@
     private static final String CELL_FIELD = "\"cell\":";
 
     /**
-     * What an endpoint became.
+     * A change of one endpoint.
      *
      * @param cell the number of the change; 0 if the endpoint was removed
      */
     record Change(int cell, long atMicros) {}
 
     final FakeRegistry registry;
-    /** All changes of each endpoint, the oldest first; a list is locked while it is read. */
+    /** All changes of each endpoint, oldest first; a list must be locked while it is iterated. */
     final Map<String, List<Change>> changes = new ConcurrentHashMap<>();
 
     private final MonotonicClock clock;
     private final Map<String, Integer> currentCells = new HashMap<>();
     private int lastCell;
 
-    /** Cells up to this one may come back by the last restore. */
+    /** Cells up to this one may reappear because of the last restore. */
     volatile int restoredCell;
-    /** When an outage last ended: while no endpoint answers, nobody can follow. */
+    /** When the last outage ended; during an outage, clients can't receive changes. */
     volatile long reachableSinceMicros;
-    /** When the outage that is on began; {@link Long#MAX_VALUE} without one. */
+    /** When the current outage began; {@link Long#MAX_VALUE} if there is none. */
     volatile long downSinceMicros = Long.MAX_VALUE;
-    /** The fault that is on or was last, for the log. */
+    /** The current or last fault, for the log. */
     volatile String phase = "";
 
     RegistryModel(FakeRegistry registry, MonotonicClock clock) {
@@ -51,7 +51,7 @@
     /** Writes an entry. */
     void put(String id, String state, int port) {
         lastCell++;
-        record(id, lastCell); // Before anyone can be told.
+        record(id, lastCell); // Before a client can report the change.
         registry.put(id, String.format(ENTRY, port, state, lastCell));
     }
 
@@ -61,7 +61,7 @@
         registry.delete(id);
     }
 
-    /** Restores the registry from older data, in one step for its clients. */
+    /** Restores the registry from older data, atomically for its clients. */
     void restore(long toRevision, String cluster, long newRevision) {
         synchronized (registry) {
             restoredCell = lastCell;
@@ -73,12 +73,12 @@
         }
     }
 
-    /** The cell of each endpoint that the registry has now. */
+    /** Returns the cell of each endpoint in the registry. */
     Map<String, Integer> currentCells() {
         return cellsAt(Long.MAX_VALUE);
     }
 
-    /** The cell of each endpoint that the registry had at a revision. */
+    /** Returns the cell of each endpoint in the registry as of a revision. */
     Map<String, Integer> cellsAt(long revision) {
         Map<String, Integer> cells = new TreeMap<>();
         registry.snapshot(revision, FakeRegistry.PREFIX).forEach((key, version) -> {
--- a/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The requests that the registry client sends, byte for byte. */
+/** Tests the exact bytes of the requests that the registry client sends. */
 class RegistryRequestsTest {
     private static final String POST_HEADERS =
             "Host: HOST\r\nContent-Type: application/json\r\nContent-Length: LENGTH\r\n\r\n";
@@ -56,7 +56,7 @@
         void run(RegistryConnection connection) throws IOException, InterruptedException;
     }
 
-    /** Makes calls on one connection; a call that ends with the end of the stream is over, too. */
+    /** Executes calls on one connection; the end of the stream ends a call without an error. */
     private void call(Call... calls) throws Exception {
         try (RegistryConnection connection =
                 new RegistryConnection(server.address(), null, MonotonicClock.SYSTEM, new AtomicLong())) {
@@ -66,7 +66,7 @@
                 try {
                     call.run(connection);
                 } catch (EOFException e) {
-                    // The end of a watch.
+                    // The watch has ended.
                 }
             }
         }
@@ -232,7 +232,7 @@
         }
     }
 
-    /** A listener for calls whose requests alone matter. */
+    /** Ignores all events, for tests that check only the requests. */
     private static final class IgnoringListener implements RegistryEventListener {
         @Override
         public void onWatchOpened(ListPosition header) {}
@@ -250,10 +250,10 @@
         public void onCompacted(String reason) {}
 
         @Override
-        public void onPositionChecked(ListPosition header, long newest, long count) {}
+        public void onPositionChecked(ListPosition header, long newestRevision, long count) {}
     }
 
-    /** Records what it is sent and answers with given bodies, one after another. */
+    /** Records requests and responds with the given bodies in order. */
     private static final class RecordingServer {
         private final ServerSocket socket = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
         private final List<String> responses = new CopyOnWriteArrayList<>();
@@ -280,7 +280,7 @@
                 try (Socket client = socket.accept()) {
                     serve(client);
                 } catch (IOException e) {
-                    // The client closed its connection, or the test is over.
+                    // The client closed its connection, or the test has ended.
                 }
             }
         }
--- a/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
+++ b/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
@@ -7,7 +7,7 @@
 import magpiehub.concurrent.MonotonicClock;
 import org.junit.jupiter.api.Test;
 
-/** The registration of a router at the fake registry. */
+/** Tests the registration of a router at the fake registry. */
 class RouterRegistrationTest {
     @Test
     void lostRegistrationIsRepeatedAndRemovedAtStop() throws Exception {
@@ -19,7 +19,7 @@
                         RegistryFixtures.settings(
                                 kind,
                                 registry.addresses(),
-                                ",\"announce\":{\"prefix\":" + "\"routers/\",\"service\":\"routers\",\"ttl_ms\":1000}"),
+                                ",\"announce\":{\"prefix\":\"routers/\",\"service\":\"routers\",\"ttl_ms\":1000}"),
                         "n1",
                         "127.0.0.1:9",
                         MonotonicClock.SYSTEM,
--- a/src/test/java/magpiehub/discovery/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole program with a registry: started, moved to another registry by SIGHUP, and stopped. */
+/** Tests the whole program with a registry: starts it, moves it to another registry by SIGHUP, and stops it. */
 class ServeRegistryTest {
     private static final int TIMEOUT_MILLIS = 30_000;
     private static final String REQUEST = "POST /v1/chat/completions HTTP/1.1\r\nX-Call-Id: 1\r\n"
@@ -38,7 +38,7 @@
     @TempDir
     Path folder;
 
-    /** Writes the settings of the registry; {@code more} are further members. */
+    /** Writes the registry settings; {@code more} is appended to their members. */
     private void writeRegistrySettings(FakeRegistry registry, String more) throws Exception {
         Path deploy = folder.resolve("deploy");
         Files.createDirectories(deploy);
@@ -74,7 +74,7 @@
         return path.toString();
     }
 
-    /** Reads the log until the router serves, whatever the order of its lines; returns the port it listens at. */
+    /** Reads the log until the router is ready, in any order of the events; returns the port that it listens on. */
     private static int awaitServing(BufferedReader log) throws Exception {
         StringBuilder seen = new StringBuilder();
         for (String event : List.of(" started ", " registry-list ", " registry-announced ")) {
@@ -85,7 +85,7 @@
         return Integer.parseInt(seen.toString().replaceAll("(?s).* started [^\n]*listen=\"127.0.0.1:(\\d+)\".*", "$1"));
     }
 
-    /** Sends a request to the router, answers it as the engine, and expects the answer at the client. */
+    /** Sends a request to the router, responds as the engine, and checks that the client receives the response. */
     private void assertServes(int port, ServerSocket engine) throws Exception {
         try (Socket client = new Socket(loopback, port)) {
             client.setSoTimeout(TIMEOUT_MILLIS);
--- a/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
@@ -23,17 +23,17 @@
 import magpiehub.telemetry.EventLog;
 import magpiehub.upstream.UpstreamPool;
 
-/** A running registry client, each of whose updates is compared with the model. */
+/** Runs a registry client and compares each of its updates with the model. */
 final class VerifiedRegistryClient implements RegistryClientObserver {
     private static final long MICROS_PER_SECOND = 1_000_000;
-    /** Not soon after an outage, for then the position may be of the history before. */
+    /** Lists are not compared this soon after an outage, because the position may belong to the previous history. */
     private static final long SETTLED_MICROS = 3 * MICROS_PER_SECOND;
-    /** Lags above this are logged, with the fault at the time. */
+    /** Longer lags are logged, with the current fault. */
     private static final long LATE_MICROS = 2_400_000;
 
     private static final int MAX_LATE_LOG_LENGTH = 100_000;
     private static final int MAX_LOG_LENGTH = 200_000;
-    /** The complete list is compared with the model at each such update. */
+    /** The number of updates between two comparisons of the complete list with the model. */
     private static final int SAMPLE_INTERVAL = 40;
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
@@ -42,11 +42,11 @@
     final RecordingEventLog log = new RecordingEventLog(MAX_LOG_LENGTH);
     /** The client's threads. */
     final List<Thread> threads = Collections.synchronizedList(new ArrayList<>());
-    /** What the checks themselves cost (ns of CPU): no part of the client's. */
+    /** The CPU time of the checks (ns), which is not part of the client's cost. */
     final AtomicLong checkingNanos = new AtomicLong();
-    /** The first connection after this time is noted. */
+    /** The first connection after this time is recorded. */
     volatile long noteConnectionAfterMicros = Long.MAX_VALUE;
-    /** How long after that time it was made; 0 if it was not. */
+    /** How long after that time the connection was made; 0 if there was none. */
     volatile long firstConnectionMicros;
 
     private final RegistryModel model;
@@ -56,9 +56,9 @@
     private final long startedAtMicros;
     /** The cell of each endpoint in the client's list. */
     private final Map<String, Integer> cells = new HashMap<>();
-    /** The highest cell that was ever reported of each endpoint. */
+    /** The highest cell that was ever reported for each endpoint. */
     private final Map<String, Integer> highestCells = new HashMap<>();
-    /** How many of the model's changes of each endpoint the client has caught up with. */
+    /** How many of the model's changes of each endpoint the client has reported or skipped. */
     private final Map<String, Integer> caughtUp = new HashMap<>();
 
     private final List<Long> lagsMicros = new ArrayList<>();
@@ -109,7 +109,7 @@
         DaemonThreads.newThread("module", dispatcher::run).start();
     }
 
-    /** The log with the time before each event (ms). */
+    /** Returns a log that prefixes each event with the time (ms). */
     private EventLog timedLog() {
         return new EventLog() {
             @Override
@@ -150,12 +150,12 @@
         checkingNanos.addAndGet(THREADS.getCurrentThreadCpuTime() - before);
     }
 
-    /** All lags so far. */
+    /** Returns the lags of all changes so far. */
     synchronized List<Long> lagsMicros() {
         return List.copyOf(lagsMicros);
     }
 
-    /** Endpoints in which the client's list differs from these cells. */
+    /** Counts the endpoints in which the client's list differs from the expected cells. */
     synchronized int countDifferences(Map<String, Integer> expected) {
         int differences = 0;
         for (Map.Entry<String, Integer> endpoint : expected.entrySet()) {
@@ -190,7 +190,7 @@
         if (old != null && old == cell) {
             tally.repeated.incrementAndGet();
         }
-        // Only a registry that went back may report what was before.
+        // An older change may be reported only after a restore from older data.
         int highest = highestCells.merge(id, cell, Math::max);
         if (cell < highest && highest > model.restoredCell) {
             tally.regressed.incrementAndGet();
@@ -199,7 +199,7 @@
         catchUp(id, old == null ? 0 : old, cell, now);
     }
 
-    /** Compares the complete list with what the registry had at the list's position. */
+    /** Compares the complete list with the registry's data at the list's position. */
     private void compareWithModel(long revision) {
         Map<String, Integer> expected;
         synchronized (model.registry) {
@@ -218,13 +218,14 @@
     }
 
     /**
-     * Notes that the client has caught up with all changes of an endpoint up to the one reported. Where the
-     * model came back to what the client had (by a restore), it had caught up with those before.
+     * Records that the client has caught up with all changes of an endpoint up to the reported one. If a restore
+     * brought the model back to the state that the client already had, the client had caught up with the changes before
+     * it.
      */
     private void catchUp(String id, int oldCell, int newCell, long now) {
         List<RegistryModel.Change> changes = model.changes.get(id);
         if (changes == null) {
-            tally.regressed.incrementAndGet(); // An endpoint that never was.
+            tally.regressed.incrementAndGet(); // An endpoint that never existed.
             return;
         }
         int start = caughtUp.getOrDefault(id, 0);
@@ -243,7 +244,7 @@
         caughtUp.put(id, end < 0 ? start : end + 1);
     }
 
-    /** Records how long a change took, unless nobody could follow. */
+    /** Records how long a change took to reach the client, except during an outage. */
     private void recordLag(String id, RegistryModel.Change change, long now) {
         if (model.downSinceMicros <= now) {
             return;
