--- a/src/main/java/magpiehub/discovery/ConsulProtocol.java
+++ b/src/main/java/magpiehub/discovery/ConsulProtocol.java
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public long maxQuietMicros() {
+    public long maxWatchSilenceMicros() {
         return waitMicros + waitMicros / WAIT_JITTER_DIVISOR;
     }
 
--- a/src/main/java/magpiehub/discovery/EtcdKeyRange.java
+++ b/src/main/java/magpiehub/discovery/EtcdKeyRange.java
@@ -15,14 +15,14 @@
     /** Returns the range of all keys that start with a prefix. */
     static EtcdKeyRange ofPrefix(String prefix) {
         byte[] start = prefix.getBytes(StandardCharsets.UTF_8);
-        return new EtcdKeyRange(start, firstKeyBehind(start));
+        return new EtcdKeyRange(start, firstKeyAfter(start));
     }
 
     /**
      * Increments the last byte of a prefix that is below 0xff and drops the bytes after it. If all bytes are 0xff,
      * returns a single zero byte, which etcd reads as an open end.
      */
-    private static byte[] firstKeyBehind(byte[] prefix) {
+    private static byte[] firstKeyAfter(byte[] prefix) {
         for (int i = prefix.length - 1; i >= 0; i--) {
             if (prefix[i] != (byte) 0xff) {
                 byte[] end = Arrays.copyOf(prefix, i + 1);
--- a/src/main/java/magpiehub/discovery/EtcdProtocol.java
+++ b/src/main/java/magpiehub/discovery/EtcdProtocol.java
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public long maxQuietMicros() {
+    public long maxWatchSilenceMicros() {
         return Long.MAX_VALUE;
     }
 
--- a/src/main/java/magpiehub/discovery/RegistryCall.java
+++ b/src/main/java/magpiehub/discovery/RegistryCall.java
@@ -8,9 +8,9 @@
     final RegistrySession session;
     final RegistryCallKind kind;
     /** The index of the endpoint in the registry's settings. */
-    final int endpoint;
+    final int endpointIndex;
     /** The list's position when the call was created. */
-    final ListPosition requestedAt;
+    final ListPosition requestedPosition;
 
     final long startedAtMicros;
     /** Whether the call reads the list again to confirm a suspicious removal of endpoints. */
@@ -37,14 +37,14 @@
     RegistryCall(
             RegistrySession session,
             RegistryCallKind kind,
-            int endpoint,
-            ListPosition requestedAt,
+            int endpointIndex,
+            ListPosition requestedPosition,
             long nowMicros,
             boolean confirmation) {
         this.session = session;
         this.kind = kind;
-        this.endpoint = endpoint;
-        this.requestedAt = requestedAt;
+        this.endpointIndex = endpointIndex;
+        this.requestedPosition = requestedPosition;
         this.startedAtMicros = nowMicros;
         this.lastEventAtMicros = nowMicros;
         this.confirmation = confirmation;
@@ -52,7 +52,7 @@
 
     /** Returns the registry endpoint as {@code address:port}. */
     String endpointAddress() {
-        return session.settings().endpoints().get(endpoint);
+        return session.settings().endpoints().get(endpointIndex);
     }
 
     /** Cancels the call by closing its connection. May be called from any thread. */
@@ -69,8 +69,8 @@
     }
 
     /** Sets the connection that {@link #cancel} closes. */
-    void use(RegistryConnection by) {
-        connection = by;
+    void setConnection(RegistryConnection newConnection) {
+        connection = newConnection;
     }
 
     boolean awaitsFirstEvent() {
--- a/src/main/java/magpiehub/discovery/RegistryCallChannel.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallChannel.java
@@ -18,7 +18,7 @@
 
     private sealed interface Task {}
 
-    private record MakeCall(RegistryCall call) implements Task {}
+    private record ExecuteCall(RegistryCall call) implements Task {}
 
     private record Stop() implements Task {}
 
@@ -38,7 +38,7 @@
 
     /** Queues a call behind those started before. May be called from any thread. */
     void start(RegistryCall call) {
-        tasks.post(new MakeCall(call));
+        tasks.post(new ExecuteCall(call));
     }
 
     /** Ends the thread after the calls queued so far. May be called from any thread. */
@@ -48,8 +48,8 @@
 
     private void run() {
         try {
-            while (tasks.take(Long.MAX_VALUE) instanceof MakeCall task) {
-                makeCall(task.call);
+            while (tasks.take(Long.MAX_VALUE) instanceof ExecuteCall task) {
+                process(task.call);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -59,10 +59,10 @@
     }
 
     /** Executes a call and posts {@link RegistryMessage.CallEnded} after its last event. */
-    private void makeCall(RegistryCall call) throws InterruptedException {
+    private void process(RegistryCall call) throws InterruptedException {
         IOException failure = null;
         try {
-            exchangeWithRetry(call);
+            executeWithRetry(call);
         } catch (IOException e) {
             failure = e;
         } catch (RuntimeException | OutOfMemoryError e) {
@@ -76,14 +76,14 @@
     }
 
     /** Executes a call, and retries it once on a new connection if the server had closed the idle one. */
-    private void exchangeWithRetry(RegistryCall call) throws IOException, InterruptedException {
+    private void executeWithRetry(RegistryCall call) throws IOException, InterruptedException {
         String endpoint = call.endpointAddress();
         boolean reused = connection != null && connection.endpoint().equals(endpoint) && !connection.isClosed();
         if (!reused) {
             closeConnection();
         }
         try {
-            exchange(call, endpoint);
+            execute(call, endpoint);
         } catch (EOFException | SocketException e) {
             if (!reused || call.isCancelled() || !call.awaitsFirstEvent()) {
                 throw e;
@@ -96,19 +96,19 @@
                 throw e;
             }
             connection.close();
-            exchange(call, endpoint);
+            execute(call, endpoint);
         }
     }
 
-    private void exchange(RegistryCall call, String endpoint) throws IOException, InterruptedException {
+    private void execute(RegistryCall call, String endpoint) throws IOException, InterruptedException {
         RegistrySession session = call.session;
         if (connection == null || connection.isClosed()) {
             connection = new RegistryConnection(endpoint, session.tls(), context.clock(), context.bytesRead());
-            call.use(connection);
-            context.observer().connecting(call.kind, endpoint);
+            call.setConnection(connection);
+            context.observer().onConnecting(call.kind, endpoint);
             connection.connect((int) Math.max(1, session.settings().timeoutMicros() / MICROS_PER_MILLI));
         }
-        call.use(connection);
+        call.setConnection(connection);
         if (call.isCancelled()) {
             connection.close();
             throw new IOException("cancelled");
@@ -116,7 +116,7 @@
         RegistryEventListener listener = new RegistryCallEventPoster(call, context.actor());
         switch (call.kind) {
             case LIST -> session.protocol().readList(connection, listener);
-            case WATCH -> session.protocol().watch(connection, call.requestedAt, listener);
+            case WATCH -> session.protocol().watch(connection, call.requestedPosition, listener);
             case CHECK -> session.protocol().checkPosition(connection, listener);
             default -> throw new IllegalStateException("unexpected call kind: " + call.kind);
         }
--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -88,8 +88,8 @@
     }
 
     /** Sets the observer, for tests; must be called before {@link #start}. */
-    void observe(RegistryClientObserver by) {
-        observer = by;
+    void setObserver(RegistryClientObserver newObserver) {
+        observer = newObserver;
     }
 
     /**
@@ -115,8 +115,8 @@
         context.startThread("registry", this::run);
     }
 
-    private RegistrySession newSession(DiscoverySettings with, long now) throws IOException {
-        return new RegistrySession(with, parser, context, seed, now);
+    private RegistrySession newSession(DiscoverySettings sessionSettings, long now) throws IOException {
+        return new RegistrySession(sessionSettings, parser, context, seed, now);
     }
 
     private void restoreCachedList(long now) {
@@ -127,7 +127,7 @@
                 return;
             }
             ListDelta delta = tracker.restore(cached.items(), now);
-            observer.updated(
+            observer.onListUpdate(
                     tracker.list(), new ListUpdateResult(ListUpdateResult.Outcome.APPLIED, delta, "saved"), false);
             tracker.publishRestored();
             cacheWriter.markWritten(tracker.list().version());
@@ -139,7 +139,7 @@
 
     @Override
     public boolean hasUsableList() {
-        return tracker.isKnown();
+        return tracker.isPublished();
     }
 
     /** Returns at once: the router starts with the cached list or without one until the registry responds. */
@@ -175,8 +175,8 @@
     }
 
     /** Applies changed settings, and connects to the registry that they describe. */
-    public void changeSettings(DiscoverySettings to) {
-        mailbox.post(new RegistryMessage.SettingsChanged(to));
+    public void changeSettings(DiscoverySettings newSettings) {
+        mailbox.post(new RegistryMessage.SettingsChanged(newSettings));
     }
 
     /** Cancels the client's calls and ends its threads. */
@@ -235,7 +235,7 @@
             }
         } else if (message instanceof RegistryMessage.CallEnded ended) {
             if (ended.call().session.isOpen(ended.call())) {
-                events.onEnded(ended.call(), ended.failure(), now);
+                events.onCallEnded(ended.call(), ended.failure(), now);
             }
         } else if (message instanceof RegistryMessage.ListRequested) {
             tracker.publishUnchanged();
@@ -246,38 +246,38 @@
         }
     }
 
-    private void onSettingsChanged(DiscoverySettings to, long now) {
-        if (to.equals(settings)) {
+    private void onSettingsChanged(DiscoverySettings newSettings, long now) {
+        if (newSettings.equals(settings)) {
             return;
         }
-        RegistrySession fresh;
+        RegistrySession replacement;
         try {
-            fresh = newSession(to, now);
+            replacement = newSession(newSettings, now);
         } catch (IOException | ConfigurationException e) {
             log.settingsRejected(e);
             return;
         }
-        log.settingsChanged(to);
-        if (!to.membership().equals(settings.membership())) {
-            tracker.changeSettings(to.membership(), now);
+        log.settingsChanged(newSettings);
+        if (!newSettings.membership().equals(settings.membership())) {
+            tracker.changeSettings(newSettings.membership(), now);
         }
-        settings = to;
-        sessions.replace(fresh);
+        settings = newSettings;
+        sessions.replace(replacement);
     }
 
     private long nextTimerMicros() {
         long next = Math.min(tracker.membership().nextTimerMicros(), sessions.nextTimerMicros());
-        return tracker.isKnown() ? Math.min(next, cacheWriter.nextWriteMicros(settings, tracker.list())) : next;
+        return tracker.isPublished() ? Math.min(next, cacheWriter.nextWriteMicros(settings, tracker.list())) : next;
     }
 
     private void onTimer(long now) {
         tracker.onTimer(now);
-        RegistrySession former = sessions.former();
-        if (former != null) {
-            advance(former, now);
+        RegistrySession previous = sessions.previous();
+        if (previous != null) {
+            advance(previous, now);
         }
         advance(sessions.current(), now);
-        if (tracker.isKnown()) {
+        if (tracker.isPublished()) {
             cacheWriter.writeIfDue(settings, tracker.list(), now);
         }
     }
@@ -287,10 +287,10 @@
         for (RegistryCall call : session.openCalls()) {
             if (session.hasTimedOut(call, now)) {
                 call.cancel();
-                events.onEnded(call, new RegistryCallTimeoutException(), now);
+                events.onCallEnded(call, new RegistryCallTimeoutException(), now);
             }
         }
-        session.startDueCalls(tracker.list(), events.lastAnswerMicros(), now);
+        session.startDueCalls(tracker.list(), events.lastResponseMicros(), now);
     }
 
     private RegistryStatistics currentStatistics() {
@@ -300,7 +300,7 @@
                 list.position(),
                 list.version(),
                 list.size(),
-                events.lastAnswerMicros(),
+                events.lastResponseMicros(),
                 list.duplicateChanges(),
                 membership.heldIds().size(),
                 membership.suppressedCount(),
--- a/src/main/java/magpiehub/discovery/RegistryClientContext.java
+++ b/src/main/java/magpiehub/discovery/RegistryClientContext.java
@@ -20,7 +20,7 @@
     /** Starts a daemon thread and reports it to the observer. */
     void startThread(String name, Runnable body) {
         Thread thread = DaemonThreads.newThread(name, body);
-        observer.threadStarting(thread);
+        observer.onThreadStarting(thread);
         thread.start();
     }
 }
--- a/src/main/java/magpiehub/discovery/RegistryClientObserver.java
+++ b/src/main/java/magpiehub/discovery/RegistryClientObserver.java
@@ -6,11 +6,11 @@
     RegistryClientObserver NONE = (list, result, byWatch) -> {};
 
     /** Called on the actor's thread after an update of the list, whatever its outcome. */
-    void updated(EndpointListState list, ListUpdateResult result, boolean byWatch);
+    void onListUpdate(EndpointListState list, ListUpdateResult result, boolean byWatch);
 
     /** Called on the channel's thread before it connects for a call. */
-    default void connecting(RegistryCallKind kind, String endpoint) {}
+    default void onConnecting(RegistryCallKind kind, String endpoint) {}
 
     /** Called before a thread of the client starts. */
-    default void threadStarting(Thread thread) {}
+    default void onThreadStarting(Thread thread) {}
 }
--- a/src/main/java/magpiehub/discovery/RegistryConnection.java
+++ b/src/main/java/magpiehub/discovery/RegistryConnection.java
@@ -91,12 +91,12 @@
         int colon = endpoint.lastIndexOf(':');
         String host = endpoint.substring(0, colon);
         int port = Integer.parseInt(endpoint.substring(colon + 1));
-        SSLSocket secured = (SSLSocket) tls.getSocketFactory().createSocket(plainSocket, host, port, true);
-        SSLParameters parameters = secured.getSSLParameters();
+        SSLSocket tlsSocket = (SSLSocket) tls.getSocketFactory().createSocket(plainSocket, host, port, true);
+        SSLParameters parameters = tlsSocket.getSSLParameters();
         parameters.setEndpointIdentificationAlgorithm("HTTPS");
-        secured.setSSLParameters(parameters);
-        socket = secured; // Before the handshake, so that close() ends it.
-        secured.startHandshake();
+        tlsSocket.setSSLParameters(parameters);
+        socket = tlsSocket; // Before the handshake, so that close() ends it.
+        tlsSocket.startHandshake();
     }
 
     /** Sets the timeout of a single read, for callers that have no other thread to close the connection. */
--- a/src/main/java/magpiehub/discovery/RegistryEndpoints.java
+++ b/src/main/java/magpiehub/discovery/RegistryEndpoints.java
@@ -26,7 +26,7 @@
     /** Consecutive failures. */
     private final int[] failures;
     /** Whether the endpoint's last call succeeded. */
-    private final boolean[] worked;
+    private final boolean[] lastCallSucceeded;
 
     private final SplittableRandom random;
     private int current;
@@ -39,7 +39,7 @@
         readyAtMicros = new long[count];
         waitMicros = new long[count];
         failures = new int[count];
-        worked = new boolean[count];
+        lastCallSucceeded = new boolean[count];
         Arrays.fill(readyAtMicros, Long.MIN_VALUE);
         // Spreads routers that start together over the endpoints.
         current = (int) Math.floorMod(randomBelow(Long.MAX_VALUE), (long) count);
@@ -89,7 +89,7 @@
     public void recordSuccess(int endpoint) {
         failures[endpoint] = 0;
         waitMicros[endpoint] = 0;
-        worked[endpoint] = true;
+        lastCallSucceeded[endpoint] = true;
     }
 
     /**
@@ -101,12 +101,12 @@
         failures[endpoint]++;
         boolean connectionLost =
                 failure == EndpointFailure.CONNECTION_LOST || failure == EndpointFailure.IDLE_CONNECTION_LOST;
-        if (worked[endpoint] && connectionLost) {
+        if (lastCallSucceeded[endpoint] && connectionLost) {
             spreadReconnects(endpoint, nowMicros, failure);
         } else {
             backOff(endpoint, nowMicros);
         }
-        worked[endpoint] = false;
+        lastCallSucceeded[endpoint] = false;
         readyAtMicros[endpoint] = Math.max(readyAtMicros[endpoint], nowMicros + retryAfterMicros);
     }
 
--- a/src/main/java/magpiehub/discovery/RegistryEventHandler.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventHandler.java
@@ -13,7 +13,7 @@
      * How long an endpoint that delivered an older list is not called, so that another endpoint is asked for the second
      * read: two older lists from the same lagging endpoint do not prove that the registry was restored from a backup.
      */
-    private static final long SECOND_READ_PAUSE_MICROS = 1_000_000;
+    private static final long LAGGING_ENDPOINT_PAUSE_MICROS = 1_000_000;
 
     private static final long MICROS_PER_MILLI = 1000;
 
@@ -23,7 +23,7 @@
     private final RegistryEventLog log;
     private final RegistryClientObserver observer;
     /** When a registry last responded successfully; 0 before the first response. */
-    private long lastAnswerMicros;
+    private long lastResponseMicros;
 
     RegistryEventHandler(RegistrySessions sessions, RegistryListTracker tracker, RegistryClientContext context) {
         this.sessions = sessions;
@@ -34,8 +34,8 @@
     }
 
     /** Returns when a registry last responded successfully; 0 before the first response. */
-    long lastAnswerMicros() {
-        return lastAnswerMicros;
+    long lastResponseMicros() {
+        return lastResponseMicros;
     }
 
     /** Handles an event of a call in progress. */
@@ -52,7 +52,7 @@
         } else if (event instanceof RegistryCallEvent.WatchResumed resumed) {
             relistIfRequired(
                     call,
-                    list.checkResume(resumed.header(), call.requestedAt, resumed.lastChanged(), resumed.count()),
+                    list.checkResume(resumed.header(), call.requestedPosition, resumed.lastChanged(), resumed.count()),
                     nowMicros);
         } else if (event instanceof RegistryCallEvent.Compacted compacted) {
             log.compacted(call, compacted.reason(), list.position());
@@ -64,28 +64,29 @@
         call.watchOpen = true;
         call.deadlineMicros = Long.MAX_VALUE;
         if (!relistIfRequired(call, list.checkPosition(opened.header()), nowMicros)) {
-            recordAnswer(call, nowMicros);
+            recordResponse(call, nowMicros);
         }
     }
 
     private void onCompleteList(RegistryCall call, RegistryCallEvent.CompleteListRead read, long nowMicros) {
         RegistrySession session = call.session;
-        boolean trusted = !session.isListed() && session == sessions.current();
+        boolean trusted = !session.hasReceivedList() && session == sessions.current();
         boolean hadPosition = list.position().isKnown();
-        ListUpdateResult result = list.applyCompleteList(read.position(), call.requestedAt, read.items(), trusted);
-        observer.updated(list, result, false);
+        ListUpdateResult result =
+                list.applyCompleteList(read.position(), call.requestedPosition, read.items(), trusted);
+        observer.onListUpdate(list, result, false);
         if (result.outcome() == Outcome.LAGGING) {
             log.listLagging(call, result.reason());
             list.markCompacted();
             call.deliveredLaggingList = true;
-            session.endpoints().recordStaleAnswer(call.endpoint, nowMicros, SECOND_READ_PAUSE_MICROS);
+            session.endpoints().recordStaleAnswer(call.endpointIndex, nowMicros, LAGGING_ENDPOINT_PAUSE_MICROS);
             return;
         }
-        recordAnswer(call, nowMicros);
+        recordResponse(call, nowMicros);
         if (result.outcome() == Outcome.APPLIED) {
             session.recordList(call, nowMicros);
             if (session == sessions.current()) {
-                sessions.closeFormer();
+                sessions.closePrevious();
             }
             if (result.delta().historyChanged() && hadPosition) {
                 log.historyChanged(call, read.position());
@@ -101,11 +102,11 @@
 
     private void onChanges(RegistryCall call, RegistryCallEvent.ChangesReceived changes, long nowMicros) {
         ListUpdateResult result = list.applyChanges(changes.position(), changes.items());
-        observer.updated(list, result, true);
+        observer.onListUpdate(list, result, true);
         if (relistIfRequired(call, result, nowMicros)) {
             return;
         }
-        recordAnswer(call, nowMicros);
+        recordResponse(call, nowMicros);
         if (result.outcome() != Outcome.APPLIED) {
             return;
         }
@@ -133,13 +134,13 @@
             return;
         }
         ListUpdateResult result =
-                list.checkWatch(check.header(), call.requestedAt, check.newestRevision(), check.count());
+                list.checkWatch(check.header(), call.requestedPosition, check.newestRevision(), check.count());
         if (relistIfRequired(watch, result, nowMicros)) {
             return;
         }
-        recordAnswer(call, nowMicros);
+        recordResponse(call, nowMicros);
         if (list.isBehindSource()) {
-            call.session.recheckSoon(call);
+            call.session.scheduleRecheck(call);
         }
     }
 
@@ -152,23 +153,23 @@
         log.relistRequired(call, result.reason(), list.position());
         if (result.suspectsEndpoint()) {
             long pause = session.settings().backoff().baseMicros();
-            session.endpoints().recordStaleAnswer(call.endpoint, nowMicros, pause);
+            session.endpoints().recordStaleAnswer(call.endpointIndex, nowMicros, pause);
         }
-        session.abandonMainCall(nowMicros);
+        session.cancelMainCall(nowMicros);
         return true;
     }
 
-    private void recordAnswer(RegistryCall call, long nowMicros) {
-        boolean wasDown = call.session.recordSuccess(call);
-        long lagMillis = lastAnswerMicros == 0 ? 0 : (nowMicros - lastAnswerMicros) / MICROS_PER_MILLI;
-        lastAnswerMicros = nowMicros;
-        if (wasDown) {
+    private void recordResponse(RegistryCall call, long nowMicros) {
+        boolean hadFailed = call.session.recordSuccess(call);
+        long lagMillis = lastResponseMicros == 0 ? 0 : (nowMicros - lastResponseMicros) / MICROS_PER_MILLI;
+        lastResponseMicros = nowMicros;
+        if (hadFailed) {
             log.recovered(call, list.position(), lagMillis);
         }
     }
 
     /** Handles the end of a call; {@code failure} is null if it succeeded. */
-    void onEnded(RegistryCall call, IOException failure, long nowMicros) {
+    void onCallEnded(RegistryCall call, IOException failure, long nowMicros) {
         RegistrySession session = call.session;
         boolean wasMain = session.remove(call, nowMicros);
         if (failure == null) {
@@ -178,7 +179,7 @@
             return;
         }
         boolean wasWatch = wasMain && call.kind == RegistryCallKind.WATCH;
-        if (wasWatch && list.requiresRelist() && session.isListed()) {
+        if (wasWatch && list.requiresRelist() && session.hasReceivedList()) {
             return; // The list is compacted or must be read again, but the endpoint is healthy.
         }
         if (call.confirmation) {
--- a/src/main/java/magpiehub/discovery/RegistryEventLog.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventLog.java
@@ -122,7 +122,7 @@
                 Integer.toString(size));
     }
 
-    void listDoubted(int held, int size) {
+    void confirmationRequired(int held, int size) {
         log.count("membership_doubts");
         log.log("membership-doubt", "held", Integer.toString(held), "engines", Integer.toString(size));
     }
@@ -132,9 +132,9 @@
         log.log("registry-entry-unreadable", "key", key, "why", reason);
     }
 
-    void settingsChanged(DiscoverySettings to) {
+    void settingsChanged(DiscoverySettings settings) {
         log.count("registry_moves");
-        log.log("registry-moved", "kind", to.kind(), "endpoints", String.join(" ", to.endpoints()));
+        log.log("registry-moved", "kind", settings.kind(), "endpoints", String.join(" ", settings.endpoints()));
     }
 
     void settingsRejected(Exception failure) {
--- a/src/main/java/magpiehub/discovery/RegistryListTracker.java
+++ b/src/main/java/magpiehub/discovery/RegistryListTracker.java
@@ -22,7 +22,7 @@
     /** Keys whose entries have been logged as unreadable. */
     private Set<String> loggedKeys = Set.of();
     /** Whether a complete list has been published since the start. */
-    private volatile boolean known;
+    private volatile boolean published;
 
     RegistryListTracker(
             MembershipDamping.Settings settings,
@@ -46,8 +46,8 @@
     }
 
     /** Returns whether a complete list has been published since the start. May be called from any thread. */
-    boolean isKnown() {
-        return known;
+    boolean isPublished() {
+        return published;
     }
 
     /** Applies the list cached by a previous run; {@link #publishRestored} publishes it. */
@@ -66,11 +66,11 @@
     void publish(ListDelta delta, long nowMicros) {
         List<EndpointEntry> changes = membership.apply(delta, nowMicros);
         if (membership.takeConfirmationRequest()) {
-            log.listDoubted(membership.heldIds().size(), list.size());
+            log.confirmationRequired(membership.heldIds().size(), list.size());
             confirmationRequester.run();
         }
-        if (!known) {
-            known = true;
+        if (!published) {
+            published = true;
             listener.deliver(EndpointListKind.COMPLETE, membership.entries());
         } else {
             publishChanges(changes);
@@ -82,7 +82,7 @@
 
     /** Reports to the listener that the list is unchanged; does nothing before the first complete list. */
     void publishUnchanged() {
-        if (known) {
+        if (published) {
             listener.deliver(EndpointListKind.CHANGES, List.of());
         }
     }
--- a/src/main/java/magpiehub/discovery/RegistryProtocol.java
+++ b/src/main/java/magpiehub/discovery/RegistryProtocol.java
@@ -34,5 +34,5 @@
      * Returns how long a working watch may be silent (us); {@link Long#MAX_VALUE} if only position checks can tell
      * whether it works.
      */
-    long maxQuietMicros();
+    long maxWatchSilenceMicros();
 }
--- a/src/main/java/magpiehub/discovery/RegistrySession.java
+++ b/src/main/java/magpiehub/discovery/RegistrySession.java
@@ -14,9 +14,9 @@
      * The initial limit on the duration of a list call that keeps receiving data. Leaves time for another endpoint to
      * deliver its list within the 6 s in which the registry's content must reach the router.
      */
-    private static final long MIN_LIST_PATIENCE_MICROS = 3_000_000;
+    private static final long MIN_LIST_DURATION_LIMIT_MICROS = 3_000_000;
     /** The highest limit on the duration of a list call that keeps receiving data. */
-    private static final long MAX_LIST_PATIENCE_MICROS = 30_000_000;
+    private static final long MAX_LIST_DURATION_LIMIT_MICROS = 30_000_000;
     /** The delay of the deciding check after one that found changes that the watch has not delivered. */
     private static final long RECHECK_MICROS = 300_000;
     /** The minimum interval between lists, in case each list must be read again as soon as it is applied. */
@@ -29,19 +29,19 @@
     private final RegistryEventLog log;
     private final RegistryCallChannel mainChannel;
     private final RegistryCallChannel sideChannel;
-    private RegistryCall main;
-    private RegistryCall side;
+    private RegistryCall mainCall;
+    private RegistryCall sideCall;
     /** Whether this registry has delivered a complete list. */
-    private boolean listed;
+    private boolean listReceived;
     /** Whether the last call failed. */
-    private boolean down;
+    private boolean lastCallFailed;
 
     private boolean confirmationRequested;
     private long nextMainCallMicros;
     private long nextCheckMicros = Long.MIN_VALUE;
     private long listedAtMicros = Long.MIN_VALUE / 2;
     /** The current limit on the duration of a list call: doubled when a call exceeds it. */
-    private long listPatienceMicros = MIN_LIST_PATIENCE_MICROS;
+    private long listDurationLimitMicros = MIN_LIST_DURATION_LIMIT_MICROS;
 
     /** Creates a session and starts its threads; the first call is due at once. */
     RegistrySession(
@@ -79,26 +79,26 @@
     }
 
     /** Returns whether this registry has delivered a complete list. */
-    boolean isListed() {
-        return listed;
+    boolean hasReceivedList() {
+        return listReceived;
     }
 
     /** Returns the watch in progress, or null. */
     RegistryCall watch() {
-        return main != null && main.kind == RegistryCallKind.WATCH ? main : null;
+        return mainCall != null && mainCall.kind == RegistryCallKind.WATCH ? mainCall : null;
     }
 
     /** Returns the calls in progress. */
     RegistryCall[] openCalls() {
-        if (main == null) {
-            return side == null ? new RegistryCall[0] : new RegistryCall[] {side};
+        if (mainCall == null) {
+            return sideCall == null ? new RegistryCall[0] : new RegistryCall[] {sideCall};
         }
-        return side == null ? new RegistryCall[] {main} : new RegistryCall[] {main, side};
+        return sideCall == null ? new RegistryCall[] {mainCall} : new RegistryCall[] {mainCall, sideCall};
     }
 
     /** Returns whether a call is in progress, so that its events apply. */
     boolean isOpen(RegistryCall call) {
-        return call == main || call == side;
+        return call == mainCall || call == sideCall;
     }
 
     /** Requests a second read of the list as a side call. */
@@ -111,17 +111,17 @@
         for (RegistryCall call : openCalls()) {
             call.cancel();
         }
-        main = null;
-        side = null;
+        mainCall = null;
+        sideCall = null;
         mainChannel.stop();
         sideChannel.stop();
     }
 
     /** Returns when the next call is due or the next timeout occurs. */
     long nextTimerMicros() {
-        long next = main == null ? nextMainCallMicros : main.deadlineMicros;
-        if (side != null) {
-            return Math.min(next, side.deadlineMicros);
+        long next = mainCall == null ? nextMainCallMicros : mainCall.deadlineMicros;
+        if (sideCall != null) {
+            return Math.min(next, sideCall.deadlineMicros);
         }
         return Math.min(next, confirmationRequested ? endpoints.nextReadyAtMicros() : checkDueMicros());
     }
@@ -136,40 +136,40 @@
     }
 
     /** Starts the calls that are due. */
-    void startDueCalls(EndpointListState list, long lastAnswerAtMicros, long nowMicros) {
-        if (main == null && nowMicros >= nextMainCallMicros) {
-            startMainCall(list, lastAnswerAtMicros, nowMicros);
+    void startDueCalls(EndpointListState list, long lastResponseMicros, long nowMicros) {
+        if (mainCall == null && nowMicros >= nextMainCallMicros) {
+            startMainCall(list, lastResponseMicros, nowMicros);
         }
-        if (side == null && confirmationRequested) {
+        if (sideCall == null && confirmationRequested) {
             startConfirmation(list, nowMicros);
         }
-        if (side == null && checkDueMicros() <= nowMicros) {
+        if (sideCall == null && checkDueMicros() <= nowMicros) {
             nextCheckMicros = nowMicros + settings.checkIntervalMicros();
-            side = newCall(RegistryCallKind.CHECK, main.endpoint, false, list, nowMicros);
-            sideChannel.start(side);
+            sideCall = newCall(RegistryCallKind.CHECK, mainCall.endpointIndex, false, list, nowMicros);
+            sideChannel.start(sideCall);
         }
     }
 
-    private void startMainCall(EndpointListState list, long lastAnswerAtMicros, long nowMicros) {
+    private void startMainCall(EndpointListState list, long lastResponseMicros, long nowMicros) {
         int endpoint = endpoints.select(nowMicros);
         if (endpoint < 0) {
             nextMainCallMicros = endpoints.nextReadyAtMicros();
             return;
         }
-        boolean needsList = !listed || list.requiresRelist();
+        boolean needsList = !listReceived || list.requiresRelist();
         if (needsList && nowMicros < listedAtMicros + MIN_LIST_INTERVAL_MICROS) {
             nextMainCallMicros = listedAtMicros + MIN_LIST_INTERVAL_MICROS;
             return;
         }
         RegistryCallKind kind = needsList ? RegistryCallKind.LIST : RegistryCallKind.WATCH;
-        main = newCall(kind, endpoint, false, list, nowMicros);
+        mainCall = newCall(kind, endpoint, false, list, nowMicros);
         if (kind == RegistryCallKind.WATCH && protocol.watchReturnsCompleteList()) {
-            main.deadlineMicros += protocol.maxQuietMicros();
-            main.watchOpen = true;
+            mainCall.deadlineMicros += protocol.maxWatchSilenceMicros();
+            mainCall.watchOpen = true;
             // The interval between two queries counts as silence too: nothing was received during it.
-            main.lastEventAtMicros = Math.min(nowMicros, lastAnswerAtMicros);
+            mainCall.lastEventAtMicros = Math.min(nowMicros, lastResponseMicros);
         }
-        mainChannel.start(main);
+        mainChannel.start(mainCall);
     }
 
     private void startConfirmation(EndpointListState list, long nowMicros) {
@@ -178,8 +178,8 @@
             return;
         }
         confirmationRequested = false;
-        side = newCall(RegistryCallKind.LIST, endpoint, true, list, nowMicros);
-        sideChannel.start(side);
+        sideCall = newCall(RegistryCallKind.LIST, endpoint, true, list, nowMicros);
+        sideChannel.start(sideCall);
     }
 
     private RegistryCall newCall(
@@ -198,14 +198,14 @@
         if (call.deadlineMicros > nowMicros) {
             return false;
         }
-        long silentAtMicros = call.lastReadMicros() + settings.timeoutMicros();
-        boolean progresses = call.kind == RegistryCallKind.LIST && silentAtMicros > nowMicros;
-        if (progresses && call.startedAtMicros + listPatienceMicros > nowMicros) {
-            call.deadlineMicros = Math.min(call.startedAtMicros + listPatienceMicros, silentAtMicros);
+        long readTimeoutAtMicros = call.lastReadMicros() + settings.timeoutMicros();
+        boolean receivesData = call.kind == RegistryCallKind.LIST && readTimeoutAtMicros > nowMicros;
+        if (receivesData && call.startedAtMicros + listDurationLimitMicros > nowMicros) {
+            call.deadlineMicros = Math.min(call.startedAtMicros + listDurationLimitMicros, readTimeoutAtMicros);
             return false;
         }
-        if (progresses) {
-            listPatienceMicros = Math.min(MAX_LIST_PATIENCE_MICROS, 2 * listPatienceMicros);
+        if (receivesData) {
+            listDurationLimitMicros = Math.min(MAX_LIST_DURATION_LIMIT_MICROS, 2 * listDurationLimitMicros);
         }
         return true;
     }
@@ -216,30 +216,30 @@
      * @return whether the previous call had failed
      */
     boolean recordSuccess(RegistryCall call) {
-        endpoints.recordSuccess(call.endpoint);
-        boolean wasDown = down;
-        down = false;
-        return wasDown;
+        endpoints.recordSuccess(call.endpointIndex);
+        boolean hadFailed = lastCallFailed;
+        lastCallFailed = false;
+        return hadFailed;
     }
 
     /** Records that a call delivered a complete list that has been applied. */
     void recordList(RegistryCall call, long nowMicros) {
-        listed = true;
+        listReceived = true;
         listedAtMicros = nowMicros;
         long durationMicros = call.kind == RegistryCallKind.LIST ? nowMicros - call.startedAtMicros : 0;
-        listPatienceMicros = Math.max(MIN_LIST_PATIENCE_MICROS, 2 * durationMicros);
+        listDurationLimitMicros = Math.max(MIN_LIST_DURATION_LIMIT_MICROS, 2 * durationMicros);
     }
 
     /** Schedules the next check soon after one that found changes that the watch has not delivered. */
-    void recheckSoon(RegistryCall check) {
+    void scheduleRecheck(RegistryCall check) {
         nextCheckMicros = check.startedAtMicros + Math.min(RECHECK_MICROS, settings.checkIntervalMicros());
-        main.lastEventAtMicros = nextCheckMicros - settings.checkIntervalMicros();
+        mainCall.lastEventAtMicros = nextCheckMicros - settings.checkIntervalMicros();
     }
 
     /** Cancels the main call, whose events no longer apply; the next one is due at {@code nextCallMicros}. */
-    void abandonMainCall(long nextCallMicros) {
-        RegistryCall call = main;
-        main = null;
+    void cancelMainCall(long nextCallMicros) {
+        RegistryCall call = mainCall;
+        mainCall = null;
         nextMainCallMicros = nextCallMicros;
         if (call != null) {
             call.cancel();
@@ -252,11 +252,11 @@
      * @return whether it was the main call
      */
     boolean remove(RegistryCall call, long nowMicros) {
-        if (call != main) {
-            side = null;
+        if (call != mainCall) {
+            sideCall = null;
             return false;
         }
-        main = null;
+        mainCall = null;
         nextMainCallMicros = nowMicros;
         return true;
     }
@@ -274,13 +274,13 @@
     /** Records that a call failed, after its removal, and applies the backoff. */
     void recordFailure(
             RegistryCall call, boolean wasMain, EndpointFailure failure, long retryAfterMicros, long nowMicros) {
-        endpoints.recordFailure(call.endpoint, nowMicros, failure, retryAfterMicros);
-        down = true;
+        endpoints.recordFailure(call.endpointIndex, nowMicros, failure, retryAfterMicros);
+        lastCallFailed = true;
         if (wasMain) {
             nextMainCallMicros = Math.max(nowMicros, endpoints.nextReadyAtMicros());
-        } else if (watch() != null && main.endpoint == call.endpoint) {
+        } else if (watch() != null && mainCall.endpointIndex == call.endpointIndex) {
             // The watch's endpoint no longer responds, so a silent watch can't be told from a broken one.
-            abandonMainCall(Math.max(nowMicros, endpoints.nextReadyAtMicros()));
+            cancelMainCall(Math.max(nowMicros, endpoints.nextReadyAtMicros()));
         }
     }
 }
--- a/src/main/java/magpiehub/discovery/RegistrySessions.java
+++ b/src/main/java/magpiehub/discovery/RegistrySessions.java
@@ -7,7 +7,7 @@
 final class RegistrySessions {
     private RegistrySession current;
     /** The session of the previous registry, or null. */
-    private RegistrySession former;
+    private RegistrySession previous;
 
     RegistrySessions(RegistrySession first) {
         current = first;
@@ -18,39 +18,39 @@
     }
 
     /** Returns the session of the previous registry, or null. */
-    RegistrySession former() {
-        return former;
+    RegistrySession previous() {
+        return previous;
     }
 
     /** Replaces the current session; the replaced one stays open if it is the only one that delivered a list. */
-    void replace(RegistrySession by) {
-        if (former == null && current.isListed()) {
-            former = current;
+    void replace(RegistrySession replacement) {
+        if (previous == null && current.hasReceivedList()) {
+            previous = current;
         } else {
             current.close();
         }
-        current = by;
+        current = replacement;
     }
 
     /** Closes the previous session, after the current one has delivered its list. */
-    void closeFormer() {
-        if (former != null) {
-            former.close();
-            former = null;
+    void closePrevious() {
+        if (previous != null) {
+            previous.close();
+            previous = null;
         }
     }
 
     /** Closes all sessions. */
     void close() {
         current.close();
-        if (former != null) {
-            former.close();
+        if (previous != null) {
+            previous.close();
         }
     }
 
     /** Returns when the next call of any session is due or the next timeout occurs. */
     long nextTimerMicros() {
         long next = current.nextTimerMicros();
-        return former == null ? next : Math.min(next, former.nextTimerMicros());
+        return previous == null ? next : Math.min(next, previous.nextTimerMicros());
     }
 }
--- a/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
+++ b/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
@@ -20,7 +20,7 @@
     private static final long MICROS_PER_MILLI = 1000;
 
     private final ConfigurationObject fields;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> knownFields = new TreeSet<>();
 
     RegistrySettingsReader(ConfigurationObject fields) {
         this.fields = fields;
@@ -35,7 +35,7 @@
     }
 
     String text(String field, String defaultValue) {
-        known.add(field);
+        knownFields.add(field);
         String value = fields.text(field, defaultValue);
         if (value != null && containsControlCharacter(value)) {
             throw invalid(field, "must not contain control characters");
@@ -45,15 +45,15 @@
 
     /** Reads a boolean; returns false if the field is absent. */
     boolean flag(String field) {
-        known.add(field);
+        knownFields.add(field);
         return fields.flag(field, false);
     }
 
     double number(String field, double defaultValue, double min, double max) {
-        known.add(field);
+        knownFields.add(field);
         double value = fields.number(field, defaultValue);
         if (!(value >= min && value <= max)) {
-            throw invalid(field, "must be from " + plain(min) + " to " + plain(max) + ", not " + plain(value));
+            throw invalid(field, "must be from " + format(min) + " to " + format(max) + ", not " + format(value));
         }
         return value;
     }
@@ -65,7 +65,7 @@
 
     /** Reads a list of at least one {@code address:port}. */
     List<String> addresses(String field) {
-        known.add(field);
+        knownFields.add(field);
         List<String> addresses = new ArrayList<>();
         for (String address : fields.texts(field)) {
             try {
@@ -110,15 +110,15 @@
 
     /** Returns a reader of a nested object, which is empty if the field is absent. */
     RegistrySettingsReader object(String field) {
-        known.add(field);
+        knownFields.add(field);
         return new RegistrySettingsReader(fields.object(field));
     }
 
     /** Rejects fields that have not been read; fields whose name starts with {@code //} are comments. */
     void rejectUnknownFields() {
         for (String field : fields.map().keySet()) {
-            if (!known.contains(field) && !field.startsWith("//")) {
-                throw invalid(field, "is not known; known are " + String.join(", ", known));
+            if (!knownFields.contains(field) && !field.startsWith("//")) {
+                throw invalid(field, "is not known; known are " + String.join(", ", knownFields));
             }
         }
     }
@@ -137,7 +137,7 @@
         return text.chars().anyMatch(c -> c < ' ' || c == 0x7f);
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 }
--- a/src/main/java/magpiehub/discovery/RegistryStatistics.java
+++ b/src/main/java/magpiehub/discovery/RegistryStatistics.java
@@ -4,13 +4,13 @@
  * A snapshot of a {@link RegistryClient}'s state, for {@code /counters}. The actor takes one after each message or
  * timer.
  *
- * @param lastAnswerMicros when a registry last responded; 0 before the first response
+ * @param lastResponseMicros when a registry last responded; 0 before the first response
  */
 record RegistryStatistics(
         ListPosition position,
         long version,
         int size,
-        long lastAnswerMicros,
+        long lastResponseMicros,
         long duplicateChanges,
         int held,
         int suppressed,
@@ -22,7 +22,7 @@
      * before the first response.
      */
     String counterLines(long nowMicros, long bytesRead) {
-        long silenceMillis = lastAnswerMicros == 0 ? -1 : (nowMicros - lastAnswerMicros) / MICROS_PER_MILLI;
+        long silenceMillis = lastResponseMicros == 0 ? -1 : (nowMicros - lastResponseMicros) / MICROS_PER_MILLI;
         return "registry_version " + version
                 + "\nregistry_position " + position.revision()
                 + "\nregistry_term " + position.term()
--- a/src/main/java/magpiehub/discovery/RouterRegistration.java
+++ b/src/main/java/magpiehub/discovery/RouterRegistration.java
@@ -122,12 +122,12 @@
 
     /** Performs a step on a ready endpoint, or postpones it if none is ready; the removal is never postponed. */
     private void perform(RegistrationState.Step step, long now) {
-        int picked = endpoints.select(now);
-        if (picked < 0 && step != RegistrationState.Step.DEREGISTER) {
+        int selected = endpoints.select(now);
+        if (selected < 0 && step != RegistrationState.Step.DEREGISTER) {
             state.onFailed(now, endpoints.nextReadyAtMicros() - now);
             return;
         }
-        int endpoint = Math.max(0, picked);
+        int endpoint = Math.max(0, selected);
         try {
             call(step, connect(settings.endpoints().get(endpoint)), now);
             endpoints.recordSuccess(endpoint);
@@ -168,8 +168,8 @@
                 settings.endpoints().get(endpoint),
                 "why",
                 String.valueOf(failure.getMessage()));
-        if (failure instanceof HttpStatusException answered) {
-            endpoints.recordFailure(endpoint, now, EndpointFailure.ERROR_RESPONSE, answered.retryAfterMicros());
+        if (failure instanceof HttpStatusException response) {
+            endpoints.recordFailure(endpoint, now, EndpointFailure.ERROR_RESPONSE, response.retryAfterMicros());
         } else {
             endpoints.recordFailure(endpoint, now, EndpointFailure.CONNECTION_LOST, 0);
         }
--- a/src/test/java/magpiehub/discovery/FakeConsulServer.java
+++ b/src/test/java/magpiehub/discovery/FakeConsulServer.java
@@ -41,22 +41,22 @@
         byte[] body;
     }
 
-    void answer(FakeRegistryEndpoint endpoint, HttpHead head, String path, String query, byte[] body, OutputStream out)
+    void respond(FakeRegistryEndpoint endpoint, HttpHead head, String path, String query, byte[] body, OutputStream out)
             throws IOException, InterruptedException {
         if (path.startsWith("/v1/agent")) {
-            answerAgent(endpoint, path, body, out);
+            respondToAgentCall(endpoint, path, body, out);
         } else if (isUnauthorized(endpoint, head)) {
             endpoint.send(out, 403, "", "Permission denied");
         } else if (endpoint.fault == FakeRegistry.Fault.NO_LEADER) {
             String headers = "X-Consul-Index: " + registry.revision + "\r\nX-Consul-KnownLeader: false\r\n";
             endpoint.send(out, 200, headers, "[]");
         } else {
-            answerQuery(endpoint, path.startsWith("/v1/health"), parameters(query), out);
+            respondToQuery(endpoint, path.startsWith("/v1/health"), parameters(query), out);
         }
     }
 
     private boolean isUnauthorized(FakeRegistryEndpoint endpoint, HttpHead head) {
-        return endpoint.fault == FakeRegistry.Fault.UNAUTHORISED
+        return endpoint.fault == FakeRegistry.Fault.UNAUTHORIZED
                 || (registry.password != null
                         && !registry.password.equals(head.headers().get("X-Consul-Token")));
     }
@@ -74,7 +74,7 @@
         return parameters;
     }
 
-    private void answerAgent(FakeRegistryEndpoint endpoint, String path, byte[] body, OutputStream out)
+    private void respondToAgentCall(FakeRegistryEndpoint endpoint, String path, byte[] body, OutputStream out)
             throws IOException {
         String id = path.substring(path.lastIndexOf('/') + 1).replaceFirst("^service:", "");
         boolean known;
@@ -92,7 +92,7 @@
     }
 
     /** Responds to a query, after a wait if it is a blocking one. */
-    private void answerQuery(
+    private void respondToQuery(
             FakeRegistryEndpoint endpoint, boolean isHealth, Map<String, String> parameters, OutputStream out)
             throws IOException, InterruptedException {
         Map<String, FakeRegistry.Version> snapshot = null;
@@ -122,7 +122,7 @@
         long leftMillis = (end - System.nanoTime()) / NANOS_PER_MILLI;
         while (index > 0
                 && ((index == endpoint.visibleRevision() && leftMillis > 0)
-                        || endpoint.fault == FakeRegistry.Fault.MUTE)) {
+                        || endpoint.fault == FakeRegistry.Fault.SILENT_WATCHES)) {
             registry.wait(Math.max(1, leftMillis));
             leftMillis = (end - System.nanoTime()) / NANOS_PER_MILLI;
         }
--- a/src/test/java/magpiehub/discovery/FakeEtcdServer.java
+++ b/src/test/java/magpiehub/discovery/FakeEtcdServer.java
@@ -48,13 +48,13 @@
         this.registry = registry;
     }
 
-    void loseLeases() {
+    void dropLeases() {
         synchronized (registry) {
             leases.clear();
         }
     }
 
-    void answer(FakeRegistryEndpoint endpoint, HttpHead head, String path, byte[] body, OutputStream out)
+    void respond(FakeRegistryEndpoint endpoint, HttpHead head, String path, byte[] body, OutputStream out)
             throws IOException, InterruptedException {
         ConfigurationObject request = ConfigurationObject.parse(body, "call");
         if (path.equals("/v3/auth/authenticate")) {
@@ -72,7 +72,7 @@
             case "/v3/watch" -> watch(endpoint, request.object("create_request"), out);
             default -> {
                 synchronized (registry) {
-                    answerLease(endpoint, path, request, out);
+                    respondToLeaseCall(endpoint, path, request, out);
                     registry.notifyAll();
                 }
             }
@@ -99,7 +99,7 @@
     }
 
     private boolean isAuthorized(FakeRegistryEndpoint endpoint, HttpHead head) {
-        return endpoint.fault != FakeRegistry.Fault.UNAUTHORISED
+        return endpoint.fault != FakeRegistry.Fault.UNAUTHORIZED
                 && (registry.password == null
                         || tokens.contains(String.valueOf(head.headers().get("Authorization"))));
     }
@@ -218,7 +218,7 @@
             List<FakeRegistry.Change> changes;
             long compactedAt;
             synchronized (registry) {
-                while (next > registry.compacted && !hasNews(endpoint, next, prefix)) {
+                while (next > registry.compacted && !hasEvents(endpoint, next, prefix)) {
                     registry.wait();
                     if (!registry.cluster.equals(clusterAtStart)) {
                         return;
@@ -237,8 +237,8 @@
     }
 
     /** Returns whether a watch has events to send. The caller holds the registry's monitor. */
-    private boolean hasNews(FakeRegistryEndpoint endpoint, long fromRevision, String prefix) {
-        return endpoint.fault != FakeRegistry.Fault.MUTE
+    private boolean hasEvents(FakeRegistryEndpoint endpoint, long fromRevision, String prefix) {
+        return endpoint.fault != FakeRegistry.Fault.SILENT_WATCHES
                 && endpoint.fault != FakeRegistry.Fault.SILENT
                 && !registry.changes(fromRevision, endpoint.visibleRevision(), prefix)
                         .isEmpty();
@@ -315,7 +315,8 @@
     }
 
     /** Responds to the calls of a registration. The caller holds the registry's monitor. */
-    private void answerLease(FakeRegistryEndpoint endpoint, String path, ConfigurationObject request, OutputStream out)
+    private void respondToLeaseCall(
+            FakeRegistryEndpoint endpoint, String path, ConfigurationObject request, OutputStream out)
             throws IOException {
         long id = Long.parseLong(request.text("ID", request.text("lease", "0")));
         Set<String> keys = leases.get(id);
--- a/src/test/java/magpiehub/discovery/FakeRegistry.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistry.java
@@ -29,13 +29,13 @@
         /** It accepts requests and never responds. */
         SILENT,
         /** It responds to all requests but sends nothing on watches. */
-        MUTE,
+        SILENT_WATCHES,
         /** It sends its responses byte by byte, with pauses. */
-        DRIPS,
+        BYTE_BY_BYTE,
         /** It rejects each token. */
-        UNAUTHORISED,
+        UNAUTHORIZED,
         /** It responds to each request with 429. */
-        REFUSING,
+        RATE_LIMITED,
         /** It has no leader (Consul). */
         NO_LEADER
     }
@@ -123,7 +123,7 @@
     /** Increments the leader's term and closes all connections, as an election of a leader does. */
     synchronized void electLeader() {
         term++;
-        cutAll();
+        closeAllConnections();
     }
 
     /** Restores the data as of the revision {@code to}; later writes continue from {@code newRevision}. */
@@ -136,11 +136,11 @@
         compacted = newRevision > to ? newRevision : Math.min(compacted, to);
         cluster = newCluster;
         notifyAll();
-        cutAll();
+        closeAllConnections();
     }
 
-    void cutAll() {
-        endpoints.forEach(FakeRegistryEndpoint::cut);
+    void closeAllConnections() {
+        endpoints.forEach(FakeRegistryEndpoint::closeConnections);
     }
 
     /** Returns the values as of a revision, by key. */
--- a/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
@@ -22,8 +22,8 @@
  */
 final class FakeRegistryEndpoint {
     private static final int BACKLOG = 512;
-    private static final long DRIP_INTERVAL_NANOS = 50_000_000;
-    private static final int NO_CUT = -1;
+    private static final long BYTE_INTERVAL_NANOS = 50_000_000;
+    private static final int NO_TRUNCATION = -1;
 
     private final FakeRegistry registry;
     private final ServerSocket server;
@@ -37,7 +37,7 @@
     volatile long revisionsBehind;
 
     /** After how many bytes the next response, or the next line of a watch, is truncated; -1 for none. */
-    volatile int cutAfterBytes = NO_CUT;
+    volatile int truncateAfterBytes = NO_TRUNCATION;
 
     /** The delay of each response (ms). */
     volatile long delayMillis;
@@ -59,8 +59,8 @@
      */
     void fault(FakeRegistry.Fault injected) {
         fault = injected;
-        if (injected != FakeRegistry.Fault.SILENT && injected != FakeRegistry.Fault.MUTE) {
-            cut();
+        if (injected != FakeRegistry.Fault.SILENT && injected != FakeRegistry.Fault.SILENT_WATCHES) {
+            closeConnections();
         }
         synchronized (registry) {
             registry.notifyAll();
@@ -68,7 +68,7 @@
     }
 
     /** Closes all open connections. */
-    void cut() {
+    void closeConnections() {
         openSockets.forEach(Sockets::closeQuietly);
     }
 
@@ -131,12 +131,12 @@
             Thread.sleep(delayMillis);
         }
         waitWhileSilent();
-        if (fault == FakeRegistry.Fault.REFUSING) {
+        if (fault == FakeRegistry.Fault.RATE_LIMITED) {
             send(out, 429, "Retry-After: 0.2\r\n", "{}");
         } else if (path.startsWith("/v3/")) {
-            registry.etcd.answer(this, head, path, body, out);
+            registry.etcd.respond(this, head, path, body, out);
         } else {
-            registry.consul.answer(this, head, path, query, body, out);
+            registry.consul.respond(this, head, path, query, body, out);
         }
     }
 
@@ -162,14 +162,14 @@
 
     /** Writes all bytes, unless an injected fault delays or truncates them. */
     void write(OutputStream out, byte[] bytes) throws IOException {
-        for (int i = 0; fault == FakeRegistry.Fault.DRIPS; i = Math.min(i + 1, bytes.length - 1)) {
+        for (int i = 0; fault == FakeRegistry.Fault.BYTE_BY_BYTE; i = Math.min(i + 1, bytes.length - 1)) {
             out.write(bytes, i, 1);
             out.flush();
-            LockSupport.parkNanos(DRIP_INTERVAL_NANOS);
+            LockSupport.parkNanos(BYTE_INTERVAL_NANOS);
         }
-        int length = cutAfterBytes;
+        int length = truncateAfterBytes;
         if (length >= 0 && length < bytes.length) {
-            cutAfterBytes = NO_CUT;
+            truncateAfterBytes = NO_TRUNCATION;
             out.write(bytes, 0, length);
             throw new IOException("response truncated by the test");
         }
--- a/src/test/java/magpiehub/discovery/FaultScript.java
+++ b/src/test/java/magpiehub/discovery/FaultScript.java
@@ -22,9 +22,9 @@
 
     private enum FaultKind {
         /** All connections are closed. */
-        CUT,
+        CONNECTION_LOSS,
         /** The next data written is truncated, possibly within a line, a chunk or a character. */
-        CUT_WITHIN_DATA,
+        TRUNCATED_DATA,
         /** The registry is compacted while all endpoints are down. */
         COMPACTION_WHILE_DOWN,
         /** The registry is restored from older data of the same history. */
@@ -154,9 +154,9 @@
     private void inject(FaultKind kind, long oldRevision, int changes) {
         FakeRegistryEndpoint endpoint = registry.endpoints.get(random.nextInt(registry.endpoints.size()));
         switch (kind) {
-            case CUT -> registry.cutAll();
-            case CUT_WITHIN_DATA -> {
-                registry.endpoints.forEach(each -> each.cutAfterBytes = 1 + random.nextInt(4000));
+            case CONNECTION_LOSS -> registry.closeAllConnections();
+            case TRUNCATED_DATA -> {
+                registry.endpoints.forEach(each -> each.truncateAfterBytes = 1 + random.nextInt(4000));
                 makeChanges(changes);
             }
             case COMPACTION_WHILE_DOWN -> compactWhileDown(changes);
@@ -171,14 +171,14 @@
                 restore(to, cluster, registry.revision + 500);
             }
             case SILENT_ENDPOINT -> injectFor(endpoint, FakeRegistry.Fault.SILENT, changes, SILENCE_MILLIS);
-            case SILENT_WATCHES -> injectFor(endpoint, FakeRegistry.Fault.MUTE, changes, SILENCE_MILLIS);
+            case SILENT_WATCHES -> injectFor(endpoint, FakeRegistry.Fault.SILENT_WATCHES, changes, SILENCE_MILLIS);
             case LEADER_CHANGE -> {
                 registry.electLeader();
                 makeChanges(changes);
             }
             case REJECTED_TOKENS_OR_NO_LEADER -> injectFor(
-                    endpoint, etcd ? FakeRegistry.Fault.UNAUTHORISED : FakeRegistry.Fault.NO_LEADER, changes, 500);
-            case REJECTED_REQUESTS -> injectFor(endpoint, FakeRegistry.Fault.REFUSING, changes, 500);
+                    endpoint, etcd ? FakeRegistry.Fault.UNAUTHORIZED : FakeRegistry.Fault.NO_LEADER, changes, 500);
+            case REJECTED_REQUESTS -> injectFor(endpoint, FakeRegistry.Fault.RATE_LIMITED, changes, 500);
             case LAGGING_ENDPOINT -> lag(endpoint, changes);
             case COMPACTION_WITHIN_LIST -> compactWithinList();
             case SLOW_ENDPOINT -> {
@@ -213,13 +213,13 @@
             registry.put("broken", "?");
             registry.compact();
         };
-        registry.cutAll();
+        registry.closeAllConnections();
     }
 
     private void lag(FakeRegistryEndpoint endpoint, int changes) {
         endpoint.revisionsBehind = 40;
         makeChanges(changes);
-        registry.cutAll();
+        registry.closeAllConnections();
         pause(500);
         endpoint.revisionsBehind = 0;
         makeChanges(1);
@@ -229,7 +229,7 @@
         long now = clock.micros();
         clients.forEach(client -> {
             client.firstConnectionMicros = 0;
-            client.noteConnectionAfterMicros = now;
+            client.recordConnectionAfterMicros = now;
         });
         takeDown();
         bringUp();
--- a/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
@@ -21,53 +21,54 @@
     final RegistryClient client;
     final RecordingEventLog log = new RecordingEventLog();
     /** The endpoints that have been published and not removed. */
-    final Map<String, EndpointEntry> fleet = new ConcurrentHashMap<>();
+    final Map<String, EndpointEntry> endpoints = new ConcurrentHashMap<>();
     /** The latest inconsistency among the list's changes; empty if there is none. */
-    volatile String fault = "";
+    volatile String inconsistency = "";
 
     /** The result of applying all changes. */
-    private final Map<String, EndpointEntry> shadow = new HashMap<>();
+    private final Map<String, EndpointEntry> accumulated = new HashMap<>();
 
     /** Starts a client. */
     RecordingRegistryClient(DiscoverySettings settings) throws IOException {
         client = new RegistryClient(settings, RegistryFixtures.site(), this::publish, MonotonicClock.SYSTEM, log, 7);
-        client.observe(this);
+        client.setObserver(this);
         client.start(null, null);
     }
 
     private void publish(EndpointListKind kind, List<EndpointEntry> entries) {
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
-            fleet.keySet()
+            endpoints
+                    .keySet()
                     .retainAll(
                             entries.stream().map(entry -> entry.endpoint().id()).toList());
         }
         for (EndpointEntry entry : entries) {
             if (entry.endpoint().state() == EndpointState.DEAD) {
-                fleet.remove(entry.endpoint().id());
+                endpoints.remove(entry.endpoint().id());
             } else {
-                fleet.put(entry.endpoint().id(), entry);
+                endpoints.put(entry.endpoint().id(), entry);
             }
         }
     }
 
     /** Checks that applying the changes gives the list, and that they contain only entries that have changed. */
     @Override
-    public void updated(EndpointListState list, ListUpdateResult result, boolean byWatch) {
+    public void onListUpdate(EndpointListState list, ListUpdateResult result, boolean byWatch) {
         if (result.delta() == null) {
             return;
         }
         for (EndpointEntry entry : result.delta().put()) {
-            if (entry.equals(shadow.put(entry.endpoint().id(), entry))) {
-                fault = "repeated " + entry;
+            if (entry.equals(accumulated.put(entry.endpoint().id(), entry))) {
+                inconsistency = "repeated " + entry;
             }
         }
         for (String id : result.delta().removed()) {
-            if (shadow.remove(id) == null) {
-                fault = "removed twice " + id;
+            if (accumulated.remove(id) == null) {
+                inconsistency = "removed twice " + id;
             }
         }
-        if (shadow.size() != list.size()) {
-            fault = "changes add up to " + shadow.size() + " endpoints, the list has " + list.size();
+        if (accumulated.size() != list.size()) {
+            inconsistency = "changes add up to " + accumulated.size() + " endpoints, the list has " + list.size();
         }
     }
 
@@ -79,14 +80,14 @@
     void awaitEqualTo(FakeRegistry registry) {
         RegistryFixtures.await(
                 () -> isEqualTo(registry),
-                () -> "published " + brief(fleet) + "\nregistry " + brief(RegistryFixtures.describe(registry)) + "\n"
-                        + log.counts() + "\n" + log.tail(TAIL_LENGTH));
-        assertTrue(fault.isEmpty(), fault);
+                () -> "published " + brief(endpoints) + "\nregistry " + brief(RegistryFixtures.describe(registry))
+                        + "\n" + log.counts() + "\n" + log.tail(TAIL_LENGTH));
+        assertTrue(inconsistency.isEmpty(), inconsistency);
     }
 
     boolean isEqualTo(FakeRegistry registry) {
         Map<String, String> published = new TreeMap<>();
-        fleet.forEach((id, entry) -> published.put(
+        endpoints.forEach((id, entry) -> published.put(
                 id,
                 entry.address() + " " + entry.endpoint().state() + " "
                         + entry.endpoint().cell()));
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -40,17 +40,17 @@
         registry.close();
     }
 
-    private void connect(String kind, String more) throws Exception {
+    private void startClient(String kind, String more) throws Exception {
         client = new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), more));
         client.awaitEqualTo(registry);
     }
 
-    private void only(int endpoint) {
+    private void useOnlyEndpoint(int endpoint) {
         registry.endpoints.get(1 - endpoint).fault(Fault.DOWN);
     }
 
-    private void burst(int from, int n) {
-        for (int i = from; i < from + n; i++) {
+    private void makeChanges(int first, int count) {
+        for (int i = first; i < first + count; i++) {
             if (i % 7 == 3) {
                 registry.delete("e" + i % 50);
             } else {
@@ -62,8 +62,8 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void changesAreReportedOnce(String kind) throws Exception {
-        connect(kind, "");
-        burst(100, 500);
+        startClient(kind, "");
+        makeChanges(100, 500);
         client.awaitEqualTo(registry);
         assertTrue(!kind.equals("etcd") || client.counted("registry_lists") == 1, "etcd reads one complete list");
     }
@@ -72,10 +72,10 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void partialDataIsNeverApplied(String kind) throws Exception {
-        only(0);
-        connect(kind, "");
+        useOnlyEndpoint(0);
+        startClient(kind, "");
         for (int cut = 0; cut < 700; cut += 13) {
-            registry.endpoints.get(0).cutAfterBytes = cut;
+            registry.endpoints.get(0).truncateAfterBytes = cut;
             registry.putAll(Map.of(
                     "e1",
                     RegistryFixtures.entryJson(2000 + cut, "Ready"),
@@ -90,21 +90,21 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void connectionLossDuringChangesLosesAndRepeatsNone(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         for (int i = 0; i < 10; i++) {
-            burst(i * 100, 50);
-            registry.cutAll();
-            burst(i * 100 + 50, 50);
+            makeChanges(i * 100, 50);
+            registry.closeAllConnections();
+            makeChanges(i * 100 + 50, 50);
         }
         client.awaitEqualTo(registry);
-        assertEquals("", client.fault);
+        assertEquals("", client.inconsistency);
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void fragmentedRevisionIsAppliedAtOnce(String kind) throws Exception {
         registry.etcd.eventsPerFragment = 7;
-        connect(kind, "");
+        startClient(kind, "");
         for (int round = 0; round < 20; round++) {
             Map<String, String> all = new HashMap<>();
             for (int i = 0; i < 40; i++) {
@@ -112,8 +112,8 @@
             }
             registry.putAll(all);
             if (round % 5 == 4) {
-                registry.endpoints.get(0).cutAfterBytes = 900;
-                registry.cutAll();
+                registry.endpoints.get(0).truncateAfterBytes = 900;
+                registry.closeAllConnections();
             }
         }
         client.awaitEqualTo(registry);
@@ -122,14 +122,14 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void restoredOlderDataIsRelisted(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         long old = registry.revision;
-        burst(100, 200);
+        makeChanges(100, 200);
         client.awaitEqualTo(registry);
         registry.restore(old, registry.cluster, old);
         client.awaitEqualTo(registry);
         assertEquals(1, client.counted("registry_histories"));
-        burst(400, 50);
+        makeChanges(400, 50);
         client.awaitEqualTo(registry);
     }
 
@@ -137,13 +137,13 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void restoredRegistryBeyondTheClientsPositionIsRelisted(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         long old = registry.revision;
-        burst(100, 20);
+        makeChanges(100, 20);
         client.awaitEqualTo(registry);
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
         registry.restore(old, registry.cluster, old);
-        burst(317, 60);
+        makeChanges(317, 60);
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
         assertTrue(!kind.equals("etcd") || client.log.contains("different history at revision"), client.log.toString());
@@ -152,26 +152,26 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void anotherHistoryWithHigherRevisionsIsRelisted(String kind) throws Exception {
-        connect(kind, "");
-        burst(100, 200);
+        startClient(kind, "");
+        makeChanges(100, 200);
         client.awaitEqualTo(registry);
         registry.restore(20, "99", registry.revision + 1000);
         client.awaitEqualTo(registry);
         assertEquals(kind.equals("etcd") ? 1 : 0, client.counted("registry_histories"));
-        burst(400, 50);
+        makeChanges(400, 50);
         client.awaitEqualTo(registry);
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void laggingEndpointDoesNotRevertTheList(String kind) throws Exception {
-        connect(kind, "");
-        burst(100, 300);
+        startClient(kind, "");
+        makeChanges(100, 300);
         client.awaitEqualTo(registry);
         registry.endpoints.get(1).revisionsBehind = 200;
         for (int i = 0; i < 6; i++) {
-            registry.cutAll();
-            burst(400 + i, 1);
+            registry.closeAllConnections();
+            makeChanges(400 + i, 1);
             client.awaitEqualTo(registry);
         }
         assertEquals(0, client.counted("registry_histories"));
@@ -180,10 +180,10 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void silentWatchIsReplaced(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         int watched = client.counted("registry_watch_calls");
-        registry.endpoints.forEach(e -> e.fault = Fault.MUTE);
-        burst(100, 20);
+        registry.endpoints.forEach(e -> e.fault = Fault.SILENT_WATCHES);
+        makeChanges(100, 20);
         RegistryFixtures.await(() -> client.counted("registry_rereads") > 0, () -> client.log.toString());
         client.awaitEqualTo(registry);
         assertTrue(client.counted("registry_watch_calls") >= watched);
@@ -193,10 +193,10 @@
     @MethodSource("kinds")
     void silentEndpointIsReplaced(String kind) throws Exception {
         registry.endpoints.get(0).fault = Fault.SILENT;
-        connect(kind, "");
+        startClient(kind, "");
         registry.endpoints.get(0).fault(Fault.NONE);
         registry.endpoints.get(1).fault(Fault.SILENT);
-        burst(100, 20);
+        makeChanges(100, 20);
         client.awaitEqualTo(registry);
         RegistryFixtures.await(() -> client.log.contains("why silent"), () -> client.log.toString());
     }
@@ -205,8 +205,8 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void slowListIsReplacedInTime(String kind) throws Exception {
-        burst(100, 20);
-        registry.endpoints.get(0).fault(Fault.DRIPS);
+        makeChanges(100, 20);
+        registry.endpoints.get(0).fault(Fault.BYTE_BY_BYTE);
         registry.endpoints.get(1).fault(Fault.DOWN);
         client = new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), ""));
         RegistryFixtures.await(() -> !registry.requestCounts.isEmpty(), () -> client.log.toString());
@@ -221,16 +221,16 @@
     @MethodSource("kinds")
     void unreadableEntryIsLoggedAndSkipped(String kind) throws Exception {
         registry.put("bad", "{\"host_port\":");
-        connect(kind, "");
+        startClient(kind, "");
         RegistryFixtures.await(
                 () -> client.log.contains("registry-entry-unreadable key "), () -> client.log.toString());
         registry.put("e3", "{\"host_port\":\"nowhere\"}");
         client.awaitEqualTo(registry);
-        assertFalse(client.fleet.containsKey("e3"));
+        assertFalse(client.endpoints.containsKey("e3"));
         registry.put("bad", RegistryFixtures.entryJson(77, "Ready"));
         registry.put("e3", RegistryFixtures.entryJson(78, "Ready"));
         client.awaitEqualTo(registry);
-        assertEquals(41, client.fleet.size());
+        assertEquals(41, client.endpoints.size());
     }
 
     @ParameterizedTest(name = "{0}")
@@ -239,40 +239,40 @@
         for (int i = 0; i < 10_000; i++) {
             registry.put("x" + i, i == 5000 ? "?" : RegistryFixtures.entryJson(i, "Ready"));
         }
-        connect(kind, "");
-        assertEquals(10_039, client.fleet.size());
-        burst(100, 20);
+        startClient(kind, "");
+        assertEquals(10_039, client.endpoints.size());
+        makeChanges(100, 20);
         client.awaitEqualTo(registry);
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void endpointThatMovesWithinOneBurstIsListed(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         registry.delete("e1");
         registry.put("new-key", "{\"id\":\"e1\",\"host_port\":\"127.0.0.1:5\"}");
         registry.put("other", "{\"id\":\"e2\",\"host_port\":\"127.0.0.1:6\"}");
         registry.delete("e2");
         client.awaitEqualTo(registry);
-        assertEquals("127.0.0.1:6", client.fleet.get("e2").address());
+        assertEquals("127.0.0.1:6", client.endpoints.get("e2").address());
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void registryIsReplacedDuringChanges(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         try (FakeRegistry second = new FakeRegistry(1)) {
             second.put("only", RegistryFixtures.entryJson(1, "Ready"));
             second.put("e5", RegistryFixtures.entryJson(2, "Ready"));
             second.endpoints.get(0).fault(Fault.SILENT);
-            burst(100, 100);
+            makeChanges(100, 100);
             client.client.changeSettings(RegistryFixtures.settings(kind, second.addresses(), ""));
-            burst(200, 100);
+            makeChanges(200, 100);
             // The second registry has delivered nothing yet, so the first one's changes still apply.
             client.awaitEqualTo(registry);
             second.endpoints.get(0).fault(Fault.NONE);
             client.awaitEqualTo(second);
-            burst(300, 10);
+            makeChanges(300, 10);
             second.put("later", RegistryFixtures.entryJson(3, "Ready"));
             client.awaitEqualTo(second);
         }
@@ -281,7 +281,7 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void listWithoutMostEndpointsIsReadTwice(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         int lists = registry.requestCount("/v3/kv/range");
         registry.restore(5, registry.cluster, 5);
         client.awaitEqualTo(registry);
@@ -292,11 +292,11 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void listSurvivesARegistryOutage(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
-        burst(100, 50);
+        makeChanges(100, 50);
         RegistryFixtures.await(() -> client.counted("registry_failures") > 3, () -> client.log.toString());
-        assertFalse(client.fleet.isEmpty(), "the list is kept during the outage");
+        assertFalse(client.endpoints.isEmpty(), "the list is kept during the outage");
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
         RegistryFixtures.await(() -> client.log.contains("registry-up"), () -> client.log.toString());
@@ -305,10 +305,10 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void rejectedRequestsAndLostLeadersAreRetried(String kind) throws Exception {
-        connect(kind, "");
-        registry.endpoints.get(0).fault(Fault.REFUSING);
-        registry.endpoints.get(1).fault(kind.equals("etcd") ? Fault.UNAUTHORISED : Fault.NO_LEADER);
-        burst(100, 20);
+        startClient(kind, "");
+        registry.endpoints.get(0).fault(Fault.RATE_LIMITED);
+        registry.endpoints.get(1).fault(kind.equals("etcd") ? Fault.UNAUTHORIZED : Fault.NO_LEADER);
+        makeChanges(100, 20);
         RegistryFixtures.await(() -> client.counted("registry_failures") > 3, () -> client.log.toString());
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
@@ -318,9 +318,9 @@
     @MethodSource("kinds")
     void compactionBetweenListAndWatchCausesARelist(String kind) throws Exception {
         assumeTrue(kind.equals("etcd"));
-        connect(kind, "");
+        startClient(kind, "");
         registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
-        burst(100, 50);
+        makeChanges(100, 50);
         registry.compact();
         registry.endpoints.forEach(e -> e.fault(Fault.NONE));
         client.awaitEqualTo(registry);
@@ -336,9 +336,9 @@
             registry.put("e7", RegistryFixtures.entryJson(4711, "Ready"));
             registry.compact();
         };
-        connect(kind, ",\"page\":10");
-        assertEquals(4711, client.fleet.get("e7").endpoint().cell());
-        assertEquals(40, client.fleet.size());
+        startClient(kind, ",\"page\":10");
+        assertEquals(4711, client.endpoints.get("e7").endpoint().cell());
+        assertEquals(40, client.endpoints.size());
     }
 
     @ParameterizedTest(name = "{0}")
@@ -348,13 +348,13 @@
         registry.password = "secret";
         java.nio.file.Path file = java.nio.file.Files.createTempFile("password", "");
         java.nio.file.Files.writeString(file, "secret\n");
-        connect(kind, ",\"user\":\"router\",\"password_file\":\"" + file + "\"");
+        startClient(kind, ",\"user\":\"router\",\"password_file\":\"" + file + "\"");
         FakeRegistry locked = registry;
         synchronized (locked) {
             locked.etcd.tokens.clear();
         }
-        registry.cutAll();
-        burst(100, 20);
+        registry.closeAllConnections();
+        makeChanges(100, 20);
         client.awaitEqualTo(registry);
         assertTrue(registry.etcd.logins >= 2);
     }
@@ -362,12 +362,13 @@
     @ParameterizedTest(name = "{0}")
     @MethodSource("kinds")
     void drainingIsReportedAtOnce(String kind) throws Exception {
-        connect(kind, "");
+        startClient(kind, "");
         for (int i = 0; i < 40; i++) {
             registry.put("e" + i, RegistryFixtures.entryJson(i, "Terminating"));
         }
         RegistryFixtures.await(
-                () -> client.fleet.values().stream().allMatch(e -> e.endpoint().state() == EndpointState.DRAINING),
+                () -> client.endpoints.values().stream()
+                        .allMatch(e -> e.endpoint().state() == EndpointState.DRAINING),
                 () -> client.log.toString());
         assertEquals(0, client.counted("membership_doubts"));
     }
--- a/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
@@ -8,7 +8,7 @@
 
 /** The selection of endpoints and their backoff. */
 class RegistryEndpointsTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     @Test
     void routersThatLoseARegistryReconnectSpread() {
@@ -18,13 +18,13 @@
                     new RegistryEndpoints(3, new BackoffSettings(100_000, 1_500_000, 1_500_000), i);
             int at = endpoints.select(0);
             endpoints.recordSuccess(at);
-            endpoints.recordFailure(at, S, EndpointFailure.CONNECTION_LOST, 0);
-            assertEquals(-1, endpoints.select(S - 1), "no endpoint is ready at once");
+            endpoints.recordFailure(at, SECOND_MICROS, EndpointFailure.CONNECTION_LOST, 0);
+            assertEquals(-1, endpoints.select(SECOND_MICROS - 1), "no endpoint is ready at once");
             first.add(endpoints.nextReadyAtMicros());
         }
         long[] times = first.stream().mapToLong(t -> t).toArray();
         assertTrue(
-                times[times.length * 95 / 100] - times[times.length * 5 / 100] > S,
+                times[times.length * 95 / 100] - times[times.length * 5 / 100] > SECOND_MICROS,
                 "the 5th and 95th percentile are more than a second apart");
     }
 
@@ -41,10 +41,10 @@
             longest = Math.max(longest, wait);
             now += wait;
         }
-        assertTrue(longest > S);
-        one.recordFailure(0, now, EndpointFailure.ERROR_RESPONSE, 5 * S);
-        assertEquals(-1, one.select(now + 5 * S - 1), "Retry-After is respected");
-        RegistryEndpoints two = new RegistryEndpoints(2, new BackoffSettings(100_000, 1_500_000, S), 3);
+        assertTrue(longest > SECOND_MICROS);
+        one.recordFailure(0, now, EndpointFailure.ERROR_RESPONSE, 5 * SECOND_MICROS);
+        assertEquals(-1, one.select(now + 5 * SECOND_MICROS - 1), "Retry-After is respected");
+        RegistryEndpoints two = new RegistryEndpoints(2, new BackoffSettings(100_000, 1_500_000, SECOND_MICROS), 3);
         int first = two.select(0);
         two.recordSuccess(first);
         two.recordFailure(first, 0, EndpointFailure.TIMEOUT, 0);
@@ -53,10 +53,10 @@
         two.recordFailure(first, 0, EndpointFailure.ERROR_RESPONSE, 0);
         assertEquals(1 - first, two.select(0), "another endpoint is used at once after an error response");
         two.recordSuccess(1 - first);
-        assertEquals(1 - first, two.select(10 * S), "the endpoint in use is kept");
+        assertEquals(1 - first, two.select(10 * SECOND_MICROS), "the endpoint in use is kept");
         two.recordSuccess(first);
-        two.recordStaleAnswer(1 - first, 10 * S, S);
-        two.recordFailure(first, 10 * S - 1, EndpointFailure.TIMEOUT, 0);
-        assertEquals(first, two.select(11 * S), "the other endpoint is preferred, although it failed once");
+        two.recordStaleAnswer(1 - first, 10 * SECOND_MICROS, SECOND_MICROS);
+        two.recordFailure(first, 10 * SECOND_MICROS - 1, EndpointFailure.TIMEOUT, 0);
+        assertEquals(first, two.select(11 * SECOND_MICROS), "the other endpoint is preferred, although it failed once");
     }
 }
--- a/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryRequestsTest.java
@@ -216,14 +216,14 @@
         int requestsOfRegistration = kind.equals("etcd") ? 2 : 1;
         String announce = ",\"announce\":{\"prefix\":\"routers/\",\"service\":\"routers\",\"ttl_ms\":1001}";
         try (FakeRegistry other = new FakeRegistry(1);
-                RecordingRegistryClient log =
+                RecordingRegistryClient recorder =
                         new RecordingRegistryClient(RegistryFixtures.settings(kind, other.addresses(), ""))) {
             RouterRegistration registration = new RouterRegistration(
                     RegistryFixtures.settings(kind, List.of(server.address()), announce),
                     "n 1",
                     "127.0.0.1:9",
                     MonotonicClock.SYSTEM,
-                    log.log,
+                    recorder.log,
                     1);
             registration.start();
             RegistryFixtures.await(
--- a/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
+++ b/src/test/java/magpiehub/discovery/RouterRegistrationTest.java
@@ -13,9 +13,9 @@
     void lostRegistrationIsRepeatedAndRemovedAtStop() throws Exception {
         for (String kind : List.of("etcd", "consul-kv")) {
             try (FakeRegistry registry = new FakeRegistry(1);
-                    RecordingRegistryClient bystander =
+                    RecordingRegistryClient recorder =
                             new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), ""))) {
-                RouterRegistration a = new RouterRegistration(
+                RouterRegistration registration = new RouterRegistration(
                         RegistryFixtures.settings(
                                 kind,
                                 registry.addresses(),
@@ -23,28 +23,28 @@
                         "n1",
                         "127.0.0.1:9",
                         MonotonicClock.SYSTEM,
-                        bystander.log,
+                        recorder.log,
                         1);
-                a.start();
-                RegistryFixtures.await(() -> announced(registry), () -> bystander.log.toString());
-                registry.etcd.loseLeases();
+                registration.start();
+                RegistryFixtures.await(() -> isRegistered(registry), () -> recorder.log.toString());
+                registry.etcd.dropLeases();
                 synchronized (registry) {
                     registry.consul.services.clear();
                 }
-                RegistryFixtures.await(() -> announced(registry), () -> bystander.log.toString());
-                assertEquals(1, bystander.counted("registry_announcement_lost"));
-                a.stop(20_000);
+                RegistryFixtures.await(() -> isRegistered(registry), () -> recorder.log.toString());
+                assertEquals(1, recorder.counted("registry_announcement_lost"));
+                registration.stop(20_000);
                 assertTrue(
-                        !announced(registry) && bystander.log.contains("registry-deregistered id n1"),
-                        bystander.log.toString());
+                        !isRegistered(registry) && recorder.log.contains("registry-deregistered id n1"),
+                        recorder.log.toString());
             }
         }
     }
 
-    private static boolean announced(FakeRegistry r) {
-        synchronized (r) {
-            return r.consul.services.contains("n1")
-                    || r.etcd.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
+    private static boolean isRegistered(FakeRegistry registry) {
+        synchronized (registry) {
+            return registry.consul.services.contains("n1")
+                    || registry.etcd.leases.values().stream().anyMatch(k -> k.contains("routers/n1"));
         }
     }
 }
--- a/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
@@ -45,7 +45,7 @@
     /** The CPU time of the checks (ns), which is not part of the client's cost. */
     final AtomicLong checkingNanos = new AtomicLong();
     /** The first connection after this time is recorded. */
-    volatile long noteConnectionAfterMicros = Long.MAX_VALUE;
+    volatile long recordConnectionAfterMicros = Long.MAX_VALUE;
     /** How long after that time the connection was made; 0 if there was none. */
     volatile long firstConnectionMicros;
 
@@ -86,7 +86,7 @@
         if (!complete) {
             client =
                     new RegistryClient(settings, RegistryFixtures.site(), (kind, entries) -> {}, clock, timedLog, seed);
-            client.observe(this);
+            client.setObserver(this);
             client.start(null, null);
             return;
         }
@@ -104,7 +104,7 @@
         client = new RegistryClient(settings, () -> site, upstreams, clock, timedLog, seed);
         RequestDispatcher dispatcher = new RequestDispatcher(site.routing(), seed, clock, upstreams, client, timedLog);
         upstreams.setDispatcher(dispatcher);
-        client.observe(this);
+        client.setObserver(this);
         client.start(dispatcher, null);
         DaemonThreads.newThread("module", dispatcher::run).start();
     }
@@ -129,20 +129,20 @@
     }
 
     @Override
-    public void connecting(RegistryCallKind kind, String endpoint) {
+    public void onConnecting(RegistryCallKind kind, String endpoint) {
         long now = clock.micros();
-        if (now > noteConnectionAfterMicros && firstConnectionMicros == 0 && kind != RegistryCallKind.CHECK) {
-            firstConnectionMicros = now - noteConnectionAfterMicros;
+        if (now > recordConnectionAfterMicros && firstConnectionMicros == 0 && kind != RegistryCallKind.CHECK) {
+            firstConnectionMicros = now - recordConnectionAfterMicros;
         }
     }
 
     @Override
-    public void threadStarting(Thread thread) {
+    public void onThreadStarting(Thread thread) {
         threads.add(thread);
     }
 
     @Override
-    public void updated(EndpointListState list, ListUpdateResult result, boolean byWatch) {
+    public void onListUpdate(EndpointListState list, ListUpdateResult result, boolean byWatch) {
         long before = THREADS.getCurrentThreadCpuTime();
         if (result.delta() != null) {
             check(list.position().revision(), result.delta());
