--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SitesDrive.java
@@ -130,10 +130,10 @@
         for (long now = 0; now < c.end; now += TICK) {
             long t = now;
             for (int site = 0; site < c.sites; site++) {
-                for (int k = m.takeHealthChecks(site); k > 0; k--) {
+                for (int k = m.acquireHealthChecks(site); k > 0; k--) {
                     send(c, own, site, t, r, due);
                 }
-                if (m.takeTrial(site, t)) {
+                if (m.acquireTrial(site, t)) {
                     send(c, own, site, t, r, due);
                 }
             }
@@ -149,7 +149,7 @@
             }
             if (now % 1_000_000 == 0) {
                 gone = truth && c.down(t - c.listLate);
-                m.onListed(t, c.site, gone ? 0 : ENGINES / c.sites, 100_000);
+                m.onEndpointList(t, c.site, gone ? 0 : ENGINES / c.sites, 100_000);
             }
             for (Due d : due) {
                 if (d.at <= t) {
@@ -158,7 +158,7 @@
             }
             due.removeIf(d -> d.at <= t);
             m.onTick(t);
-            for (SiteTransition ch : m.takeTransitions()) {
+            for (SiteTransition ch : m.drainTransitions()) {
                 // By values: a constant's own hash is another one in each process.
                 result.digest = result.digest * 31
                         + java.util.Objects.hash(
