--- a/src/main/java/magpiehub/discovery/RegistryEndpoints.java
+++ b/src/main/java/magpiehub/discovery/RegistryEndpoints.java
@@ -114,7 +114,7 @@
      * Records that an endpoint delivered stale data: it is not called during the pause, and the other endpoints are
      * preferred.
      */
-    public void recordStaleAnswer(int endpoint, long nowMicros, long pauseMicros) {
+    public void recordStaleResponse(int endpoint, long nowMicros, long pauseMicros) {
         failures[endpoint]++;
         readyAtMicros[endpoint] = Math.max(readyAtMicros[endpoint], nowMicros + pauseMicros);
         current = (endpoint + 1) % readyAtMicros.length;
@@ -139,6 +139,7 @@
             // Waits less after a repeated loss, so that two losses do not exceed the delay allowed for a single one.
             return backoff.spreadMicros() / REPEATED_LOSS_SPREAD_DIVISOR;
         }
+        // When an idle connection detects the loss, part of the spread has already passed.
         return failure == EndpointFailure.IDLE_CONNECTION_LOST
                 ? backoff.spreadMicros() * 2 / 3
                 : backoff.spreadMicros();
--- a/src/main/java/magpiehub/discovery/RegistryEventHandler.java
+++ b/src/main/java/magpiehub/discovery/RegistryEventHandler.java
@@ -79,7 +79,7 @@
             log.listLagging(call, result.reason());
             list.markCompacted();
             call.deliveredLaggingList = true;
-            session.endpoints().recordStaleAnswer(call.endpointIndex, nowMicros, LAGGING_ENDPOINT_PAUSE_MICROS);
+            session.endpoints().recordStaleResponse(call.endpointIndex, nowMicros, LAGGING_ENDPOINT_PAUSE_MICROS);
             return;
         }
         recordResponse(call, nowMicros);
@@ -153,7 +153,7 @@
         log.relistRequired(call, result.reason(), list.position());
         if (result.suspectsEndpoint()) {
             long pause = session.settings().backoff().baseMicros();
-            session.endpoints().recordStaleAnswer(call.endpointIndex, nowMicros, pause);
+            session.endpoints().recordStaleResponse(call.endpointIndex, nowMicros, pause);
         }
         session.cancelMainCall(nowMicros);
         return true;
--- a/src/main/java/magpiehub/discovery/RegistrySession.java
+++ b/src/main/java/magpiehub/discovery/RegistrySession.java
@@ -17,8 +17,11 @@
     private static final long MIN_LIST_DURATION_LIMIT_MICROS = 3_000_000;
     /** The highest limit on the duration of a list call that keeps receiving data. */
     private static final long MAX_LIST_DURATION_LIMIT_MICROS = 30_000_000;
-    /** The delay of the deciding check after one that found changes that the watch has not delivered. */
-    private static final long RECHECK_MICROS = 300_000;
+    /**
+     * The delay between a check that found changes the watch has not delivered, and the check that decides whether the
+     * watch is broken.
+     */
+    private static final long RECHECK_DELAY_MICROS = 300_000;
     /** The minimum interval between lists, in case each list must be read again as soon as it is applied. */
     private static final long MIN_LIST_INTERVAL_MICROS = 250_000;
 
@@ -39,8 +42,11 @@
     private boolean confirmationRequested;
     private long nextMainCallMicros;
     private long nextCheckMicros = Long.MIN_VALUE;
-    private long listedAtMicros = Long.MIN_VALUE / 2;
-    /** The current limit on the duration of a list call: doubled when a call exceeds it. */
+    private long lastListAtMicros = Long.MIN_VALUE / 2;
+    /**
+     * The current limit on the duration of a list call: at least twice the duration of the last successful one, and
+     * doubled when a call exceeds it.
+     */
     private long listDurationLimitMicros = MIN_LIST_DURATION_LIMIT_MICROS;
 
     /** Creates a session and starts its threads; the first call is due at once. */
@@ -157,8 +163,8 @@
             return;
         }
         boolean needsList = !listReceived || list.requiresRelist();
-        if (needsList && nowMicros < listedAtMicros + MIN_LIST_INTERVAL_MICROS) {
-            nextMainCallMicros = listedAtMicros + MIN_LIST_INTERVAL_MICROS;
+        if (needsList && nowMicros < lastListAtMicros + MIN_LIST_INTERVAL_MICROS) {
+            nextMainCallMicros = lastListAtMicros + MIN_LIST_INTERVAL_MICROS;
             return;
         }
         RegistryCallKind kind = needsList ? RegistryCallKind.LIST : RegistryCallKind.WATCH;
@@ -225,14 +231,14 @@
     /** Records that a call delivered a complete list that has been applied. */
     void recordList(RegistryCall call, long nowMicros) {
         listReceived = true;
-        listedAtMicros = nowMicros;
+        lastListAtMicros = nowMicros;
         long durationMicros = call.kind == RegistryCallKind.LIST ? nowMicros - call.startedAtMicros : 0;
         listDurationLimitMicros = Math.max(MIN_LIST_DURATION_LIMIT_MICROS, 2 * durationMicros);
     }
 
     /** Schedules the next check soon after one that found changes that the watch has not delivered. */
     void scheduleRecheck(RegistryCall check) {
-        nextCheckMicros = check.startedAtMicros + Math.min(RECHECK_MICROS, settings.checkIntervalMicros());
+        nextCheckMicros = check.startedAtMicros + Math.min(RECHECK_DELAY_MICROS, settings.checkIntervalMicros());
         mainCall.lastEventAtMicros = nextCheckMicros - settings.checkIntervalMicros();
     }
 
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -74,15 +74,15 @@
     void partialDataIsNeverApplied(String kind) throws Exception {
         useOnlyEndpoint(0);
         startClient(kind, "");
-        for (int cut = 0; cut < 700; cut += 13) {
-            registry.endpoints.get(0).truncateAfterBytes = cut;
+        for (int offset = 0; offset < 700; offset += 13) {
+            registry.endpoints.get(0).truncateAfterBytes = offset;
             registry.putAll(Map.of(
                     "e1",
-                    RegistryFixtures.entryJson(2000 + cut, "Ready"),
+                    RegistryFixtures.entryJson(2000 + offset, "Ready"),
                     "e2",
-                    RegistryFixtures.entryJson(3000 + cut, "Ready"),
+                    RegistryFixtures.entryJson(3000 + offset, "Ready"),
                     "台",
-                    RegistryFixtures.entryJson(cut, "Ready")));
+                    RegistryFixtures.entryJson(offset, "Ready")));
             client.awaitEqualTo(registry);
         }
     }
--- a/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryEndpointsTest.java
@@ -55,7 +55,7 @@
         two.recordSuccess(1 - first);
         assertEquals(1 - first, two.select(10 * SECOND_MICROS), "the endpoint in use is kept");
         two.recordSuccess(first);
-        two.recordStaleAnswer(1 - first, 10 * SECOND_MICROS, SECOND_MICROS);
+        two.recordStaleResponse(1 - first, 10 * SECOND_MICROS, SECOND_MICROS);
         two.recordFailure(first, 10 * SECOND_MICROS - 1, EndpointFailure.TIMEOUT, 0);
         assertEquals(first, two.select(11 * SECOND_MICROS), "the other endpoint is preferred, although it failed once");
     }
