--- a/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
+++ b/src/test/java/magpiehub/discovery/EndpointListCacheTest.java
@@ -100,13 +100,13 @@
                 client.awaitEqualTo(registry);
                 RegistryFixtures.await(() -> client.counted("registry_list_writes") > 0, () -> client.log.toString());
             }
-            registry.endpoints.get(0).fault(FakeRegistry.Fault.DOWN);
+            registry.endpoints.get(0).injectFault(FakeRegistry.Fault.DOWN);
             try (RecordingRegistryClient client =
                     new RecordingRegistryClient(RegistryFixtures.settings("etcd", registry.addresses(), more))) {
                 client.awaitEqualTo(registry);
                 assertTrue(client.log.contains("registry-list-restored engines 2"));
                 registry.delete("e1");
-                registry.endpoints.get(0).fault(FakeRegistry.Fault.NONE);
+                registry.endpoints.get(0).injectFault(FakeRegistry.Fault.NONE);
                 client.awaitEqualTo(registry);
                 RegistryFixtures.await(() -> client.counted("registry_list_writes") > 0, () -> client.log.toString());
             }
--- a/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
@@ -30,7 +30,7 @@
     private final int port;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    /** The fault of later requests. Setting the field alone does not affect open connections, see {@link #fault}. */
+    /** The fault of later requests. Setting the field alone does not affect open connections, see {@link #injectFault}. */
     volatile FakeRegistry.Fault fault = FakeRegistry.Fault.NONE;
 
     /** By how many revisions this endpoint lags behind the registry. */
@@ -57,7 +57,7 @@
      * Injects a fault. Closes open connections, unless the fault makes the endpoint or its watches silent. An endpoint
      * that is down keeps its port and resets each new connection.
      */
-    void fault(FakeRegistry.Fault injected) {
+    void injectFault(FakeRegistry.Fault injected) {
         fault = injected;
         if (injected != FakeRegistry.Fault.SILENT && injected != FakeRegistry.Fault.SILENT_WATCHES) {
             closeConnections();
@@ -73,7 +73,7 @@
     }
 
     void close() {
-        fault(FakeRegistry.Fault.DOWN);
+        injectFault(FakeRegistry.Fault.DOWN);
         try {
             server.close();
         } catch (IOException e) {
--- a/src/test/java/magpiehub/discovery/FaultScript.java
+++ b/src/test/java/magpiehub/discovery/FaultScript.java
@@ -103,7 +103,7 @@
             pause(100 + random.nextInt(250));
         }
         makeChanges(Math.max(0, changes - changesMade));
-        registry.endpoints.forEach(endpoint -> endpoint.fault(FakeRegistry.Fault.NONE));
+        registry.endpoints.forEach(endpoint -> endpoint.injectFault(FakeRegistry.Fault.NONE));
         registry.endpoints.forEach(endpoint -> endpoint.revisionsBehind = 0);
     }
 
@@ -193,10 +193,10 @@
     }
 
     private void injectFor(FakeRegistryEndpoint endpoint, FakeRegistry.Fault fault, int changes, long millis) {
-        endpoint.fault(fault);
+        endpoint.injectFault(fault);
         makeChanges(changes);
         pause(millis);
-        endpoint.fault(FakeRegistry.Fault.NONE);
+        endpoint.injectFault(FakeRegistry.Fault.NONE);
     }
 
     private void compactWhileDown(int changes) {
@@ -246,12 +246,12 @@
 
     private void takeDown() {
         model.downSinceMicros = clock.micros();
-        registry.endpoints.forEach(endpoint -> endpoint.fault(FakeRegistry.Fault.DOWN));
+        registry.endpoints.forEach(endpoint -> endpoint.injectFault(FakeRegistry.Fault.DOWN));
     }
 
     private void bringUp() {
         model.reachableSinceMicros = clock.micros();
         model.downSinceMicros = Long.MAX_VALUE;
-        registry.endpoints.forEach(endpoint -> endpoint.fault(FakeRegistry.Fault.NONE));
+        registry.endpoints.forEach(endpoint -> endpoint.injectFault(FakeRegistry.Fault.NONE));
     }
 }
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -46,7 +46,7 @@
     }
 
     private void useOnlyEndpoint(int endpoint) {
-        registry.endpoints.get(1 - endpoint).fault(Fault.DOWN);
+        registry.endpoints.get(1 - endpoint).injectFault(Fault.DOWN);
     }
 
     private void makeChanges(int first, int count) {
@@ -141,10 +141,10 @@
         long old = registry.revision;
         makeChanges(100, 20);
         client.awaitEqualTo(registry);
-        registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
+        registry.endpoints.forEach(e -> e.injectFault(Fault.DOWN));
         registry.restore(old, registry.cluster, old);
         makeChanges(317, 60);
-        registry.endpoints.forEach(e -> e.fault(Fault.NONE));
+        registry.endpoints.forEach(e -> e.injectFault(Fault.NONE));
         client.awaitEqualTo(registry);
         assertTrue(!kind.equals("etcd") || client.log.contains("different history at revision"), client.log.toString());
     }
@@ -194,8 +194,8 @@
     void silentEndpointIsReplaced(String kind) throws Exception {
         registry.endpoints.get(0).fault = Fault.SILENT;
         startClient(kind, "");
-        registry.endpoints.get(0).fault(Fault.NONE);
-        registry.endpoints.get(1).fault(Fault.SILENT);
+        registry.endpoints.get(0).injectFault(Fault.NONE);
+        registry.endpoints.get(1).injectFault(Fault.SILENT);
         makeChanges(100, 20);
         client.awaitEqualTo(registry);
         RegistryFixtures.await(() -> client.log.contains("why silent"), () -> client.log.toString());
@@ -206,15 +206,15 @@
     @MethodSource("kinds")
     void slowListIsReplacedInTime(String kind) throws Exception {
         makeChanges(100, 20);
-        registry.endpoints.get(0).fault(Fault.BYTE_BY_BYTE);
-        registry.endpoints.get(1).fault(Fault.DOWN);
+        registry.endpoints.get(0).injectFault(Fault.BYTE_BY_BYTE);
+        registry.endpoints.get(1).injectFault(Fault.DOWN);
         client = new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), ""));
         RegistryFixtures.await(() -> !registry.requestCounts.isEmpty(), () -> client.log.toString());
-        registry.endpoints.get(1).fault(Fault.NONE);
+        registry.endpoints.get(1).injectFault(Fault.NONE);
         long back = System.nanoTime();
         client.awaitEqualTo(registry);
         assertTrue(System.nanoTime() - back < 6_000_000_000L, "list within 6 s");
-        registry.endpoints.get(0).fault(Fault.NONE);
+        registry.endpoints.get(0).injectFault(Fault.NONE);
     }
 
     @ParameterizedTest(name = "{0}")
@@ -264,13 +264,13 @@
         try (FakeRegistry second = new FakeRegistry(1)) {
             second.put("only", RegistryFixtures.entryJson(1, "Ready"));
             second.put("e5", RegistryFixtures.entryJson(2, "Ready"));
-            second.endpoints.get(0).fault(Fault.SILENT);
+            second.endpoints.get(0).injectFault(Fault.SILENT);
             makeChanges(100, 100);
             client.client.changeSettings(RegistryFixtures.settings(kind, second.addresses(), ""));
             makeChanges(200, 100);
             // The second registry has delivered nothing yet, so the first one's changes still apply.
             client.awaitEqualTo(registry);
-            second.endpoints.get(0).fault(Fault.NONE);
+            second.endpoints.get(0).injectFault(Fault.NONE);
             client.awaitEqualTo(second);
             makeChanges(300, 10);
             second.put("later", RegistryFixtures.entryJson(3, "Ready"));
@@ -293,11 +293,11 @@
     @MethodSource("kinds")
     void listSurvivesARegistryOutage(String kind) throws Exception {
         startClient(kind, "");
-        registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
+        registry.endpoints.forEach(e -> e.injectFault(Fault.DOWN));
         makeChanges(100, 50);
         RegistryFixtures.await(() -> client.counted("registry_failures") > 3, () -> client.log.toString());
         assertFalse(client.endpoints.isEmpty(), "the list is kept during the outage");
-        registry.endpoints.forEach(e -> e.fault(Fault.NONE));
+        registry.endpoints.forEach(e -> e.injectFault(Fault.NONE));
         client.awaitEqualTo(registry);
         RegistryFixtures.await(() -> client.log.contains("registry-up"), () -> client.log.toString());
     }
@@ -306,11 +306,11 @@
     @MethodSource("kinds")
     void rejectedRequestsAndLostLeadersAreRetried(String kind) throws Exception {
         startClient(kind, "");
-        registry.endpoints.get(0).fault(Fault.RATE_LIMITED);
-        registry.endpoints.get(1).fault(kind.equals("etcd") ? Fault.UNAUTHORIZED : Fault.NO_LEADER);
+        registry.endpoints.get(0).injectFault(Fault.RATE_LIMITED);
+        registry.endpoints.get(1).injectFault(kind.equals("etcd") ? Fault.UNAUTHORIZED : Fault.NO_LEADER);
         makeChanges(100, 20);
         RegistryFixtures.await(() -> client.counted("registry_failures") > 3, () -> client.log.toString());
-        registry.endpoints.forEach(e -> e.fault(Fault.NONE));
+        registry.endpoints.forEach(e -> e.injectFault(Fault.NONE));
         client.awaitEqualTo(registry);
     }
 
@@ -319,10 +319,10 @@
     void compactionBetweenListAndWatchCausesARelist(String kind) throws Exception {
         assumeTrue(kind.equals("etcd"));
         startClient(kind, "");
-        registry.endpoints.forEach(e -> e.fault(Fault.DOWN));
+        registry.endpoints.forEach(e -> e.injectFault(Fault.DOWN));
         makeChanges(100, 50);
         registry.compact();
-        registry.endpoints.forEach(e -> e.fault(Fault.NONE));
+        registry.endpoints.forEach(e -> e.injectFault(Fault.NONE));
         client.awaitEqualTo(registry);
         assertEquals(1, client.counted("registry_compactions"));
     }
