--- a/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
+++ b/src/test/java/magpiehub/discovery/FakeRegistryEndpoint.java
@@ -30,7 +30,10 @@
     private final int port;
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    /** The fault of later requests. Setting the field alone does not affect open connections, see {@link #injectFault}. */
+    /**
+     * The fault of later requests. Setting the field alone does not affect open connections, see
+     * {@link #injectFault}.
+     */
     volatile FakeRegistry.Fault fault = FakeRegistry.Fault.NONE;
 
     /** By how many revisions this endpoint lags behind the registry. */
