--- a/src/main/java/magpiehub/discovery/RegistryConnection.java
+++ b/src/main/java/magpiehub/discovery/RegistryConnection.java
@@ -44,6 +44,7 @@
     private static final int MAX_ERROR_TEXT_BYTES = 512;
 
     private static final int DRAIN_BUFFER_BYTES = 4096;
+    private static final int STATUS_OK = 200;
 
     private final String endpoint;
     private final Socket plainSocket = new Socket();
@@ -123,7 +124,7 @@
             throw new EOFException("registry closed the connection before the response");
         }
         HttpHead head = input.readResponseHead();
-        if (head.status() != 200 && head.status() != alsoAccepted) {
+        if (head.status() != STATUS_OK && head.status() != alsoAccepted) {
             throw new HttpStatusException(
                     head.status(),
                     readErrorText(head),
--- a/src/test/java/magpiehub/discovery/FaultScript.java
+++ b/src/test/java/magpiehub/discovery/FaultScript.java
@@ -96,9 +96,9 @@
         int changesPerFault = Math.max(1, changes / order.size());
         for (FaultKind kind : order) {
             makeChanges(changesPerFault / 2);
-            model.phase = kind.name();
+            model.faultPhase = kind.name();
             inject(kind, oldRevision, changesPerFault / 4);
-            model.phase = "after " + kind.name();
+            model.faultPhase = "after " + kind.name();
             makeChanges(Math.min(changes - changesMade, changesPerFault - changesPerFault / 2 - changesPerFault / 4));
             pause(100 + random.nextInt(250));
         }
--- a/src/test/java/magpiehub/discovery/FaultTally.java
+++ b/src/test/java/magpiehub/discovery/FaultTally.java
@@ -13,7 +13,8 @@
     /** Complete lists that were compared with the registry's data at their position. */
     final AtomicLong samples = new AtomicLong();
 
-    long wrong() {
+    /** Returns the number of all inconsistencies. */
+    long total() {
         return missed.get() + repeated.get() + regressed.get();
     }
 }
--- a/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
@@ -16,7 +16,7 @@
 /** Runs a registry client and records what it publishes, counts and logs. */
 final class RecordingRegistryClient implements RegistryClientObserver, AutoCloseable {
     private static final int TAIL_LENGTH = 3000;
-    private static final int BRIEF_LENGTH = 500;
+    private static final int MAX_DESCRIPTION_LENGTH = 500;
 
     final RegistryClient client;
     final RecordingEventLog log = new RecordingEventLog();
@@ -80,8 +80,9 @@
     void awaitEqualTo(FakeRegistry registry) {
         RegistryFixtures.await(
                 () -> isEqualTo(registry),
-                () -> "published " + brief(endpoints) + "\nregistry " + brief(RegistryFixtures.describe(registry))
-                        + "\n" + log.counts() + "\n" + log.tail(TAIL_LENGTH));
+                () -> "published " + abbreviate(endpoints) + "\nregistry "
+                        + abbreviate(RegistryFixtures.describe(registry)) + "\n" + log.counts() + "\n"
+                        + log.tail(TAIL_LENGTH));
         assertTrue(inconsistency.isEmpty(), inconsistency);
     }
 
@@ -94,9 +95,9 @@
         return published.equals(RegistryFixtures.describe(registry));
     }
 
-    private static String brief(Map<?, ?> entries) {
+    private static String abbreviate(Map<?, ?> entries) {
         String text = entries.size() + " " + entries;
-        return text.substring(0, Math.min(BRIEF_LENGTH, text.length()));
+        return text.substring(0, Math.min(MAX_DESCRIPTION_LENGTH, text.length()));
     }
 
     @Override
--- a/src/test/java/magpiehub/discovery/RegistryClientTest.java
+++ b/src/test/java/magpiehub/discovery/RegistryClientTest.java
@@ -40,8 +40,8 @@
         registry.close();
     }
 
-    private void startClient(String kind, String more) throws Exception {
-        client = new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), more));
+    private void startClient(String kind, String extraMembers) throws Exception {
+        client = new RecordingRegistryClient(RegistryFixtures.settings(kind, registry.addresses(), extraMembers));
         client.awaitEqualTo(registry);
     }
 
--- a/src/test/java/magpiehub/discovery/RegistryFaultInjection.java
+++ b/src/test/java/magpiehub/discovery/RegistryFaultInjection.java
@@ -97,7 +97,7 @@
                 + tally.repeated + " regressed=" + tally.regressed + " samples=" + tally.samples);
         all.values.forEach(
                 (name, value) -> line.append(' ').append(name).append('=').append(value));
-        return new Outcome(line.toString(), all.exceeded, tally.wrong());
+        return new Outcome(line.toString(), all.exceeded, tally.total());
     }
 
     private Measurements measure() throws Exception {
--- a/src/test/java/magpiehub/discovery/RegistryFixtures.java
+++ b/src/test/java/magpiehub/discovery/RegistryFixtures.java
@@ -54,13 +54,13 @@
                 + number + "}";
     }
 
-    /** Creates settings with short intervals; {@code more} is appended to the file's members. */
-    static DiscoverySettings settings(String kind, List<String> endpoints, String more) throws IOException {
+    /** Creates settings with short intervals; {@code extraMembers} is appended to the file's members. */
+    static DiscoverySettings settings(String kind, List<String> endpoints, String extraMembers) throws IOException {
         String json = "{\"kind\":\"" + kind + "\",\"endpoints\":[\"" + String.join("\",\"", endpoints) + "\"],"
                 + "\"prefix\":\"" + FakeRegistry.PREFIX + "\",\"service\":\"engines\",\"reconnect_spread_ms\":50,"
                 + "\"backoff_base_ms\":20,\"backoff_cap_ms\":200,\"least_interval_ms\":20,"
                 + "\"check_every_ms\":200,\"timeout_ms\":2000,\"membership\":{\"flap_half_life_ms\":0}"
-                + more + "}";
+                + extraMembers + "}";
         return DiscoverySettings.of(ConfigurationObject.parse(json.getBytes(UTF_8), "registry.json"), Path.of("."));
     }
 
--- a/src/test/java/magpiehub/discovery/RegistryModel.java
+++ b/src/test/java/magpiehub/discovery/RegistryModel.java
@@ -41,7 +41,7 @@
     /** When the current outage began; {@link Long#MAX_VALUE} if there is none. */
     volatile long downSinceMicros = Long.MAX_VALUE;
     /** The current or last fault, for the log. */
-    volatile String phase = "";
+    volatile String faultPhase = "";
 
     RegistryModel(FakeRegistry registry, MonotonicClock clock) {
         this.registry = registry;
--- a/src/test/java/magpiehub/discovery/ServeRegistryTest.java
+++ b/src/test/java/magpiehub/discovery/ServeRegistryTest.java
@@ -38,14 +38,14 @@
     @TempDir
     Path folder;
 
-    /** Writes the registry settings; {@code more} is appended to their members. */
-    private void writeRegistrySettings(FakeRegistry registry, String more) throws Exception {
+    /** Writes the registry settings; {@code extraMembers} is appended to their members. */
+    private void writeRegistrySettings(FakeRegistry registry, String extraMembers) throws Exception {
         Path deploy = folder.resolve("deploy");
         Files.createDirectories(deploy);
         Files.writeString(
                 deploy.resolve("registry.json"),
                 "{\"kind\":\"etcd\",\"endpoints\":[\"" + registry.addresses().get(0) + "\"],\"prefix\":\""
-                        + FakeRegistry.PREFIX + "\",\"announce\":{\"prefix\":\"routers/\"}" + more + "}");
+                        + FakeRegistry.PREFIX + "\",\"announce\":{\"prefix\":\"routers/\"}" + extraMembers + "}");
     }
 
     private Process startRouter() throws Exception {
--- a/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/VerifiedRegistryClient.java
@@ -194,7 +194,7 @@
         int highest = highestCells.merge(id, cell, Math::max);
         if (cell < highest && highest > model.restoredCell) {
             tally.regressed.incrementAndGet();
-            logNow("regressed", "engine", id, "cell", cell + " after " + highest, "fault", model.phase);
+            logNow("regressed", "engine", id, "cell", cell + " after " + highest, "fault", model.faultPhase);
         }
         catchUp(id, old == null ? 0 : old, cell, now);
     }
@@ -253,7 +253,7 @@
         long lag = now - visibleSince;
         lagsMicros.add(Math.max(0, lag));
         if (lag > LATE_MICROS && log.length() < MAX_LATE_LOG_LENGTH) {
-            logNow("late", "engine", id, "ms", Long.toString(lag / 1000), "fault", model.phase);
+            logNow("late", "engine", id, "ms", Long.toString(lag / 1000), "fault", model.faultPhase);
         }
     }
 }
