--- a/src/main/java/magpiehub/discovery/RegistryClient.java
+++ b/src/main/java/magpiehub/discovery/RegistryClient.java
@@ -15,15 +15,15 @@
 import magpiehub.upstream.UpstreamPool;
 
 /**
- * Follows the endpoint list in a key-value registry (etcd or Consul).
+ * Watches the endpoint list in a registry (etcd or Consul).
  *
- * <p>An actor: its thread owns the list and the sessions, and never blocks on a registry or the disk. Calls are
- * made by the threads of {@link RegistryCallChannel}, whose events come back as messages; events of a call that
- * is no longer current are dropped. The public methods only post messages, unless they say otherwise, and may
- * be called from any thread.
+ * <p>An actor: its thread owns the list and the sessions, and never blocks on a registry or the disk. Calls run on the
+ * threads of {@link RegistryCallChannel}, which post their events as messages; events of a call that is no longer
+ * current are dropped. Unless stated otherwise, the public methods only post messages and may be called from any
+ * thread.
  *
- * <p>After a change of the settings the old registry's events still count until the new one has delivered its
- * list.
+ * <p>After a change of the settings, events of the previous registry are still applied until the new one has delivered
+ * its list.
  */
 public final class RegistryClient implements EndpointSource {
     private static final int MAILBOX_BYTES = 16 << 20;
@@ -44,7 +44,7 @@
     private RegistryEventHandler events;
     private volatile RegistryStatistics statistics;
 
-    /** A client of the registry that the settings describe. */
+    /** Creates a client of the registry that the settings describe. */
     public RegistryClient(
             DiscoverySettings settings,
             Supplier<SiteSettings> site,
@@ -55,7 +55,7 @@
         this(settings, site, new EndpointListPublisher(upstreams), null, clock, log, seed);
     }
 
-    /** A client whose lists go to a listener instead of the upstream pool and the dispatcher, for tests. */
+    /** Creates a client for tests: its lists go to a listener instead of the upstream pool and the dispatcher. */
     RegistryClient(
             DiscoverySettings settings,
             Supplier<SiteSettings> site,
@@ -87,15 +87,15 @@
         this.cacheWriter = new EndpointListCacheWriter(parser, clock, this.log);
     }
 
-    /** Sets the observer; to be called before the start, by tests. */
-    void observe(RegistryClientObserver by) {
-        observer = by;
+    /** Sets the observer, for tests; must be called before {@link #start}. */
+    void setObserver(RegistryClientObserver newObserver) {
+        observer = newObserver;
     }
 
     /**
      * Publishes the cached list, if there is one, on the caller's thread, and starts the actor.
      *
-     * @param saved not used: the last list of a registry is in a file of its own
+     * @param saved not used: this client caches the registry's list in a separate file
      */
     @Override
     public void start(RequestDispatcher dispatcher, byte[] saved) {
@@ -115,8 +115,8 @@
         context.startThread("registry", this::run);
     }
 
-    private RegistrySession newSession(DiscoverySettings with, long now) throws IOException {
-        return new RegistrySession(with, parser, context, seed, now);
+    private RegistrySession newSession(DiscoverySettings sessionSettings, long now) throws IOException {
+        return new RegistrySession(sessionSettings, parser, context, seed, now);
     }
 
     private void restoreCachedList(long now) {
@@ -127,7 +127,7 @@
                 return;
             }
             ListDelta delta = tracker.restore(cached.items(), now);
-            observer.updated(
+            observer.onListUpdate(
                     tracker.list(), new ListUpdateResult(ListUpdateResult.Outcome.APPLIED, delta, "saved"), false);
             tracker.publishRestored();
             cacheWriter.markWritten(tracker.list().version());
@@ -139,10 +139,10 @@
 
     @Override
     public boolean hasUsableList() {
-        return tracker.isKnown();
+        return tracker.isPublished();
     }
 
-    /** Returns at once: the list on disk is enough, or the first one comes when it comes. */
+    /** Returns at once: the router starts with the cached list or without one until the registry responds. */
     @Override
     public void awaitUsableList(long timeoutMillis) {}
 
@@ -152,7 +152,7 @@
         mailbox.post(new RegistryMessage.ListRequested());
     }
 
-    /** Does nothing: the list is followed as long as the program runs. */
+    /** Does nothing: the client watches the list until it is stopped. */
     @Override
     public void unwatch() {}
 
@@ -162,7 +162,7 @@
         mailbox.post(new RegistryMessage.ListRequested());
     }
 
-    /** The overlay; its listener is to be set before the start. */
+    /** Returns the overlay, whose listener must be set before {@link #start}. */
     @Override
     public MaintenanceOverlay maintenanceOverlay() {
         return publisher.overlay();
@@ -174,17 +174,17 @@
         mailbox.post(new RegistryMessage.MaintenanceChanged(update));
     }
 
-    /** Follows the registry that other settings describe. */
-    public void changeSettings(DiscoverySettings to) {
-        mailbox.post(new RegistryMessage.SettingsChanged(to));
+    /** Applies changed settings, and connects to the registry that they describe. */
+    public void changeSettings(DiscoverySettings newSettings) {
+        mailbox.post(new RegistryMessage.SettingsChanged(newSettings));
     }
 
-    /** Ends the client's calls and threads. */
+    /** Cancels the client's calls and ends its threads. */
     public void stop() {
         mailbox.post(new RegistryMessage.StopRequested());
     }
 
-    /** Bytes read from registries since the start. */
+    /** Returns the number of bytes read from registries since the start. */
     long bytesRead() {
         return bytesRead.get();
     }
@@ -206,7 +206,7 @@
         }
     }
 
-    /** Waits for a message or a timer, and handles it; returns false after the client was stopped. */
+    /** Waits for a message or a timer and handles it; returns false once the client is stopped. */
     private boolean runTurn() throws InterruptedException {
         RegistryMessage message = mailbox.take(nextTimerMicros());
         long now = clock.micros();
@@ -222,7 +222,7 @@
             onTimer(now);
             statistics = currentStatistics();
         } catch (RuntimeException | OutOfMemoryError e) {
-            // Ends this turn only; a call that is left without a channel by it times out.
+            // The actor goes on with the next message. A call that was not passed to its channel times out.
             log.exception(e);
         }
         return true;
@@ -235,7 +235,7 @@
             }
         } else if (message instanceof RegistryMessage.CallEnded ended) {
             if (ended.call().session.isOpen(ended.call())) {
-                events.onEnded(ended.call(), ended.failure(), now);
+                events.onCallEnded(ended.call(), ended.failure(), now);
             }
         } else if (message instanceof RegistryMessage.ListRequested) {
             tracker.publishUnchanged();
@@ -246,51 +246,51 @@
         }
     }
 
-    private void onSettingsChanged(DiscoverySettings to, long now) {
-        if (to.equals(settings)) {
+    private void onSettingsChanged(DiscoverySettings newSettings, long now) {
+        if (newSettings.equals(settings)) {
             return;
         }
-        RegistrySession fresh;
+        RegistrySession replacement;
         try {
-            fresh = newSession(to, now);
+            replacement = newSession(newSettings, now);
         } catch (IOException | ConfigurationException e) {
             log.settingsRejected(e);
             return;
         }
-        log.settingsChanged(to);
-        if (!to.membership().equals(settings.membership())) {
-            tracker.changeSettings(to.membership(), now);
+        log.settingsChanged(newSettings);
+        if (!newSettings.membership().equals(settings.membership())) {
+            tracker.changeSettings(newSettings.membership(), now);
         }
-        settings = to;
-        sessions.replace(fresh);
+        settings = newSettings;
+        sessions.replace(replacement);
     }
 
     private long nextTimerMicros() {
         long next = Math.min(tracker.membership().nextTimerMicros(), sessions.nextTimerMicros());
-        return tracker.isKnown() ? Math.min(next, cacheWriter.nextWriteMicros(settings, tracker.list())) : next;
+        return tracker.isPublished() ? Math.min(next, cacheWriter.nextWriteMicros(settings, tracker.list())) : next;
     }
 
     private void onTimer(long now) {
         tracker.onTimer(now);
-        RegistrySession former = sessions.former();
-        if (former != null) {
-            advance(former, now);
+        RegistrySession previous = sessions.previous();
+        if (previous != null) {
+            advance(previous, now);
         }
         advance(sessions.current(), now);
-        if (tracker.isKnown()) {
+        if (tracker.isPublished()) {
             cacheWriter.writeIfDue(settings, tracker.list(), now);
         }
     }
 
-    /** Ends the calls of a session that have timed out, and starts those that are due. */
+    /** Cancels the calls of a session that have timed out, and starts those that are due. */
     private void advance(RegistrySession session, long now) {
         for (RegistryCall call : session.openCalls()) {
             if (session.hasTimedOut(call, now)) {
                 call.cancel();
-                events.onEnded(call, new RegistryCallTimeoutException(), now);
+                events.onCallEnded(call, new RegistryCallTimeoutException(), now);
             }
         }
-        session.startDueCalls(tracker.list(), events.lastAnswerMicros(), now);
+        session.startDueCalls(tracker.list(), events.lastResponseMicros(), now);
     }
 
     private RegistryStatistics currentStatistics() {
@@ -300,7 +300,7 @@
                 list.position(),
                 list.version(),
                 list.size(),
-                events.lastAnswerMicros(),
+                events.lastResponseMicros(),
                 list.duplicateChanges(),
                 membership.heldIds().size(),
                 membership.suppressedCount(),
--- a/src/main/java/magpiehub/discovery/RegistrySession.java
+++ b/src/main/java/magpiehub/discovery/RegistrySession.java
@@ -4,22 +4,25 @@
 import javax.net.ssl.SSLContext;
 
 /**
- * The calls to one registry: at most one main call (a list or a watch, whose events make the list) and one
- * beside it (a check that the watch is alive, or a second read of a doubted list). Decides when the next call
- * is due, which endpoint it goes to, and how long it may take. Belongs to the thread of {@link RegistryClient}'s
- * actor.
+ * Manages the calls to one registry: at most one main call (a list or a watch, whose events update the list) and at
+ * most one side call (a position check of the watch, or a second read that confirms a suspicious list). Decides when
+ * the next call is due, which endpoint it goes to, and when it times out. Used by the thread of
+ * {@link RegistryClient}'s actor only.
  */
 final class RegistrySession {
     /**
-     * How long a list that keeps coming may take at first: only for so long that another endpoint can deliver
-     * its own within the 6 s after which what a registry has must have reached the router.
+     * The initial limit on the duration of a list call that keeps receiving data. Leaves time for another endpoint to
+     * deliver its list within the 6 s in which the registry's content must reach the router.
      */
-    private static final long MIN_LIST_PATIENCE_MICROS = 3_000_000;
-    /** How long a list that keeps coming may take at most. */
-    private static final long MAX_LIST_PATIENCE_MICROS = 30_000_000;
-    /** After a check that saw more than the watch has delivered: how soon the next check decides. */
-    private static final long RECHECK_MICROS = 300_000;
-    /** Guards against a registry whose lists can't be followed: they are not read without a pause. */
+    private static final long MIN_LIST_DURATION_LIMIT_MICROS = 3_000_000;
+    /** The highest limit on the duration of a list call that keeps receiving data. */
+    private static final long MAX_LIST_DURATION_LIMIT_MICROS = 30_000_000;
+    /**
+     * The delay between a check that found changes the watch has not delivered, and the check that decides whether the
+     * watch is broken.
+     */
+    private static final long RECHECK_DELAY_MICROS = 300_000;
+    /** The minimum interval between lists, in case each list must be read again as soon as it is applied. */
     private static final long MIN_LIST_INTERVAL_MICROS = 250_000;
 
     private final DiscoverySettings settings;
@@ -29,21 +32,24 @@
     private final RegistryEventLog log;
     private final RegistryCallChannel mainChannel;
     private final RegistryCallChannel sideChannel;
-    private RegistryCall main;
-    private RegistryCall side;
+    private RegistryCall mainCall;
+    private RegistryCall sideCall;
     /** Whether this registry has delivered a complete list. */
-    private boolean listed;
+    private boolean listReceived;
     /** Whether the last call failed. */
-    private boolean down;
+    private boolean lastCallFailed;
 
     private boolean confirmationRequested;
     private long nextMainCallMicros;
     private long nextCheckMicros = Long.MIN_VALUE;
-    private long listedAtMicros = Long.MIN_VALUE / 2;
-    /** How long a list may keep coming: twice as long as the last one that was given up for it. */
-    private long listPatienceMicros = MIN_LIST_PATIENCE_MICROS;
+    private long lastListAtMicros = Long.MIN_VALUE / 2;
+    /**
+     * The current limit on the duration of a list call: at least twice the duration of the last successful one, and
+     * doubled when a call exceeds it.
+     */
+    private long listDurationLimitMicros = MIN_LIST_DURATION_LIMIT_MICROS;
 
-    /** Starts the session's threads; its first call is due at once. */
+    /** Creates a session and starts its threads; the first call is due at once. */
     RegistrySession(
             DiscoverySettings settings,
             EndpointEntryParser parser,
@@ -69,7 +75,7 @@
         return protocol;
     }
 
-    /** Null for connections without TLS. */
+    /** Returns the TLS context, or null for connections without TLS. */
     SSLContext tls() {
         return tls;
     }
@@ -78,30 +84,30 @@
         return endpoints;
     }
 
-    /** Whether this registry has delivered a complete list. */
-    boolean isListed() {
-        return listed;
+    /** Returns whether this registry has delivered a complete list. */
+    boolean hasReceivedList() {
+        return listReceived;
     }
 
-    /** The watch that is open, or null. */
+    /** Returns the watch in progress, or null. */
     RegistryCall watch() {
-        return main != null && main.kind == RegistryCallKind.WATCH ? main : null;
+        return mainCall != null && mainCall.kind == RegistryCallKind.WATCH ? mainCall : null;
     }
 
-    /** The calls in progress. */
+    /** Returns the calls in progress. */
     RegistryCall[] openCalls() {
-        if (main == null) {
-            return side == null ? new RegistryCall[0] : new RegistryCall[] {side};
+        if (mainCall == null) {
+            return sideCall == null ? new RegistryCall[0] : new RegistryCall[] {sideCall};
         }
-        return side == null ? new RegistryCall[] {main} : new RegistryCall[] {main, side};
+        return sideCall == null ? new RegistryCall[] {mainCall} : new RegistryCall[] {mainCall, sideCall};
     }
 
-    /** Whether a call is one in progress, so that its events count. */
+    /** Returns whether a call is in progress, so that its events apply. */
     boolean isOpen(RegistryCall call) {
-        return call == main || call == side;
+        return call == mainCall || call == sideCall;
     }
 
-    /** Requests a second read of the list beside the main call. */
+    /** Requests a second read of the list as a side call. */
     void requestConfirmation() {
         confirmationRequested = true;
     }
@@ -111,22 +117,22 @@
         for (RegistryCall call : openCalls()) {
             call.cancel();
         }
-        main = null;
-        side = null;
+        mainCall = null;
+        sideCall = null;
         mainChannel.stop();
         sideChannel.stop();
     }
 
-    /** When a call is due or times out next. */
+    /** Returns when the next call is due or the next timeout occurs. */
     long nextTimerMicros() {
-        long next = main == null ? nextMainCallMicros : main.deadlineMicros;
-        if (side != null) {
-            return Math.min(next, side.deadlineMicros);
+        long next = mainCall == null ? nextMainCallMicros : mainCall.deadlineMicros;
+        if (sideCall != null) {
+            return Math.min(next, sideCall.deadlineMicros);
         }
         return Math.min(next, confirmationRequested ? endpoints.nextReadyAtMicros() : checkDueMicros());
     }
 
-    /** When the watch has been quiet long enough to be checked; {@link Long#MAX_VALUE} without an open watch. */
+    /** Returns when the next check of the silent watch is due; {@link Long#MAX_VALUE} without an open watch. */
     private long checkDueMicros() {
         RegistryCall watch = watch();
         if (watch == null || !watch.watchOpen) {
@@ -136,40 +142,40 @@
     }
 
     /** Starts the calls that are due. */
-    void startDueCalls(EndpointListState list, long lastAnswerAtMicros, long nowMicros) {
-        if (main == null && nowMicros >= nextMainCallMicros) {
-            startMainCall(list, lastAnswerAtMicros, nowMicros);
+    void startDueCalls(EndpointListState list, long lastResponseMicros, long nowMicros) {
+        if (mainCall == null && nowMicros >= nextMainCallMicros) {
+            startMainCall(list, lastResponseMicros, nowMicros);
         }
-        if (side == null && confirmationRequested) {
+        if (sideCall == null && confirmationRequested) {
             startConfirmation(list, nowMicros);
         }
-        if (side == null && checkDueMicros() <= nowMicros) {
+        if (sideCall == null && checkDueMicros() <= nowMicros) {
             nextCheckMicros = nowMicros + settings.checkIntervalMicros();
-            side = newCall(RegistryCallKind.CHECK, main.endpoint, false, list, nowMicros);
-            sideChannel.start(side);
+            sideCall = newCall(RegistryCallKind.CHECK, mainCall.endpointIndex, false, list, nowMicros);
+            sideChannel.start(sideCall);
         }
     }
 
-    private void startMainCall(EndpointListState list, long lastAnswerAtMicros, long nowMicros) {
+    private void startMainCall(EndpointListState list, long lastResponseMicros, long nowMicros) {
         int endpoint = endpoints.select(nowMicros);
         if (endpoint < 0) {
             nextMainCallMicros = endpoints.nextReadyAtMicros();
             return;
         }
-        boolean needsList = !listed || list.requiresRelist();
-        if (needsList && nowMicros < listedAtMicros + MIN_LIST_INTERVAL_MICROS) {
-            nextMainCallMicros = listedAtMicros + MIN_LIST_INTERVAL_MICROS;
+        boolean needsList = !listReceived || list.requiresRelist();
+        if (needsList && nowMicros < lastListAtMicros + MIN_LIST_INTERVAL_MICROS) {
+            nextMainCallMicros = lastListAtMicros + MIN_LIST_INTERVAL_MICROS;
             return;
         }
         RegistryCallKind kind = needsList ? RegistryCallKind.LIST : RegistryCallKind.WATCH;
-        main = newCall(kind, endpoint, false, list, nowMicros);
+        mainCall = newCall(kind, endpoint, false, list, nowMicros);
         if (kind == RegistryCallKind.WATCH && protocol.watchReturnsCompleteList()) {
-            main.deadlineMicros += protocol.maxQuietMicros();
-            main.watchOpen = true;
-            // The time between two queries counts: nothing was received in it either.
-            main.lastEventAtMicros = Math.min(nowMicros, lastAnswerAtMicros);
+            mainCall.deadlineMicros += protocol.maxWatchSilenceMicros();
+            mainCall.watchOpen = true;
+            // The interval between two queries counts as silence too: nothing was received during it.
+            mainCall.lastEventAtMicros = Math.min(nowMicros, lastResponseMicros);
         }
-        mainChannel.start(main);
+        mainChannel.start(mainCall);
     }
 
     private void startConfirmation(EndpointListState list, long nowMicros) {
@@ -178,8 +184,8 @@
             return;
         }
         confirmationRequested = false;
-        side = newCall(RegistryCallKind.LIST, endpoint, true, list, nowMicros);
-        sideChannel.start(side);
+        sideCall = newCall(RegistryCallKind.LIST, endpoint, true, list, nowMicros);
+        sideChannel.start(sideCall);
     }
 
     private RegistryCall newCall(
@@ -191,55 +197,55 @@
     }
 
     /**
-     * Whether a call has timed out. A list of which parts keep coming gets a later deadline, until it has taken
-     * too long altogether.
+     * Returns whether a call has timed out. The deadline of a list call that keeps receiving data is extended up to the
+     * limit on its total duration.
      */
     boolean hasTimedOut(RegistryCall call, long nowMicros) {
         if (call.deadlineMicros > nowMicros) {
             return false;
         }
-        long silentAtMicros = call.lastReadMicros() + settings.timeoutMicros();
-        boolean progresses = call.kind == RegistryCallKind.LIST && silentAtMicros > nowMicros;
-        if (progresses && call.startedAtMicros + listPatienceMicros > nowMicros) {
-            call.deadlineMicros = Math.min(call.startedAtMicros + listPatienceMicros, silentAtMicros);
+        long readTimeoutAtMicros = call.lastReadMicros() + settings.timeoutMicros();
+        boolean receivesData = call.kind == RegistryCallKind.LIST && readTimeoutAtMicros > nowMicros;
+        if (receivesData && call.startedAtMicros + listDurationLimitMicros > nowMicros) {
+            call.deadlineMicros = Math.min(call.startedAtMicros + listDurationLimitMicros, readTimeoutAtMicros);
             return false;
         }
-        if (progresses) {
-            listPatienceMicros = Math.min(MAX_LIST_PATIENCE_MICROS, 2 * listPatienceMicros);
+        if (receivesData) {
+            listDurationLimitMicros = Math.min(MAX_LIST_DURATION_LIMIT_MICROS, 2 * listDurationLimitMicros);
         }
         return true;
     }
 
     /**
-     * Notes that an endpoint has answered as it should.
+     * Records that an endpoint responded successfully.
      *
-     * @return whether the last call before had failed
+     * @return whether the previous call had failed
      */
     boolean recordSuccess(RegistryCall call) {
-        endpoints.recordSuccess(call.endpoint);
-        boolean wasDown = down;
-        down = false;
-        return wasDown;
+        endpoints.recordSuccess(call.endpointIndex);
+        boolean hadFailed = lastCallFailed;
+        lastCallFailed = false;
+        return hadFailed;
     }
 
-    /** Notes that a call has delivered a complete list that is now in force. */
+    /** Records that a call delivered a complete list that has been applied. */
     void recordList(RegistryCall call, long nowMicros) {
-        listed = true;
-        listedAtMicros = nowMicros;
-        long taken = call.kind == RegistryCallKind.LIST ? nowMicros - call.startedAtMicros : 0;
-        listPatienceMicros = Math.max(MIN_LIST_PATIENCE_MICROS, 2 * taken);
+        listReceived = true;
+        lastListAtMicros = nowMicros;
+        long durationMicros = call.kind == RegistryCallKind.LIST ? nowMicros - call.startedAtMicros : 0;
+        listDurationLimitMicros = Math.max(MIN_LIST_DURATION_LIMIT_MICROS, 2 * durationMicros);
     }
 
-    /** Makes the next check soon after one that saw more than the watch has delivered. */
-    void recheckSoon(RegistryCall check) {
-        nextCheckMicros = check.startedAtMicros + Math.min(RECHECK_MICROS, settings.checkIntervalMicros());
-        main.lastEventAtMicros = nextCheckMicros - settings.checkIntervalMicros();
+    /** Schedules the next check soon after one that found changes that the watch has not delivered. */
+    void scheduleRecheck(RegistryCall check) {
+        nextCheckMicros = check.startedAtMicros + Math.min(RECHECK_DELAY_MICROS, settings.checkIntervalMicros());
+        mainCall.lastEventAtMicros = nextCheckMicros - settings.checkIntervalMicros();
     }
 
-    /** Cancels the main call, whose events no longer count; the next one is due at a time. */
-    void abandonMainCall(long nextCallMicros) {
-        RegistryCall call = main;
-        main = null;
+    /** Cancels the main call, whose events no longer apply; the next one is due at {@code nextCallMicros}. */
+    void cancelMainCall(long nextCallMicros) {
+        RegistryCall call = mainCall;
+        mainCall = null;
         nextMainCallMicros = nextCallMicros;
         if (call != null) {
             call.cancel();
@@ -252,32 +258,35 @@
      * @return whether it was the main call
      */
     boolean remove(RegistryCall call, long nowMicros) {
-        if (call != main) {
-            side = null;
+        if (call != mainCall) {
+            sideCall = null;
             return false;
         }
-        main = null;
+        mainCall = null;
         nextMainCallMicros = nowMicros;
         return true;
     }
 
-    /** Delays the next main call after one that ended well, where each answer to a watch is a complete list. */
+    /**
+     * Delays the next main call after a successful one to the minimum query interval, if each response to a watch is a
+     * complete list.
+     */
     void delayNextQuery(RegistryCall ended, long nowMicros) {
         if (protocol.watchReturnsCompleteList() && !ended.deliveredLaggingList) {
             nextMainCallMicros = Math.max(nowMicros, ended.startedAtMicros + settings.minQueryIntervalMicros());
         }
     }
 
-    /** Backs off after a call that failed and was removed. */
+    /** Records that a call failed, after its removal, and applies the backoff. */
     void recordFailure(
             RegistryCall call, boolean wasMain, EndpointFailure failure, long retryAfterMicros, long nowMicros) {
-        endpoints.recordFailure(call.endpoint, nowMicros, failure, retryAfterMicros);
-        down = true;
+        endpoints.recordFailure(call.endpointIndex, nowMicros, failure, retryAfterMicros);
+        lastCallFailed = true;
         if (wasMain) {
             nextMainCallMicros = Math.max(nowMicros, endpoints.nextReadyAtMicros());
-        } else if (watch() != null && main.endpoint == call.endpoint) {
-            // The watch's endpoint no longer answers: a quiet watch on it can't be told from a dead one.
-            abandonMainCall(Math.max(nowMicros, endpoints.nextReadyAtMicros()));
+        } else if (watch() != null && mainCall.endpointIndex == call.endpointIndex) {
+            // The watch's endpoint no longer responds, so a silent watch can't be told from a broken one.
+            cancelMainCall(Math.max(nowMicros, endpoints.nextReadyAtMicros()));
         }
     }
 }
--- a/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
+++ b/src/main/java/magpiehub/discovery/RegistrySettingsReader.java
@@ -13,14 +13,14 @@
 import magpiehub.config.HostPort;
 
 /**
- * Reads one object of the settings file with bounds and defaults. A field that is of the wrong type, out of
- * bounds, or never asked for is a {@link ConfigurationException} that names file and field.
+ * Reads one object of the settings file with bounds and defaults. A field that has the wrong type, is out of bounds, or
+ * is unknown causes a {@link ConfigurationException} that names the file and the field.
  */
 final class RegistrySettingsReader {
     private static final long MICROS_PER_MILLI = 1000;
 
     private final ConfigurationObject fields;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> knownFields = new TreeSet<>();
 
     RegistrySettingsReader(ConfigurationObject fields) {
         this.fields = fields;
@@ -35,37 +35,37 @@
     }
 
     String text(String field, String defaultValue) {
-        known.add(field);
+        knownFields.add(field);
         String value = fields.text(field, defaultValue);
         if (value != null && containsControlCharacter(value)) {
-            throw invalid(field, "must not hold control characters");
+            throw invalid(field, "must not contain control characters");
         }
         return value;
     }
 
-    /** A boolean, false where the field is absent. */
+    /** Reads a boolean; returns false if the field is absent. */
     boolean flag(String field) {
-        known.add(field);
+        knownFields.add(field);
         return fields.flag(field, false);
     }
 
     double number(String field, double defaultValue, double min, double max) {
-        known.add(field);
+        knownFields.add(field);
         double value = fields.number(field, defaultValue);
         if (!(value >= min && value <= max)) {
-            throw invalid(field, "must be from " + plain(min) + " to " + plain(max) + ", not " + plain(value));
+            throw invalid(field, "must be from " + format(min) + " to " + format(max) + ", not " + format(value));
         }
         return value;
     }
 
-    /** A time in microseconds from a field in milliseconds. */
+    /** Reads a duration in milliseconds and returns it in microseconds. */
     long micros(String field, double defaultMillis, double minMillis, double maxMillis) {
         return Math.round(number(field, defaultMillis, minMillis, maxMillis) * MICROS_PER_MILLI);
     }
 
-    /** A list of at least one {@code address:port}. */
+    /** Reads a list of at least one {@code address:port}. */
     List<String> addresses(String field) {
-        known.add(field);
+        knownFields.add(field);
         List<String> addresses = new ArrayList<>();
         for (String address : fields.texts(field)) {
             try {
@@ -80,15 +80,15 @@
         return addresses;
     }
 
-    /** A path relative to a directory; null where the field is absent. */
+    /** Reads a path relative to a directory; returns null if the field is absent. */
     Path path(String field, Path directory) {
         String value = text(field, null);
         return value == null ? null : directory.resolve(value);
     }
 
     /**
-     * The first line of the file that the field names; null where the field is absent. A file that every
-     * account of the machine can read is rejected.
+     * Reads a secret from the first line of the file that the field names; returns null if the field is absent. A file
+     * that other users of the machine can read or write is rejected, as is one that its group can write.
      */
     String secret(String field, Path directory) throws IOException {
         Path file = path(field, directory);
@@ -108,17 +108,17 @@
         return secret;
     }
 
-    /** The reader of a nested object, which is empty where the field is absent. */
+    /** Returns a reader of a nested object, which is empty if the field is absent. */
     RegistrySettingsReader object(String field) {
-        known.add(field);
+        knownFields.add(field);
         return new RegistrySettingsReader(fields.object(field));
     }
 
-    /** Rejects fields that nobody asked for. */
+    /** Rejects fields that have not been read; fields whose name starts with {@code //} are comments. */
     void rejectUnknownFields() {
         for (String field : fields.map().keySet()) {
-            if (!known.contains(field) && !field.startsWith("//")) {
-                throw invalid(field, "is not known; known are " + String.join(", ", known));
+            if (!knownFields.contains(field) && !field.startsWith("//")) {
+                throw invalid(field, "is not known; known are " + String.join(", ", knownFields));
             }
         }
     }
@@ -137,7 +137,7 @@
         return text.chars().anyMatch(c -> c < ' ' || c == 0x7f);
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 }
--- a/src/test/java/magpiehub/discovery/FakeConsulServer.java
+++ b/src/test/java/magpiehub/discovery/FakeConsulServer.java
@@ -14,8 +14,8 @@
 import magpiehub.http.HttpHead;
 
 /**
- * Serves a {@link FakeRegistry}'s keys by Consul's HTTP interface, written from its public description: blocking
- * queries of health and key-values, and an agent's registration of services.
+ * Serves a {@link FakeRegistry}'s keys through Consul's HTTP API, implemented from its public documentation: blocking
+ * queries of the health and key-value APIs, and the agent's registration of services.
  */
 final class FakeConsulServer {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -28,35 +28,35 @@
     private final ListCache healthLists = new ListCache();
     private final ListCache keyValueLists = new ListCache();
 
-    /** Instances as JSON, written once; guarded by {@code healthLists}. */
+    /** The JSON of each instance, cached; guarded by {@code healthLists}. */
     private final Map<FakeRegistry.Version, byte[]> instances = new HashMap<>();
 
     FakeConsulServer(FakeRegistry registry) {
         this.registry = registry;
     }
 
-    /** One snapshot's response body, which is written once for all clients. */
+    /** The response body of the last snapshot, cached for all clients. */
     private static final class ListCache {
         Map<String, FakeRegistry.Version> snapshot;
         byte[] body;
     }
 
-    void answer(FakeRegistryEndpoint endpoint, HttpHead head, String path, String query, byte[] body, OutputStream out)
+    void respond(FakeRegistryEndpoint endpoint, HttpHead head, String path, String query, byte[] body, OutputStream out)
             throws IOException, InterruptedException {
         if (path.startsWith("/v1/agent")) {
-            answerAgent(endpoint, path, body, out);
+            respondToAgentCall(endpoint, path, body, out);
         } else if (isUnauthorized(endpoint, head)) {
             endpoint.send(out, 403, "", "Permission denied");
         } else if (endpoint.fault == FakeRegistry.Fault.NO_LEADER) {
             String headers = "X-Consul-Index: " + registry.revision + "\r\nX-Consul-KnownLeader: false\r\n";
             endpoint.send(out, 200, headers, "[]");
         } else {
-            answerQuery(endpoint, path.startsWith("/v1/health"), parameters(query), out);
+            respondToQuery(endpoint, path.startsWith("/v1/health"), parameters(query), out);
         }
     }
 
     private boolean isUnauthorized(FakeRegistryEndpoint endpoint, HttpHead head) {
-        return endpoint.fault == FakeRegistry.Fault.UNAUTHORISED
+        return endpoint.fault == FakeRegistry.Fault.UNAUTHORIZED
                 || (registry.password != null
                         && !registry.password.equals(head.headers().get("X-Consul-Token")));
     }
@@ -74,7 +74,7 @@
         return parameters;
     }
 
-    private void answerAgent(FakeRegistryEndpoint endpoint, String path, byte[] body, OutputStream out)
+    private void respondToAgentCall(FakeRegistryEndpoint endpoint, String path, byte[] body, OutputStream out)
             throws IOException {
         String id = path.substring(path.lastIndexOf('/') + 1).replaceFirst("^service:", "");
         boolean known;
@@ -91,8 +91,8 @@
         endpoint.send(out, known ? 200 : 404, "", known ? "" : "Unknown check");
     }
 
-    /** Answers a query, after a wait where it is a blocking one. */
-    private void answerQuery(
+    /** Responds to a query, after a wait if it is a blocking one. */
+    private void respondToQuery(
             FakeRegistryEndpoint endpoint, boolean isHealth, Map<String, String> parameters, OutputStream out)
             throws IOException, InterruptedException {
         Map<String, FakeRegistry.Version> snapshot = null;
@@ -122,7 +122,7 @@
         long leftMillis = (end - System.nanoTime()) / NANOS_PER_MILLI;
         while (index > 0
                 && ((index == endpoint.visibleRevision() && leftMillis > 0)
-                        || endpoint.fault == FakeRegistry.Fault.MUTE)) {
+                        || endpoint.fault == FakeRegistry.Fault.SILENT_WATCHES)) {
             registry.wait(Math.max(1, leftMillis));
             leftMillis = (end - System.nanoTime()) / NANOS_PER_MILLI;
         }
@@ -196,7 +196,7 @@
         });
     }
 
-    /** The value, or one with an unreadable address where it is no JSON object. */
+    /** Parses a value; returns one with an unreadable address if it is not a JSON object. */
     private static ConfigurationObject parseValue(byte[] value) throws IOException {
         try {
             return ConfigurationObject.parse(value, "value");
