--- a/src/main/java/magpiehub/simulator/JitWarmUp.java
+++ b/src/main/java/magpiehub/simulator/JitWarmUp.java
@@ -7,25 +7,25 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Runs an artificial exchange through an adapter of its own before the first real message, so that the just-in-time
- * compiler has compiled parsing and decisions when they are needed. Nothing of it is kept.
+ * Runs a synthetic exchange through a separate adapter before the first real message, so that the just-in-time compiler
+ * has compiled parsing and routing decisions by the time they are needed. All output and state are discarded.
  */
 public final class JitWarmUp {
-    /** Rounds for the adapter, whose CPU time is measured. */
+    /** Rounds for the adapter, whose CPU time is measured, so that it pays for a longer warm-up. */
     public static final int ADAPTER_ROUNDS = 2500;
 
-    /** Rounds for a router, whose clients wait for it to start. */
+    /** Rounds for a router: few, because clients wait for it to start. */
     public static final int ROUTER_ROUNDS = 100;
 
     private static final int ENDPOINTS = 24;
     private static final int ZONES = 2;
 
-    /** Sessions and prompt prefixes that requests take in turn: some are met again, so that affinity has work. */
+    /** Sessions and prompt prefixes, used in rotation: some recur, so that affinity lookups are exercised too. */
     private static final int SESSIONS = 97;
 
     private static final int PREFIXES = 13;
 
-    /** One attempt in so many is rejected by its replica, so that the paths of a failure are run too. */
+    /** Every n-th attempt is rejected by its replica, so that the failure paths are compiled too. */
     private static final int ROUNDS_PER_REJECTION = 31;
 
     private static final int OUTCOME_OK = 0;
@@ -35,7 +35,7 @@
     private static final int ROUND_INTERVAL_MILLIS = 20;
     private static final int DEADLINE_MILLIS = 4000;
 
-    /** Multipliers that spread ids over the range that real ones take. */
+    /** Multipliers that spread ids over the range of real ids. */
     private static final long REQUEST_ID_SPREAD = 0x9e3779b9L;
 
     private static final long SESSION_ID_SPREAD = 1_000_000_007L;
@@ -78,11 +78,11 @@
 
     private JitWarmUp() {}
 
-    /** Plays the exchange with so many rounds, each of one request and its answer. */
+    /** Runs the exchange for a number of rounds, each with one request and its answer. */
     public static void run(int rounds) throws IOException {
         byte[] script = script(rounds);
-        PrintStream nowhere = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
-        new SimulatorAdapter(new ByteArrayInputStream(script), OutputStream.nullOutputStream(), nowhere).run();
+        PrintStream discardedErrors = new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
+        new SimulatorAdapter(new ByteArrayInputStream(script), OutputStream.nullOutputStream(), discardedErrors).run();
     }
 
     private static byte[] script(int rounds) {
--- a/src/main/java/magpiehub/simulator/JsonValues.java
+++ b/src/main/java/magpiehub/simulator/JsonValues.java
@@ -6,7 +6,7 @@
 import java.util.Base64;
 import magpiehub.config.ConfigurationException;
 
-/** Reads the value that a parser stands at; a value of another type is a {@link ConfigurationException}. */
+/** Reads a parser's current value; a value of another type causes a {@link ConfigurationException}. */
 final class JsonValues {
     private JsonValues() {}
 
@@ -15,7 +15,7 @@
         return parser.getLongValue();
     }
 
-    /** The value of its lowest 64 bits, for an integer that may use all of them without a sign. */
+    /** Reads an unsigned 64-bit integer; larger values are truncated to their lowest 64 bits. */
     static long readUnsignedLong(JsonParser parser) throws IOException {
         requireInteger(parser);
         return parser.getBigIntegerValue().longValue();
@@ -23,7 +23,7 @@
 
     private static void requireInteger(JsonParser parser) {
         if (parser.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new ConfigurationException("must be a whole number");
+            throw new ConfigurationException("must be an integer");
         }
     }
 
@@ -41,19 +41,19 @@
         return parser.getBooleanValue();
     }
 
-    static String readText(JsonParser parser) throws IOException {
+    static String readString(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.VALUE_STRING) {
-            throw new ConfigurationException("must be a text");
+            throw new ConfigurationException("must be a string");
         }
         return parser.getText();
     }
 
     static byte[] readBase64(JsonParser parser) throws IOException {
-        String text = readText(parser);
+        String encoded = readString(parser);
         try {
-            return Base64.getDecoder().decode(text);
+            return Base64.getDecoder().decode(encoded);
         } catch (IllegalArgumentException e) {
-            throw new ConfigurationException("is not base64");
+            throw new ConfigurationException("is not valid Base64");
         }
     }
 }
--- a/src/main/java/magpiehub/simulator/LoadReportParser.java
+++ b/src/main/java/magpiehub/simulator/LoadReportParser.java
@@ -6,11 +6,11 @@
 import magpiehub.config.ConfigurationException;
 import magpiehub.routing.LoadReport;
 
-/** Parses a replica's load report. Unknown values are ignored, absent ones are NaN. */
+/** Parses a replica's load report. Unknown fields are ignored; absent ones become NaN. */
 final class LoadReportParser {
     private LoadReportParser() {}
 
-    /** Reads the object that the parser stands at the start of, and leaves the parser at its end. */
+    /** Reads an object; the parser must be at its start and is left at its end. */
     static LoadReport parse(JsonParser parser) throws IOException {
         if (parser.currentToken() != JsonToken.START_OBJECT) {
             throw new ConfigurationException("must be an object");
--- a/src/main/java/magpiehub/simulator/MalformedMessageException.java
+++ b/src/main/java/magpiehub/simulator/MalformedMessageException.java
@@ -1,23 +1,23 @@
 package magpiehub.simulator;
 
-/** Thrown where the simulator's input does not follow the wire format; says where in the message. */
+/** Thrown if the simulator's input violates the wire format; carries the location within the message. */
 final class MalformedMessageException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     private final String location;
 
     /**
-     * A fault of a message or of one of its fields.
+     * Creates an exception for a malformed message or field.
      *
-     * @param location the message's name, or {@code message.field}; empty if the fault is in no message
-     * @param reason what is wrong there
+     * @param location the message's name, or {@code message.field}; empty if the error is outside any message
+     * @param reason a description of the error
      */
     MalformedMessageException(String location, String reason) {
         super(reason);
         this.location = location;
     }
 
-    /** The message's name, or {@code message.field}; empty if the fault is in no message. */
+    /** The message's name, or {@code message.field}; empty if the error is outside any message. */
     String location() {
         return location;
     }
--- a/src/main/java/magpiehub/simulator/MessageFields.java
+++ b/src/main/java/magpiehub/simulator/MessageFields.java
@@ -12,14 +12,14 @@
 import magpiehub.routing.LoadReport;
 
 /**
- * The fields of one message as they stand on the wire, whichever message it is; an absent field has its default.
+ * The fields of one message of any type, as they appear on the wire; an absent field has its default value.
  *
- * <p>All messages share one set of field names, and a field's type does not depend on the message. One object is
- * refilled for every message, so that reading creates no garbage of its own; what outlives the message is copied out
- * by {@link RouterEventDecoder}. Times are in milliseconds, as the wire has them. Not thread-safe.
+ * <p>All messages share one set of field names, and a field's type does not depend on the message. One instance is
+ * reused for every message, so that reading allocates little; {@link RouterEventDecoder} copies what outlives the
+ * message. Times are in milliseconds, as on the wire. Not thread-safe.
  */
 final class MessageFields {
-    /** The value of a number that must not be negative, where it is absent. */
+    /** Marks an absent non-negative number. */
     private static final int ABSENT = -1;
 
     private static final EndpointFieldNames ENDPOINT_FIELDS = new SimulatorEndpointFields();
@@ -46,7 +46,7 @@
     double promptTokens;
     double prefixTokens;
     double maxOutputTokens;
-    double tookMillis;
+    double durationMillis;
     boolean clientRetry;
     boolean write;
     boolean continuation;
@@ -56,7 +56,7 @@
     Map<String, Object> settings;
     List<Endpoint> endpoints;
 
-    /** Sets every field to its default and takes the name of the message that comes next. */
+    /** Resets every field to its default and sets the name of the next message. */
     void reset(String newMessageName) {
         messageName = newMessageName;
         instance = ABSENT;
@@ -79,7 +79,7 @@
         promptTokens = 0;
         prefixTokens = 0;
         maxOutputTokens = 0;
-        tookMillis = 0;
+        durationMillis = 0;
         clientRetry = false;
         write = false;
         continuation = false;
@@ -91,16 +91,16 @@
     }
 
     /**
-     * Reads the value that the parser stands at into the field with this name; skips the value of an unknown field.
+     * Reads the parser's current value into the field with this name; skips the value of an unknown field.
      *
      * @throws magpiehub.config.ConfigurationException if the value is not of the field's type
      */
     void readField(String name, JsonParser parser) throws IOException {
         switch (name) {
             case "who" -> instance = (int) JsonValues.readLong(parser);
-            case "job" -> requestId = JsonValues.readText(parser);
-            case "engine" -> replicaId = JsonValues.readText(parser);
-            case "kind" -> listKind = JsonValues.readText(parser);
+            case "job" -> requestId = JsonValues.readString(parser);
+            case "engine" -> replicaId = JsonValues.readString(parser);
+            case "kind" -> listKind = JsonValues.readString(parser);
             case "type" -> classIndex = (int) JsonValues.readLong(parser);
             case "customer" -> tenantIndex = (int) JsonValues.readLong(parser);
             case "n" -> attempt = (int) JsonValues.readLong(parser);
@@ -117,7 +117,7 @@
             case "nPrompt" -> promptTokens = JsonValues.readDouble(parser);
             case "prefixLen" -> prefixTokens = JsonValues.readDouble(parser);
             case "maxOut" -> maxOutputTokens = JsonValues.readDouble(parser);
-            case "tookMs" -> tookMillis = JsonValues.readDouble(parser);
+            case "tookMs" -> durationMillis = JsonValues.readDouble(parser);
             case "retry" -> clientRetry = JsonValues.readBoolean(parser);
             case "isWrite" -> write = JsonValues.readBoolean(parser);
             case "again" -> continuation = JsonValues.readBoolean(parser);
@@ -186,7 +186,7 @@
         return value;
     }
 
-    /** A fault of one field of this message. */
+    /** Creates an exception for one field of this message. */
     MalformedMessageException malformed(String wireName, String reason) {
         return new MalformedMessageException(messageName + "." + wireName, reason);
     }
--- a/src/main/java/magpiehub/simulator/MessageReader.java
+++ b/src/main/java/magpiehub/simulator/MessageReader.java
@@ -8,8 +8,8 @@
 import magpiehub.config.Json;
 
 /**
- * Reads the simulator's messages, one after another: objects of the form <code>{"NAME":{fields}}</code>. Keeps track
- * of its place in the input for error messages. Not thread-safe.
+ * Reads the simulator's messages, which are objects of the form <code>{"NAME":{fields}}</code>. Tracks the position
+ * in the input for error messages. Not thread-safe.
  */
 final class MessageReader {
     private final JsonParser parser;
@@ -22,9 +22,9 @@
     }
 
     /**
-     * The next message; null at the end of the input. The next call overwrites it.
+     * Returns the next message, or null at the end of the input. The next call overwrites the returned object.
      *
-     * @throws MalformedMessageException if it is JSON, but not such a message
+     * @throws MalformedMessageException if the input is valid JSON but not a valid message
      */
     MessageFields next() throws IOException {
         if (parser.nextToken() == null) {
@@ -37,7 +37,7 @@
         messageName = parser.currentName();
         expect(parser.nextToken(), JsonToken.START_OBJECT, "the fields must be an object");
         readFields();
-        expect(parser.nextToken(), JsonToken.END_OBJECT, "a message has one name only");
+        expect(parser.nextToken(), JsonToken.END_OBJECT, "a message must have exactly one name");
         return fields;
     }
 
@@ -49,7 +49,7 @@
             readField();
         }
         fieldName = "";
-        expect(parser.currentToken(), JsonToken.END_OBJECT, "the fields must end with the object");
+        expect(parser.currentToken(), JsonToken.END_OBJECT, "the fields object must be closed");
     }
 
     private void readField() throws IOException {
@@ -66,12 +66,12 @@
         }
     }
 
-    /** The message, or the message and field as {@code message.field}, that is being read; empty between messages. */
+    /** The message being read, or {@code message.field} within one of its fields; empty between messages. */
     String location() {
         return fieldName.isEmpty() ? messageName : messageName + "." + fieldName;
     }
 
-    /** The number of the input's line that has been reached, counted from 1. */
+    /** The current line of the input, counted from 1. */
     int lineNumber() {
         return parser.currentLocation().getLineNr();
     }
--- a/src/main/java/magpiehub/simulator/Reply.java
+++ b/src/main/java/magpiehub/simulator/Reply.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * The reply to one batch. Messages are collected and sent together, a JSON object a line, when the batch is over, so
- * that malformed input leaves no reply half written. Not thread-safe.
+ * The reply to one batch. Messages are buffered and sent together, one JSON object per line, when the batch ends, so
+ * that malformed input never leaves a partially written reply. Not thread-safe.
  */
 final class Reply {
-    /** Writes nothing between two messages: each ends its own line. */
+    /** Writes no separator between messages, because each message ends with a line break. */
     private static final JsonFactory FACTORY =
             ((JsonFactoryBuilder) JsonFactory.builder()).rootValueSeparator("").build();
 
@@ -23,23 +23,22 @@
     private final OutputStream out;
     private final JsonGenerator generator;
 
-    /** An empty reply that will be sent to {@code out}. */
+    /** Creates an empty reply that will be sent to {@code out}. */
     Reply(OutputStream out) throws IOException {
         this.out = out;
         generator = FACTORY.createGenerator(buffer);
     }
 
-    /** Appends a message. */
     void add(ReplyMessage message) {
         messages.add(message);
     }
 
-    /** Drops the messages that have not been sent. */
+    /** Discards the messages that have not been sent. */
     void clear() {
         messages.clear();
     }
 
-    /** Sends the messages and the end of the reply in one write, and begins the next reply. */
+    /** Sends the messages and the end-of-reply marker in one write and starts the next reply. */
     void send() throws IOException {
         for (ReplyMessage message : messages) {
             write(message);
--- a/src/main/java/magpiehub/simulator/ReplyActions.java
+++ b/src/main/java/magpiehub/simulator/ReplyActions.java
@@ -2,7 +2,7 @@
 
 import magpiehub.routing.RoutingActions;
 
-/** Adds the actions of one simulated router to the reply, in the order in which they are taken. */
+/** Appends the actions of one simulated router's policy to the reply, in the order in which they are taken. */
 final class ReplyActions implements RoutingActions {
     private final int instance;
     private final Reply reply;
@@ -54,7 +54,7 @@
 
     @Override
     public void sendHealthCheck(String replicaId) {
-        reply.add(new ReplyMessage.Probe(instance, replicaId));
+        reply.add(new ReplyMessage.SendHealthCheck(instance, replicaId));
     }
 
     @Override
@@ -69,7 +69,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] payload) {
-        // A copy: the reply is written only at the end of the batch.
+        // Copied because the reply is written only at the end of the batch.
         reply.add(new ReplyMessage.SendToPeer(instance, peer, payload.clone()));
     }
 
--- a/src/main/java/magpiehub/simulator/ReplyMessage.java
+++ b/src/main/java/magpiehub/simulator/ReplyMessage.java
@@ -6,12 +6,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
-/** What the adapter tells the simulator about one simulated router. Times are in microseconds. */
+/** A message from the adapter to the simulator about one simulated router. Times are in microseconds. */
 sealed interface ReplyMessage {
-    /** The value of {@code whom} that stands for all peers. */
+    /** The value of {@code whom} that addresses all peers. */
     String ALL_PEERS = "*";
 
-    /** Decimals of a time in milliseconds on the wire, down to the microsecond. */
+    /** Decimal places of a time in milliseconds on the wire: microsecond resolution. */
     int MILLIS_DECIMALS = 3;
 
     /** The message's name on the wire. */
@@ -20,10 +20,10 @@
     /** The simulated router's instance number. */
     int instance();
 
-    /** Writes the message's fields, all but the instance number, into an object that the caller opens and closes. */
+    /** Writes the message's fields except the instance number; the caller opens and closes the object. */
     void writeFields(JsonGenerator generator) throws IOException;
 
-    /** Send an attempt; a timeout of 0 lasts until the request's deadline and is left out. */
+    /** Send an attempt; a timeout of 0 means the request's deadline and is omitted. */
     record SendAttempt(int instance, String requestId, String replicaId, long timeoutMicros) implements ReplyMessage {
         @Override
         public String wireName() {
@@ -32,15 +32,15 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "job", requestId);
-            writeText(generator, "engine", replicaId);
+            writeString(generator, "job", requestId);
+            writeString(generator, "engine", replicaId);
             if (timeoutMicros != 0) {
                 writeMillis(generator, "giveUpAfterMs", timeoutMicros);
             }
         }
     }
 
-    /** Cancel an attempt, counted from 0. */
+    /** Cancel an attempt; attempts are numbered from 0. */
     record CancelAttempt(int instance, String requestId, int attempt) implements ReplyMessage {
         @Override
         public String wireName() {
@@ -49,12 +49,12 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "job", requestId);
+            writeString(generator, "job", requestId);
             generator.writeNumberField("n", attempt);
         }
     }
 
-    /** Final answer: rejected. A time to come back is left out if it is 0. */
+    /** Final answer: rejected. A retry delay of 0 is omitted. */
     record Reject(int instance, String requestId, long retryAfterMicros) implements ReplyMessage {
         @Override
         public String wireName() {
@@ -63,7 +63,7 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "job", requestId);
+            writeString(generator, "job", requestId);
             if (retryAfterMicros > 0) {
                 writeMillis(generator, "comeBackMs", retryAfterMicros);
             }
@@ -79,7 +79,7 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "job", requestId);
+            writeString(generator, "job", requestId);
         }
     }
 
@@ -105,11 +105,11 @@
 
         @Override
         public void writeFields(JsonGenerator generator) {
-            // The instance number says it all.
+            // There are no fields besides the instance number.
         }
     }
 
-    /** Report at a time that the timer with this token has fired. */
+    /** Schedule a timer: report at the given time that the timer with this token has fired. */
     record SetTimer(int instance, long atMicros, long token) implements ReplyMessage {
         @Override
         public String wireName() {
@@ -124,7 +124,7 @@
     }
 
     /** Send a health check to a replica. */
-    record Probe(int instance, String replicaId) implements ReplyMessage {
+    record SendHealthCheck(int instance, String replicaId) implements ReplyMessage {
         @Override
         public String wireName() {
             return "SAMPLE";
@@ -132,11 +132,11 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "engine", replicaId);
+            writeString(generator, "engine", replicaId);
         }
     }
 
-    /** End a running stream in order, so that its client resumes it elsewhere. */
+    /** End a running stream cleanly, so that its client resumes it elsewhere. */
     record MigrateStream(int instance, String requestId) implements ReplyMessage {
         @Override
         public String wireName() {
@@ -145,7 +145,7 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "job", requestId);
+            writeString(generator, "job", requestId);
         }
     }
 
@@ -158,7 +158,7 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "engine", replicaId);
+            writeString(generator, "engine", replicaId);
         }
     }
 
@@ -172,11 +172,11 @@
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
             if (peer < 0) {
-                writeText(generator, "whom", ALL_PEERS);
+                writeString(generator, "whom", ALL_PEERS);
             } else {
                 generator.writeNumberField("whom", peer);
             }
-            writeText(generator, "payload", Base64.getEncoder().encodeToString(payload));
+            writeString(generator, "payload", Base64.getEncoder().encodeToString(payload));
         }
     }
 
@@ -189,7 +189,7 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "bodyText", line);
+            writeString(generator, "bodyText", line);
         }
     }
 
@@ -202,12 +202,12 @@
 
         @Override
         public void writeFields(JsonGenerator generator) throws IOException {
-            writeText(generator, "bodyText", description);
+            writeString(generator, "bodyText", description);
         }
     }
 
-    /** Encoding by {@code getBytes} replaces an unpaired surrogate, for which the generator itself would fail. */
-    private static void writeText(JsonGenerator generator, String name, String value) throws IOException {
+    /** Encodes with {@code getBytes}, which replaces unpaired surrogates; the generator itself would throw for them. */
+    private static void writeString(JsonGenerator generator, String name, String value) throws IOException {
         byte[] encoded = value.getBytes(StandardCharsets.UTF_8);
         generator.writeFieldName(name);
         generator.writeUTF8String(encoded, 0, encoded.length);
--- a/src/main/java/magpiehub/simulator/RouterEvent.java
+++ b/src/main/java/magpiehub/simulator/RouterEvent.java
@@ -10,10 +10,10 @@
 
 /** An event that the simulator sends to one simulated router. Durations are in microseconds. */
 sealed interface RouterEvent {
-    /** Hands the event to the router's policy as something that happens at {@code nowMicros}. */
+    /** Delivers the event to the router's policy as occurring at {@code nowMicros}. */
     void deliverTo(RoutingEvents policy, long nowMicros);
 
-    /** A client's request has come. */
+    /** A client's request has arrived. */
     record RequestArrived(RoutingRequest request) implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
@@ -21,26 +21,26 @@
         }
     }
 
-    /** The first token of an attempt has come. */
-    record StreamStarted(String requestId, int attempt, long tookMicros) implements RouterEvent {
+    /** The first token of an attempt has arrived. */
+    record StreamStarted(String requestId, int attempt, long durationMicros) implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
-            policy.onStreamStarted(nowMicros, requestId, attempt, tookMicros);
+            policy.onStreamStarted(nowMicros, requestId, attempt, durationMicros);
         }
     }
 
     /**
      * An attempt has ended.
      *
-     * @param settled whether the request is over for its client
-     * @param cachedTokens prompt tokens that the replica found in its cache, -1 if it did not say
-     * @param loadReport null if there was none
+     * @param settled whether the request is finished for its client
+     * @param cachedTokens prompt tokens that the replica found in its cache, -1 if unknown
+     * @param loadReport the replica's load report, or null if there was none
      */
     record AttemptEnded(
             String requestId,
             int attempt,
             AttemptOutcome outcome,
-            long tookMicros,
+            long durationMicros,
             boolean settled,
             long cachedTokens,
             LoadReport loadReport)
@@ -48,7 +48,7 @@
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
             policy.onAttemptEnded(
-                    nowMicros, requestId, attempt, outcome, tookMicros, settled, cachedTokens, loadReport);
+                    nowMicros, requestId, attempt, outcome, durationMicros, settled, cachedTokens, loadReport);
         }
     }
 
@@ -68,12 +68,12 @@
         }
     }
 
-    /** A health check has ended; {@code loadReport} is null if it brought none. */
-    record ProbeEnded(String replicaId, AttemptOutcome outcome, long tookMicros, LoadReport loadReport)
+    /** A health check has ended; {@code loadReport} is null if there was none. */
+    record HealthCheckEnded(String replicaId, AttemptOutcome outcome, long durationMicros, LoadReport loadReport)
             implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
-            policy.onHealthCheckEnded(nowMicros, replicaId, outcome, tookMicros, loadReport);
+            policy.onHealthCheckEnded(nowMicros, replicaId, outcome, durationMicros, loadReport);
         }
     }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /** An endpoint list has come. */
+    /** An endpoint list has arrived. */
     record EndpointsReceived(EndpointListKind kind, List<Endpoint> endpoints) implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
--- a/src/main/java/magpiehub/simulator/RouterEventDecoder.java
+++ b/src/main/java/magpiehub/simulator/RouterEventDecoder.java
@@ -5,31 +5,31 @@
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.RoutingRequest;
 
-/** Makes a typed event of the fields of a message to one simulated router. */
+/** Converts the fields of a message to one simulated router into a typed event. */
 final class RouterEventDecoder {
     private RouterEventDecoder() {}
 
     /**
-     * The event that the message stands for.
+     * Decodes the event that the message represents.
      *
-     * @throws MalformedMessageException if there is no such message, or a required field is absent or unknown
+     * @throws MalformedMessageException if the message type is unknown, or a required field is absent or has an unknown value
      */
     static RouterEvent decode(MessageFields fields) {
         return switch (fields.messageName()) {
             case "INGRESS" -> new RouterEvent.RequestArrived(request(fields));
             case "BEGUN" -> new RouterEvent.StreamStarted(
-                    fields.requireRequestId(), fields.attempt, Milliseconds.toMicros(fields.tookMillis));
+                    fields.requireRequestId(), fields.attempt, Milliseconds.toMicros(fields.durationMillis));
             case "ANSWER" -> attemptEnded(fields);
             case "ABANDONED" -> new RouterEvent.ClientGone(fields.requireRequestId());
             case "TICK_DUE" -> new RouterEvent.TimerFired(fields.timerToken);
-            case "STATUS_BACK" -> new RouterEvent.ProbeEnded(
+            case "STATUS_BACK" -> new RouterEvent.HealthCheckEnded(
                     fields.requireReplicaId(),
                     outcome(fields),
-                    Milliseconds.toMicros(fields.tookMillis),
+                    Milliseconds.toMicros(fields.durationMillis),
                     fields.loadReport);
             case "MESSAGE" -> new RouterEvent.PeerMessageReceived(fields.sourcePeer, fields.payload);
             case "PEERS_KNOWN" -> new RouterEvent.EndpointsReceived(listKind(fields), fields.endpoints);
-            default -> throw new MalformedMessageException(fields.messageName(), "is no message of this wire");
+            default -> throw new MalformedMessageException(fields.messageName(), "unknown message");
         };
     }
 
@@ -57,7 +57,7 @@
                 fields.requireRequestId(),
                 fields.attempt,
                 outcome(fields),
-                Milliseconds.toMicros(fields.tookMillis),
+                Milliseconds.toMicros(fields.durationMillis),
                 fields.settled,
                 fields.cachedTokens,
                 fields.loadReport);
@@ -73,18 +73,18 @@
             case 10 -> AttemptOutcome.RESET;
             case 13 -> AttemptOutcome.ERROR;
             case 14 -> AttemptOutcome.CONNECT_FAILED;
-            default -> throw fields.malformed("reason", "is no outcome: " + fields.outcomeCode);
+            default -> throw fields.malformed("reason", "unknown outcome: " + fields.outcomeCode);
         };
     }
 
     private static EndpointListKind listKind(MessageFields fields) {
-        String word = fields.requireListKind();
-        return switch (word) {
+        String kind = fields.requireListKind();
+        return switch (kind) {
             case "Partial" -> EndpointListKind.CHANGES;
             case "Complete" -> EndpointListKind.COMPLETE;
             case "Persisted" -> EndpointListKind.SAVED;
             case "Error" -> EndpointListKind.ERROR;
-            default -> throw fields.malformed("kind", "is no kind of list: " + word);
+            default -> throw fields.malformed("kind", "unknown list kind: " + kind);
         };
     }
 }
--- a/src/main/java/magpiehub/simulator/SimulatedRouters.java
+++ b/src/main/java/magpiehub/simulator/SimulatedRouters.java
@@ -9,17 +9,17 @@
 import magpiehub.routing.RoutingPolicy;
 import magpiehub.routing.RoutingSettings;
 
-/** The simulated routers that are running, by instance number: a routing policy for each. Not thread-safe. */
+/** The running simulated routers: one routing policy per instance number. Not thread-safe. */
 final class SimulatedRouters {
     private final Reply reply;
     private final Map<Integer, RoutingEvents> policies = new HashMap<>();
 
-    /** A table without routers; the actions of each go to {@code reply}. */
+    /** Creates an empty table; the actions of all routers are added to {@code reply}. */
     SimulatedRouters(Reply reply) {
         this.reply = reply;
     }
 
-    /** Starts a router with the message's settings and seed; replaces one with the same number. */
+    /** Starts a router with the message's settings and seed, replacing any with the same instance number. */
     void provision(MessageFields fields, long nowMicros) {
         int instance = fields.requireInstance();
         RoutingSettings settings = parseSettings(fields);
@@ -35,15 +35,15 @@
         }
     }
 
-    /** Stops the router that the message names, if it runs. */
+    /** Stops the router that the message names, if it is running. */
     void remove(MessageFields fields) {
         policies.remove(fields.requireInstance());
     }
 
     /**
-     * Hands the message's event to the router that it names.
+     * Delivers the message's event to the router that it names.
      *
-     * @throws MalformedMessageException if that router does not run, or the message is no event
+     * @throws MalformedMessageException if that router is not running, or the message is not an event
      */
     void deliver(MessageFields fields, long nowMicros) {
         RoutingEvents policy = policies.get(fields.requireInstance());
--- a/src/main/java/magpiehub/simulator/SimulatorAdapter.java
+++ b/src/main/java/magpiehub/simulator/SimulatorAdapter.java
@@ -8,9 +8,10 @@
 import magpiehub.config.Milliseconds;
 
 /**
- * Plays simulated routers for a simulator: reads batches of messages, hands each to the router that it names, and
- * answers every batch with the actions that the routers took. A batch is opened by a {@code ROUND} message, which
- * carries the simulated time, and closed by {@code EOB}. It runs on the thread that calls {@link #run}.
+ * Runs routing policies on behalf of a simulator: reads batches of messages, delivers each message to the simulated
+ * router that it names, and answers every batch with the actions that the routers took. A batch starts with a
+ * {@code ROUND} message, which carries the simulated time, and ends with {@code EOB}. Everything runs on the thread
+ * that calls {@link #run}.
  */
 public final class SimulatorAdapter {
     private final InputStream in;
@@ -20,7 +21,7 @@
     private long nowMicros;
     private boolean isInBatch;
 
-    /** An adapter that reads messages from {@code in}, replies to {@code out} and reports faults on {@code errors}. */
+    /** Creates an adapter that reads from {@code in}, replies to {@code out} and reports errors to {@code errors}. */
     public SimulatorAdapter(InputStream in, OutputStream out, PrintStream errors) throws IOException {
         this.in = in;
         this.errors = errors;
@@ -29,14 +30,14 @@
     }
 
     /**
-     * Plays until the input ends or a fault stops it.
+     * Processes messages until the input ends or an error occurs.
      *
      * @return the exit status: 0 if the input ended after a batch, 1 if it was malformed or a router failed
      */
     public int run() throws IOException {
         MessageReader reader = new MessageReader(in);
         try {
-            return playAll(reader);
+            return processAll(reader);
         } catch (MalformedMessageException e) {
             return reportMalformed(reader, e.location(), e.getMessage());
         } catch (JsonParseException e) {
@@ -44,9 +45,9 @@
         }
     }
 
-    private int playAll(MessageReader reader) throws IOException {
+    private int processAll(MessageReader reader) throws IOException {
         for (MessageFields message = reader.next(); message != null; message = reader.next()) {
-            if (!play(message)) {
+            if (!process(message)) {
                 return 1;
             }
         }
@@ -58,39 +59,39 @@
 
     private int reportMalformed(MessageReader reader, String location, String reason) {
         String prefix = location.isEmpty() ? "" : ": " + location;
-        errors.println("drill: line " + reader.lineNumber() + prefix + ": " + reason);
+        errors.println("adapter: line " + reader.lineNumber() + prefix + ": " + reason);
         errors.flush();
         return 1;
     }
 
-    /** Handles one message; false if a router failed, which ends the play. */
-    private boolean play(MessageFields message) throws IOException {
+    /** Processes one message; returns false if a router failed, which ends the run. */
+    private boolean process(MessageFields message) throws IOException {
         if (message.messageName().equals("ROUND")) {
             startBatch(message);
             return true;
         }
         if (!isInBatch) {
-            throw new MalformedMessageException(message.messageName(), "comes outside a batch");
+            throw new MalformedMessageException(message.messageName(), "received outside a batch");
         }
         if (message.messageName().equals("EOB")) {
             isInBatch = false;
             reply.send();
             return true;
         }
-        return playForRouter(message);
+        return processForRouter(message);
     }
 
     private void startBatch(MessageFields message) {
         if (isInBatch) {
-            throw new MalformedMessageException(message.messageName(), "a batch is open already");
+            throw new MalformedMessageException(message.messageName(), "a batch is already open");
         }
         nowMicros = Milliseconds.toMicros(message.requireRoundTimeMillis());
         isInBatch = true;
         reply.clear();
     }
 
-    /** An unexpected failure of a router is reported in the reply, in place of the batch's actions. */
-    private boolean playForRouter(MessageFields message) throws IOException {
+    /** Reports an unexpected failure of a router in the reply, in place of the batch's actions. */
+    private boolean processForRouter(MessageFields message) throws IOException {
         try {
             dispatch(message);
             return true;
--- a/src/main/java/magpiehub/simulator/SimulatorEndpointFields.java
+++ b/src/main/java/magpiehub/simulator/SimulatorEndpointFields.java
@@ -9,7 +9,7 @@
 import magpiehub.config.Milliseconds;
 import magpiehub.routing.EndpointState;
 
-/** The fields of an endpoint list's entry as the simulator names them: zones and machine types are given as indexes. */
+/** The simulator's field names for endpoint list entries; zones and machine types are given as indexes. */
 final class SimulatorEndpointFields implements EndpointFieldNames {
     @Override
     public EndpointField fieldNamed(String name) {
@@ -31,12 +31,12 @@
     }
 
     @Override
-    public EndpointState parseState(String word) {
-        return switch (word) {
+    public EndpointState parseState(String state) {
+        return switch (state) {
             case "live" -> EndpointState.LIVE;
             case "quiescing" -> EndpointState.DRAINING;
             case "dead" -> EndpointState.DEAD;
-            default -> throw new ConfigurationException("state is no state: " + word);
+            default -> throw new ConfigurationException("unknown state: " + state);
         };
     }
 
--- a/src/test/java/magpiehub/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/magpiehub/simulator/SimulatorAdapterTest.java
@@ -11,9 +11,9 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on hand-written batches, good and bad. */
+/** Tests the adapter with hand-written batches, both valid and malformed. */
 class SimulatorAdapterTest {
-    private static final String START =
+    private static final String PROVISIONED =
             """
             {"ROUND":{"atTimeMs":1000.5}}
             {"PROVISION":{"who":3,"initSeed":18446744073709551615,"new":{"deep":[1,{}]},"facts":{"odd":null,
@@ -23,12 +23,12 @@
             "nodesList":[{"engine":"a:1","failureDomain":0,"state":"live"}]}}
             {"EOB":{}}
             """;
-    private static final String OPEN = START + "{\"ROUND\":{\"atTimeMs\":1}}\n";
+    private static final String IN_BATCH = PROVISIONED + "{\"ROUND\":{\"atTimeMs\":1}}\n";
     private int status;
     private String out;
     private String err;
 
-    private void play(String text) throws IOException {
+    private void run(String text) throws IOException {
         ByteArrayOutputStream replies = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
         status = new SimulatorAdapter(
@@ -40,29 +40,29 @@
         err = errors.toString(StandardCharsets.UTF_8);
     }
 
-    private void assertMalformed(String text, String... words) throws IOException {
-        play(text);
+    private void assertMalformed(String text, String... expectedTexts) throws IOException {
+        run(text);
         assertEquals(1, status, text);
-        for (String word : words) {
-            assertTrue(err.contains(word), err + " lacks " + word);
+        for (String expected : expectedTexts) {
+            assertTrue(err.contains(expected), err + " lacks " + expected);
         }
         assertFalse(out.contains("INTERNAL"), out);
-        assertTrue(out.isEmpty() || out.endsWith("{\"EOR\":{}}\n"), "nothing half written: " + out);
+        assertTrue(out.isEmpty() || out.endsWith("{\"EOR\":{}}\n"), "no partially written reply: " + out);
     }
 
     @Test
     void emptyBatchAndEndOfInput() throws IOException {
-        play("{\"ROUND\":{\"atTimeMs\":8412.25}}\n{\"EOB\":{}}\n");
+        run("{\"ROUND\":{\"atTimeMs\":8412.25}}\n{\"EOB\":{}}\n");
         assertEquals(0, status);
         assertEquals("{\"EOR\":{}}\n", out);
-        play("");
+        run("");
         assertEquals(0, status);
     }
 
     @Test
     void requestIsSentAndAnswered() throws IOException {
-        play(
-                START
+        run(
+                PROVISIONED
                         + """
                 {"ROUND":{"atTimeMs":1010}}
                 {"INGRESS":{"who":3,"job":"00a1","dropDeadMs":5000,"unknown":[{"x":1}]}}
@@ -81,8 +81,8 @@
 
     @Test
     void textsAreEscapedInReplies() throws IOException {
-        play(
-                OPEN
+        run(
+                IN_BATCH
                         + """
                 {"INGRESS":{"who":3,"job":"q\\"b\\\\u\\u00fcp\\ud83d\\ude00d\\u007fc\\u0001l\\ud800e",
                 "type":9,"dropDeadMs":5000}}
@@ -95,12 +95,12 @@
 
     @Test
     void stopAndStartInOneBatch() throws IOException {
-        String again = START.replace(
+        String restarted = PROVISIONED.replace(
                 "{\"EOB\":{}}",
                 "{\"EXIT\":{\"who\":3}}\n"
                         + "{\"PROVISION\":{\"who\":3,\"facts\":{}}}\n"
                         + "{\"INGRESS\":{\"who\":3,\"job\":\"b\",\"dropDeadMs\":5000}}\n{\"EOB\":{}}");
-        play(again);
+        run(restarted);
         assertEquals(0, status, err);
         assertTrue(out.contains("{\"REJECT\":{\"who\":3,\"job\":\"b\"}}"), out);
     }
@@ -108,19 +108,19 @@
     @Test
     void malformedInputNamesLineAndField() throws IOException {
         assertMalformed("{\"ROUND\":{\"atTimeMs\":\"x\"}}\n", "line 1", "ROUND.atTimeMs", "must be a number");
-        assertMalformed("{\"ROUND\":{\"atTimeMs\":1}}\n{\"ROUND\":{\"atTimeMs\":1}}\n", "line 2", "open already");
+        assertMalformed("{\"ROUND\":{\"atTimeMs\":1}}\n{\"ROUND\":{\"atTimeMs\":1}}\n", "line 2", "already open");
         assertMalformed("{\"EOB\":{}}\n", "line 1", "outside a batch");
         assertMalformed("{\"ROUND\":{}}\n", "ROUND.atTimeMs", "is missing");
         assertMalformed("[]\n", "line 1", "must be an object");
         assertMalformed("{\"ROUND\":{\"atTimeMs\":1}}\n", "inside a batch");
-        assertMalformed(OPEN + "{\"INGRESS\":{\"who\":3,\"dropDeadMs\":1}}\n", "INGRESS.job");
-        assertMalformed(OPEN + "{\"INGRESS\":{\"who\":3,\"job\":\"a\"}}\n", "INGRESS.dropDeadMs");
-        assertMalformed(OPEN + "{\"INGRESS\":{\"who\":4,\"job\":\"a\"}}\n", "who", "not started");
-        assertMalformed(OPEN + "{\"NONSENSE\":{\"who\":3}}\n", "NONSENSE", "no message");
-        assertMalformed(OPEN + "{\"ANSWER\":{\"who\":3,\"job\":\"a\",\"reason\":77}}\n", "77");
-        assertMalformed(OPEN + "{\"ANSWER\":{\"who\":3,\n", "line 10");
-        assertMalformed(START.replace("\"live\"", "\"lively\""), "line 6", "state", "lively");
+        assertMalformed(IN_BATCH + "{\"INGRESS\":{\"who\":3,\"dropDeadMs\":1}}\n", "INGRESS.job");
+        assertMalformed(IN_BATCH + "{\"INGRESS\":{\"who\":3,\"job\":\"a\"}}\n", "INGRESS.dropDeadMs");
+        assertMalformed(IN_BATCH + "{\"INGRESS\":{\"who\":4,\"job\":\"a\"}}\n", "who", "not started");
+        assertMalformed(IN_BATCH + "{\"NONSENSE\":{\"who\":3}}\n", "NONSENSE", "unknown message");
+        assertMalformed(IN_BATCH + "{\"ANSWER\":{\"who\":3,\"job\":\"a\",\"reason\":77}}\n", "unknown outcome: 77");
+        assertMalformed(IN_BATCH + "{\"ANSWER\":{\"who\":3,\n", "line 10");
+        assertMalformed(PROVISIONED.replace("\"live\"", "\"lively\""), "line 6", "state", "lively");
         assertMalformed(
-                START.replace("\"mostTries\":4", "\"mostTries\":\"4\""), "facts.limits.mostTries", "wrong type");
+                PROVISIONED.replace("\"mostTries\":4", "\"mostTries\":\"4\""), "facts.limits.mostTries", "wrong type");
     }
 }
