--- a/lab/src/main/java/magpiehub/lab/Engine.java
+++ b/lab/src/main/java/magpiehub/lab/EngineModel.java
@@ -8,28 +8,28 @@
 import java.util.Map;
 
 /**
- * One engine stand-in as a model: steps that read prompts in chunks and give each running sequence a token,
- * a queue, prompts kept, a cold start that warms, and the fall of a cold engine under too much work. It owns
- * the engine's time: how long a step takes. A plain state machine, the clock as an argument; it knows no
- * socket and must never wait.
+ * Model of one inference engine with continuous batching: each step prefills prompts in chunks and generates one token
+ * per running sequence. Models queueing, a prefix cache, a cold start with a gradual warm-up, and the crash of a cold
+ * engine under overload. It determines how long each step takes. A pure state machine that takes the clock as an
+ * argument: it performs no I/O and never blocks.
  */
-final class Engine {
+final class EngineModel {
     /**
-     * How engines of a fleet are built.
+     * Performance parameters of the engines; the names are those of the scenario file.
      *
-     * @param slots sequences that run together
-     * @param queue sequences that wait at most; one more is turned away
-     * @param stepMs a step with all slots taken; an empty one takes half of it
-     * @param promptUs reading a prompt's token
-     * @param chunk prompt tokens read in a step at most
-     * @param event tokens an event
-     * @param kept prompt tokens kept for later
-     * @param coldMs until an engine that started is warm
-     * @param start its speed at its start, against 1
-     * @param fallMs work of so long a time makes a cold engine fall
-     * @param factor if it is more than so many times what the engine can do meanwhile
+     * @param slots maximum number of sequences that run concurrently
+     * @param queue maximum number of waiting sequences; further ones are rejected
+     * @param stepMs duration of a step with all slots in use; the duration approaches half of it with few
+     * @param promptUs prefill time per prompt token
+     * @param chunk maximum number of prompt tokens prefilled per step
+     * @param event tokens per stream event
+     * @param kept capacity of the prefix cache in tokens
+     * @param coldMs warm-up time after the start
+     * @param start speed at the start, relative to 1 when warm
+     * @param fallMs window over which arriving work is summed to detect the overload of a cold engine
+     * @param factor a cold engine crashes if work in the window exceeds its capacity by this factor
      */
-    record Build(
+    record Parameters(
             int slots,
             int queue,
             double stepMs,
@@ -42,23 +42,29 @@
             long fallMs,
             double factor) {}
 
-    /** What becomes of a sequence, told from within {@link #step}. */
-    interface Caller {
-        /** So many more tokens; {@code last} with the final one. {@code cached} of the prompt were kept. */
+    /** Receives the generated tokens of a sequence; called by {@link #give}. */
+    interface TokenListener {
+        /**
+         * Called for tokens {@code from} (inclusive) to {@code to} (exclusive).
+         *
+         * @param last whether the stream ends with them
+         * @param cached prompt tokens that were found in the prefix cache
+         */
         void tokens(int from, int to, boolean last, int cached);
     }
 
-    /** Tokens a block of a prompt that is kept, and characters a token. */
+    /** Tokens per block of the prefix cache. */
     static final int BLOCK = 16;
 
+    /** Characters per token. */
     private static final int CHARACTERS = 4;
 
-    /** One request at the engine. */
+    /** One request being processed by the engine. */
     static final class Sequence {
         final int prompt;
         final int out;
-        final Caller caller;
-        /** Each whole block of the prompt, named by all text up to its end. */
+        final TokenListener caller;
+        /** Keys of the prompt's complete blocks: hashes of all text up to the block's end. */
         private final long[] blocks;
 
         private int toRead;
@@ -67,8 +73,8 @@
         private int told;
         private boolean over;
 
-        /** @param text the prompt; prompts share what they have in common from their start */
-        Sequence(String text, int out, Caller caller) {
+        /** @param text the prompt; prompts with a common prefix share its blocks */
+        Sequence(String text, int out, TokenListener caller) {
             this.prompt = text.length() / CHARACTERS;
             this.out = Math.max(1, out);
             this.caller = caller;
@@ -83,32 +89,32 @@
         }
     }
 
-    private final Build b;
+    private final Parameters b;
     private final long started;
     private final List<Sequence> running = new ArrayList<>();
     private final ArrayDeque<Sequence> waiting = new ArrayDeque<>();
-    /** The blocks kept, the least recently used first. */
+    /** The prefix cache's blocks, least recently used first. */
     private final Map<Long, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);
-    /** Work that came, with its time, within the last {@code fallMs}. */
+    /** Arrival time and work (us) of the requests within the last {@code fallMs}. */
     private final ArrayDeque<double[]> came = new ArrayDeque<>();
 
     private double cameSum;
     private double slow = 1;
     private boolean fallen;
 
-    /** An engine that started at a time (us); long ago if it is to be warm. */
-    Engine(Build b, long started) {
+    /** Creates an engine that started at the given time (us); a time in the distant past makes it warm. */
+    EngineModel(Parameters b, long started) {
         this.b = b;
         this.started = started;
     }
 
-    /** Its speed against a warm engine's. */
+    /** Current speed relative to a warm engine. */
     double speed(long now) {
         double part = Math.min(1, Math.max(0, (now - started) / (b.coldMs * 1000.0)));
         return (b.start + (1 - b.start) * part) / slow;
     }
 
-    /** How many times slower than built it is from now on. */
+    /** Sets the factor by which the engine is slower than its parameters say. */
     void slow(double factor) {
         slow = factor;
     }
@@ -125,12 +131,12 @@
         return waiting.size();
     }
 
-    /** What a request takes of a warm engine (us): its steps over the slots, and its reading. */
-    static double work(Build b, int prompt, int out) {
+    /** Engine time that a request costs on a warm engine (us): prefill, and its steps divided by the slots. */
+    static double work(Parameters b, int prompt, int out) {
         return prompt * b.promptUs + out * b.stepMs * 1000 / b.slots;
     }
 
-    /** Takes a sequence; false if it is turned away. All work that comes counts towards a fall. */
+    /** Enqueues a sequence; returns false if it is rejected. Rejected work counts towards overload too. */
     boolean take(Sequence s, long now) {
         double work = work(b, s.prompt, s.out);
         came.addLast(new double[] {now, work});
@@ -148,15 +154,14 @@
         return true;
     }
 
-    /** The caller has gone. */
+    /** Cancels a sequence. */
     void drop(Sequence s) {
         s.over = true;
         waiting.remove(s);
         running.remove(s);
     }
 
-    /** One step from now on; returns how long it takes (us), 0 if there is nothing to do. What it gives is
-     *  told by {@link #give} at its end. */
+    /** Starts a step; returns its duration (us), or 0 if idle. {@link #give} emits its tokens when it ends. */
     long step(long now) {
         while (running.size() < b.slots && !waiting.isEmpty()) {
             Sequence s = waiting.pollFirst();
@@ -177,7 +182,7 @@
         return Math.max(1, Math.round(us / speed(now)));
     }
 
-    /** How many of its first blocks are kept. */
+    /** Number of leading blocks that are in the prefix cache. */
     private int known(Sequence s) {
         int n = 0;
         while (n < s.blocks.length && kept.get(s.blocks[n]) != null) {
@@ -188,7 +193,9 @@
 
     private void keep(Sequence s) {
         for (int i = s.blocks.length - 1; i >= 0; i--) {
-            kept.put(s.blocks[i], true); // The last first: what others share is the last to go.
+            kept.put(
+                    s.blocks[i],
+                    true); // In reverse, so that the leading blocks, which other prompts share, are evicted last.
         }
         Iterator<Boolean> oldest = kept.values().iterator();
         while (kept.size() > b.kept / BLOCK) {
@@ -197,7 +204,7 @@
         }
     }
 
-    /** The end of a step: a token to each sequence that has read its prompt. */
+    /** Ends a step: generates one token for each sequence whose prompt has been prefilled. */
     void give() {
         for (Sequence s : List.copyOf(running)) {
             if (s.over || s.toRead > 0) {
--- a/lab/src/main/java/magpiehub/lab/EngineSite.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSiteProcess.java
@@ -22,22 +22,23 @@
 import magpiehub.http.HttpWriter;
 
 /**
- * The engines of one site as a process: each listens at an address of its own and answers as the platform's
- * page says. Commands come as lines on standard input, what happened goes out as lines on standard output.
- * It owns these sockets and says only what it saw. It must never look at what a router meant.
+ * Process that serves all simulated engines of one site, each at an address of its own, with the platform's engine
+ * protocol. Reads commands as lines from standard input and reports events as lines on standard output. Events describe
+ * only what the engines observe, never the router's intent.
  *
- * <p>In: {@code build ...}, {@code add ID HOST:PORT warm|cold}, {@code drain ID}, {@code slow ID FACTOR},
- * {@code errors ID SHARE}, {@code silent ID}. Out: {@code up ID}, {@code a US ID REQUEST taken|away|...},
- * {@code l US ID RUNNING WAITING SPEED}, {@code fell US ID}.
+ * <p>Commands: {@code build ...}, {@code add ID HOST:PORT warm|cold}, {@code drain ID}, {@code slow ID FACTOR},
+ * {@code errors ID SHARE}, {@code silent ID}, {@code heard ID}. Events: {@code up ID},
+ * {@code a US ID REQUEST taken|away|error|unheard} (a request arrived), {@code l US ID RUNNING WAITING SPEED} (load, the
+ * speed in thousandths), {@code fell US ID} (the engine crashed). Times are in microseconds.
  */
-final class EngineSite {
+final class EngineSiteProcess {
     private static final long REPORT_MS = 200;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** An engine with its sockets. */
+    /** An engine with its server socket and connections. */
     private final class Served implements Runnable {
         final String id;
-        final Engine engine;
+        final EngineModel engine;
         final ServerSocket server;
         final Set<Socket> open = new HashSet<>();
         final SplittableRandom random;
@@ -47,7 +48,7 @@
 
         Served(String id, InetSocketAddress at, boolean cold) throws IOException {
             this.id = id;
-            this.engine = new Engine(build, cold ? micros() : Long.MIN_VALUE / 2);
+            this.engine = new EngineModel(build, cold ? nowMicros() : Long.MIN_VALUE / 2);
             this.random = new SplittableRandom(id.hashCode());
             server = new ServerSocket();
             server.setReuseAddress(true);
@@ -74,15 +75,15 @@
             }
         }
 
-        /** Steps as long as there is work; what a step gives is sent at its end. */
+        /** Runs steps while there is work; the tokens of a step are sent at its end. */
         @Override
         public void run() {
             while (true) {
                 long takes;
                 synchronized (this) {
-                    takes = silent ? 0 : engine.step(micros());
+                    takes = silent ? 0 : engine.step(nowMicros());
                     if (takes == 0) {
-                        pause(this, 0);
+                        await(this, 0);
                         continue;
                     }
                 }
@@ -96,9 +97,9 @@
         }
 
         private void serve(Socket s) {
-            Engine.Sequence[] now = new Engine.Sequence[1];
+            EngineModel.Sequence[] now = new EngineModel.Sequence[1];
             try (s) {
-                HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+                HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
                 while (in.awaitMessage()) {
                     HttpHead h = in.readRequestHead();
                     byte[] body = in.readBody(h);
@@ -112,12 +113,12 @@
                         }
                     }
                     if (h.closesConnection()) {
-                        in.awaitMessage(); // Its sequence ends by itself, or with the connection.
+                        in.awaitMessage(); // The sequence ends when complete or when the connection closes.
                         return;
                     }
                 }
             } catch (IOException e) {
-                // The router has gone; what it had here goes too.
+                // The router has disconnected; its sequence is cancelled below.
             } finally {
                 synchronized (this) {
                     open.remove(s);
@@ -128,28 +129,28 @@
             }
         }
 
-        private Engine.Sequence post(HttpHead h, byte[] body, Socket s) throws IOException {
+        private EngineModel.Sequence post(HttpHead h, byte[] body, Socket s) throws IOException {
             String call = h.headers().get("X-Call-Id");
             JsonNode asked = JSON.readTree(body);
             StringBuilder prompt = new StringBuilder();
             asked.path("messages").forEach(m -> prompt.append(m.path("content").asText()));
             Stream to = new Stream(s, call, prompt.length() / 4);
-            Engine.Sequence q = new Engine.Sequence(
+            EngineModel.Sequence q = new EngineModel.Sequence(
                     prompt.toString(), asked.path("max_tokens").asInt(), to);
             boolean fell = false;
             boolean taken;
             synchronized (this) {
                 if (silent) {
-                    say("a " + micros() + " " + id + " " + call + " unheard");
+                    say("a " + nowMicros() + " " + id + " " + call + " unheard");
                     return null;
                 }
                 if (errors > 0 && random.nextDouble() < errors) {
                     answer(s, 500, "");
-                    say("a " + micros() + " " + id + " " + call + " error");
+                    say("a " + nowMicros() + " " + id + " " + call + " error");
                     return null;
                 }
                 boolean before = engine.fallen();
-                taken = engine.take(q, micros()) && !draining;
+                taken = engine.take(q, nowMicros()) && !draining;
                 fell = engine.fallen() && !before;
                 if (taken) {
                     notifyAll();
@@ -157,7 +158,7 @@
                     engine.drop(q);
                 }
             }
-            say("a " + micros() + " " + id + " " + call + (taken ? " taken" : " away"));
+            say("a " + nowMicros() + " " + id + " " + call + (taken ? " taken" : " away"));
             if (fell) {
                 fall();
             } else if (!taken) {
@@ -166,9 +167,9 @@
             return taken ? q : null;
         }
 
-        /** Down for good: connections are reset, new ones refused. */
+        /** Simulates a crash: connections are reset and new ones refused. */
         private void fall() throws IOException {
-            say("fell " + micros() + " " + id);
+            say("fell " + nowMicros() + " " + id);
             server.close();
             synchronized (this) {
                 open.forEach(Relay::abort);
@@ -176,9 +177,9 @@
         }
     }
 
-    /** One answer as it goes out: each event names the request and its tokens, so that a client can tell
-     *  whether it got all of one engine's stream. */
-    private static final class Stream implements Engine.Caller {
+    /** A response stream. Each event names the request and its token range, so that a client can verify that it received
+     *  the complete stream of one engine. */
+    private static final class Stream implements EngineModel.TokenListener {
         private final Socket to;
         private final String call;
         private final int prompt;
@@ -209,7 +210,7 @@
             try {
                 out.flushTo(to.getOutputStream());
             } catch (IOException e) {
-                out.take(); // The reader of this connection sees its end.
+                out.take(); // The thread that reads this connection detects its end.
             }
         }
 
@@ -220,9 +221,9 @@
 
     private final PrintStream out;
     private final Map<String, Served> engines = new LinkedHashMap<>();
-    private Engine.Build build;
+    private EngineModel.Parameters build;
 
-    private EngineSite(PrintStream out) {
+    private EngineSiteProcess(PrintStream out) {
         this.out = out;
     }
 
@@ -238,14 +239,14 @@
                         .getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The machine's monotonic clock: the same in each process. */
-    static long micros() {
+    /** The monotonic clock (us), which all processes of the machine share. */
+    static long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
-    /** Waits on a monitor that is held, for so long (us) at most; 0 until it is told. */
-    @SuppressWarnings("WaitNotInLoop") // Callers look at their condition again in a loop.
-    static void pause(Object monitor, long us) {
+    /** Waits on a monitor that the caller holds, at most for the given time (us); 0 waits until notified. */
+    @SuppressWarnings("WaitNotInLoop") // Callers check their condition in a loop.
+    static void await(Object monitor, long us) {
         try {
             if (us == 0) {
                 monitor.wait();
@@ -271,7 +272,7 @@
                     .skip(1)
                     .mapToDouble(Double::parseDouble)
                     .toArray();
-            build = new Engine.Build(
+            build = new EngineModel.Parameters(
                     (int) v[0],
                     (int) v[1],
                     v[2],
@@ -310,9 +311,9 @@
         }
     }
 
-    /** Until standard input ends, which the laboratory's own end brings about. */
-    static void main() throws IOException {
-        EngineSite site = new EngineSite(new PrintStream(
+    /** Runs until standard input closes, which happens when the laboratory's process ends. */
+    static void run() throws IOException {
+        EngineSiteProcess site = new EngineSiteProcess(new PrintStream(
                 new java.io.BufferedOutputStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), 1 << 16),
                 false,
                 StandardCharsets.UTF_8));
@@ -335,7 +336,7 @@
             synchronized (engines) {
                 for (Served e : engines.values()) {
                     synchronized (e) {
-                        long now = micros();
+                        long now = nowMicros();
                         say("l " + now + " " + e.id + " " + e.engine.running() + " " + e.engine.waiting() + " "
                                 + Math.round(1000 * e.engine.speed(now)));
                     }
--- a/lab/src/main/java/magpiehub/lab/Discovery.java
+++ b/lab/src/main/java/magpiehub/lab/FakeDiscovery.java
@@ -19,23 +19,23 @@
 import magpiehub.http.HttpReader;
 
 /**
- * The discovery stand-in: the list of engines with its watch, one listener a router since each site
- * has its own paths to the engines. It owns the list and its revisions, and can be late, torn, wrong or down.
- * It remembers when each change was written to which router: a router can't be held to what it was not told.
+ * Fake discovery service: serves the endpoint list and its watch. It has one listener per router, because each site
+ * reaches the engines over paths of its own. On request the list is delayed, truncated, wrong or unavailable.
+ * Records when each change was sent to each router, so that a router is not blamed for a change that it never received.
  */
-final class Discovery {
+final class FakeDiscovery {
     private static final long HEARTBEAT = 2_000_000;
 
-    /** One engine as listed. */
+    /** One engine's entry in the list. */
     record Member(String id, int site, int number, String phase, long upSinceMs, long revision) {}
 
     private final List<String> sites;
     private final Map<String, Member> members = new LinkedHashMap<>();
-    /** What is still said of engines whose newest change is not told yet. */
+    /** Previous entries of engines whose newest change has not been published yet. */
     private final Map<String, Member> before = new HashMap<>();
-    /** When each engine's drain or end was first written to a router, by "ID@router" (us). */
+    /** When each engine's drain or removal was first sent to a router, by "ID@router" (us). */
     private final Map<String, Long> told = new HashMap<>();
-    /** Changes that are there and not yet told: revision and time of telling (us). */
+    /** Changes that have not been published yet: revision and publication time (us). */
     private final List<long[]> changes = new ArrayList<>();
 
     private long revision = 1;
@@ -45,19 +45,19 @@
     private final Set<Socket> open = new HashSet<>();
     private final List<ServerSocket> servers = new ArrayList<>();
 
-    /** Where a router of a site reaches an engine. */
+    /** Resolves the address at which a site's routers reach an engine. */
     interface Addresses {
         String of(int fromSite, Member m);
     }
 
     private final Addresses addresses;
 
-    Discovery(List<String> sites, Addresses addresses) {
+    FakeDiscovery(List<String> sites, Addresses addresses) {
         this.sites = sites;
         this.addresses = addresses;
     }
 
-    /** Listens for one router of a site. */
+    /** Starts the listener for one router. */
     void serve(int router, int site, InetSocketAddress at) throws IOException {
         ServerSocket server = new ServerSocket();
         server.setReuseAddress(true);
@@ -84,14 +84,14 @@
                 .start();
     }
 
-    /** What the list says of an engine from now on, true or not. */
+    /** Sets an engine's entry, whether or not it matches the engine's real state. */
     synchronized void put(String id, int site, int number, String phase, long upSinceMs) {
         revision++;
         Member old = members.put(id, new Member(id, site, number, phase, upSinceMs, revision));
-        long due = EngineSite.micros() + lateUs;
+        long due = EngineSiteProcess.nowMicros() + lateUs;
         if (lateUs > 0) {
             if (old != null) {
-                before.putIfAbsent(id, old); // A list without it would tell the change at once.
+                before.putIfAbsent(id, old); // Without the old entry, the complete list would reveal the change early.
             }
             changes.add(new long[] {revision, due});
         }
@@ -106,18 +106,18 @@
         return List.copyOf(members.values());
     }
 
-    /** Changes from now on are told so much later. */
+    /** Delays the publication of changes from now on. */
     synchronized void late(long us) {
         lateUs = us;
     }
 
-    /** Each watch is cut off in the middle of a line, once, and so is the next list. */
+    /** Truncates the next message of one watch in the middle of a line and closes the watch, once. */
     synchronized void tear() {
         torn = true;
         notifyAll();
     }
 
-    /** Refuses everything, and ends what is open. */
+    /** While set, resets new connections; setting it resets the open ones too. */
     void down(boolean now) {
         List<Socket> all;
         synchronized (this) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /** When a router was first told that an engine takes nothing new (us); the end of time if it was not. */
+    /** When a router was first sent an engine's drain or removal (us); {@code Long.MAX_VALUE} if never. */
     synchronized long told(String id, int router) {
         return told.getOrDefault(id + "@" + router, Long.MAX_VALUE);
     }
@@ -142,7 +142,7 @@
         }
     }
 
-    /** The newest revision that may be told now; how long until the next may be, in {@code wait[0]} (us). */
+    /** The newest revision that is due for publication; stores the time until the next one in {@code wait[0]} (us). */
     private long tellable(long now, long[] wait) {
         long most = revision;
         wait[0] = HEARTBEAT;
@@ -159,7 +159,7 @@
     private void call(int router, int site, Socket s) {
         try (s) {
             s.setTcpNoDelay(true);
-            HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+            HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
             while (in.awaitMessage()) {
                 HttpHead h = in.readRequestHead();
                 if (!h.target().startsWith("/discovery/hosts")) {
@@ -170,7 +170,7 @@
                 } else {
                     byte[] b;
                     synchronized (this) {
-                        long upTo = tellable(EngineSite.micros(), new long[1]);
+                        long upTo = tellable(EngineSiteProcess.nowMicros(), new long[1]);
                         b = list(router, site, 0, upTo, true).getBytes(UTF_8);
                     }
                     s.getOutputStream()
@@ -181,7 +181,7 @@
                 }
             }
         } catch (IOException e) {
-            // The router has gone, or discovery is down.
+            // The router has disconnected, or discovery is down.
         } finally {
             synchronized (this) {
                 open.remove(s);
@@ -208,10 +208,10 @@
                     return;
                 }
                 long[] wait = new long[1];
-                long upTo = tellable(EngineSite.micros(), wait);
+                long upTo = tellable(EngineSiteProcess.nowMicros(), wait);
                 if (!first && upTo <= sent && !torn) {
-                    EngineSite.pause(this, wait[0]);
-                    upTo = tellable(EngineSite.micros(), wait);
+                    EngineSiteProcess.await(this, wait[0]);
+                    upTo = tellable(EngineSiteProcess.nowMicros(), wait);
                 }
                 whole = first && (since <= 0 || since > upTo);
                 line = upTo > sent || first ? list(router, site, whole ? 0 : sent, upTo, whole) : "";
@@ -231,8 +231,8 @@
         }
     }
 
-    /** The entries that changed after a revision, or all. Called with the lock held; notes what it tells. */
-    @SuppressWarnings("ReferenceEquality") // Whether it is the newest entry itself, not one like it.
+    /** The entries that changed after a revision, or all; records what is sent. The caller must hold the lock. */
+    @SuppressWarnings("ReferenceEquality") // Identity distinguishes the newest entry from an equal older one.
     private String list(int router, int site, long after, long upTo, boolean whole) {
         StringBuilder l = new StringBuilder("{\"revision\":")
                 .append(upTo)
@@ -251,7 +251,7 @@
             if (m.phase.equals("Ready")) {
                 told.remove(m.id + "@" + router);
             } else {
-                told.putIfAbsent(m.id + "@" + router, EngineSite.micros());
+                told.putIfAbsent(m.id + "@" + router, EngineSiteProcess.nowMicros());
             }
             if (m.revision > after && !(whole && m.phase.equals("Gone"))) {
                 l.append(n++ == 0 ? "" : ",").append(entry(site, m));
@@ -260,9 +260,9 @@
         return l.append("]}").toString();
     }
 
-    /** The whole list as a router's configuration holds it: what has been told by now, and no more. */
+    /** The complete list for a router's initial configuration: only what has been published so far. */
     synchronized String known(int router, int site) {
-        return list(router, site, 0, tellable(EngineSite.micros(), new long[1]), true);
+        return list(router, site, 0, tellable(EngineSiteProcess.nowMicros(), new long[1]), true);
     }
 
     private String entry(int site, Member m) {
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -23,16 +23,16 @@
 import magpiehub.http.HttpReader;
 
 /**
- * One play of a scenario: routers as real processes by the command of {@code run}, one process of engines a
- * site, discovery, clients, and a relay between any two of them. It carries out the faults at their times and
- * keeps what was seen. It owns all addresses, on loopback only. It must never tell a router anything that the
- * platform would not.
+ * One run of a scenario: routers as real processes started with the command of {@code run}, one engine process per
+ * site, the discovery service, clients, and a relay between any two of them. Injects the faults at their times and
+ * records observations. All addresses are on the loopback interface. Routers receive only information that the
+ * platform would also give them.
  */
 final class Fleet implements AutoCloseable {
     private static final int PORT = 8000;
     private static final int CONSOLE = 8001;
     private static final long SAMPLE = 500_000;
-    /** A router's file: name, addresses, seed, limits, list, its place, classes, figures of the engines. */
+    /** A router's configuration file. */
     private static final String CONFIG =
             """
             {"name":"%s","listen":"%s","discovery":"%s","seed":"%016x",
@@ -48,30 +48,30 @@
              "guarantees":{"answerSlackMs":8,"askWithinMs":10000,"coldMs":%d,"fallMs":%d,
               "overloadFactor":%s,"startCapacity":%s,"stopSendingWithinMs":2000}}}
             """;
-    /** A router's start on a busy machine (us). */
+    /** Time limit for starting routers and engines, ample for a busy machine (us). */
     private static final long START = 60_000_000;
 
-    /** An attempt as seen at the router's end of the path: from which site, at which engine. */
+    /** An attempt, observed at the router's end of the path; {@code site} is the router's, -1 if still running. */
     record Attempt(String call, int site, String engine, long began, long over) {}
 
-    /** A router's word on a site, as its log has it. */
-    record Stand(long at, int router, String site, String from, String to, String cause) {}
+    /** A change of a site's state as reported in a router's log. */
+    record SiteStateChange(long at, int router, String site, String from, String to, String cause) {}
 
-    /** What the engines of a site had in hand. */
-    record Load(long at, int site, int running, int waiting, double speed) {}
+    /** Load of a site's engines at one time. */
+    record EngineLoad(long at, int site, int running, int waiting, double speed) {}
 
-    /** A fault as it was carried out. */
-    record Done(long at, String text) {}
+    /** A fault that was injected. */
+    record InjectedFault(long at, String text) {}
 
-    /** All that a play left. Times in us of the machine's clock, {@code from} is the first request's. */
-    record Outcome(
+    /** Everything observed during a run. Times are in us of the monotonic clock; {@code from} is the first request's. */
+    record RunResult(
             Scenario scenario,
             long from,
-            List<Clients.Result> results,
+            List<LoadGenerator.RequestRecord> results,
             List<Attempt> attempts,
-            List<Load> loads,
-            List<Done> faults,
-            List<Processes.Sample> samples,
+            List<EngineLoad> loads,
+            List<InjectedFault> faults,
+            List<ProcessManager.ResourceSample> samples,
             List<String> fell,
             List<String> toDrained,
             int twice,
@@ -79,7 +79,7 @@
             int crashes,
             long late,
             List<String> failures,
-            List<Stand> stands,
+            List<SiteStateChange> stands,
             Map<String, String> counters) {}
 
     private final Scenario s;
@@ -88,32 +88,36 @@
     private final Path out;
     private final int net;
     private final Consumer<String> progress;
-    private final Processes processes = new Processes();
-    private final Discovery discovery;
-    private final Clients clients;
-    private final List<Relay.Path> paths = new ArrayList<>();
+    private final ProcessManager processes = new ProcessManager();
+    private final FakeDiscovery discovery;
+    private final LoadGenerator clients;
+    private final List<Relay.NetworkPath> paths = new ArrayList<>();
     private final Map<String, Relay> engineRelays = new HashMap<>();
     private final List<List<Relay>> routerRelays = new ArrayList<>();
-    private final List<Processes.Proc> routers = new ArrayList<>();
-    private final List<Processes.Proc> engines = new ArrayList<>();
-    private final List<Clients.Target> targets = new ArrayList<>();
+    private final List<ProcessManager.ManagedProcess> routers = new ArrayList<>();
+    private final List<ProcessManager.ManagedProcess> engines = new ArrayList<>();
+    private final List<LoadGenerator.RouterTarget> targets = new ArrayList<>();
     private final List<Integer> numbers = new ArrayList<>();
     private final Map<String, Boolean> up = new HashMap<>();
     private final Map<String, long[]> outNow = new HashMap<>();
     private final List<Attempt> attempts = new ArrayList<>();
-    private final TreeMap<Long, List<Load>> loads = new TreeMap<>();
-    private final List<Done> done = new ArrayList<>();
+    private final TreeMap<Long, List<EngineLoad>> loads = new TreeMap<>();
+    private final List<InjectedFault> done = new ArrayList<>();
     private final List<String> fell = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
-    private final List<Stand> stands = new ArrayList<>();
+    private final List<SiteStateChange> stands = new ArrayList<>();
     private static final Pattern SITE =
             Pattern.compile(" site \\[\\S+ name=\"(\\S+)\" from=\"(\\S+)\" to=\"(\\S+)\" cause=\"(\\S+)\"\\]");
     private final Set<Integer> asked = new HashSet<>();
     private final SplittableRandom seeds;
     private volatile boolean over;
 
-    /** @param net the second number of all addresses, 16 to 250: two plays side by side take two
-     *  @param files what the installation's {@code deploy} folder holds, by name */
+    /**
+     * Prepares a run.
+     *
+     * @param net the second octet of all addresses, 16 to 250; concurrent runs need different ones
+     * @param files contents of the installation's {@code deploy} folder, by file name
+     */
     Fleet(Scenario s, Path jar, Path out, int net, Map<String, String> files, Consumer<String> progress)
             throws IOException {
         this.s = s;
@@ -123,17 +127,21 @@
         this.net = net;
         this.progress = progress;
         this.seeds = new SplittableRandom(s.seed ^ 0x9e3779b97f4a7c15L);
-        this.discovery = new Discovery(
+        this.discovery = new FakeDiscovery(
                 s.sites.stream().map(Scenario.Site::name).toList(),
                 (from, m) -> text(relayed(from, m.site(), m.number())));
         Files.createDirectories(out);
         for (int i = 0; i < s.sites.size(); i++) {
             for (int j = 0; j < s.sites.get(i).routers(); j++) {
-                targets.add(new Clients.Target(targets.size(), i, s.sites.get(i).name() + "-" + (j + 1)));
+                targets.add(new LoadGenerator.RouterTarget(
+                        targets.size(), i, s.sites.get(i).name() + "-" + (j + 1)));
             }
         }
-        this.clients = new Clients(
-                s, targets, (from, r) -> at(170 + 8 * from + targets.get(r).site(), 1 + r), new Clients.Truth() {
+        this.clients = new LoadGenerator(
+                s,
+                targets,
+                (from, r) -> at(170 + 8 * from + targets.get(r).site(), 1 + r),
+                new LoadGenerator.RouterHealth() {
                     @Override
                     public boolean whole(int from, int r, long since) {
                         return routers.get(r).whole(since)
@@ -147,18 +155,18 @@
                 });
     }
 
-    /** Once a router: its threads go into its log, beside the request that it left without an answer. */
+    /** Writes a router's thread dump to its log, next to the unanswered request's id; once per router. */
     private void askForThreads(int r, String call) {
         synchronized (asked) {
             if (!asked.add(r)) {
                 return;
             }
         }
-        log(targets.get(r).name(), "lab: no answer to " + call);
+        log(targets.get(r).name(), "lab: no answer to " + call + "; requesting a thread dump");
         try {
             processes.signal("QUIT", List.of(routers.get(r)));
         } catch (IOException e) {
-            failures.add("threads of " + targets.get(r).name() + ": " + e.getMessage());
+            failures.add("thread dump of " + targets.get(r).name() + ": " + e.getMessage());
         }
     }
 
@@ -175,8 +183,8 @@
         return a.getAddress().getHostAddress() + ":" + a.getPort();
     }
 
-    private Relay.Path path(String kind, int from, int to) {
-        for (Relay.Path p : paths) {
+    private Relay.NetworkPath path(String kind, int from, int to) {
+        for (Relay.NetworkPath p : paths) {
             if (p.from == from && p.to == to && p.name.startsWith(kind)) {
                 return p;
             }
@@ -184,7 +192,7 @@
         throw new IllegalStateException("no path " + kind + " " + from + " " + to);
     }
 
-    private long delay(Relay.Path p) {
+    private long delay(Relay.NetworkPath p) {
         return Math.round(1000 * (s.paths.delayMs() + (p.from == p.to || p.to < 0 ? 0 : s.paths.crossDelayMs())));
     }
 
@@ -193,8 +201,8 @@
     }
 
     // ---- Start ----------------------------------------------------------------------------------------
-    /** Plays the whole scenario. */
-    Outcome play() throws IOException {
+    /** Runs the whole scenario. */
+    RunResult play() throws IOException {
         int n = s.sites.size();
         for (int a = 0; a < n; a++) {
             for (int b = 0; b < n; b++) {
@@ -209,7 +217,7 @@
             startEngines(i, false);
         }
         progress.accept("starting " + targets.size() + " routers of " + jar.getFileName());
-        for (Clients.Target t : targets) {
+        for (LoadGenerator.RouterTarget t : targets) {
             discovery.serve(t.router(), t.site(), at(1, 1 + t.router()));
             List<Relay> mine = new ArrayList<>();
             mine.add(new Relay(path("discovery", t.site(), -1), at(2, 1 + t.router()), at(1, 1 + t.router()), null));
@@ -224,10 +232,10 @@
             routers.add(startRouter(t, null));
         }
         if (!clients.ready(START)) {
-            throw new IOException("the routers did not all answer their health checks; see " + out.resolve("logs"));
+            throw new IOException("not all routers passed their health checks; see " + out.resolve("logs"));
         }
         discovery.late(s.listLateMs * 1000);
-        long from = EngineSite.micros() + Clients.WARM + 300_000;
+        long from = EngineSiteProcess.nowMicros() + LoadGenerator.WARM_UP_MICROS + 300_000;
         DaemonThreads.newThread("samples", this::samples).start();
         List<Thread> arrivals = clients.send(from);
         for (Scenario.Fault f : s.faults) {
@@ -247,14 +255,14 @@
             }
         }
         long longest = s.requests.classes().stream()
-                .mapToLong(Scenario.Kind::deadlineMs)
+                .mapToLong(Scenario.RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
-        List<Clients.Result> results = clients.finish((longest + 5_000) * 1000);
+        List<LoadGenerator.RequestRecord> results = clients.finish((longest + 5_000) * 1000);
         over = true;
         processes.sample();
         Map<String, String> counters = new TreeMap<>();
-        for (Clients.Target t : targets) {
+        for (LoadGenerator.RouterTarget t : targets) {
             if (routers.get(t.router()).alive()) {
                 counters.put(t.name(), counters(t));
             }
@@ -263,26 +271,26 @@
     }
 
     private void add(String kind, int a, int b) {
-        Relay.Path p = new Relay.Path(kind + "-" + a + "-" + b, a, b, 0, 0, seeds.nextLong());
+        Relay.NetworkPath p = new Relay.NetworkPath(kind + "-" + a + "-" + b, a, b, 0, 0, seeds.nextLong());
         paths.add(p);
         try {
             p.heal(delay(p), jitter());
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e); // It has no relays yet.
+            throw new java.io.UncheckedIOException(e); // Cannot happen: the path has no relays yet.
         }
     }
 
     private void until(long until) {
-        while (EngineSite.micros() < until) {
-            EngineSite.sleep(Math.min(100_000, Math.max(1, until - EngineSite.micros())));
+        while (EngineSiteProcess.nowMicros() < until) {
+            EngineSiteProcess.sleep(Math.min(100_000, Math.max(1, until - EngineSiteProcess.nowMicros())));
         }
     }
 
-    /** A site's engines as a new process: ids that nobody has seen, warm only at the play's start. */
+    /** Starts a site's engine process; its engines get new ids and are warm only at the start of the run. */
     private void startEngines(int site, boolean cold) throws IOException {
         Scenario.Site at = s.sites.get(site);
-        Engine.Build b = s.engine;
-        Processes.Proc p = processes.start(
+        EngineModel.Parameters b = s.engine;
+        ProcessManager.ManagedProcess p = processes.start(
                 "engines-" + at.name(),
                 List.of(
                         ProcessHandle.current().info().command().orElse("java"),
@@ -314,17 +322,17 @@
         addEngines(site, cold);
     }
 
-    /** Engines that nobody has seen, in the site's process: each takes the next number. */
+    /** Adds engines with new ids, numbered consecutively, to the site's process. */
     private void addEngines(int site, boolean cold) throws IOException {
         Scenario.Site at = s.sites.get(site);
-        Processes.Proc p = engines.get(site);
+        ProcessManager.ManagedProcess p = engines.get(site);
         long since = cold ? System.currentTimeMillis() : 0;
         List<String> ids = new ArrayList<>();
         int first = numbers.get(site);
         for (int i = 0; i < at.engines(); i++) {
             int number = first + i;
             if (number > 250) {
-                throw new IOException("site " + at.name() + " has had 250 engines; no address is left");
+                throw new IOException("site " + at.name() + " has used all 250 engine addresses");
             }
             String id = at.name() + "-e" + number;
             ids.add(id);
@@ -332,12 +340,12 @@
         }
         numbers.set(site, first + at.engines());
         synchronized (up) {
-            long until = EngineSite.micros() + START;
-            while (!ids.stream().allMatch(up::containsKey) && EngineSite.micros() < until) {
-                EngineSite.pause(up, 100_000);
+            long until = EngineSiteProcess.nowMicros() + START;
+            while (!ids.stream().allMatch(up::containsKey) && EngineSiteProcess.nowMicros() < until) {
+                EngineSiteProcess.await(up, 100_000);
             }
             if (!ids.stream().allMatch(up::containsKey)) {
-                throw new IOException("the engines of " + at.name() + " did not start; see " + out.resolve("logs"));
+                throw new IOException("not all engines of " + at.name() + " started; see " + out.resolve("logs"));
             }
         }
         for (int i = 0; i < ids.size(); i++) {
@@ -354,8 +362,8 @@
         }
     }
 
-    private Relay.Watch watch(int site, String engine) {
-        return new Relay.Watch() {
+    private Relay.RequestObserver watch(int site, String engine) {
+        return new Relay.RequestObserver() {
             @Override
             public void began(String call, long at) {
                 synchronized (outNow) {
@@ -392,7 +400,7 @@
             case "l" -> {
                 synchronized (loads) {
                     loads.computeIfAbsent(Long.parseLong(w[1]) / 200_000, k -> new ArrayList<>())
-                            .add(new Load(
+                            .add(new EngineLoad(
                                     Long.parseLong(w[1]),
                                     site,
                                     Integer.parseInt(w[3]),
@@ -401,17 +409,18 @@
                 }
             }
             case "a" -> {
-                return; // What an engine took is seen on the paths as well.
+                return; // Attempts are already observed by the relays.
             }
             default -> log("engines-" + s.sites.get(site).name(), line);
         }
     }
 
-    private void routerSaid(Clients.Target t, String line) {
+    private void routerSaid(LoadGenerator.RouterTarget t, String line) {
         Matcher m = SITE.matcher(line);
         if (m.find()) {
             synchronized (stands) {
-                stands.add(new Stand(EngineSite.micros(), t.router(), m.group(1), m.group(2), m.group(3), m.group(4)));
+                stands.add(new SiteStateChange(
+                        EngineSiteProcess.nowMicros(), t.router(), m.group(1), m.group(2), m.group(3), m.group(4)));
             }
         }
         log(t.name(), line);
@@ -431,10 +440,11 @@
         }
     }
 
-    /** A router by the command of {@code run}, with this jar in place of the built one. */
-    private Processes.Proc startRouter(Clients.Target t, Processes.Proc was) throws IOException {
+    /** Starts a router with the command of {@code run}, replacing the built jar by the run's jar. */
+    private ProcessManager.ManagedProcess startRouter(LoadGenerator.RouterTarget t, ProcessManager.ManagedProcess was)
+            throws IOException {
         Path home = out.resolve("routers").resolve(t.name());
-        Path tmp = home.resolve("tmp-" + EngineSite.micros());
+        Path tmp = home.resolve("tmp-" + EngineSiteProcess.nowMicros());
         Files.createDirectories(tmp);
         Files.createDirectories(home.resolve("deploy"));
         for (Map.Entry<String, String> f : files.entrySet()) {
@@ -466,20 +476,21 @@
         return processes.start(t.name(), List.of("sh", "-c", run), env, home, l -> routerSaid(t, l), was);
     }
 
-    /** The project's root: where deploy/balancer.toml is, from here upwards. */
+    /** The project's root: the closest parent of the working directory that contains deploy/balancer.toml. */
     static Path root() throws IOException {
         for (Path p = Path.of("").toAbsolutePath(); p != null; p = p.getParent()) {
             if (Files.exists(p.resolve("deploy/balancer.toml"))) {
                 return p;
             }
         }
-        throw new IOException("deploy/balancer.toml is not here or above: run in the project's folder");
+        throw new IOException(
+                "deploy/balancer.toml not found in this folder or its parents; run in the project's folder");
     }
 
-    private String config(Clients.Target t) {
+    private String config(LoadGenerator.RouterTarget t) {
         StringBuilder classes = new StringBuilder();
         StringBuilder tokenAims = new StringBuilder();
-        for (Scenario.Kind k : s.requests.classes()) {
+        for (Scenario.RequestClass k : s.requests.classes()) {
             classes.append(classes.length() == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
@@ -506,7 +517,7 @@
         s.sites.forEach(z -> zones.append(zones.length() == 0 ? "\"" : ",\"")
                 .append(z.name())
                 .append('"'));
-        Engine.Build b = s.engine;
+        EngineModel.Parameters b = s.engine;
         return String.format(
                 Locale.ROOT,
                 CONFIG,
@@ -532,9 +543,9 @@
     }
 
     // ---- Faults ---------------------------------------------------------------------------------------
-    private List<Processes.Proc> aimed(Scenario.Fault f) {
-        List<Processes.Proc> to = new ArrayList<>();
-        for (Clients.Target t : targets) {
+    private List<ProcessManager.ManagedProcess> aimed(Scenario.Fault f) {
+        List<ProcessManager.ManagedProcess> to = new ArrayList<>();
+        for (LoadGenerator.RouterTarget t : targets) {
             boolean there = f.site() < 0 || t.site() == f.site();
             if ((there && (f.target().equals("site") || f.target().equals("routers")))
                     || f.target().equals(t.name())) {
@@ -550,7 +561,7 @@
         return to;
     }
 
-    private List<Relay.Path> along(Scenario.Fault f) {
+    private List<Relay.NetworkPath> along(Scenario.Fault f) {
         return paths.stream()
                 .filter(p -> f.paths().equals("all") || p.name.startsWith(f.paths()))
                 .filter(p -> f.site() < 0
@@ -561,7 +572,7 @@
     }
 
     private void note(String text) {
-        done.add(new Done(EngineSite.micros(), text));
+        done.add(new InjectedFault(EngineSiteProcess.nowMicros(), text));
         progress.accept(text);
     }
 
@@ -574,36 +585,36 @@
             case "term" -> processes.signal("TERM", aimed(f));
             case "start" -> start(f);
             case "cut" -> {
-                for (Relay.Path p : along(f)) {
-                    // "forth" is what leaves the site that is named.
+                for (Relay.NetworkPath p : along(f)) {
+                    // "forth" is the direction that leaves the named site.
                     boolean leaves = f.site() < 0 || p.from == f.site();
                     p.cut(
                             f.way().equals("both") || f.way().equals("forth") == leaves,
                             f.way().equals("both") || f.way().equals("back") == leaves);
                 }
             }
-            case "blackhole" -> along(f).forEach(Relay.Path::blackHole);
-            case "reset" -> along(f).forEach(Relay.Path::reset);
+            case "blackhole" -> along(f).forEach(Relay.NetworkPath::blackHole);
+            case "reset" -> along(f).forEach(Relay.NetworkPath::reset);
             case "slow" -> along(f).forEach(p -> p.slow(Math.round(delay(p) * f.value()), jitter(), 0));
             case "throttle" -> along(f).forEach(p -> p.slow(delay(p), jitter(), Math.round(f.value())));
             case "heal" -> {
-                for (Relay.Path p : along(f)) {
+                for (Relay.NetworkPath p : along(f)) {
                     p.heal(delay(p), jitter());
                 }
             }
             case "engine-slow", "engine-errors", "engine-silent", "engine-heard" -> {
-                for (Discovery.Member m : aimedEngines(f)) {
+                for (FakeDiscovery.Member m : aimedEngines(f)) {
                     engines.get(m.site()).say(f.kind().substring(7) + " " + m.id() + " " + f.value());
                 }
             }
             case "drain" -> {
-                for (Discovery.Member m : aimedEngines(f)) {
+                for (FakeDiscovery.Member m : aimedEngines(f)) {
                     discovery.put(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
                     engines.get(m.site()).say("drain " + m.id());
                 }
             }
             case "say" -> {
-                for (Clients.Target t : targets) {
+                for (LoadGenerator.RouterTarget t : targets) {
                     if (f.site() < 0 || t.site() == f.site()) {
                         String answer = say(t, f.target());
                         if (!answer.startsWith("SUCCESS")) {
@@ -625,12 +636,12 @@
                     }
                 }
             }
-            default -> throw new IOException("no such fault: " + f.kind());
+            default -> throw new IOException("unknown fault: " + f.kind());
         }
     }
 
-    /** One call on a router's console. */
-    private String say(Clients.Target t, String line) throws IOException {
+    /** Sends one line to a router's console and returns the reply. */
+    private String say(LoadGenerator.RouterTarget t, String line) throws IOException {
         try (Socket s = new Socket()) {
             s.connect(new InetSocketAddress(at(10, 1 + t.router()).getAddress(), CONSOLE), 1_000);
             s.setSoTimeout(2_000);
@@ -639,15 +650,15 @@
         }
     }
 
-    /** What a router has counted; nothing where it does not answer. */
-    private String counters(Clients.Target t) {
+    /** A router's counters; empty if it does not respond. */
+    private String counters(LoadGenerator.RouterTarget t) {
         try (Socket s = new Socket()) {
             s.connect(at(10, 1 + t.router()), 1_000);
             s.setSoTimeout(2_000);
             s.getOutputStream()
                     .write("GET /counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+            HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
             return in.awaitMessage() ? new String(in.readBody(in.readResponseHead()), StandardCharsets.UTF_8) : "";
         } catch (IOException e) {
             return "";
@@ -655,13 +666,13 @@
     }
 
     private void list(Scenario.Fault f, String phase) {
-        for (Discovery.Member m : aimedEngines(f)) {
+        for (FakeDiscovery.Member m : aimedEngines(f)) {
             discovery.put(m.id(), m.site(), m.number(), phase, m.upSinceMs());
         }
     }
 
-    /** The engines that are meant: one by its id, or all that a site (or the fleet) has now. */
-    private List<Discovery.Member> aimedEngines(Scenario.Fault f) {
+    /** The engines that a fault targets: one by its id, or all current ones of a site or of the fleet. */
+    private List<FakeDiscovery.Member> aimedEngines(Scenario.Fault f) {
         return discovery.members().stream()
                 .filter(m -> f.target() != null
                         ? m.id().equals(f.target())
@@ -673,12 +684,12 @@
     }
 
     private void kill(Scenario.Fault f) throws IOException {
-        List<Processes.Proc> to = aimed(f);
+        List<ProcessManager.ManagedProcess> to = aimed(f);
         processes.signal("KILL", to);
-        for (Clients.Target t : targets) {
+        for (LoadGenerator.RouterTarget t : targets) {
             if (to.contains(routers.get(t.router()))) {
                 List<Relay> mine = routerRelays.get(t.router());
-                for (Relay r : mine.subList(1, mine.size())) { // The first is its way to discovery.
+                for (Relay r : mine.subList(1, mine.size())) { // The first relay leads to discovery.
                     r.down();
                 }
             }
@@ -690,9 +701,9 @@
         }
     }
 
-    /** The engines of a site are no more: its addresses refuse, and the list will say so in its time. */
+    /** Removes a site's engines: their addresses refuse connections, and the list reports them as gone. */
     private void gone(int site) throws IOException {
-        for (Discovery.Member m : discovery.members()) {
+        for (FakeDiscovery.Member m : discovery.members()) {
             if (m.site() == site && !m.phase().equals("Gone")) {
                 for (int from = 0; from < s.sites.size(); from++) {
                     engineRelays.get(m.id() + "@" + from).down();
@@ -703,28 +714,28 @@
     }
 
     private void start(Scenario.Fault f) throws IOException {
-        List<Processes.Proc> to = aimed(f);
+        List<ProcessManager.ManagedProcess> to = aimed(f);
         for (int i = 0; i < engines.size(); i++) {
             if (to.contains(engines.get(i)) && !engines.get(i).alive()) {
                 startEngines(i, true);
             }
         }
-        for (Clients.Target t : targets) {
-            Processes.Proc p = routers.get(t.router());
+        for (LoadGenerator.RouterTarget t : targets) {
+            ProcessManager.ManagedProcess p = routers.get(t.router());
             if (to.contains(p) && !p.alive()) {
-                Processes.ended(p, 10_000);
+                ProcessManager.awaitExit(p, 10_000);
                 startRouter(t, p);
             }
         }
     }
 
-    /** A release of a site's engines at once: new ones, cold, and the old ones drain. */
+    /** Replaces all engines of a site at once: starts new cold ones and drains the old ones. */
     private void replace(int site) throws IOException {
-        List<Discovery.Member> old = discovery.members().stream()
+        List<FakeDiscovery.Member> old = discovery.members().stream()
                 .filter(m -> m.site() == site && m.phase().equals("Ready"))
                 .toList();
         addEngines(site, true);
-        for (Discovery.Member m : old) {
+        for (FakeDiscovery.Member m : old) {
             discovery.put(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
             engines.get(site).say("drain " + m.id());
         }
@@ -733,16 +744,16 @@
     private void samples() {
         while (!over) {
             processes.sample();
-            EngineSite.sleep(SAMPLE);
+            EngineSiteProcess.sleep(SAMPLE);
         }
     }
 
     // ---- The end --------------------------------------------------------------------------------------
-    private Outcome outcome(long from, List<Clients.Result> results, Map<String, String> counters) {
+    private RunResult outcome(long from, List<LoadGenerator.RequestRecord> results, Map<String, String> counters) {
         List<Attempt> all;
         synchronized (outNow) {
             all = new ArrayList<>(attempts);
-            long now = EngineSite.micros();
+            long now = EngineSiteProcess.nowMicros();
             outNow.forEach((k, began) -> {
                 String engine = k.substring(k.indexOf('@') + 1);
                 all.add(new Attempt(k.substring(0, k.indexOf('@')), -1, engine, began[0], now));
@@ -751,7 +762,7 @@
         List<String> late = new ArrayList<>();
         for (Attempt a : all) {
             long told = 0;
-            for (Clients.Target t : targets) {
+            for (LoadGenerator.RouterTarget t : targets) {
                 told = t.site() == a.site ? Math.max(told, discovery.told(a.engine, t.router())) : told;
             }
             if (told > 0
@@ -761,28 +772,28 @@
                 late.add(a.engine + " got " + a.call + " " + (a.began - told) / 1000 + " ms after it was told");
             }
         }
-        List<Load> sums = new ArrayList<>();
+        List<EngineLoad> sums = new ArrayList<>();
         synchronized (loads) {
             loads.forEach((k, l) -> {
                 for (int i = 0; i < s.sites.size(); i++) {
                     int site = i;
-                    List<Load> of = l.stream().filter(x -> x.site == site).toList();
+                    List<EngineLoad> of = l.stream().filter(x -> x.site == site).toList();
                     if (!of.isEmpty()) {
-                        sums.add(new Load(
+                        sums.add(new EngineLoad(
                                 k * 200_000,
                                 site,
-                                of.stream().mapToInt(Load::running).sum(),
-                                of.stream().mapToInt(Load::waiting).sum(),
-                                of.stream().mapToDouble(Load::speed).sum()));
+                                of.stream().mapToInt(EngineLoad::running).sum(),
+                                of.stream().mapToInt(EngineLoad::waiting).sum(),
+                                of.stream().mapToDouble(EngineLoad::speed).sum()));
                     }
                 }
             });
         }
-        List<Stand> words;
+        List<SiteStateChange> words;
         synchronized (stands) {
             words = List.copyOf(stands);
         }
-        return new Outcome(
+        return new RunResult(
                 s,
                 from,
                 results,
@@ -792,7 +803,7 @@
                 processes.samples(),
                 List.copyOf(fell),
                 late,
-                clients.twice(),
+                clients.duplicateResponses(),
                 clients.open(),
                 processes.crashes(),
                 clients.late(),
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -14,14 +14,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The laboratory's commands. It owns the options and the exit codes: 0 all held, 1 a bound failed, 2 the
- *  call
- *  or the file is wrong, 3 the play could not be made. */
+/**
+ * Command line of the laboratory. Exit codes: 0 all bounds hold, 1 a bound failed, 2 invalid arguments or file, 3 the
+ * run could not be completed or this machine was too busy for valid measurements.
+ */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
         version = "magpiehub-lab 0.1.0",
-        description = "Plays fleets of real routers with faults between them.",
+        description = "Runs fleets of real routers and injects faults.",
         subcommands = {
             Lab.Run.class,
             Lab.Compare.class,
@@ -31,7 +32,7 @@
             Lab.Engines.class
         })
 public final class Lab {
-    /** How late the rig itself may be, by 99 of 100 requests, for its figures to say something (us). */
+    /** Maximum 99th percentile of the sending delay for the measurements to be valid (us). */
     private static final long MOST_LATE = 50_000;
 
     private Lab() {}
@@ -45,41 +46,43 @@
     static CommandLine commands() {
         return new CommandLine(new Lab()).setExecutionExceptionHandler((e, c, r) -> {
             c.getErr().println("lab: " + (e.getMessage() == null ? e : e.getMessage()));
-            if (!(e instanceof Scenario.Wrong || e instanceof IOException)) {
+            if (!(e instanceof Scenario.InvalidScenarioException || e instanceof IOException)) {
                 e.printStackTrace(c.getErr());
             }
-            return e instanceof Scenario.Wrong || e instanceof java.nio.file.NoSuchFileException ? 2 : 3;
+            return e instanceof Scenario.InvalidScenarioException || e instanceof java.nio.file.NoSuchFileException
+                    ? 2
+                    : 3;
         });
     }
 
-    /** The options that each play takes. */
+    /** Options of all commands that run a scenario. */
     static final class Play {
         @Option(names = "--jar", description = "the router's jar (target/magpiehub.jar)")
         Path jar;
 
-        @Option(names = "--base", description = "an older jar, played side by side")
+        @Option(names = "--base", description = "an older jar, run concurrently for comparison")
         Path base;
 
-        @Option(names = "--site", description = "what deploy/site.json holds for --jar; {} for its defaults")
+        @Option(names = "--site", description = "content of deploy/site.json for --jar; {} for the defaults")
         String site;
 
         @Option(names = "--out", description = "folder for reports and logs (target/lab/NAME-SEED)")
         Path out;
 
-        /** Plays once, or with both jars at the same time. */
-        List<Fleet.Outcome> play(Scenario s) throws IOException {
+        /** Runs the scenario with the jar, and concurrently with the base jar if there is one. */
+        List<Fleet.RunResult> play(Scenario s) throws IOException {
             Path root = Fleet.root();
             jar = jar == null ? root.resolve("target/magpiehub.jar") : jar;
             out = out == null ? root.resolve("target/lab/" + s.name + "-" + s.seed) : out;
             if (!Files.isReadable(jar) || (base != null && !Files.isReadable(base))) {
-                throw new Scenario.Wrong("no jar: " + (Files.isReadable(jar) ? base : jar));
+                throw new Scenario.InvalidScenarioException("cannot read jar: " + (Files.isReadable(jar) ? base : jar));
             }
             Map<String, String> files = site == null ? Map.of() : Map.of("site.json", site);
             int net = 16 + (int) (ProcessHandle.current().pid() % 110);
             if (base == null) {
                 return List.of(one(s, jar, out, net, files, ""));
             }
-            Fleet.Outcome[] both = new Fleet.Outcome[1];
+            Fleet.RunResult[] both = new Fleet.RunResult[1];
             IOException[] failed = new IOException[1];
             Thread t = DaemonThreads.newThread("base", () -> {
                 try {
@@ -89,7 +92,7 @@
                 }
             });
             t.start();
-            Fleet.Outcome mine = one(s, jar, out, net, files, "");
+            Fleet.RunResult mine = one(s, jar, out, net, files, "");
             try {
                 t.join();
             } catch (InterruptedException e) {
@@ -101,7 +104,7 @@
             return List.of(mine, both[0]);
         }
 
-        private static Fleet.Outcome one(
+        private static Fleet.RunResult one(
                 Scenario s, Path jar, Path out, int net, Map<String, String> files, String mark) throws IOException {
             long from = System.nanoTime();
             if (Files.exists(out.resolve("logs"))) {
@@ -122,16 +125,16 @@
             }
         }
 
-        int report(List<Fleet.Outcome> plays, List<Verdict.Loss> losses) throws IOException {
+        int report(List<Fleet.RunResult> plays, List<RunEvaluation.SiteLoss> losses) throws IOException {
             boolean holds = true;
             List<JsonNode> json = new ArrayList<>();
             for (int i = 0; i < plays.size(); i++) {
-                Fleet.Outcome o = plays.get(i);
-                List<Verdict.Loss> l = losses == null ? List.of() : losses;
-                List<Verdict.Bound> bounds = new Verdict(o).of(shifted(l, o.from()));
+                Fleet.RunResult o = plays.get(i);
+                List<RunEvaluation.SiteLoss> l = losses == null ? List.of() : losses;
+                List<RunEvaluation.Bound> bounds = new RunEvaluation(o).of(shifted(l, o.from()));
                 if (i == 0) {
                     bounds.forEach(System.out::println);
-                    holds = bounds.stream().allMatch(Verdict.Bound::holds);
+                    holds = bounds.stream().allMatch(RunEvaluation.Bound::holds);
                 }
                 json.add(Report.write(
                         o,
@@ -143,25 +146,25 @@
                 Report.compare(json.get(0), json.get(1)).forEach(System.out::println);
                 Files.writeString(out.resolve("compare.html"), Report.html(json));
             }
-            long late = plays.stream().mapToLong(Fleet.Outcome::late).max().orElse(0);
+            long late = plays.stream().mapToLong(Fleet.RunResult::late).max().orElse(0);
             if (late > MOST_LATE) {
                 System.out.printf(
-                        "this machine was too busy: requests left up to %d ms late (99 of 100)%n", late / 1000);
+                        "this machine was too busy: 99 %% of requests were sent up to %d ms late%n", late / 1000);
             }
             System.out.println("report: " + out.resolve("report.html"));
             return late > MOST_LATE ? 3 : holds ? 0 : 1;
         }
 
-        /** Losses are said from the first request on; the machine's clock is meant from here. */
-        private static List<Verdict.Loss> shifted(List<Verdict.Loss> l, long from) {
+        /** Converts losses from times relative to the first request to the monotonic clock. */
+        private static List<RunEvaluation.SiteLoss> shifted(List<RunEvaluation.SiteLoss> l, long from) {
             return l.stream()
-                    .map(x -> new Verdict.Loss(x.site(), x.from() + from, x.until() + from, x.refused()))
+                    .map(x -> new RunEvaluation.SiteLoss(x.site(), x.from() + from, x.until() + from, x.refused()))
                     .toList();
         }
     }
 
-    /** Plays a scenario file. */
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a scenario file.")
+    /** Runs a scenario file. */
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a scenario file.")
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         Path file;
@@ -178,8 +181,8 @@
         }
     }
 
-    /** Compares two reports. */
-    @Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares two plays' reports.")
+    /** Compares the reports of two runs. */
+    @Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares the reports of two runs.")
     static final class Compare implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A")
         Path a;
@@ -187,7 +190,7 @@
         @Parameters(index = "1", paramLabel = "B")
         Path b;
 
-        @Option(names = "--html", description = "a page with the plots of both over each other")
+        @Option(names = "--html", description = "write a page with the charts of both runs overlaid")
         Path html;
 
         @Override
@@ -202,8 +205,11 @@
         }
     }
 
-    /** Reads a scenario file and says what a seed makes of it. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Reads a scenario file, plays nothing.")
+    /** Validates a scenario file and prints what the seed selects. */
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
+            description = "Validates a scenario file without running it.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         Path file;
@@ -216,7 +222,7 @@
             Scenario s = Scenario.read(file, seed);
             for (int i = 0; i < s.sites.size(); i++) {
                 System.out.printf(
-                        "%s: %.0f %% of its engines' time asked for by its own clients%n",
+                        "%s: its own clients use %.0f %% of its engines' capacity%n",
                         s.sites.get(i).name(), 100 * s.demand(i) / Math.max(1, s.capacity(i)));
             }
             s.faults.forEach(f -> System.out.printf("%7.3f s  %s%n", f.at() / 1000.0, f.text(s.sites)));
@@ -224,16 +230,17 @@
         }
     }
 
-    /** The proof of the loss of a site. */
+    /** Runs a generated site loss and checks its bounds. */
     @Command(
             name = "proof-site",
             mixinStandardHelpOptions = true,
-            description = "Nine routers, three sites, a loss drawn from the seed, and its bounds.")
+            description =
+                    "Runs a site loss generated from the seed with nine routers at three sites and checks its bounds.")
     static final class ProofSite implements Callable<Integer> {
         @Parameters(paramLabel = "SEED")
         long seed;
 
-        @Option(names = "--case", description = "a case of SiteProof instead of the seed's")
+        @Option(names = "--case", description = "a named case instead of the one that the seed selects")
         String kind;
 
         @CommandLine.Mixin
@@ -241,17 +248,17 @@
 
         @Override
         public Integer call() throws IOException {
-            SiteProof p = SiteProof.drawn(seed, kind);
+            SiteLossScenario p = SiteLossScenario.drawn(seed, kind);
             System.out.println("case: " + p.kind());
             return play.report(play.play(p.scenario()), p.losses());
         }
     }
 
-    /** The machines that routers judge sites by, alone, in virtual time. */
+    /** Simulates the routers' site health trackers in virtual time. */
     @Command(
             name = "drive",
             mixinStandardHelpOptions = true,
-            description = "Drawn losses of sites against the machines of 100 routers, in virtual time.")
+            description = "Simulates random site losses with the site health trackers of 100 routers, in virtual time.")
     static final class Drive implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "SEED")
         long seed;
@@ -259,23 +266,23 @@
         @Parameters(index = "1", paramLabel = "SCENARIOS", defaultValue = "2000")
         int scenarios;
 
-        @Option(names = "--threads", description = "the result is the same for any number")
+        @Option(names = "--threads", description = "number of threads; does not affect the result")
         int threads = Runtime.getRuntime().availableProcessors();
 
         @Override
         public Integer call() throws Exception {
-            SitesDrive.Result r = SitesDrive.play(seed, scenarios, threads);
-            System.out.println(SitesDrive.line(seed, scenarios, r));
+            SiteFailoverSimulation.Result r = SiteFailoverSimulation.play(seed, scenarios, threads);
+            System.out.println(SiteFailoverSimulation.line(seed, scenarios, r));
             return r.lostWrongly == 0 ? 0 : 1;
         }
     }
 
-    /** A site's engines; the laboratory starts it by itself. */
+    /** Serves one site's engines; started by the laboratory itself. */
     @Command(name = "engines", hidden = true)
     static final class Engines implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            EngineSite.main();
+            EngineSiteProcess.run();
             return 0;
         }
     }
--- a/lab/src/main/java/magpiehub/lab/Processes.java
+++ b/lab/src/main/java/magpiehub/lab/ProcessManager.java
@@ -15,18 +15,18 @@
 import magpiehub.concurrent.DaemonThreads;
 
 /**
- * The processes of a play: started, hit with signals, looked at, and ended with the rig, whatever ends it. It
- * owns them by their process ids and touches no other process.
+ * Starts, signals, samples and ends the processes of a run; a shutdown hook ends them however the laboratory ends.
+ * Only processes that it started itself are signalled, by their process ids.
  */
-final class Processes implements AutoCloseable {
-    /** The kernel's clock ticks, which /proc counts CPU time in (Hz). */
+final class ProcessManager implements AutoCloseable {
+    /** Frequency of the kernel clock ticks in which /proc reports CPU time (Hz). */
     private static final long TICKS = 100;
 
-    /** What one process took at a time: resident memory (KB), CPU since its start (ms), threads, files. */
-    record Sample(long at, String name, long rssKb, long cpuMs, int threads, int files) {}
+    /** Resource usage of one process at a time (us): resident memory, CPU time since its start, threads, open files. */
+    record ResourceSample(long at, String name, long rssKb, long cpuMs, int threads, int files) {}
 
-    /** One process; {@code since} is when it last started, {@code hit} when something was last done to it. */
-    static final class Proc {
+    /** One process; {@code since} is its last start, {@code hit} the last signal that changed its state (us). */
+    static final class ManagedProcess {
         final String name;
         private Process process;
         private BufferedWriter to;
@@ -35,7 +35,7 @@
         private boolean stopped;
         private boolean dead;
 
-        private Proc(String name) {
+        private ManagedProcess(String name) {
             this.name = name;
         }
 
@@ -53,14 +53,14 @@
         }
     }
 
-    private final List<Proc> all = new ArrayList<>();
-    private final List<Sample> samples = new ArrayList<>();
+    private final List<ManagedProcess> all = new ArrayList<>();
+    private final List<ResourceSample> samples = new ArrayList<>();
     private final Process shell;
     private final OutputStream orders;
     private volatile boolean over;
     private int crashes;
 
-    Processes() throws IOException {
+    ProcessManager() throws IOException {
         shell = new ProcessBuilder("sh")
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
@@ -69,10 +69,16 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::killAll));
     }
 
-    /** Starts a process, its output line by line to a reader; {@code was} is started again, or null. */
-    Proc start(String name, List<String> command, Map<String, String> env, Path folder, Consumer<String> line, Proc was)
+    /** Starts a process, or restarts {@code was} if it is not null; passes each line of output to {@code line}. */
+    ManagedProcess start(
+            String name,
+            List<String> command,
+            Map<String, String> env,
+            Path folder,
+            Consumer<String> line,
+            ManagedProcess was)
             throws IOException {
-        Proc p = was == null ? new Proc(name) : was;
+        ManagedProcess p = was == null ? new ManagedProcess(name) : was;
         ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
         if (folder != null) {
             b.directory(folder.toFile());
@@ -83,7 +89,7 @@
         synchronized (p) {
             p.process = process;
             p.to = process.outputWriter(StandardCharsets.UTF_8);
-            p.since = EngineSite.micros();
+            p.since = EngineSiteProcess.nowMicros();
             p.dead = false;
             p.stopped = false;
         }
@@ -98,7 +104,7 @@
                             line.accept(l);
                         }
                     } catch (IOException e) {
-                        return; // Its end.
+                        return; // The process has ended.
                     }
                 })
                 .start();
@@ -107,18 +113,21 @@
                 if (!over && p.process == process && !p.dead) {
                     p.dead = true;
                     crashes++;
-                    line.accept("ended by itself with " + x.exitValue());
+                    line.accept("exited unexpectedly with status " + x.exitValue());
                 }
             }
         });
         return p;
     }
 
-    /** One signal to several processes in one instant: KILL, STOP, CONT, TERM, or QUIT, which only asks. */
-    void signal(String signal, List<Proc> to) throws IOException {
+    /**
+     * Sends one signal to several processes at once with a single shell command: KILL, STOP, CONT, TERM, or QUIT, which
+     * only requests a thread dump and does not count as a fault.
+     */
+    void signal(String signal, List<ManagedProcess> to) throws IOException {
         StringBuilder pids = new StringBuilder();
-        long now = EngineSite.micros();
-        for (Proc p : to) {
+        long now = EngineSiteProcess.nowMicros();
+        for (ManagedProcess p : to) {
             synchronized (p) {
                 if (!p.dead) {
                     boolean asks = signal.equals("QUIT");
@@ -137,8 +146,8 @@
         }
     }
 
-    /** Waits for the end of a process that a signal has been sent to. */
-    static boolean ended(Proc p, long ms) {
+    /** Waits for a signalled process to end; returns false on time-out. */
+    static boolean awaitExit(ManagedProcess p, long ms) {
         try {
             return p.process.waitFor(ms, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -147,18 +156,18 @@
         }
     }
 
-    /** Processes that ended though nobody ended them. */
+    /** Number of processes that ended without being signalled. */
     int crashes() {
         return crashes;
     }
 
-    /** Looks at each process now. */
+    /** Samples the resource usage of all running processes. */
     void sample() {
-        List<Proc> now;
+        List<ManagedProcess> now;
         synchronized (all) {
             now = List.copyOf(all);
         }
-        for (Proc p : now) {
+        for (ManagedProcess p : now) {
             if (!p.alive()) {
                 continue;
             }
@@ -170,8 +179,8 @@
                 try (var l = Files.list(at.resolve("fd"))) {
                     files = (int) l.count();
                 }
-                Sample s = new Sample(
-                        EngineSite.micros(),
+                ResourceSample s = new ResourceSample(
+                        EngineSiteProcess.nowMicros(),
                         p.name,
                         Long.parseLong(f[21]) * 4,
                         (Long.parseLong(f[11]) + Long.parseLong(f[12])) * 1000 / TICKS,
@@ -181,12 +190,12 @@
                     samples.add(s);
                 }
             } catch (IOException | java.io.UncheckedIOException e) {
-                // The process has ended meanwhile: it has no sample.
+                // The process has ended in the meantime, so there is no sample.
             }
         }
     }
 
-    List<Sample> samples() {
+    List<ResourceSample> samples() {
         synchronized (samples) {
             return List.copyOf(samples);
         }
@@ -195,7 +204,7 @@
     private void killAll() {
         over = true;
         synchronized (all) {
-            for (Proc p : all) {
+            for (ManagedProcess p : all) {
                 p.process.destroyForcibly();
             }
         }
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -16,26 +16,25 @@
 import magpiehub.concurrent.DaemonThreads;
 
 /**
- * What lies between any two processes of the rig: a listener that hands each connection on to one address,
- * over a path whose faults it obeys. A path that is cut says nothing: what was sent waits on it, ends and
- * resets too, and a new connection's first packet is dropped. It owns the connections over a path and what
- * can be seen of requests on them. It must never change a byte, nor end a connection that neither side ended
- * unless the path is to be reset.
+ * TCP relay between two processes that simulates network faults: forwards each connection to one address over a path,
+ * subject to the path's faults. On a cut path everything sent is held back, including FIN and RST, and the SYN of a new
+ * connection is dropped. Also observes the requests on its connections. Never changes a byte, and never closes a
+ * connection that neither side closed, unless the path is reset.
  */
 final class Relay implements AutoCloseable {
-    /** Bytes that wait in one direction of a connection, as the buffers of a machine would hold them. */
+    /** Maximum number of bytes buffered per direction of a connection, comparable to kernel socket buffers. */
     private static final int ROOM = 512 * 1024;
 
     private static final int BACKLOG = 512;
     private static final int READ = 16 * 1024;
-    /** How often a direction that holds something back looks at its path again (us). */
+    /** Interval at which a direction with held data polls its path (us). */
     private static final long LOOK = 10_000;
-    /** How often an ended process is tried again (us). */
+    /** Interval of connection attempts to a process that has ended (us). */
     private static final long KNOCK = 20_000;
 
-    /** The path between two places for one kind of connection, in the direction of opening ("forth") and
-     *  back. All of its relays obey it. */
-    static final class Path {
+    /** The network path between two sites for one kind of connection, shared by its relays. Direction 0 ("forth") is
+     *  that in which connections are opened, direction 1 ("back") the opposite one. */
+    static final class NetworkPath {
         final String name;
         final int from;
         final int to;
@@ -46,12 +45,12 @@
         private long bytesPerS;
         private final SplittableRandom random;
         private final Set<Relay> relays = new HashSet<>();
-        /** When a fault last began and last ended on it (us): what is judged looks at it. */
+        /** Start of the current fault and end of the last one (us), used to excuse affected requests. */
         private long faultSince = Long.MAX_VALUE;
 
         private long faultUntil = Long.MIN_VALUE;
 
-        Path(String name, int from, int to, long delayUs, long jitterUs, long seed) {
+        NetworkPath(String name, int from, int to, long delayUs, long jitterUs, long seed) {
             this.name = name;
             this.from = from;
             this.to = to;
@@ -68,12 +67,12 @@
             return cut[direction] || blackHole;
         }
 
-        /** Whether a connection's first packet, or the answer to it, is lost. */
+        /** Whether a connection's SYN, or the SYN-ACK, is lost. */
         synchronized boolean drops() {
             return cut[0] || cut[1];
         }
 
-        /** Whether something was wrong with it at any time since. */
+        /** Whether there has been a fault at any time since the given one (us). */
         synchronized boolean faulted(long since) {
             return faultSince != Long.MAX_VALUE || faultUntil >= since;
         }
@@ -84,33 +83,33 @@
 
         private void wrong(boolean now) {
             if (now && faultSince == Long.MAX_VALUE) {
-                faultSince = EngineSite.micros();
+                faultSince = EngineSiteProcess.nowMicros();
             } else if (!now) {
                 faultSince = Long.MAX_VALUE;
-                faultUntil = EngineSite.micros();
+                faultUntil = EngineSiteProcess.nowMicros();
             }
         }
 
-        /** Nothing passes in these directions, and nobody is told. */
+        /** Stops all traffic in the given directions without notifying either side. */
         void cut(boolean forth, boolean back) throws IOException {
             synchronized (this) {
                 cut[0] = forth;
                 cut[1] = back;
                 wrong(true);
             }
-            // The first packet of a connection has to go one way, and its answer the other.
+            // A handshake needs both directions, so that either cut prevents new connections.
             for (Relay r : all()) {
                 r.apply();
             }
         }
 
-        /** Connections come up, and nothing is ever heard on them. */
+        /** Accepts connections but delivers no data on them. */
         synchronized void blackHole() {
             blackHole = true;
             wrong(true);
         }
 
-        /** Takes so much longer, and carries so many bytes a second (0: any number). */
+        /** Sets delay and jitter (us) and the bandwidth (bytes/s, 0 for unlimited). */
         synchronized void slow(long delay, long jitter, long bytes) {
             delayUs = delay;
             jitterUs = jitter;
@@ -118,17 +117,17 @@
             wrong(true);
         }
 
-        /** Ends all connections over it at once; new ones come up. */
+        /** Resets all connections; new ones are accepted. */
         void reset() {
             for (Relay r : all()) {
                 r.resetAll();
             }
             synchronized (this) {
-                faultUntil = EngineSite.micros();
+                faultUntil = EngineSiteProcess.nowMicros();
             }
         }
 
-        /** As it was made. */
+        /** Removes all faults and sets the regular delay and jitter (us). */
         void heal(long delay, long jitter) throws IOException {
             synchronized (this) {
                 cut[0] = false;
@@ -149,30 +148,30 @@
         }
     }
 
-    /** What is seen of requests on a relay to an engine, at the router's end of it. */
-    interface Watch {
-        /** A request's first byte was written. */
+    /** Observes the requests on a relay to an engine, at the router's end. */
+    interface RequestObserver {
+        /** A request's first byte was received from the router. */
         void began(String call, long at);
 
-        /** It is over: answered, or either side has ended it. */
+        /** The request has ended: the response is complete, or either side has closed the connection. */
         void over(String call, long at);
     }
 
-    private final Path path;
+    private final NetworkPath path;
     private final InetSocketAddress at;
     private final InetSocketAddress to;
-    private final Watch watch;
-    private final Set<Link> links = new HashSet<>();
+    private final RequestObserver watch;
+    private final Set<RelayedConnection> links = new HashSet<>();
     private ServerSocket server;
     private Thread acceptor;
-    private Door door;
+    private ListenerState door;
     private boolean down;
     private boolean closed;
-    /** Connections of its own that fill the listener's queue while the path is cut. */
+    /** The relay's own connections, which fill the listener's backlog while the path is cut. */
     private final List<Socket> fillers = new ArrayList<>();
 
-    /** Listens at once; {@code watch} may be null. */
-    Relay(Path path, InetSocketAddress at, InetSocketAddress to, Watch watch) throws IOException {
+    /** Creates a relay that listens immediately; {@code watch} may be null. */
+    Relay(NetworkPath path, InetSocketAddress at, InetSocketAddress to, RequestObserver watch) throws IOException {
         this.path = path;
         this.at = at;
         this.to = to;
@@ -183,42 +182,44 @@
         apply();
     }
 
-    /** How a relay meets whoever opens a connection: takes it, drops its first packet, or refuses it. */
-    private enum Door {
+    /** How the listener treats new connections: accepts them, drops their SYN, or refuses them. */
+    private enum ListenerState {
         OPEN,
         DROPS,
         REFUSES
     }
 
-    /** Stands as the path and the process behind it say. */
+    /** Brings the listener into the state that the path and the target process require. */
     private synchronized void apply() throws IOException {
-        Door now = closed || (down && !path.drops()) ? Door.REFUSES : path.drops() ? Door.DROPS : Door.OPEN;
+        ListenerState now = closed || (down && !path.drops())
+                ? ListenerState.REFUSES
+                : path.drops() ? ListenerState.DROPS : ListenerState.OPEN;
         if (now == door) {
             return;
         }
         door = now;
         if (server != null) {
             server.close();
-            join(acceptor); // Until it has left the listener, the kernel keeps the address.
+            join(acceptor); // The kernel holds the address until the accepting thread has left the listener.
         }
         for (Socket s : fillers) {
             s.close();
         }
         fillers.clear();
-        if (now == Door.REFUSES) {
+        if (now == ListenerState.REFUSES) {
             return;
         }
         ServerSocket fresh = new ServerSocket();
         fresh.setReuseAddress(true);
-        fresh.bind(at, now == Door.OPEN ? BACKLOG : 1);
+        fresh.bind(at, now == ListenerState.OPEN ? BACKLOG : 1);
         server = fresh;
-        if (now == Door.OPEN) {
+        if (now == ListenerState.OPEN) {
             acceptor = DaemonThreads.newThread("relay-" + path.name, () -> accept(fresh));
             acceptor.start();
             return;
         }
         acceptor = null;
-        // The kernel drops first packets while the queue of a listener is full: it holds one more than asked.
+        // The kernel drops SYNs while the accept queue is full; the queue holds one more than the requested backlog.
         for (int i = 0; i < 2; i++) {
             Socket s = new Socket();
             s.connect(at, 1_000);
@@ -236,7 +237,7 @@
         }
     }
 
-    /** The process behind it has ended: connections are refused until it takes one again. */
+    /** Refuses connections, because the target process has ended, until the target accepts one again. */
     void down() throws IOException {
         synchronized (this) {
             if (down || closed) {
@@ -247,7 +248,7 @@
         }
         DaemonThreads.newThread("relay-knock", () -> {
                     while (true) {
-                        EngineSite.sleep(KNOCK);
+                        EngineSiteProcess.sleep(KNOCK);
                         try (Socket s = new Socket()) {
                             s.connect(to, 1_000);
                         } catch (IOException e) {
@@ -276,23 +277,23 @@
         while (true) {
             try {
                 Socket s = from.accept();
-                Link l = new Link(s);
+                RelayedConnection l = new RelayedConnection(s);
                 synchronized (links) {
                     links.add(l);
                 }
                 l.start();
             } catch (IOException e) {
-                return; // It is cut, or over.
+                return; // The path is cut, or the relay is closed.
             }
         }
     }
 
     private void resetAll() {
-        List<Link> all;
+        List<RelayedConnection> all;
         synchronized (links) {
             all = List.copyOf(links);
         }
-        all.forEach(Link::reset);
+        all.forEach(RelayedConnection::reset);
     }
 
     @Override
@@ -307,14 +308,14 @@
         resetAll();
     }
 
-    /** One connection: the side that opened it, and the one it goes on to. */
-    private final class Link {
+    /** One relayed connection: the client's socket and the one to the target. */
+    private final class RelayedConnection {
         final Socket opener;
         private final Socket target = new Socket();
-        private Requests seen;
+        private RequestTracker seen;
         private int ended;
 
-        Link(Socket opener) {
+        RelayedConnection(Socket opener) {
             this.opener = opener;
         }
 
@@ -327,9 +328,9 @@
                 opener.setTcpNoDelay(true);
                 target.setTcpNoDelay(true);
                 target.connect(to, 2_000);
-                seen = watch == null ? null : new Requests(watch);
+                seen = watch == null ? null : new RequestTracker(watch);
             } catch (IOException e) {
-                reset(); // Nobody is there, and the path tells so.
+                reset(); // The target is not reachable; the client sees a reset.
                 refuse();
                 return;
             }
@@ -356,13 +357,13 @@
                 links.remove(this);
             }
             if (seen != null) {
-                seen.end(EngineSite.micros());
+                seen.end(EngineSiteProcess.nowMicros());
             }
         }
 
-        /** One direction: what is read waits for its time, in order, and for the path. */
+        /** Forwards one direction: data is delayed in order and held back while the path is cut. */
         private void pump(int direction, Socket from, Socket into) {
-            ArrayDeque<Piece> waiting = new ArrayDeque<>();
+            ArrayDeque<Segment> waiting = new ArrayDeque<>();
             int held = 0;
             long freeAt = 0;
             boolean over = false;
@@ -370,8 +371,8 @@
             try {
                 InputStream in = from.getInputStream();
                 while (true) {
-                    long now = EngineSite.micros();
-                    Piece head = waiting.peekFirst();
+                    long now = EngineSiteProcess.nowMicros();
+                    Segment head = waiting.peekFirst();
                     boolean open = head == null || !path.cut(direction);
                     if (head != null && open && head.due <= now && freeAt <= now) {
                         waiting.pollFirst();
@@ -390,10 +391,10 @@
                     }
                     long wait = head == null ? 0 : open ? Math.max(1, Math.max(head.due, freeAt) - now) : LOOK;
                     if (over || held >= ROOM) {
-                        EngineSite.sleep(wait);
+                        EngineSiteProcess.sleep(wait);
                         continue;
                     }
-                    Piece p = read(in, from, buf, wait, direction);
+                    Segment p = read(in, from, buf, wait, direction);
                     if (p != null) {
                         waiting.addLast(p);
                         over = p.bytes == null;
@@ -401,12 +402,12 @@
                     }
                 }
             } catch (IOException e) {
-                reset(); // Who reads has gone: the other side is told, as the network would.
+                reset(); // The receiver has closed; the sender sees a reset, as on a real network.
             }
         }
 
-        /** Null if nothing came in this time. */
-        private Piece read(InputStream in, Socket from, byte[] buf, long wait, int direction) throws IOException {
+        /** Reads one piece of data; returns null if nothing arrived within the time. */
+        private Segment read(InputStream in, Socket from, byte[] buf, long wait, int direction) throws IOException {
             int n;
             boolean reset = false;
             try {
@@ -418,7 +419,7 @@
                 n = -1;
                 reset = true;
             }
-            long now = EngineSite.micros();
+            long now = EngineSiteProcess.nowMicros();
             if (direction == 0 && seen != null) {
                 if (n > 0) {
                     seen.request(buf, n, now);
@@ -426,10 +427,10 @@
                     seen.end(now);
                 }
             }
-            return new Piece(now + path.delay(), n > 0 ? java.util.Arrays.copyOf(buf, n) : null, reset);
+            return new Segment(now + path.delay(), n > 0 ? java.util.Arrays.copyOf(buf, n) : null, reset);
         }
 
-        /** One side has ended its sending, or the connection. */
+        /** Forwards the end of one direction, or a reset. */
         private void finish(Socket into, boolean reset) throws IOException {
             if (reset) {
                 reset();
@@ -448,14 +449,14 @@
         }
     }
 
-    private record Piece(long due, byte[] bytes, boolean reset) {}
+    private record Segment(long due, byte[] bytes, boolean reset) {}
 
     /** Ends a connection with a reset. */
     static void abort(Socket s) {
         try {
             s.setSoLinger(true, 0);
         } catch (IOException e) {
-            // It is closed already.
+            // The socket is already closed.
         }
         try {
             s.close();
@@ -464,26 +465,27 @@
         }
     }
 
-    /** The request that is out on one connection, by what passes: a connection carries one at a time. */
-    static final class Requests {
-        private final Watch watch;
+    /** Tracks the pending request of one connection from the bytes that pass; there is at most one at a time. */
+    static final class RequestTracker {
+        private final RequestObserver watch;
         private String out;
         private final StringBuilder head = new StringBuilder();
         private long length;
-        /** Bytes of the chunk in hand that are to come, with its line end; the line in hand; whether the last
-         *  chunk's size has come. Chunks are counted: what one holds may look like the last. */
+        /** Bytes left of the current chunk with its line break. Chunks are parsed, because data may look like the end. */
         private long left;
 
+        /** The current line between chunks, as far as it has arrived. */
         private final StringBuilder line = new StringBuilder();
+        /** Whether the last chunk's size, 0, has been read. */
         private boolean last;
 
-        Requests(Watch watch) {
+        RequestTracker(RequestObserver watch) {
             this.watch = watch;
         }
 
         synchronized void request(byte[] b, int n, long at) {
             if (out != null) {
-                return; // The rest of its body.
+                return; // The rest of the request's body.
             }
             String s = new String(b, 0, n, StandardCharsets.ISO_8859_1);
             int id =
@@ -540,18 +542,19 @@
             }
         }
 
-        /** A line between chunks; true if the answer has ended with it. */
+        /** Parses a line between chunks; returns true if it ends the response. */
         private boolean line(String text) {
             line.setLength(0);
             if (last) {
-                return text.isEmpty(); // Else a trailer.
+                return text.isEmpty(); // Any other line is a trailer.
             }
             try {
                 long size = Long.parseLong(text.split(";", 2)[0].strip(), 16);
                 last = size == 0;
                 left = size == 0 ? 0 : size + 2;
             } catch (NumberFormatException e) {
-                left = Long.MAX_VALUE; // No chunk: what follows can't be read; it ends with its connection.
+                left = Long.MAX_VALUE; // Not a chunk size: the rest cannot be parsed, so that the request ends with its
+                // connection.
             }
             return false;
         }
--- a/lab/src/main/java/magpiehub/lab/Report.java
+++ b/lab/src/main/java/magpiehub/lab/Report.java
@@ -31,8 +31,8 @@
 import org.jfree.svg.SVGGraphics2D;
 
 /**
- * What a play leaves behind: one JSON file, and one HTML page that needs nothing else. It owns the names and
- * units of both, and compares two plays by their JSON. It must never draw what the JSON does not hold.
+ * The report of a run: a JSON file and a self-contained HTML page, which is generated from the JSON alone. Compares
+ * two runs by their JSON.
  */
 final class Report {
     private static final long BUCKET = 250_000;
@@ -47,8 +47,9 @@
 
     private Report() {}
 
-    /** Writes report.json and report.html; returns the first. */
-    static ObjectNode write(Fleet.Outcome o, List<Verdict.Bound> bounds, Path folder, String jar) throws IOException {
+    /** Writes report.json and report.html; returns the JSON. */
+    static ObjectNode write(Fleet.RunResult o, List<RunEvaluation.Bound> bounds, Path folder, String jar)
+            throws IOException {
         ObjectNode j = json(o, bounds, jar);
         Files.createDirectories(folder);
         Files.writeString(
@@ -58,11 +59,11 @@
         return j;
     }
 
-    private static double seconds(Fleet.Outcome o, long at) {
+    private static double seconds(Fleet.RunResult o, long at) {
         return Math.round((at - o.from()) / 1000.0) / 1000.0;
     }
 
-    private static ObjectNode json(Fleet.Outcome o, List<Verdict.Bound> bounds, String jar) {
+    private static ObjectNode json(Fleet.RunResult o, List<RunEvaluation.Bound> bounds, String jar) {
         ObjectNode j = JSON.createObjectNode();
         j.put("scenario", o.scenario().name);
         j.put("seed", o.scenario().seed);
@@ -76,7 +77,7 @@
                 .put("allowed", x.allowed())
                 .put("holds", x.holds()));
         ObjectNode totals = j.putObject("totals");
-        Verdict v = new Verdict(o);
+        RunEvaluation v = new RunEvaluation(o);
         Histogram all = v.firsts(Long.MIN_VALUE, Long.MAX_VALUE);
         totals.put("requests", o.results().size());
         totals.put("servedWorth", round(v.served(Long.MIN_VALUE, Long.MAX_VALUE, -1)));
@@ -86,7 +87,7 @@
         totals.put("rigLateP99Ms", o.late() / 1000.0);
         totals.put("routerMemoryMb", v.memory() / 1024);
         Map<String, int[]> ends = new TreeMap<>();
-        for (Clients.Result r : o.results()) {
+        for (LoadGenerator.RequestRecord r : o.results()) {
             String site = o.scenario().sites.get(r.site()).name();
             String kind = o.scenario().requests.classes().get(r.kind()).name();
             String how = r.how().name().toLowerCase(Locale.ROOT) + (r.excused() ? " (fault)" : "");
@@ -118,7 +119,7 @@
         o.fell().forEach(x -> wrong.add("fell: " + x));
         o.failures().forEach(x -> wrong.add("fault: " + x));
         o.results().stream()
-                .filter(Clients.Result::unanswered)
+                .filter(LoadGenerator.RequestRecord::unanswered)
                 .limit(50)
                 .forEach(r -> wrong.add(r.how() + ": " + r.call() + " router " + r.router() + " due at "
                         + seconds(o, r.due()) + " s, ended at " + seconds(o, r.end()) + " s"));
@@ -136,8 +137,8 @@
         a.addArray().add(Math.round(x * 1000) / 1000.0).add(round(y));
     }
 
-    /** Conversations whose next turn went to another site than the one before, by the second. */
-    private static void moves(Fleet.Outcome o, ObjectNode s) {
+    /** Adds the number of conversations per second whose turn went to another site than the previous turn. */
+    private static void moves(Fleet.RunResult o, ObjectNode s) {
         Map<String, String> at = new HashMap<>();
         o.attempts()
                 .forEach(
@@ -145,7 +146,7 @@
         Map<String, String> last = new HashMap<>();
         int[] moved = new int[(int) (o.scenario().lengthMs / 1000) + 1];
         o.results().stream()
-                .sorted(Comparator.comparingLong(Clients.Result::due))
+                .sorted(Comparator.comparingLong(LoadGenerator.RequestRecord::due))
                 .forEach(r -> {
                     String site = at.get(r.call());
                     String before = site == null ? null : last.put(r.talk(), site);
@@ -156,7 +157,7 @@
         }
     }
 
-    private static ObjectNode series(Fleet.Outcome o) {
+    private static ObjectNode series(Fleet.RunResult o) {
         ObjectNode s = JSON.createObjectNode();
         moves(o, s);
         int n = o.scenario().sites.size();
@@ -167,15 +168,15 @@
             Histogram h = new Histogram(60_000_000L, 3);
             double[] due = new double[n];
             double[] served = new double[n];
-            Map<Clients.End, Double> by = new TreeMap<>();
+            Map<LoadGenerator.RequestOutcome, Double> by = new TreeMap<>();
             long late = 0;
-            for (Clients.Result r : o.results()) {
+            for (LoadGenerator.RequestRecord r : o.results()) {
                 if (r.due() < from || r.due() >= from + BUCKET) {
                     continue;
                 }
                 due[r.site()] += r.gain();
                 late = r.again() == 0 ? Math.max(late, r.sent() - r.due()) : late;
-                served[r.site()] += r.how() == Clients.End.SERVED ? r.gain() : 0;
+                served[r.site()] += r.how() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
                 by.merge(r.how(), r.gain(), Double::sum);
                 if (r.first() >= 0) {
                     h.recordValue(Math.min(60_000_000L, r.first()));
@@ -191,7 +192,7 @@
                             served[k] / due[k]);
                 }
             }
-            for (Clients.End e : Clients.End.values()) {
+            for (LoadGenerator.RequestOutcome e : LoadGenerator.RequestOutcome.values()) {
                 if (o.results().stream().anyMatch(r -> r.how() == e)) {
                     point(
                             s,
@@ -207,18 +208,18 @@
                 point(s, "First tokens (ms)", "p99", x, h.getValueAtPercentile(99) / 1000.0);
             }
         }
-        for (Fleet.Load l : o.loads()) {
+        for (Fleet.EngineLoad l : o.loads()) {
             String name = o.scenario().sites.get(l.site()).name();
             if (l.at() >= o.from()) {
                 point(s, "Requests at the engines, by site", name + " running", seconds(o, l.at()), l.running());
                 point(s, "Requests at the engines, by site", name + " waiting", seconds(o, l.at()), l.waiting());
             }
         }
-        Map<String, Processes.Sample> before = new LinkedHashMap<>();
-        for (Processes.Sample p : o.samples()) {
+        Map<String, ProcessManager.ResourceSample> before = new LinkedHashMap<>();
+        for (ProcessManager.ResourceSample p : o.samples()) {
             double x = seconds(o, p.at());
             point(s, "Resident memory of each process (MB)", p.name(), x, p.rssKb() / 1024.0);
-            Processes.Sample b = before.put(p.name(), p);
+            ProcessManager.ResourceSample b = before.put(p.name(), p);
             if (b != null && p.at() > b.at() && p.cpuMs() >= b.cpuMs()) {
                 point(
                         s,
@@ -232,7 +233,7 @@
     }
 
     // ---- The page -------------------------------------------------------------------------------------
-    /** One page of one play, or of two over each other. */
+    /** An HTML page of one run, or of two with their charts overlaid. */
     static String html(List<? extends JsonNode> plays) {
         StringBuilder h = new StringBuilder(
                 HEAD.formatted(escape(plays.get(0).path("scenario").asText())));
@@ -330,12 +331,12 @@
     }
 
     // ---- Two plays ------------------------------------------------------------------------------------
-    /** The figures of two plays beside each other, as lines. */
+    /** A table that shows the totals and bounds of two runs side by side, as lines. */
     static List<String> compare(JsonNode a, JsonNode b) {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(Locale.ROOT, "%-66s %14s %14s", "", "A", "B"));
         if (!a.path("scenario").equals(b.path("scenario")) || !a.path("seed").equals(b.path("seed"))) {
-            lines.add("these are plays of different scenarios or seeds: "
+            lines.add("the runs have different scenarios or seeds: "
                     + a.path("scenario").asText() + " "
                     + a.path("seed").asLong() + ", " + b.path("scenario").asText() + " "
                     + b.path("seed").asLong());
--- a/lab/src/main/java/magpiehub/lab/Verdict.java
+++ b/lab/src/main/java/magpiehub/lab/RunEvaluation.java
@@ -9,16 +9,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a play comes to, and the bounds that it is held against. It owns the bounds and takes every figure
- * from
- * what the rig saw on its sockets. It must never excuse a request without a fault that the rig itself caused.
+ * Evaluates a run against its bounds. All figures are based on what the laboratory observed on its own sockets, and a
+ * request is excused only by a fault that the laboratory itself injected.
  */
-final class Verdict {
-    /** Two attempts count as out together from so long on (us): the protocol's slack for sockets. */
+final class RunEvaluation {
+    /** Overlap from which two attempts count as concurrent (us): the protocol's tolerance for socket delays. */
     private static final long TOGETHER = 50_000;
-    /** Requests due within so long are one window of what is served (us). */
+    /** Window over which the share of served requests is computed (us). */
     private static final long WINDOW = 500_000;
-    /** A list that comes late may be believed so long after a return (us). */
+    /** How long after a site's return a router may still act on a delayed endpoint list (us). */
     private static final long LATE_WORD = 4_000_000;
 
     static final int CHANGES = 4;
@@ -27,7 +26,7 @@
     static final long TAKES_REFUSED = 2_000_000;
     static final long TAKES_SILENT = 3_000_000;
 
-    /** One bound: what was seen against what is allowed. */
+    /** One bound: the observed value and the permitted one. */
     record Bound(String name, String seen, String allowed, boolean holds) {
         @Override
         public String toString() {
@@ -35,31 +34,31 @@
         }
     }
 
-    /** A loss as the scenario made it: which site, from when until when it was there again (us), and whether
-     *  its connections fail at once. */
-    record Loss(int site, long from, long until, boolean refused) {}
+    /** A site loss that the scenario causes: the site, the start and end (us), and whether connections are refused at
+     *  once rather than timing out. */
+    record SiteLoss(int site, long from, long until, boolean refused) {}
 
-    private final Fleet.Outcome o;
+    private final Fleet.RunResult o;
 
-    Verdict(Fleet.Outcome o) {
+    RunEvaluation(Fleet.RunResult o) {
         this.o = o;
     }
 
-    /** The worth of requests due within a time, as a part of what they could be worth; -1 if there are none.
-     *  Those of {@code notOf}'s clients are left out, and those that no router was there for. */
+    /** The served share, weighted by value, of the requests due within a period; -1 if there are none. Requests from
+     *  clients of site {@code notOf} are excluded. */
     double served(long from, long until, int notOf) {
         double worth = 0;
         double all = 0;
-        for (Clients.Result r : o.results()) {
+        for (LoadGenerator.RequestRecord r : o.results()) {
             if (r.due() >= from && r.due() < until && r.site() != notOf) {
                 all += r.gain();
-                worth += r.how() == Clients.End.SERVED ? r.gain() : 0;
+                worth += r.how() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
             }
         }
         return all == 0 ? -1 : worth / all;
     }
 
-    /** What the engines of all sites but one can carry of the work of all clients but theirs. */
+    /** The share of the other sites' demand that the engines of the other sites can serve, at most 1. */
     private double allowed(int lost) {
         double demand = 0;
         double capacity = 0;
@@ -72,8 +71,8 @@
         return demand == 0 ? 1 : Math.min(1, capacity / demand);
     }
 
-    /** From the loss until nine tenths of what is allowed is served, and stays so for a window (us). */
-    private long takes(Loss l) {
+    /** Time from the loss until 90 % of the permitted share is served over a whole window (us). */
+    private long takes(SiteLoss l) {
         for (long t = l.from; t < l.until - WINDOW; t += 50_000) {
             double s = served(t, t + WINDOW, l.site);
             if (s < 0 || s >= SERVED * allowed(l.site)) {
@@ -83,10 +82,10 @@
         return l.until - l.from;
     }
 
-    /** First-token times of requests due within a time (us). */
+    /** Times to the first token of the requests due within a period (us). */
     Histogram firsts(long from, long until) {
         Histogram h = new Histogram(60_000_000L, 3);
-        for (Clients.Result r : o.results()) {
+        for (LoadGenerator.RequestRecord r : o.results()) {
             if (r.due() >= from && r.due() < until && r.first() >= 0) {
                 h.recordValue(Math.min(60_000_000L, r.first()));
             }
@@ -94,12 +93,16 @@
         return h;
     }
 
-    /** Requests that a running router left with no answer, with a wrong one, or with two. */
+    /** Number of requests for which a healthy router returned no response, an invalid one, or two. */
     long unanswered() {
-        return o.results().stream().filter(Clients.Result::unanswered).count() + o.twice() + o.open();
+        return o.results().stream()
+                        .filter(LoadGenerator.RequestRecord::unanswered)
+                        .count()
+                + o.twice()
+                + o.open();
     }
 
-    /** Requests of which two attempts were out together. */
+    /** Requests with two concurrent attempts. */
     List<String> together() {
         Map<String, List<Fleet.Attempt>> by = new HashMap<>();
         o.attempts().forEach(a -> by.computeIfAbsent(a.call(), k -> new ArrayList<>())
@@ -118,17 +121,17 @@
         return all;
     }
 
-    /** The most resident memory of a router (KB). */
+    /** Maximum resident memory of any router (KB). */
     long memory() {
         return o.samples().stream()
                 .filter(s -> !s.name().startsWith("engines-"))
-                .mapToLong(Processes.Sample::rssKb)
+                .mapToLong(ProcessManager.ResourceSample::rssKb)
                 .max()
                 .orElse(0);
     }
 
-    /** Sites that a router called lost while the rig had not touched them, nor its own. */
-    long lostWrongly(List<Loss> losses) {
+    /** Number of times that a router declared a site lost without an injected loss of that site. */
+    long lostWrongly(List<SiteLoss> losses) {
         return o.stands().stream()
                 .filter(s -> s.to().equals("lost"))
                 .filter(s -> losses.stream()
@@ -138,7 +141,7 @@
                 .count();
     }
 
-    /** The most often that one router changed its word on one site. */
+    /** Maximum number of state changes that one router reported for one site. */
     long changes() {
         Map<String, Long> by = new HashMap<>();
         o.stands().stream()
@@ -147,7 +150,7 @@
         return by.values().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
-    /** The rules that hold in any play. */
+    /** The bounds that apply to every run. */
     List<Bound> rules() {
         List<Bound> b = new ArrayList<>();
         b.add(none("requests with none or two final answers of a running router", unanswered()));
@@ -171,8 +174,8 @@
         return new Bound(name, Long.toString(seen), "0", seen == 0);
     }
 
-    /** The rules, and what a loss may cost. */
-    List<Bound> of(List<Loss> losses) {
+    /** The bounds of every run, and those on the effect of the given losses. */
+    List<Bound> of(List<SiteLoss> losses) {
         List<Bound> b = rules();
         b.add(none("sites called lost without a loss", lostWrongly(losses)));
         int events = Math.max(1, 2 * losses.size());
@@ -181,7 +184,7 @@
                 String.format(Locale.ROOT, "%.1f", (double) changes() / events),
                 "at most " + CHANGES,
                 changes() <= (long) CHANGES * events));
-        for (Loss l : losses) {
+        for (SiteLoss l : losses) {
             String name = o.scenario().sites.get(l.site).name();
             double share = served(l.from, l.until, l.site);
             double part = share < 0 ? 1 : share / allowed(l.site);
--- a/lab/src/main/java/magpiehub/lab/Scenario.java
+++ b/lab/src/main/java/magpiehub/lab/Scenario.java
@@ -15,36 +15,40 @@
 import java.util.SplittableRandom;
 
 /**
- * What a play is made of: sites, engines, requests, paths, and faults with their times and targets, read from
- * a JSON file. It owns the file's names and units and draws from the seed wherever the file leaves a choice:
- * a
- * number given as [from, to], a site given as "any" (the same for the whole play) or "other". It must never
- * play a file that says something it does not know.
+ * A scenario read from a JSON file: sites, engines, requests, paths, and faults with their times and targets. Random
+ * choices are derived from the seed: numbers given as [from, to], and the sites "any" (the same one for the whole run)
+ * and "other". Files with unknown content are rejected.
  */
 final class Scenario {
-    /** The file is wrong; the message names the place. */
-    static final class Wrong extends RuntimeException {
+    /** Thrown for an invalid file or argument; the message names the location. */
+    static final class InvalidScenarioException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Wrong(String message) {
+        InvalidScenarioException(String message) {
             super(message);
         }
     }
 
-    /** A failure domain: so many routers and engines, and requests a second of its own clients. */
+    /** A failure domain: the number of its routers and engines, and the request rate of its own clients (1/s). */
     record Site(String name, int routers, int engines, double rate) {}
 
-    /** A class of requests; times in ms, prompt and output in tokens, both ends drawn. */
-    record Kind(String name, double part, long aimMs, long deadlineMs, double gain, int[] prompt, int[] output) {}
+    /** A request class; {@code part} is its weight, prompt and output are inclusive ranges in tokens. */
+    record RequestClass(
+            String name, double part, long aimMs, long deadlineMs, double gain, int[] prompt, int[] output) {}
 
-    /** A tenant with its share of the requests and of the service. */
+    /** A tenant with its share of the requests and its quota share. */
     record Tenant(String name, double share) {}
 
-    /** {@code turns} is how many a conversation has in the mean; {@code prefixes} are shared openings, their
-     *  popularity falling as 1/rank to the power {@code zipf}; {@code retries} is how often a client comes
-     *  again after a refusal. */
+    /**
+     * The request mix.
+     *
+     * @param turns mean number of turns of a conversation
+     * @param prefixes number of shared prompt prefixes, chosen with a Zipf distribution
+     * @param zipf exponent of that distribution
+     * @param retries how often a client retries after a rejection
+     */
     record Requests(
-            List<Kind> classes,
+            List<RequestClass> classes,
             List<Tenant> tenants,
             double turns,
             int prefixes,
@@ -52,15 +56,15 @@
             double zipf,
             int retries) {}
 
-    /** One way of each path: within a site and between two. */
+    /** One-way delays: {@code delayMs} within a site, {@code crossDelayMs} in addition between sites. */
     record Paths(double delayMs, double jitterMs, double crossDelayMs) {}
 
-    /** What a router may use, as its configuration says it; {@code probes} is whether it may ask engines. */
+    /** Resource limits in the routers' configuration; {@code probes} allows health checks of engines. */
     record Routers(int memoryMb, int sockets, boolean probes) {}
 
-    /** One fault with what it needs; see docs/ops/lab.md for the list. Times from the first request (ms). */
+    /** One fault; see docs/ops/lab.md for the kinds. {@code at} counts from the first request (ms); site -1 means all. */
     record Fault(long at, String kind, int site, int to, String way, String paths, String target, double value) {
-        /** As a line for people. */
+        /** A readable description. */
         String text(List<Site> sites) {
             return kind
                     + (target == null ? "" : " " + target)
@@ -76,7 +80,7 @@
             String name,
             double seconds,
             List<Site> sites,
-            Engine.Build engine,
+            EngineModel.Parameters engine,
             Requests requests,
             Paths paths,
             Routers routers,
@@ -85,7 +89,7 @@
             List<JsonNode> faults) {}
 
     private static final Set<String> FIELDS = Set.of("at", "do", "site", "to", "way", "paths", "target", "value");
-    /** Each fault: whether it needs a site, another one, a target, a value. */
+    /** All kinds of faults. */
     private static final List<String> KINDS = List.of(
             "kill",
             "stop",
@@ -122,12 +126,12 @@
     final long seed;
     final long lengthMs;
     final List<Site> sites;
-    final Engine.Build engine;
+    final EngineModel.Parameters engine;
     final Requests requests;
     final Paths paths;
     final Routers routers;
     final long listLateMs;
-    /** How long a front sends to a router that has died without a word (ms). */
+    /** How long a load balancer keeps sending to a router whose health checks fail (ms). */
     final long noticeMs;
 
     final List<Fault> faults;
@@ -157,7 +161,7 @@
         faults = List.copyOf(all);
     }
 
-    /** Reads a file; everything that it leaves open is drawn from the seed. */
+    /** Reads a file; random choices are derived from the seed. */
     static Scenario read(Path file, long seed) throws IOException {
         return read(Files.readString(file), seed);
     }
@@ -166,7 +170,7 @@
         try {
             return new Scenario(JSON.readValue(json, File.class), seed);
         } catch (JsonProcessingException e) {
-            throw new Wrong(e.getOriginalMessage()
+            throw new InvalidScenarioException(e.getOriginalMessage()
                     + (e.getLocation() == null
                             ? ""
                             : " (line " + e.getLocation().getLineNr() + ")"));
@@ -181,9 +185,9 @@
                     s.routers >= 0 && s.routers <= 60 && s.engines >= 0 && s.engines <= 100 && s.rate >= 0,
                     "sites: " + s.name + " must have at most 60 routers and 100 engines");
         }
-        need(sites.stream().map(Site::name).distinct().count() == sites.size(), "sites have one name twice");
+        need(sites.stream().map(Site::name).distinct().count() == sites.size(), "sites must have distinct names");
         need(!requests.classes.isEmpty(), "requests.classes is empty");
-        for (Kind k : requests.classes) {
+        for (RequestClass k : requests.classes) {
             need(
                     k.deadlineMs > 0
                             && k.aimMs > 0
@@ -207,12 +211,12 @@
 
     private static void need(boolean holds, String otherwise) {
         if (!holds) {
-            throw new Wrong(otherwise);
+            throw new InvalidScenarioException(otherwise);
         }
     }
 
     private Fault fault(JsonNode n, String at, SplittableRandom random) {
-        n.fieldNames().forEachRemaining(f -> need(FIELDS.contains(f), at + " has no member " + f));
+        n.fieldNames().forEachRemaining(f -> need(FIELDS.contains(f), at + " has an unknown field " + f));
         String kind = n.path("do").asText("");
         need(KINDS.contains(kind), at + ".do must be one of " + String.join(", ", KINDS));
         need(n.has("at"), at + ".at is missing");
@@ -229,9 +233,9 @@
         need(
                 !Set.of("kill", "stop", "continue", "term", "start").contains(kind) || target != null,
                 at + ".target is missing: site, engines, routers or a router as NAME-1");
-        need(!kind.equals("say") || target != null, at + ".target is missing: the line for the console");
+        need(!kind.equals("say") || target != null, at + ".target is missing: the console command");
         double when = number(n.get("at"), at + ".at", random);
-        need(when >= 0 && when * 1000 <= lengthMs, at + ".at is outside the play");
+        need(when >= 0 && when * 1000 <= lengthMs, at + ".at is outside the run");
         return new Fault(
                 Math.round(when * 1000),
                 kind,
@@ -243,7 +247,7 @@
                 n.has("value") ? number(n.get("value"), at + ".value", random) : 0);
     }
 
-    /** -1 where the file says nothing, which stands for all. */
+    /** The index of the site under a key, or -1 for all sites if it is absent. */
     private int site(JsonNode n, String key, String at) {
         if (!n.has(key)) {
             return -1;
@@ -260,7 +264,7 @@
                 return i;
             }
         }
-        throw new Wrong(at + "." + key + " names no site: " + s);
+        throw new InvalidScenarioException(at + "." + key + " names an unknown site: " + s);
     }
 
     private static double number(JsonNode n, String at, SplittableRandom random) {
@@ -275,20 +279,21 @@
             return n.get(0).asDouble()
                     + random.nextDouble() * (n.get(1).asDouble() - n.get(0).asDouble());
         }
-        throw new Wrong(at + " must be a number or [from, to]");
+        throw new InvalidScenarioException(at + " must be a number or [from, to]");
     }
 
-    /** Work that comes from one site's clients, and what its engines can do (both in engines' time, us/s). */
+    /** Work requested by one site's clients, in engine time (us/s). */
     double demand(int site) {
-        double parts = requests.classes.stream().mapToDouble(Kind::part).sum();
+        double parts = requests.classes.stream().mapToDouble(RequestClass::part).sum();
         double mean = requests.classes.stream()
                 .mapToDouble(k -> k.part()
                         / parts
-                        * Engine.work(engine, (k.prompt[0] + k.prompt[1]) / 2, (k.output[0] + k.output[1]) / 2))
+                        * EngineModel.work(engine, (k.prompt[0] + k.prompt[1]) / 2, (k.output[0] + k.output[1]) / 2))
                 .sum();
         return sites.get(site).rate() * mean;
     }
 
+    /** Capacity of one site's engines, in engine time (us/s). */
     double capacity(int site) {
         return sites.get(site).engines() * 1e6;
     }
--- a/lab/src/main/java/magpiehub/lab/SitesDrive.java
+++ b/lab/src/main/java/magpiehub/lab/SiteFailoverSimulation.java
@@ -14,13 +14,13 @@
 import magpiehub.sites.SiteTransition;
 
 /**
- * Many routers' machines in virtual time against drawn losses: sites of engines, some of them bad by
- * themselves, a site that ends at once, falls silent, is cut off with its routers or slows down, a list that
- * tells it late, its return and often a second loss. It owns the truth that the machines are held against.
- * Equal for one seed, however many threads play.
+ * Simulates the site health trackers of many routers in virtual time under random site losses: some engines fail on
+ * their own; a site fails at once, stops responding, is cut off together with its routers, or slows down; the endpoint
+ * list reports this late; the site returns and is often lost again. Compares the trackers with the simulated truth.
+ * Results depend only on the seed, not on the number of threads.
  */
-final class SitesDrive {
-    /** What happens to the site. */
+final class SiteFailoverSimulation {
+    /** The fault that affects the site. */
     enum Fault {
         KILLED,
         SILENT,
@@ -37,7 +37,7 @@
     private static final long CONNECT = 250_000;
     private static final long SILENCE = 1_000_000;
 
-    /** What a scenario came to. */
+    /** The sums over scenarios and routers. */
     static final class Result {
         long digest = 1;
         int lostWrongly;
@@ -63,7 +63,7 @@
 
     private record Due(long at, long sent, int site, String engine, ZoneEvidence sign, double ratio) {}
 
-    /** One scenario as all routers see it; drawn from a seed alone. */
+    /** One scenario, shared by all routers and derived from the seed alone. */
     private static final class Scenario {
         final int sites;
         final Fault fault;
@@ -81,7 +81,7 @@
             site = r.nextInt(sites);
             from = 4_000_000 + r.nextLong(2_000_000);
             until = from + 3_000_000 + r.nextLong(6_000_000);
-            // Lost again at half of its ramp, every second time.
+            // In half of the scenarios the site is lost again halfway through its ramp-up.
             again = r.nextBoolean() ? until + 2 * S.rampStepMicros() : Long.MAX_VALUE;
             badPart = r.nextDouble(0.12);
             listLate = r.nextLong(500_000, 8_000_000);
@@ -92,7 +92,7 @@
             return (t >= from && t < until) || (again != Long.MAX_VALUE && t >= again && t < again + 3_000_000);
         }
 
-        /** Whether a router of a site can't get through to another. */
+        /** Whether a router at one site cannot reach another site. */
         boolean fails(int router, int to, long t) {
             return down(t)
                     && switch (fault) {
@@ -103,7 +103,7 @@
         }
     }
 
-    private SitesDrive() {}
+    private SiteFailoverSimulation() {}
 
     private static Result play(long seed) {
         SplittableRandom r = new SplittableRandom(seed);
@@ -115,11 +115,11 @@
         return all;
     }
 
-    @SuppressWarnings("EnumOrdinal") // A digest over changes: names would be as good, but give another one.
+    @SuppressWarnings("EnumOrdinal") // The digest is compared with a recorded value that is based on ordinals.
     private static Result router(Scenario c, int own, SplittableRandom r) {
         Result result = new Result();
         SiteHealthTracker m = new SiteHealthTracker(S, c.sites, own, r.nextLong());
-        // Some tens of requests a second at most, most routers far fewer.
+        // 1 to 30 requests per second and router.
         double perTick = r.nextDouble(1, 30) * TICK / 1e6;
         List<Due> due = new ArrayList<>();
         int[] changes = new int[c.sites];
@@ -144,7 +144,7 @@
                 }
             }
             for (Due d : due) {
-                // Until a request has gone there nobody can know.
+                // A router cannot detect the loss before it has sent a request to the site.
                 touched = touched < 0 && d.site == c.site && d.sent >= c.from && d.sent < c.until ? d.sent : touched;
             }
             if (now % 1_000_000 == 0) {
@@ -159,7 +159,7 @@
             due.removeIf(d -> d.at <= t);
             m.onTick(t);
             for (SiteTransition ch : m.takeTransitions()) {
-                // By values: a constant's own hash is another one in each process.
+                // Ordinals, because the hash codes of enum constants differ between processes.
                 result.digest = result.digest * 31
                         + java.util.Objects.hash(
                                 ch.site(),
@@ -210,7 +210,7 @@
         }
     }
 
-    /** So many scenarios on so many threads. */
+    /** Runs scenarios on a thread pool. */
     static Result play(long seed, int scenarios, int threads) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
--- a/lab/src/main/java/magpiehub/lab/SiteProof.java
+++ b/lab/src/main/java/magpiehub/lab/SiteLossScenario.java
@@ -6,12 +6,13 @@
 import java.util.SplittableRandom;
 
 /**
- * The proof of the loss of a site: nine routers and 24 engines over three sites under load, the kind, site,
- * time and length of the loss drawn from the seed. It owns the cases, each as the faults of a scenario, and
- * which of them are a loss. It must never ask for less load than the survivors can be shown to carry.
+ * A generated scenario that tests the loss of a site: nine routers and 24 engines at three sites under load; the case,
+ * site, time and duration are derived from the seed. Defines the cases as faults of a scenario, and which of them are a
+ * loss. The load must not be below what the remaining sites can be shown to carry.
  */
-record SiteProof(String kind, Scenario scenario, List<Verdict.Loss> losses) {
-    /** Each: its faults with %1$s from, %2$s until (s), and whether connections fail at once; 0 no loss. */
+record SiteLossScenario(String kind, Scenario scenario, List<RunEvaluation.SiteLoss> losses) {
+    /** A case: its faults as format strings, and whether it is a loss whose connections are refused or time out. The
+     *  arguments are %1$s start, %2$s end (s), %3$s time of a second fault, %4$s another site, %5$s end of that fault. */
     private record Case(String name, int refused, String... faults) {}
 
     private static final int NO_LOSS = 0;
@@ -104,8 +105,8 @@
         return CASES.stream().map(Case::name).toList();
     }
 
-    /** What a seed makes; {@code kind} takes the place of the drawn one where it is given. */
-    static SiteProof drawn(long seed, String kind) throws IOException {
+    /** Generates the scenario of a seed; {@code kind} overrides the seed's case if it is not null. */
+    static SiteLossScenario drawn(long seed, String kind) throws IOException {
         SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L);
         int drawn = random.nextInt(CASES.size());
         Case c = kind == null
@@ -113,7 +114,8 @@
                 : CASES.stream()
                         .filter(x -> x.name.equals(kind))
                         .findFirst()
-                        .orElseThrow(() -> new Scenario.Wrong("no case " + kind + ": one of " + kinds()));
+                        .orElseThrow(() -> new Scenario.InvalidScenarioException(
+                                "unknown case " + kind + "; must be one of " + kinds()));
         double from = 6 + random.nextDouble() * 2;
         double lasts = 5 + random.nextDouble() * 3;
         double late = random.nextDouble() * 3000;
@@ -135,9 +137,9 @@
         }
         Scenario s = Scenario.read(
                 String.format(Locale.ROOT, BASE, c.name, text(from + lasts + 7), text(late), faults), seed);
-        List<Verdict.Loss> losses = c.refused == NO_LOSS
+        List<RunEvaluation.SiteLoss> losses = c.refused == NO_LOSS
                 ? List.of()
-                : List.of(new Verdict.Loss(
+                : List.of(new RunEvaluation.SiteLoss(
                         s.faults.stream()
                                 .mapToInt(Scenario.Fault::site)
                                 .filter(x -> x >= 0)
@@ -146,10 +148,10 @@
                         Math.round(from * 1e6),
                         Math.round((from + lasts) * 1e6),
                         c.refused == REFUSED));
-        return new SiteProof(c.name, s, losses);
+        return new SiteLossScenario(c.name, s, losses);
     }
 
-    /** The site that a scenario of this seed calls "other", by its name. */
+    /** The name of the site that "other" refers to in a scenario of this seed. */
     private static String otherThanDrawn(long seed) throws IOException {
         Scenario s = Scenario.read(
                 String.format(Locale.ROOT, BASE, "x", "10", "0", "{\"at\":1,\"do\":\"reset\",\"site\":\"other\"}"),
--- a/lab/src/test/java/magpiehub/lab/EngineTest.java
+++ b/lab/src/test/java/magpiehub/lab/EngineModelTest.java
@@ -9,13 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The model of one engine, driven directly. */
-class EngineTest {
-    private static final Engine.Build B = new Engine.Build(2, 3, 20, 100, 64, 4, 128, 1_000, 0.5, 1_000, 4);
+class EngineModelTest {
+    private static final EngineModel.Parameters B =
+            new EngineModel.Parameters(2, 3, 20, 100, 64, 4, 128, 1_000, 0.5, 1_000, 4);
     private static final String TEXT = "abcd".repeat(64);
     private final List<String> told = new ArrayList<>();
 
-    private Engine.Sequence sequence(String name, String text, int out) {
-        return new Engine.Sequence(
+    private EngineModel.Sequence sequence(String name, String text, int out) {
+        return new EngineModel.Sequence(
                 text,
                 out,
                 (from, to, last, cached) ->
@@ -23,7 +24,7 @@
     }
 
     /** Steps until nothing is left; returns how long that took (us). */
-    private static long run(Engine e, long now) {
+    private static long run(EngineModel e, long now) {
         long all = 0;
         for (long t = e.step(now); t > 0; t = e.step(now + all)) {
             all += t;
@@ -34,7 +35,7 @@
 
     @Test
     void aStreamComesInOrderAndEndsOnce() {
-        Engine e = new Engine(B, Long.MIN_VALUE / 2);
+        EngineModel e = new EngineModel(B, Long.MIN_VALUE / 2);
         assertTrue(e.take(sequence("a", "", 9), 0));
         run(e, 0);
         assertEquals(List.of("a 0-1 cached 0", "a 1-5 cached 0", "a 5-9 last cached 0"), told);
@@ -42,7 +43,7 @@
 
     @Test
     void aPromptThatWasReadIsKeptByItsBlocksAndTheOldestGoes() {
-        Engine e = new Engine(B, Long.MIN_VALUE / 2);
+        EngineModel e = new EngineModel(B, Long.MIN_VALUE / 2);
         e.take(sequence("a", TEXT, 1), 0);
         long cold = run(e, 0);
         e.take(sequence("b", TEXT + "another end of the same beginning", 1), 0);
@@ -58,8 +59,8 @@
 
     @Test
     void aFullQueueTurnsAwayAndADroppedSequenceMakesRoom() {
-        Engine e = new Engine(B, Long.MIN_VALUE / 2);
-        Engine.Sequence first = sequence("0", "", 99);
+        EngineModel e = new EngineModel(B, Long.MIN_VALUE / 2);
+        EngineModel.Sequence first = sequence("0", "", 99);
         assertTrue(e.take(first, 0));
         assertTrue(e.take(sequence("1", "", 99), 0));
         assertTrue(e.take(sequence("2", "", 99), 0));
@@ -75,17 +76,17 @@
 
     @Test
     void aColdEngineIsSlowerAndFallsUnderWorkThatAWarmOneTurnsAway() {
-        Engine cold = new Engine(B, 0);
+        EngineModel cold = new EngineModel(B, 0);
         assertEquals(0.5, cold.speed(0));
         assertEquals(1, cold.speed(1_000_000));
-        Engine warm = new Engine(B, Long.MIN_VALUE / 2);
+        EngineModel warm = new EngineModel(B, Long.MIN_VALUE / 2);
         for (int i = 0; i < 30; i++) {
             cold.take(sequence("x", TEXT, 10), i * 1_000L);
             warm.take(sequence("x", TEXT, 10), i * 1_000L);
         }
         assertTrue(cold.fallen(), "30 times 0.106 s of work within 30 ms, 4 x 0.5 s may come");
         assertFalse(warm.fallen());
-        Engine little = new Engine(B, 0);
+        EngineModel little = new EngineModel(B, 0);
         for (int i = 0; i < 15; i++) {
             little.take(sequence("x", TEXT, 10), i * 1_000L);
         }
--- a/lab/src/test/java/magpiehub/lab/DiscoveryTest.java
+++ b/lab/src/test/java/magpiehub/lab/FakeDiscoveryTest.java
@@ -19,9 +19,9 @@
 
 /** The discovery stand-in and its faults, as a router meets them. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class DiscoveryTest {
-    private final Discovery discovery =
-            new Discovery(List.of("north", "south"), (from, m) -> "10.0." + from + "." + m.number() + ":80");
+class FakeDiscoveryTest {
+    private final FakeDiscovery discovery =
+            new FakeDiscovery(List.of("north", "south"), (from, m) -> "10.0." + from + "." + m.number() + ":80");
     private InetSocketAddress at;
 
     @BeforeEach
@@ -68,7 +68,7 @@
         discovery.put("a", 0, 1, "Terminating", 0);
         String change = told(watch);
         assertTrue(change.contains("Terminating") && !change.contains("\"id\":\"b\""), change);
-        assertTrue(discovery.told("a", 4) <= EngineSite.micros(), "and it is known when");
+        assertTrue(discovery.told("a", 4) <= EngineSiteProcess.nowMicros(), "and it is known when");
         discovery.put("a", 0, 1, "Gone", 0);
         assertTrue(told(watch).contains("Gone"));
         String later = told(ask("/discovery/hosts?follow=1&since=3"));
@@ -80,17 +80,17 @@
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         told(watch);
         discovery.late(200_000);
-        long from = EngineSite.micros();
+        long from = EngineSiteProcess.nowMicros();
         discovery.put("b", 1, 2, "Gone", 0);
         assertTrue(
-                discovery.known(4, 1).contains("\"id\":\"b\"") || EngineSite.micros() - from >= 200_000,
+                discovery.known(4, 1).contains("\"id\":\"b\"") || EngineSiteProcess.nowMicros() - from >= 200_000,
                 "a router that starts now knows no more");
         assertTrue(
                 told(ask("/discovery/hosts?follow=1")).contains("\"id\":\"b\"")
-                        || EngineSite.micros() - from >= 200_000,
+                        || EngineSiteProcess.nowMicros() - from >= 200_000,
                 "a list asked for meanwhile is as late");
         assertTrue(told(watch).contains("Gone"));
-        assertTrue(EngineSite.micros() - from >= 200_000);
+        assertTrue(EngineSiteProcess.nowMicros() - from >= 200_000);
     }
 
     @Test
--- a/lab/src/test/java/magpiehub/lab/PlayTest.java
+++ b/lab/src/test/java/magpiehub/lab/FleetTest.java
@@ -18,18 +18,18 @@
  *  What
  *  is asserted are the rules, which no machine is too slow for; times are the proof's. */
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class PlayTest {
+class FleetTest {
     /** Guards against a play that does not come to its end. */
     @TempDir
     Path folder;
 
     private static final Map<String, String> PLANNED = Map.of("site.json", "{\"gentleMs\": 500}");
 
-    private Fleet.Outcome play(int net, long seed, String faults) throws IOException {
+    private Fleet.RunResult play(int net, long seed, String faults) throws IOException {
         return play(net, seed, faults, Map.of());
     }
 
-    private Fleet.Outcome play(int net, long seed, String faults, Map<String, String> files) throws IOException {
+    private Fleet.RunResult play(int net, long seed, String faults, Map<String, String> files) throws IOException {
         String json = Files.readString(Path.of("scenarios/zone-cut.json"))
                 .replaceFirst("\"seconds\": \\d+", "\"seconds\": 5")
                 .replace("\"routers\": 2", "\"routers\": 1")
@@ -42,13 +42,14 @@
         }
     }
 
-    private static void rulesHold(Fleet.Outcome o) {
-        List<Verdict.Bound> broken =
-                new Verdict(o).rules().stream().filter(b -> !b.holds()).toList();
-        assertEquals(0, broken.size(), broken + " " + o.failures() + new Verdict(o).together() + o.toDrained());
+    private static void rulesHold(Fleet.RunResult o) {
+        List<RunEvaluation.Bound> broken =
+                new RunEvaluation(o).rules().stream().filter(b -> !b.holds()).toList();
+        assertEquals(0, broken.size(), broken + " " + o.failures() + new RunEvaluation(o).together() + o.toDrained());
         assertTrue(
                 o.results().stream()
-                                .filter(r -> r.how() == Clients.End.SERVED || r.how() == Clients.End.LATE)
+                                .filter(r -> r.how() == LoadGenerator.RequestOutcome.SERVED
+                                        || r.how() == LoadGenerator.RequestOutcome.LATE)
                                 .count()
                         > o.results().size() / 2,
                 "requests went through");
@@ -56,7 +57,7 @@
 
     @Test
     void aSiteIsKilledAndComesBackColdUnderNewIds() throws IOException {
-        Fleet.Outcome o = play(
+        Fleet.RunResult o = play(
                 240,
                 1,
                 "{'at':1.5,'do':'kill','target':'site','site':'any'},"
@@ -78,7 +79,7 @@
 
     @Test
     void aSiteIsCutOffAndServesItsOwnClients() throws IOException {
-        Fleet.Outcome o = play(242, 3, "{'at':1.5,'do':'cut','site':'any'},{'at':4.5,'do':'heal','site':'any'}");
+        Fleet.RunResult o = play(242, 3, "{'at':1.5,'do':'cut','site':'any'},{'at':4.5,'do':'heal','site':'any'}");
         rulesHold(o);
         int site = o.scenario().faults.get(0).site();
         long cut = o.faults().get(0).at();
@@ -87,7 +88,7 @@
                         .anyMatch(r -> r.site() == site
                                 && r.due() > cut + 200_000
                                 && r.due() < cut + 2_800_000
-                                && r.how() == Clients.End.SERVED),
+                                && r.how() == LoadGenerator.RequestOutcome.SERVED),
                 "its own engines serve its clients");
     }
 
@@ -106,7 +107,7 @@
      *  back. */
     @Test
     void aSilentSiteIsDoubtedByItsNameWhereThatIsPlannedFor() throws IOException {
-        Fleet.Outcome o = play(
+        Fleet.RunResult o = play(
                 244,
                 5,
                 "{'at':1.5,'do':'stop','target':'engines','site':'any'},"
@@ -129,7 +130,7 @@
     /** An operator gives one site up and takes it back, while another is lost. */
     @Test
     void anOperatorsWordHoldsDuringTheLossOfAnotherSite() throws IOException {
-        Fleet.Outcome o = play(
+        Fleet.RunResult o = play(
                 245,
                 6,
                 "{'at':0.2,'do':'say','target':'site-out north'},"
--- a/lab/src/test/java/magpiehub/lab/ClientsTest.java
+++ b/lab/src/test/java/magpiehub/lab/LoadGeneratorTest.java
@@ -24,10 +24,10 @@
  *  has for
  *  it. This is how each bound on answers was seen to fail. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class ClientsTest {
+class LoadGeneratorTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private Clients clients;
+    private LoadGenerator clients;
 
     /** What a router says to a request: its id, and how many tokens are asked for. */
     private interface Answer {
@@ -50,7 +50,7 @@
     /** An answer of null ends the connection; one that ends in "|" ends it behind what was said. */
     private static void serve(Socket s, Answer answer) {
         try (s) {
-            HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+            HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
             while (in.awaitMessage()) {
                 HttpHead h = in.readRequestHead();
                 String body = new String(in.readBody(h), StandardCharsets.UTF_8);
@@ -73,7 +73,7 @@
         }
     }
 
-    private Set<Clients.End> ends(Answer answer) throws Exception {
+    private Set<LoadGenerator.RequestOutcome> ends(Answer answer) throws Exception {
         String json = Files.readString(Path.of("scenarios/zone-cut.json"))
                 .replaceFirst("\"seconds\": \\d+", "\"seconds\": 1")
                 .replaceFirst(
@@ -93,11 +93,11 @@
                         }
                     })
                     .start();
-            clients = new Clients(
+            clients = new LoadGenerator(
                     Scenario.read(json, 1),
-                    List.of(new Clients.Target(0, 0, "north-1")),
+                    List.of(new LoadGenerator.RouterTarget(0, 0, "north-1")),
                     (from, r) -> (InetSocketAddress) router.getLocalSocketAddress(),
-                    new Clients.Truth() {
+                    new LoadGenerator.RouterHealth() {
                         @Override
                         public boolean whole(int site, int r, long since) {
                             return true;
@@ -107,56 +107,61 @@
                         public void unanswered(int r, String call) {}
                     });
             assertTrue(clients.ready(30_000_000));
-            for (Thread t : clients.send(EngineSite.micros())) {
+            for (Thread t : clients.send(EngineSiteProcess.nowMicros())) {
                 t.join();
             }
-            List<Clients.Result> all = clients.finish(30_000_000);
+            List<LoadGenerator.RequestRecord> all = clients.finish(30_000_000);
             assertEquals(0, clients.open());
             assertTrue(all.size() > 5);
-            assertEquals(0, all.stream().filter(Clients.Result::excused).count(), "none is excused");
-            return all.stream().map(Clients.Result::how).collect(Collectors.toSet());
+            assertEquals(
+                    0, all.stream().filter(LoadGenerator.RequestRecord::excused).count(), "none is excused");
+            return all.stream().map(LoadGenerator.RequestRecord::how).collect(Collectors.toSet());
         }
     }
 
     @Test
     void aWholeStreamIsServed() throws Exception {
-        assertEquals(Set.of(Clients.End.SERVED), ends(ClientsTest::whole));
-        assertEquals(0, clients.twice());
+        assertEquals(Set.of(LoadGenerator.RequestOutcome.SERVED), ends(LoadGeneratorTest::whole));
+        assertEquals(0, clients.duplicateResponses());
     }
 
     @Test
     void aSecondAnswerBehindTheFirstIsCounted() throws Exception {
         ends((call, n) -> whole(call, n) + "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n|");
-        assertTrue(clients.twice() > 0);
+        assertTrue(clients.duplicateResponses() > 0);
     }
 
     @Test
     void aConnectionThatEndsWithoutAWordIsNone() throws Exception {
-        assertEquals(Set.of(Clients.End.NONE), ends((call, n) -> null));
+        assertEquals(Set.of(LoadGenerator.RequestOutcome.NONE), ends((call, n) -> null));
     }
 
     @Test
     void aStreamThatLacksTokensOrHasAnothersIsSpoilt() throws Exception {
         assertEquals(
-                Set.of(Clients.End.SPOILT),
+                Set.of(LoadGenerator.RequestOutcome.SPOILT),
                 ends((call, n) -> HEAD + tokens(call, 0, 1) + tokens(call, 2, n) + event("[DONE]") + "0\r\n\r\n"));
-        assertEquals(Set.of(Clients.End.SPOILT), ends((call, n) -> whole("0" + call.substring(1) + "x", n)));
         assertEquals(
-                Set.of(Clients.End.SPOILT),
+                Set.of(LoadGenerator.RequestOutcome.SPOILT),
+                ends((call, n) -> whole("0" + call.substring(1) + "x", n)));
+        assertEquals(
+                Set.of(LoadGenerator.RequestOutcome.SPOILT),
                 ends((call, n) -> HEAD + tokens(call, 0, n) + "0\r\n\r\n"),
                 "an end in order that is none");
     }
 
     @Test
     void aStreamThatBreaksOffIsBroken() throws Exception {
-        assertEquals(Set.of(Clients.End.BROKEN), ends((call, n) -> HEAD + tokens(call, 0, 1) + "|"));
+        assertEquals(Set.of(LoadGenerator.RequestOutcome.BROKEN), ends((call, n) -> HEAD + tokens(call, 0, 1) + "|"));
     }
 
     @Test
     void refusedAndFailedAreToldApart() throws Exception {
         assertEquals(
-                Set.of(Clients.End.REFUSED),
+                Set.of(LoadGenerator.RequestOutcome.REFUSED),
                 ends((call, n) -> "HTTP/1.1 503 x\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n"));
-        assertEquals(Set.of(Clients.End.FAILED), ends((call, n) -> "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
+        assertEquals(
+                Set.of(LoadGenerator.RequestOutcome.FAILED),
+                ends((call, n) -> "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/RelayTest.java
+++ b/lab/src/test/java/magpiehub/lab/RelayTest.java
@@ -25,7 +25,7 @@
     private final List<String> seen = new ArrayList<>();
     private ServerSocket target;
     private Relay relay;
-    private Relay.Path path;
+    private Relay.NetworkPath path;
     private InetSocketAddress at;
 
     @BeforeEach
@@ -35,8 +35,8 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             at = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
         }
-        path = new Relay.Path("engines-0-1", 0, 1, 0, 0, 1);
-        relay = new Relay(path, at, (InetSocketAddress) target.getLocalSocketAddress(), new Relay.Watch() {
+        path = new Relay.NetworkPath("engines-0-1", 0, 1, 0, 0, 1);
+        relay = new Relay(path, at, (InetSocketAddress) target.getLocalSocketAddress(), new Relay.RequestObserver() {
             @Override
             public void began(String call, long when) {
                 note("began " + call);
@@ -172,12 +172,12 @@
         path.slow(30_000, 0, 0);
         try (Socket c = client();
                 Socket t = target.accept()) {
-            long from = EngineSite.micros();
+            long from = EngineSiteProcess.nowMicros();
             for (int i = 0; i < 50; i++) {
                 say(c, i % 10 + "");
             }
             assertEquals("01234567890123456789012345678901234567890123456789", hear(t, 50));
-            assertTrue(EngineSite.micros() - from >= 30_000);
+            assertTrue(EngineSiteProcess.nowMicros() - from >= 30_000);
         }
     }
 
--- a/lab/src/test/java/magpiehub/lab/VerdictTest.java
+++ b/lab/src/test/java/magpiehub/lab/RunEvaluationTest.java
@@ -12,44 +12,46 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Each bound seen to hold on a play without a fault, and to fail on one that breaks it. */
-class VerdictTest {
+class RunEvaluationTest {
     private static final long S = 1_000_000;
-    private static final Verdict.Loss LOSS = new Verdict.Loss(1, 10 * S, 14 * S, true);
+    private static final RunEvaluation.SiteLoss LOSS = new RunEvaluation.SiteLoss(1, 10 * S, 14 * S, true);
 
     @TempDir
     Path folder;
 
-    private final List<Clients.Result> results = new ArrayList<>();
+    private final List<LoadGenerator.RequestRecord> results = new ArrayList<>();
     private final List<Fleet.Attempt> attempts = new ArrayList<>();
-    private final List<Processes.Sample> samples = new ArrayList<>();
+    private final List<ProcessManager.ResourceSample> samples = new ArrayList<>();
     private List<String> fell = List.of();
     private List<String> drained = List.of();
     private List<String> failures = List.of();
     private int crashes;
-    private final List<Fleet.Stand> stands = new ArrayList<>();
+    private final List<Fleet.SiteStateChange> stands = new ArrayList<>();
 
     /** A request a tenth of a second at each of three sites, served at once. */
-    public VerdictTest() {
+    public RunEvaluationTest() {
         for (int i = 0; i < 200; i++) {
             for (int site = 0; site < 3; site++) {
-                results.add(result(site, i * S / 10, Clients.End.SERVED, false));
+                results.add(result(site, i * S / 10, LoadGenerator.RequestOutcome.SERVED, false));
             }
         }
-        samples.add(new Processes.Sample(S, "north-1", 90_000, 10, 30, 40));
+        samples.add(new ProcessManager.ResourceSample(S, "north-1", 90_000, 10, 30, 40));
     }
 
-    private static Clients.Result result(int site, long due, Clients.End how, boolean excused) {
-        return new Clients.Result("c" + due + site, site, site, 0, due, due, 50_000, due + S, how, 0, 2, excused, "t");
+    private static LoadGenerator.RequestRecord result(
+            int site, long due, LoadGenerator.RequestOutcome how, boolean excused) {
+        return new LoadGenerator.RequestRecord(
+                "c" + due + site, site, site, 0, due, due, 50_000, due + S, how, 0, 2, excused, "t");
     }
 
-    private Fleet.Outcome outcome() throws IOException {
-        return new Fleet.Outcome(
+    private Fleet.RunResult outcome() throws IOException {
+        return new Fleet.RunResult(
                 Scenario.read(Path.of("scenarios/zone-cut.json"), 1),
                 0,
                 results,
                 attempts,
                 List.of(),
-                List.of(new Fleet.Done(10 * S, "kill south")),
+                List.of(new Fleet.InjectedFault(10 * S, "kill south")),
                 samples,
                 fell,
                 drained,
@@ -63,10 +65,10 @@
     }
 
     private void fails(String... names) throws IOException {
-        List<String> no = new Verdict(outcome())
+        List<String> no = new RunEvaluation(outcome())
                 .of(List.of(LOSS)).stream()
                         .filter(b -> !b.holds())
-                        .map(Verdict.Bound::name)
+                        .map(RunEvaluation.Bound::name)
                         .toList();
         assertEquals(names.length, no.size());
         for (int i = 0; i < names.length; i++) {
@@ -75,7 +77,7 @@
     }
 
     /** How requests due within a time ended, at one site. */
-    private void ended(int site, long from, long until, Clients.End how, boolean excused) {
+    private void ended(int site, long from, long until, LoadGenerator.RequestOutcome how, boolean excused) {
         results.replaceAll(
                 r -> r.site() == site && r.due() >= from && r.due() < until ? result(site, r.due(), how, excused) : r);
     }
@@ -87,15 +89,15 @@
 
     @Test
     void whoGetsNoAnswerOfARunningRouterIsSeenAndWhoMetTheFaultIsNot() throws IOException {
-        ended(1, 10 * S, 10 * S + 100_000, Clients.End.NONE, true);
+        ended(1, 10 * S, 10 * S + 100_000, LoadGenerator.RequestOutcome.NONE, true);
         fails();
-        ended(1, 2 * S, 2 * S + 100_000, Clients.End.NONE, false);
+        ended(1, 2 * S, 2 * S + 100_000, LoadGenerator.RequestOutcome.NONE, false);
         fails("none or two final answers");
     }
 
     @Test
     void aSpoiltAnswerIsSeen() throws IOException {
-        ended(1, 2 * S, 2 * S + 100_000, Clients.End.SPOILT, false);
+        ended(1, 2 * S, 2 * S + 100_000, LoadGenerator.RequestOutcome.SPOILT, false);
         fails("none or two final answers");
     }
 
@@ -114,16 +116,16 @@
         drained = List.of("e1 got x");
         failures = List.of("kill");
         crashes = 1;
-        samples.add(new Processes.Sample(S, "north-1", 200_000, 10, 30, 40));
-        samples.add(new Processes.Sample(S, "engines-north", 400_000, 10, 30, 40));
+        samples.add(new ProcessManager.ResourceSample(S, "north-1", 200_000, 10, 30, 40));
+        samples.add(new ProcessManager.ResourceSample(S, "engines-north", 400_000, 10, 30, 40));
         fails("new work to an engine", "fell over", "ended by themselves", "could not be carried out", "memory");
     }
 
     @Test
     void aLossThatCostsTooMuchIsSeen() throws IOException {
-        ended(0, 10 * S, 11 * S, Clients.End.REFUSED, false);
+        ended(0, 10 * S, 11 * S, LoadGenerator.RequestOutcome.REFUSED, false);
         fails("served while south is lost"); // 0.875 of it, and nine tenths again after 1 s.
-        ended(2, 10 * S, 13 * S, Clients.End.LATE, false);
+        ended(2, 10 * S, 13 * S, LoadGenerator.RequestOutcome.LATE, false);
         fails("served while south is lost", "until nine tenths");
     }
 
@@ -131,7 +133,7 @@
     void aReturnThatCostsTooMuchIsSeen() throws IOException {
         results.replaceAll(r -> r.due() < 14 * S
                 ? r
-                : new Clients.Result(
+                : new LoadGenerator.RequestRecord(
                         r.call(),
                         r.site(),
                         r.router(),
@@ -150,30 +152,30 @@
 
     @Test
     void aSiteCalledLostWithoutALossIsSeenAndOneThatWasLostIsNot() throws IOException {
-        stands.add(new Fleet.Stand(11 * S, 0, "south", "doubted", "lost", "silence"));
+        stands.add(new Fleet.SiteStateChange(11 * S, 0, "south", "doubted", "lost", "silence"));
         fails();
-        stands.add(new Fleet.Stand(11 * S, 0, "west", "doubted", "lost", "silence"));
+        stands.add(new Fleet.SiteStateChange(11 * S, 0, "west", "doubted", "lost", "silence"));
         fails("called lost without a loss");
     }
 
     @Test
     void aWordThatSwingsIsSeen() throws IOException {
         for (int i = 0; i < 9; i++) {
-            stands.add(new Fleet.Stand(11 * S, 0, "south", "whole", "doubted", "silence"));
+            stands.add(new Fleet.SiteStateChange(11 * S, 0, "south", "whole", "doubted", "silence"));
             fails(i < 8 ? new String[0] : new String[] {"changes of a router's word"});
         }
     }
 
     @Test
     void aReportHoldsItselfAndCompares() throws IOException {
-        Fleet.Outcome o = outcome();
-        Report.write(o, new Verdict(o).of(List.of(LOSS)), folder, "a.jar");
+        Fleet.RunResult o = outcome();
+        Report.write(o, new RunEvaluation(o).of(List.of(LOSS)), folder, "a.jar");
         String page = Files.readString(folder.resolve("report.html"));
         assertTrue(page.contains("<svg") && page.contains("kill south") && !page.contains("<script"));
-        ended(0, 10 * S, 13 * S, Clients.End.REFUSED, false);
+        ended(0, 10 * S, 13 * S, LoadGenerator.RequestOutcome.REFUSED, false);
         Path b = Files.createTempDirectory(folder, "junit");
-        Fleet.Outcome other = outcome();
-        Report.write(other, new Verdict(other).of(List.of(LOSS)), b, "b.jar");
+        Fleet.RunResult other = outcome();
+        Report.write(other, new RunEvaluation(other).of(List.of(LOSS)), b, "b.jar");
         List<String> lines = Report.compare(Report.read(folder), Report.read(b));
         assertTrue(lines.stream().anyMatch(l -> l.matches("served while south.* 1.000 +0.625 !")), lines.toString());
         Path page2 = folder.resolve("both.html");
--- a/lab/src/test/java/magpiehub/lab/ScenarioTest.java
+++ b/lab/src/test/java/magpiehub/lab/ScenarioTest.java
@@ -22,7 +22,8 @@
     private static final Path FILE = Path.of("scenarios/zone-cut.json");
 
     private static String wrong(String json) {
-        return assertThrows(Scenario.Wrong.class, () -> Scenario.read(json, 1)).getMessage();
+        return assertThrows(Scenario.InvalidScenarioException.class, () -> Scenario.read(json, 1))
+                .getMessage();
     }
 
     @Test
@@ -32,11 +33,11 @@
         List<Scenario.Fault> f = Scenario.read(FILE, 5).faults;
         assertEquals(f.get(0).site(), f.get(1).site(), "any is one site for the whole play");
         for (long seed = 0; seed < 50; seed++) {
-            SiteProof p = SiteProof.drawn(seed, null);
+            SiteLossScenario p = SiteLossScenario.drawn(seed, null);
             assertTrue(p.scenario().lengthMs <= 24_000);
         }
-        for (String kind : SiteProof.kinds()) {
-            assertEquals(kind, SiteProof.drawn(1, kind).kind());
+        for (String kind : SiteLossScenario.kinds()) {
+            assertEquals(kind, SiteLossScenario.drawn(1, kind).kind());
         }
     }
 
@@ -44,9 +45,9 @@
     void aFileThatSaysSomethingUnknownIsTurnedDownWithThePlace() throws IOException {
         String good = Files.readString(FILE);
         assertTrue(wrong(good.replace("\"cut\"", "\"cutt\"")).contains("faults[0].do must be one of kill, stop"));
-        assertTrue(wrong(good.replace("\"way\"", "\"ways\"")).contains("faults[0] has no member ways"));
+        assertTrue(wrong(good.replace("\"way\"", "\"ways\"")).contains("faults[0] has an unknown field ways"));
         assertTrue(wrong(good.replace("\"both\"", "\"sideways\"")).contains("way must be both, forth or back"));
-        assertTrue(wrong(good.replaceFirst("\"any\"", "\"nowhere\"")).contains("names no site: nowhere"));
+        assertTrue(wrong(good.replaceFirst("\"any\"", "\"nowhere\"")).contains("names an unknown site: nowhere"));
         assertTrue(wrong(good.replace("\"noticeMs\"", "\"notice\"")).contains("notice"));
         assertTrue(wrong(good.replaceFirst("\"listLateMs\": \\d+,", "")).contains("listLateMs"));
         assertTrue(wrong(good.replaceFirst("\"seconds\": [0-9]+", "\"seconds\": 0"))
--- a/lab/src/test/java/magpiehub/lab/SitesDriveTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteFailoverSimulationTest.java
@@ -6,13 +6,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Drawn losses, many routers: what holds of all of them, and the same for one seed on any machine. */
-class SitesDriveTest {
+class SiteFailoverSimulationTest {
     private static final int SCENARIOS = 2_000;
 
     @Test
     void drawnLossesAreSeenAndNoneIsMadeUp() throws Exception {
-        SitesDrive.Result r = SitesDrive.play(1, SCENARIOS, Runtime.getRuntime().availableProcessors());
-        String line = SitesDrive.line(1, SCENARIOS, r);
+        SiteFailoverSimulation.Result r =
+                SiteFailoverSimulation.play(1, SCENARIOS, Runtime.getRuntime().availableProcessors());
+        String line = SiteFailoverSimulation.line(1, SCENARIOS, r);
         assertEquals(0, r.lostWrongly, line);
         assertTrue(r.seen > 40_000 && r.notSeen <= r.seen / 50, line);
         assertTrue(r.at(0.5) <= 1_000_000 && r.at(0.99) <= 4_000_000, line);
@@ -23,9 +24,9 @@
 
     @Test
     void oneSeedGivesOneResultOnAnyNumberOfThreads() throws Exception {
-        SitesDrive.Result one = SitesDrive.play(7, 40, 1);
-        assertEquals(one.digest, SitesDrive.play(7, 40, 8).digest);
+        SiteFailoverSimulation.Result one = SiteFailoverSimulation.play(7, 40, 1);
+        assertEquals(one.digest, SiteFailoverSimulation.play(7, 40, 8).digest);
         assertEquals(0x047444b225d08a5dL, one.digest, "on any machine");
-        assertTrue(one.digest != SitesDrive.play(8, 40, 8).digest);
+        assertTrue(one.digest != SiteFailoverSimulation.play(8, 40, 8).digest);
     }
 }
--- a/lab/src/test/java/magpiehub/lab/SiteProofTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteLossScenarioTest.java
@@ -16,14 +16,14 @@
  *  bounds on
  *  times are left to {@code make proof-site}; a machine that can't carry the load by itself says nothing. */
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
-class SiteProofTest {
+class SiteLossScenarioTest {
     private static final List<String> TIMES = List.of("until nine tenths", "p99 of first tokens");
     /** Guards against a play that does not come to its end. */
     @TempDir
     Path folder;
 
     private void holds(int net, long seed, String kind) throws IOException {
-        SiteProof p = SiteProof.drawn(seed, null);
+        SiteLossScenario p = SiteLossScenario.drawn(seed, null);
         assertEquals(kind, p.kind(), "drawn from the seed");
         try (Fleet f = new Fleet(
                 p.scenario(),
@@ -32,16 +32,16 @@
                 net,
                 Map.of("site.json", "{}"),
                 l -> {})) {
-            Fleet.Outcome o = f.play();
-            List<Verdict.Bound> all = new Verdict(o)
+            Fleet.RunResult o = f.play();
+            List<RunEvaluation.Bound> all = new RunEvaluation(o)
                     .of(p.losses().stream()
-                            .map(l ->
-                                    new Verdict.Loss(l.site(), l.from() + o.from(), l.until() + o.from(), l.refused()))
+                            .map(l -> new RunEvaluation.SiteLoss(
+                                    l.site(), l.from() + o.from(), l.until() + o.from(), l.refused()))
                             .toList());
             System.out.println("proof-site seed=" + seed + " case=" + kind + " rig late p99 ms=" + o.late() / 1000);
             all.forEach(System.out::println);
             Assumptions.assumeTrue(o.late() <= 50_000, "requests left " + o.late() / 1000 + " ms late");
-            List<Verdict.Bound> broken = all.stream()
+            List<RunEvaluation.Bound> broken = all.stream()
                     .filter(b -> !b.holds() && TIMES.stream().noneMatch(b.name()::contains))
                     .toList();
             assertTrue(broken.isEmpty(), broken + " " + o.toDrained() + o.failures());
