--- a/lab/src/main/java/magpiehub/lab/EngineSiteProcess.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSiteProcess.java
@@ -28,8 +28,8 @@
  *
  * <p>Commands: {@code build ...}, {@code add ID HOST:PORT warm|cold}, {@code drain ID}, {@code slow ID FACTOR},
  * {@code errors ID SHARE}, {@code silent ID}, {@code heard ID}. Events: {@code up ID},
- * {@code a US ID REQUEST taken|away|error|unheard} (a request arrived), {@code l US ID RUNNING WAITING SPEED} (load, the
- * speed in thousandths), {@code fell US ID} (the engine crashed). Times are in microseconds.
+ * {@code a US ID REQUEST taken|away|error|unheard} (a request arrived), {@code l US ID RUNNING WAITING SPEED} (load;
+ * the speed is in thousandths), {@code fell US ID} (the engine crashed). Times are in microseconds.
  */
 final class EngineSiteProcess {
     private static final long REPORT_MS = 200;
@@ -177,8 +177,10 @@
         }
     }
 
-    /** A response stream. Each event names the request and its token range, so that a client can verify that it received
-     *  the complete stream of one engine. */
+    /**
+     * A response stream. Each event names the request and its token range, so that a client can verify that it received
+     * the complete stream of one engine.
+     */
     private static final class Stream implements EngineModel.TokenListener {
         private final Socket to;
         private final String call;
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -63,7 +63,7 @@
     /** A fault that was injected. */
     record InjectedFault(long at, String text) {}
 
-    /** Everything observed during a run. Times are in us of the monotonic clock; {@code from} is the first request's. */
+    /** Everything observed during a run. Times are in us of the monotonic clock; {@code from} is the run's start. */
     record RunResult(
             Scenario scenario,
             long from,
@@ -143,13 +143,13 @@
                 (from, r) -> at(170 + 8 * from + targets.get(r).site(), 1 + r),
                 new LoadGenerator.RouterHealth() {
                     @Override
-                    public boolean whole(int from, int r, long since) {
+                    public boolean isHealthySince(int from, int r, long since) {
                         return routers.get(r).whole(since)
                                 && !path("clients", from, targets.get(r).site()).faulted(since);
                     }
 
                     @Override
-                    public void unanswered(int r, String call) {
+                    public void onUnanswered(int r, String call) {
                         askForThreads(r, call);
                     }
                 });
@@ -231,13 +231,13 @@
             routerRelays.add(mine);
             routers.add(startRouter(t, null));
         }
-        if (!clients.ready(START)) {
+        if (!clients.awaitRouters(START)) {
             throw new IOException("not all routers passed their health checks; see " + out.resolve("logs"));
         }
         discovery.late(s.listLateMs * 1000);
         long from = EngineSiteProcess.nowMicros() + LoadGenerator.WARM_UP_MICROS + 300_000;
         DaemonThreads.newThread("samples", this::samples).start();
-        List<Thread> arrivals = clients.send(from);
+        List<Thread> arrivals = clients.startArrivals(from);
         for (Scenario.Fault f : s.faults) {
             until(from + f.at() * 1000);
             try {
@@ -258,7 +258,7 @@
                 .mapToLong(Scenario.RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
-        List<LoadGenerator.RequestRecord> results = clients.finish((longest + 5_000) * 1000);
+        List<LoadGenerator.RequestRecord> results = clients.awaitResults((longest + 5_000) * 1000);
         over = true;
         processes.sample();
         Map<String, String> counters = new TreeMap<>();
@@ -804,9 +804,9 @@
                 List.copyOf(fell),
                 late,
                 clients.duplicateResponses(),
-                clients.open(),
+                clients.pendingRequests(),
                 processes.crashes(),
-                clients.late(),
+                clients.sendDelayP99Micros(),
                 List.copyOf(failures),
                 words,
                 counters);
--- a/lab/src/main/java/magpiehub/lab/LoadGenerator.java
+++ b/lab/src/main/java/magpiehub/lab/LoadGenerator.java
@@ -53,29 +53,31 @@
      * One request. Times are in microseconds of the monotonic clock.
      *
      * @param router the last router that it was sent to, -1 if none
-     * @param first time from {@code due} to the first token, -1 if there was none
-     * @param again number of retries
+     * @param firstTokenMicros time from {@code dueMicros} to the first token, -1 if there was none
+     * @param retries number of retries
      * @param excused whether an injected fault explains the result
-     * @param talk the conversation's session hash
+     * @param sessionHash the conversation's session hash
      */
     record RequestRecord(
-            String call,
+            String requestId,
             int site,
             int router,
-            int kind,
-            long due,
-            long sent,
-            long first,
-            long end,
-            RequestOutcome how,
-            int again,
+            int classIndex,
+            long dueMicros,
+            long sentMicros,
+            long firstTokenMicros,
+            long endMicros,
+            RequestOutcome outcome,
+            int retries,
             double gain,
             boolean excused,
-            String talk) {
+            String sessionHash) {
         /** Whether a healthy router returned no response or an invalid one. */
-        boolean unanswered() {
+        boolean isUnanswered() {
             return !excused
-                    && (how == RequestOutcome.NONE || how == RequestOutcome.SILENT || how == RequestOutcome.SPOILT);
+                    && (outcome == RequestOutcome.NONE
+                            || outcome == RequestOutcome.SILENT
+                            || outcome == RequestOutcome.SPOILT);
         }
     }
 
@@ -85,10 +87,10 @@
     /** The actual state of the routers, as known from fault injection. */
     interface RouterHealth {
         /** Whether a router's process and the path to it have been free of faults since a time (us). */
-        boolean whole(int fromSite, int router, long since);
+        boolean isHealthySince(int fromSite, int router, long since);
 
         /** Called when a healthy router has left a request without a response. */
-        void unanswered(int router, String call);
+        void onUnanswered(int router, String requestId);
     }
 
     private static final long HEALTH_CHECK_INTERVAL_MICROS = 200_000;
@@ -98,15 +100,15 @@
 
     private static final class Connection {
         final Socket socket;
-        final HttpReader in;
-        boolean used;
+        final HttpReader reader;
+        boolean hasBeenUsed;
 
-        Connection(InetSocketAddress to) throws IOException {
+        Connection(InetSocketAddress address) throws IOException {
             socket = new Socket();
             socket.setTcpNoDelay(true);
-            socket.connect(to, CONNECT_TIMEOUT_MILLIS);
-            InputStream raw = socket.getInputStream();
-            in = new HttpReader(raw, EngineSiteProcess::nowMicros);
+            socket.connect(address, CONNECT_TIMEOUT_MILLIS);
+            InputStream input = socket.getInputStream();
+            reader = new HttpReader(input, EngineSiteProcess::nowMicros);
         }
     }
 
@@ -115,7 +117,7 @@
         final int site;
         final boolean[] isUp;
         final long[] failingSince;
-        final Map<Integer, ArrayDeque<Connection>> idle = new HashMap<>();
+        final Map<Integer, ArrayDeque<Connection>> idleConnections = new HashMap<>();
         int nextIndex;
 
         SiteBalancer(int site) {
@@ -125,38 +127,38 @@
         }
 
         synchronized int pickRouter(int excludedRouter) {
-            List<Integer> own = new ArrayList<>();
-            List<Integer> others = new ArrayList<>();
+            List<Integer> ownSiteRouters = new ArrayList<>();
+            List<Integer> otherSiteRouters = new ArrayList<>();
             for (int i = 0; i < isUp.length; i++) {
                 if (isUp[i] && i != excludedRouter) {
-                    (targets.get(i).site == site ? own : others).add(i);
+                    (targets.get(i).site == site ? ownSiteRouters : otherSiteRouters).add(i);
                 }
             }
-            List<Integer> from = own.isEmpty() ? others : own;
-            return from.isEmpty() ? -1 : from.get(nextIndex++ % from.size());
+            List<Integer> candidates = ownSiteRouters.isEmpty() ? otherSiteRouters : ownSiteRouters;
+            return candidates.isEmpty() ? -1 : candidates.get(nextIndex++ % candidates.size());
         }
 
-        synchronized Connection idle(int router) {
-            ArrayDeque<Connection> q = idle.get(router);
-            return q == null ? null : q.pollLast();
+        synchronized Connection takeIdle(int router) {
+            ArrayDeque<Connection> connections = idleConnections.get(router);
+            return connections == null ? null : connections.pollLast();
         }
 
-        synchronized void release(int router, Connection c) {
-            idle.computeIfAbsent(router, k -> new ArrayDeque<>()).addLast(c);
+        synchronized void release(int router, Connection connection) {
+            idleConnections.computeIfAbsent(router, k -> new ArrayDeque<>()).addLast(connection);
         }
 
         /** Runs health checks of one router; it counts as down once checks have failed for {@code noticeMs}. */
         void runHealthChecks(int router) {
             while (!finished) {
                 boolean healthy = false;
-                try (Socket s = new Socket()) {
-                    s.connect(address.of(site, router), CONNECT_TIMEOUT_MILLIS);
-                    s.setSoTimeout(CONNECT_TIMEOUT_MILLIS);
-                    s.getOutputStream()
+                try (Socket socket = new Socket()) {
+                    socket.connect(addresses.of(site, router), CONNECT_TIMEOUT_MILLIS);
+                    socket.setSoTimeout(CONNECT_TIMEOUT_MILLIS);
+                    socket.getOutputStream()
                             .write("GET /up HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                                     .getBytes(StandardCharsets.US_ASCII));
-                    HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
-                    healthy = in.awaitMessage() && in.readResponseHead().status() == 200;
+                    HttpReader reader = new HttpReader(socket.getInputStream(), EngineSiteProcess::nowMicros);
+                    healthy = reader.awaitMessage() && reader.readResponseHead().status() == 200;
                 } catch (IOException e) {
                     healthy = false;
                 }
@@ -178,13 +180,13 @@
     }
 
     /** Resolves the address at which a site's load balancer reaches a router. */
-    interface Addresses {
+    interface AddressResolver {
         InetSocketAddress of(int fromSite, int router);
     }
 
     private final Scenario scenario;
     private final List<RouterTarget> targets;
-    private final Addresses address;
+    private final AddressResolver addresses;
     private final RouterHealth routerHealth;
     private final List<SiteBalancer> balancers = new ArrayList<>();
     private final List<RequestRecord> results = new ArrayList<>();
@@ -194,10 +196,10 @@
     private volatile long countFromMicros;
     private volatile boolean finished;
 
-    LoadGenerator(Scenario scenario, List<RouterTarget> targets, Addresses address, RouterHealth routerHealth) {
+    LoadGenerator(Scenario scenario, List<RouterTarget> targets, AddressResolver addresses, RouterHealth routerHealth) {
         this.scenario = scenario;
         this.targets = targets;
-        this.address = address;
+        this.addresses = addresses;
         this.routerHealth = routerHealth;
     }
 
@@ -208,21 +210,21 @@
     }
 
     /** Starts the load balancers and waits until each sees all routers up; returns false on time-out. */
-    boolean ready(long timeoutMicros) {
+    boolean awaitRouters(long timeoutMicros) {
         for (int i = 0; i < scenario.sites.size(); i++) {
-            SiteBalancer f = new SiteBalancer(i);
-            java.util.Arrays.fill(f.failingSince, 0);
-            balancers.add(f);
+            SiteBalancer balancer = new SiteBalancer(i);
+            java.util.Arrays.fill(balancer.failingSince, 0);
+            balancers.add(balancer);
         }
-        for (SiteBalancer f : balancers) {
-            for (RouterTarget t : targets) {
-                DaemonThreads.newThread("front", () -> f.runHealthChecks(t.router))
+        for (SiteBalancer balancer : balancers) {
+            for (RouterTarget target : targets) {
+                DaemonThreads.newThread("front", () -> balancer.runHealthChecks(target.router))
                         .start();
             }
         }
-        long until = EngineSiteProcess.nowMicros() + timeoutMicros;
+        long deadline = EngineSiteProcess.nowMicros() + timeoutMicros;
         synchronized (balancers) {
-            while (EngineSiteProcess.nowMicros() < until) {
+            while (EngineSiteProcess.nowMicros() < deadline) {
                 if (balancers.stream().allMatch(this::seesAllRouters)) {
                     return true;
                 }
@@ -232,188 +234,232 @@
         return false;
     }
 
-    private boolean seesAllRouters(SiteBalancer f) {
-        return targets.stream().allMatch(t -> f.isUp[t.router]);
+    private boolean seesAllRouters(SiteBalancer balancer) {
+        return targets.stream().allMatch(target -> balancer.isUp[target.router]);
     }
 
     /** A conversation of several turns, whose prompt grows with each turn. */
     private static final class Conversation {
-        final String hash;
+        final String sessionHash;
         final String prefix;
-        final int kind;
-        int prompt;
+        final int classIndex;
+        int promptTokens;
 
-        Conversation(String hash, String prefix, int kind, int prompt) {
-            this.hash = hash;
+        Conversation(String sessionHash, String prefix, int classIndex, int promptTokens) {
+            this.sessionHash = sessionHash;
             this.prefix = prefix;
-            this.kind = kind;
-            this.prompt = prompt;
+            this.classIndex = classIndex;
+            this.promptTokens = promptTokens;
         }
     }
 
     /** Sends requests from a time on until the run ends; one thread per site generates arrivals. */
-    List<Thread> send(long from) {
+    List<Thread> startArrivals(long from) {
         countFromMicros = from;
-        List<Thread> all = new ArrayList<>();
-        for (SiteBalancer f : balancers) {
-            SplittableRandom random = new SplittableRandom(scenario.seed * 31 + f.site);
-            Thread t = DaemonThreads.newThread("arrivals", () -> generateArrivals(f, from, random));
-            t.start();
-            all.add(t);
+        List<Thread> threads = new ArrayList<>();
+        for (SiteBalancer balancer : balancers) {
+            SplittableRandom random = new SplittableRandom(scenario.seed * 31 + balancer.site);
+            Thread thread = DaemonThreads.newThread("arrivals", () -> generateArrivals(balancer, from, random));
+            thread.start();
+            threads.add(thread);
         }
-        return all;
+        return threads;
     }
 
-    private void generateArrivals(SiteBalancer f, long from, SplittableRandom random) {
-        double rate = scenario.sites.get(f.site).rate();
+    private void generateArrivals(SiteBalancer balancer, long from, SplittableRandom random) {
+        double requestsPerSecond = scenario.sites.get(balancer.site).rate();
         List<Conversation> conversations = new ArrayList<>();
-        Scenario.Requests q = scenario.requests;
+        Scenario.Requests requestMix = scenario.requests;
         // The same load is sent uncounted during warm-up, while the laboratory's code and all connections are new.
-        double at = from - WARM_UP_MICROS;
-        long end = from + scenario.lengthMs * 1000;
-        while (rate > 0) {
-            at += -Math.log(1 - random.nextDouble()) * 1e6 / rate;
-            if (at >= end) {
+        double nextArrivalMicros = from - WARM_UP_MICROS;
+        long endMicros = from + scenario.lengthMs * 1000;
+        while (requestsPerSecond > 0) {
+            nextArrivalMicros += -Math.log(1 - random.nextDouble()) * 1e6 / requestsPerSecond;
+            if (nextArrivalMicros >= endMicros) {
                 return;
             }
-            Conversation t;
-            if (!conversations.isEmpty() && random.nextDouble() < 1 - 1 / Math.max(1, q.turns())) {
-                t = conversations.get(random.nextInt(conversations.size()));
+            Conversation drawn;
+            if (!conversations.isEmpty() && random.nextDouble() < 1 - 1 / Math.max(1, requestMix.turns())) {
+                drawn = conversations.get(random.nextInt(conversations.size()));
             } else {
-                int kind = kind(q, random.nextDouble());
-                Scenario.RequestClass k = q.classes().get(kind);
-                t = new Conversation(
+                int classIndex = drawClass(requestMix, random.nextDouble());
+                Scenario.RequestClass requestClass = requestMix.classes().get(classIndex);
+                drawn = new Conversation(
                         hex(random.nextLong()),
-                        q.prefixes() > 0 ? hex(rank(q, random.nextDouble())) : null,
-                        kind,
-                        k.prompt()[0] + random.nextInt(k.prompt()[1] - k.prompt()[0] + 1));
-                conversations.add(t);
+                        requestMix.prefixes() > 0 ? hex(drawPrefix(requestMix, random.nextDouble())) : null,
+                        classIndex,
+                        requestClass.prompt()[0]
+                                + random.nextInt(requestClass.prompt()[1]
+                                        - requestClass.prompt()[0]
+                                        + 1));
+                conversations.add(drawn);
                 if (conversations.size() > 40) {
                     conversations.remove(random.nextInt(conversations.size()));
                 }
             }
-            Scenario.RequestClass k = q.classes().get(t.kind);
-            int max = k.output()[0] + random.nextInt(k.output()[1] - k.output()[0] + 1);
-            String call = hex(random.nextLong());
-            int prompt = t.prompt;
-            t.prompt = Math.min(4 * k.prompt()[1], t.prompt + max + 20);
-            String tenant = tenant(q, random.nextDouble());
-            long due = (long) at;
-            long wait = due - EngineSiteProcess.nowMicros();
-            if (wait > 0) {
-                EngineSiteProcess.sleep(wait);
+            Scenario.RequestClass requestClass = requestMix.classes().get(drawn.classIndex);
+            int maxTokens = requestClass.output()[0]
+                    + random.nextInt(requestClass.output()[1] - requestClass.output()[0] + 1);
+            String requestId = hex(random.nextLong());
+            int promptTokens = drawn.promptTokens;
+            drawn.promptTokens = Math.min(4 * requestClass.prompt()[1], drawn.promptTokens + maxTokens + 20);
+            String tenant = drawTenant(requestMix, random.nextDouble());
+            long dueMicros = (long) nextArrivalMicros;
+            long waitMicros = dueMicros - EngineSiteProcess.nowMicros();
+            if (waitMicros > 0) {
+                EngineSiteProcess.sleep(waitMicros);
             }
-            Conversation talk = t;
+            Conversation conversation = drawn;
             synchronized (results) {
                 pendingRequests++;
             }
-            requestExecutor.execute(() -> sendRequest(f, call, talk, prompt, max, tenant, due));
+            requestExecutor.execute(
+                    () -> sendRequest(balancer, requestId, conversation, promptTokens, maxTokens, tenant, dueMicros));
         }
     }
 
-    private static int kind(Scenario.Requests q, double u) {
-        double all =
-                q.classes().stream().mapToDouble(Scenario.RequestClass::part).sum();
-        for (int i = 0; i < q.classes().size(); i++) {
-            u -= q.classes().get(i).part() / all;
-            if (u < 0) {
-                return i;
+    private static int drawClass(Scenario.Requests requestMix, double uniform) {
+        double totalWeight = requestMix.classes().stream()
+                .mapToDouble(Scenario.RequestClass::part)
+                .sum();
+        for (int index = 0; index < requestMix.classes().size(); index++) {
+            uniform -= requestMix.classes().get(index).part() / totalWeight;
+            if (uniform < 0) {
+                return index;
             }
         }
-        return q.classes().size() - 1;
+        return requestMix.classes().size() - 1;
     }
 
-    private static String tenant(Scenario.Requests q, double u) {
-        double all = q.tenants().stream().mapToDouble(Scenario.Tenant::share).sum();
-        for (Scenario.Tenant t : q.tenants()) {
-            u -= t.share() / all;
-            if (u < 0) {
-                return t.name();
+    private static String drawTenant(Scenario.Requests requestMix, double uniform) {
+        double totalWeight = requestMix.tenants().stream()
+                .mapToDouble(Scenario.Tenant::share)
+                .sum();
+        for (Scenario.Tenant tenant : requestMix.tenants()) {
+            uniform -= tenant.share() / totalWeight;
+            if (uniform < 0) {
+                return tenant.name();
             }
         }
-        return q.tenants().isEmpty() ? "nobody" : q.tenants().get(0).name();
+        return requestMix.tenants().isEmpty()
+                ? "nobody"
+                : requestMix.tenants().get(0).name();
     }
 
-    private static int rank(Scenario.Requests q, double u) {
-        double all = 0;
-        for (int i = 1; i <= q.prefixes(); i++) {
-            all += Math.pow(i, -q.zipf());
+    private static int drawPrefix(Scenario.Requests requestMix, double uniform) {
+        double totalWeight = 0;
+        for (int index = 1; index <= requestMix.prefixes(); index++) {
+            totalWeight += Math.pow(index, -requestMix.zipf());
         }
-        for (int i = 1; i <= q.prefixes(); i++) {
-            u -= Math.pow(i, -q.zipf()) / all;
-            if (u < 0) {
-                return i;
+        for (int index = 1; index <= requestMix.prefixes(); index++) {
+            uniform -= Math.pow(index, -requestMix.zipf()) / totalWeight;
+            if (uniform < 0) {
+                return index;
             }
         }
-        return q.prefixes();
+        return requestMix.prefixes();
     }
 
-    private static String hex(long v) {
-        return String.format(Locale.ROOT, "%016x", v);
+    private static String hex(long value) {
+        return String.format(Locale.ROOT, "%016x", value);
     }
 
     // ---- One request ----------------------------------------------------------------------------------
     private void sendRequest(
-            SiteBalancer f, String call, Conversation t, int prompt, int max, String tenant, long due) {
-        Scenario.RequestClass k = scenario.requests.classes().get(t.kind);
-        long deadline = due + k.deadlineMs() * 1000;
-        if (due >= countFromMicros) {
-            synchronized (late) {
-                late.recordValue(Math.max(0, Math.min(60_000_000L, EngineSiteProcess.nowMicros() - due)));
+            SiteBalancer balancer,
+            String firstId,
+            Conversation conversation,
+            int promptTokens,
+            int maxTokens,
+            String tenant,
+            long dueMicros) {
+        Scenario.RequestClass requestClass = scenario.requests.classes().get(conversation.classIndex);
+        long deadlineMicros = dueMicros + requestClass.deadlineMs() * 1000;
+        if (dueMicros >= countFromMicros) {
+            synchronized (sendDelays) {
+                sendDelays.recordValue(
+                        Math.max(0, Math.min(60_000_000L, EngineSiteProcess.nowMicros() - dueMicros)));
             }
         }
         int excludedRouter = -1;
-        RequestRecord r = null;
-        String id = call;
-        for (int again = 0; ; ) {
-            int router = f.pickRouter(excludedRouter);
-            long sent = EngineSiteProcess.nowMicros();
+        RequestRecord record = null;
+        String requestId = firstId;
+        for (int retries = 0; ; ) {
+            int router = balancer.pickRouter(excludedRouter);
+            long sentMicros = EngineSiteProcess.nowMicros();
             if (router < 0) {
-                r = new RequestRecord(
-                        id,
-                        f.site,
+                record = new RequestRecord(
+                        requestId,
+                        balancer.site,
                         -1,
-                        t.kind,
-                        due,
-                        sent,
+                        conversation.classIndex,
+                        dueMicros,
+                        sentMicros,
                         -1,
-                        sent,
+                        sentMicros,
                         RequestOutcome.NOWHERE,
-                        again,
-                        k.gain(),
+                        retries,
+                        requestClass.gain(),
                         true,
-                        t.hash);
+                        conversation.sessionHash);
                 break;
             }
-            long[] times = {-1, 0};
-            RequestOutcome how;
+            // Time to the first token, -1 if there was none, and the delay before a retry (us).
+            long[] timings = {-1, 0};
+            RequestOutcome outcome;
             try {
-                how = exchange(f, router, id, t, prompt, max, tenant, deadline, k, again > 0, due, times);
+                outcome = exchange(
+                        balancer,
+                        router,
+                        requestId,
+                        conversation,
+                        promptTokens,
+                        maxTokens,
+                        tenant,
+                        deadlineMicros,
+                        requestClass,
+                        retries > 0,
+                        dueMicros,
+                        timings);
             } catch (IOException e) {
-                how = RequestOutcome.NOWHERE; // No connection could be opened, and no open one was left.
+                outcome = RequestOutcome.NOWHERE; // No connection could be opened, and no open one was left.
             }
             long now = EngineSiteProcess.nowMicros();
-            boolean whole = routerHealth.whole(f.site, router, sent);
-            if (whole && (how == RequestOutcome.SILENT || how == RequestOutcome.NONE)) {
-                routerHealth.unanswered(router, id);
+            boolean healthy = routerHealth.isHealthySince(balancer.site, router, sentMicros);
+            if (healthy && (outcome == RequestOutcome.SILENT || outcome == RequestOutcome.NONE)) {
+                routerHealth.onUnanswered(router, requestId);
             }
-            r = new RequestRecord(
-                    id, f.site, router, t.kind, due, sent, times[0], now, how, again, k.gain(), !whole, t.hash);
-            if (how == RequestOutcome.NOWHERE && now < deadline && excludedRouter < 0) {
+            record = new RequestRecord(
+                    requestId,
+                    balancer.site,
+                    router,
+                    conversation.classIndex,
+                    dueMicros,
+                    sentMicros,
+                    timings[0],
+                    now,
+                    outcome,
+                    retries,
+                    requestClass.gain(),
+                    !healthy,
+                    conversation.sessionHash);
+            if (outcome == RequestOutcome.NOWHERE && now < deadlineMicros && excludedRouter < 0) {
                 excludedRouter = router; // The load balancer tries one other router.
                 continue;
             }
-            if (how == RequestOutcome.REFUSED && again < scenario.requests.retries() && now + times[1] < deadline) {
-                again++;
-                EngineSiteProcess.sleep(Math.max(20_000, times[1]));
-                id = call.substring(0, 14) + String.format(Locale.ROOT, "%02x", again);
+            if (outcome == RequestOutcome.REFUSED
+                    && retries < scenario.requests.retries()
+                    && now + timings[1] < deadlineMicros) {
+                retries++;
+                EngineSiteProcess.sleep(Math.max(20_000, timings[1]));
+                requestId = firstId.substring(0, 14) + String.format(Locale.ROOT, "%02x", retries);
                 continue;
             }
             break;
         }
         synchronized (results) {
-            if (due >= countFromMicros) {
-                results.add(r);
+            if (dueMicros >= countFromMicros) {
+                results.add(record);
             }
             pendingRequests--;
             results.notifyAll();
@@ -421,165 +467,180 @@
     }
 
     private RequestOutcome exchange(
-            SiteBalancer f,
+            SiteBalancer balancer,
             int router,
-            String id,
-            Conversation t,
-            int prompt,
-            int max,
+            String requestId,
+            Conversation conversation,
+            int promptTokens,
+            int maxTokens,
             String tenant,
-            long deadline,
-            Scenario.RequestClass k,
-            boolean again,
-            long due,
-            long[] times)
+            long deadlineMicros,
+            Scenario.RequestClass requestClass,
+            boolean isRetry,
+            long dueMicros,
+            long[] timings)
             throws IOException {
-        byte[] request =
-                request(id, t, prompt, max, tenant, (deadline - EngineSiteProcess.nowMicros()) / 1000, k, again);
-        Connection c = f.idle(router);
+        byte[] request = encodeRequest(
+                requestId,
+                conversation,
+                promptTokens,
+                maxTokens,
+                tenant,
+                (deadlineMicros - EngineSiteProcess.nowMicros()) / 1000,
+                requestClass,
+                isRetry);
+        Connection connection = balancer.takeIdle(router);
         while (true) {
-            if (c == null) {
-                c = new Connection(address.of(f.site, router));
+            if (connection == null) {
+                connection = new Connection(addresses.of(balancer.site, router));
             }
-            boolean used = c.used;
-            c.used = true;
-            boolean begun = false;
+            boolean wasReused = connection.hasBeenUsed;
+            connection.hasBeenUsed = true;
+            boolean hasResponse = false;
             try {
-                c.socket.getOutputStream().write(request);
-                // Allows time past the deadline for the router's final answer and for scheduling delays of this
-                // machine.
-                c.socket.setSoTimeout((int) Math.max(1_000, (deadline - EngineSiteProcess.nowMicros()) / 1000 + 2_000));
-                begun = c.in.awaitMessage();
+                connection.socket.getOutputStream().write(request);
+                // Past the deadline, leaves time for the router's final answer and for delays of this machine.
+                connection.socket.setSoTimeout(
+                        (int) Math.max(1_000, (deadlineMicros - EngineSiteProcess.nowMicros()) / 1000 + 2_000));
+                hasResponse = connection.reader.awaitMessage();
             } catch (SocketTimeoutException e) {
-                c.socket.close();
+                connection.socket.close();
                 return RequestOutcome.SILENT;
             } catch (IOException e) {
-                begun = false;
+                hasResponse = false;
             }
-            if (!begun) {
-                c.socket.close();
-                if (used) {
-                    c = null; // The router closed the idle connection before reading the request: retry on a new one.
+            if (!hasResponse) {
+                connection.socket.close();
+                if (wasReused) {
+                    // The router closed the idle connection before it read the request: retry on a new one.
+                    connection = null;
                     continue;
                 }
                 return RequestOutcome.NONE;
             }
-            return answer(f, router, c, id, max, k, due, times);
+            return readResponse(balancer, router, connection, requestId, maxTokens, requestClass, dueMicros, timings);
         }
     }
 
-    private RequestOutcome answer(
-            SiteBalancer f,
+    private RequestOutcome readResponse(
+            SiteBalancer balancer,
             int router,
-            Connection c,
-            String id,
-            int max,
-            Scenario.RequestClass k,
-            long due,
-            long[] times)
+            Connection connection,
+            String requestId,
+            int maxTokens,
+            Scenario.RequestClass requestClass,
+            long dueMicros,
+            long[] timings)
             throws IOException {
         try {
-            HttpHead h = c.in.readResponseHead();
-            if (h.status() != 200) {
-                c.in.readBody(h);
-                String after = h.headers().get("Retry-After");
-                times[1] = after == null ? 0 : (long) (Double.parseDouble(after) * 1e6);
-                finish(f, router, c, h);
-                return h.status() == 503 || h.status() == 429 ? RequestOutcome.REFUSED : RequestOutcome.FAILED;
+            HttpHead head = connection.reader.readResponseHead();
+            if (head.status() != 200) {
+                connection.reader.readBody(head);
+                String retryAfter = head.headers().get("Retry-After");
+                timings[1] = retryAfter == null ? 0 : (long) (Double.parseDouble(retryAfter) * 1e6);
+                finishExchange(balancer, router, connection, head);
+                return head.status() == 503 || head.status() == 429 ? RequestOutcome.REFUSED : RequestOutcome.FAILED;
             }
-            int[] nextIndex = {0};
-            boolean[] done = {false, false};
-            c.in.readEvents(h, e -> {
-                if (times[0] < 0) {
-                    times[0] = EngineSiteProcess.nowMicros() - due;
+            int[] nextToken = {0};
+            boolean[] ended = {false};
+            boolean[] malformed = {false};
+            connection.reader.readEvents(head, event -> {
+                if (timings[0] < 0) {
+                    timings[0] = EngineSiteProcess.nowMicros() - dueMicros;
                 }
-                String s = new String(e, StandardCharsets.UTF_8);
-                int at = s.indexOf("\"content\":\"");
-                if (at >= 0) {
-                    String[] w = s.substring(at + 11, s.indexOf(';', at)).split(" ");
-                    done[1] |= !w[0].equals(id) || Integer.parseInt(w[1]) != nextIndex[0];
-                    nextIndex[0] = Integer.parseInt(w[2]);
+                String text = new String(event, StandardCharsets.UTF_8);
+                int contentStart = text.indexOf("\"content\":\"");
+                if (contentStart >= 0) {
+                    String[] words = text.substring(contentStart + 11, text.indexOf(';', contentStart))
+                            .split(" ");
+                    malformed[0] |= !words[0].equals(requestId) || Integer.parseInt(words[1]) != nextToken[0];
+                    nextToken[0] = Integer.parseInt(words[2]);
                 }
-                done[0] |= s.contains("[DONE]");
+                ended[0] |= text.contains("[DONE]");
             });
-            if (done[1] || (done[0] && nextIndex[0] != max) || !done[0]) {
-                c.socket.close();
+            if (malformed[0] || (ended[0] && nextToken[0] != maxTokens) || !ended[0]) {
+                connection.socket.close();
                 return RequestOutcome.SPOILT; // Ended normally, but is not the complete stream of one engine.
             }
-            finish(f, router, c, h);
-            return times[0] <= k.aimMs() * 1000 ? RequestOutcome.SERVED : RequestOutcome.LATE;
+            finishExchange(balancer, router, connection, head);
+            return timings[0] <= requestClass.aimMs() * 1000 ? RequestOutcome.SERVED : RequestOutcome.LATE;
         } catch (SocketTimeoutException e) {
-            c.socket.close();
-            return times[0] < 0 ? RequestOutcome.SILENT : RequestOutcome.BROKEN;
+            connection.socket.close();
+            return timings[0] < 0 ? RequestOutcome.SILENT : RequestOutcome.BROKEN;
         } catch (IOException | InterruptedException e) {
-            c.socket.close();
+            connection.socket.close();
             return RequestOutcome.BROKEN;
         }
     }
 
     /** Ends an exchange; any further bytes on the connection are counted as a second response. */
-    private void finish(SiteBalancer f, int router, Connection c, HttpHead h) throws IOException {
-        if (!c.in.isBufferEmpty() || c.socket.getInputStream().available() > 0) {
+    private void finishExchange(SiteBalancer balancer, int router, Connection connection, HttpHead head)
+            throws IOException {
+        if (!connection.reader.isBufferEmpty()
+                || connection.socket.getInputStream().available() > 0) {
             synchronized (results) {
                 duplicateResponses++;
             }
         }
-        if (h.closesConnection()) {
-            c.socket.close();
+        if (head.closesConnection()) {
+            connection.socket.close();
         } else {
-            f.release(router, c);
+            balancer.release(router, connection);
         }
     }
 
     private int duplicateResponses;
     /** Delay between due time and sending (us): the laboratory's own error in the measurements. */
-    private final Histogram late = new Histogram(60_000_000L, 3);
+    private final Histogram sendDelays = new Histogram(60_000_000L, 3);
 
     /** A prompt of so many tokens: the shared prefix, then the conversation's own text; each turn extends the last. */
-    private String text(Conversation t, int prompt) {
-        StringBuilder b = new StringBuilder(4 * prompt + 32);
-        int shared = t.prefix == null ? 0 : 4 * scenario.requests.prefixTokens();
-        for (int i = 0; b.length() < 4 * prompt; i++) {
-            b.append(b.length() < shared ? t.prefix : t.hash).append(i).append(' ');
+    private String promptText(Conversation conversation, int prompt) {
+        StringBuilder text = new StringBuilder(4 * prompt + 32);
+        int prefixLength = conversation.prefix == null ? 0 : 4 * scenario.requests.prefixTokens();
+        for (int i = 0; text.length() < 4 * prompt; i++) {
+            text.append(text.length() < prefixLength ? conversation.prefix : conversation.sessionHash)
+                    .append(i)
+                    .append(' ');
         }
-        b.setLength(4 * prompt);
-        return b.toString();
+        text.setLength(4 * prompt);
+        return text.toString();
     }
 
-    private byte[] request(
-            String id,
-            Conversation t,
-            int prompt,
-            int max,
+    private byte[] encodeRequest(
+            String requestId,
+            Conversation conversation,
+            int promptTokens,
+            int maxTokens,
             String tenant,
             long budgetMillis,
-            Scenario.RequestClass k,
-            boolean again) {
-        String text = text(t, prompt);
-        byte[] body = ("{\"model\":\"m\",\"stream\":true,\"max_tokens\":" + max
-                        + ",\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}]}")
+            Scenario.RequestClass requestClass,
+            boolean isRetry) {
+        String prompt = promptText(conversation, promptTokens);
+        byte[] body = ("{\"model\":\"m\",\"stream\":true,\"max_tokens\":" + maxTokens
+                        + ",\"messages\":[{\"role\":\"user\",\"content\":\"" + prompt + "\"}]}")
                 .getBytes(StandardCharsets.US_ASCII);
-        byte[] head = ("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: " + id
-                        + "\r\nX-Call-Class: " + k.name() + "\r\nX-Caller: " + tenant + "\r\nX-Route-Hash: " + t.hash
+        byte[] head = ("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nX-Call-Id: " + requestId
+                        + "\r\nX-Call-Class: " + requestClass.name() + "\r\nX-Caller: " + tenant + "\r\nX-Route-Hash: "
+                        + conversation.sessionHash
                         + "\r\nX-Budget-Ms: " + Math.max(1, budgetMillis) + "\r\nX-Call-Info: "
-                        + (t.prefix == null
+                        + (conversation.prefix == null
                                 ? ""
-                                : "prefix=" + t.prefix + ",prefix_len="
-                                        + Math.min(prompt, scenario.requests.prefixTokens()) + ",")
-                        + "prompt_len=" + prompt
-                        + ",max_out=" + max + "\r\n" + (again ? "X-Again: 1\r\n" : "")
+                                : "prefix=" + conversation.prefix + ",prefix_len="
+                                        + Math.min(promptTokens, scenario.requests.prefixTokens()) + ",")
+                        + "prompt_len=" + promptTokens
+                        + ",max_out=" + maxTokens + "\r\n" + (isRetry ? "X-Again: 1\r\n" : "")
                         + "Content-Type: application/json\r\nContent-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
-        byte[] all = java.util.Arrays.copyOf(head, head.length + body.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        return all;
+        byte[] bytes = java.util.Arrays.copyOf(head, head.length + body.length);
+        System.arraycopy(body, 0, bytes, head.length, body.length);
+        return bytes;
     }
 
     /** Waits until all requests have ended, at most for the given time (us), and returns those that have. */
-    List<RequestRecord> finish(long timeoutMicros) {
-        long until = EngineSiteProcess.nowMicros() + timeoutMicros;
+    List<RequestRecord> awaitResults(long timeoutMicros) {
+        long deadline = EngineSiteProcess.nowMicros() + timeoutMicros;
         synchronized (results) {
-            while (pendingRequests > 0 && EngineSiteProcess.nowMicros() < until) {
+            while (pendingRequests > 0 && EngineSiteProcess.nowMicros() < deadline) {
                 EngineSiteProcess.await(results, 100_000);
             }
             finished = true;
@@ -595,14 +656,14 @@
     }
 
     /** 99th percentile of the delay between due time and sending (us), which is the laboratory's own error. */
-    long late() {
-        synchronized (late) {
-            return late.getValueAtPercentile(99);
+    long sendDelayP99Micros() {
+        synchronized (sendDelays) {
+            return sendDelays.getValueAtPercentile(99);
         }
     }
 
     /** Number of requests that have not ended. */
-    int open() {
+    int pendingRequests() {
         synchronized (results) {
             return pendingRequests;
         }
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -32,8 +32,10 @@
     /** Interval of connection attempts to a process that has ended (us). */
     private static final long KNOCK = 20_000;
 
-    /** The network path between two sites for one kind of connection, shared by its relays. Direction 0 ("forth") is
-     *  that in which connections are opened, direction 1 ("back") the opposite one. */
+    /**
+     * The network path between two sites for one kind of connection, shared by its relays. Direction 0 ("forth") is
+     * that in which connections are opened, direction 1 ("back") the opposite one.
+     */
     static final class NetworkPath {
         final String name;
         final int from;
@@ -471,7 +473,7 @@
         private String out;
         private final StringBuilder head = new StringBuilder();
         private long length;
-        /** Bytes left of the current chunk with its line break. Chunks are parsed, because data may look like the end. */
+        /** Bytes left of the current chunk with its line break; chunks are parsed, as data may look like the end. */
         private long left;
 
         /** The current line between chunks, as far as it has arrived. */
--- a/lab/src/main/java/magpiehub/lab/Report.java
+++ b/lab/src/main/java/magpiehub/lab/Report.java
@@ -89,8 +89,8 @@
         Map<String, int[]> ends = new TreeMap<>();
         for (LoadGenerator.RequestRecord r : o.results()) {
             String site = o.scenario().sites.get(r.site()).name();
-            String kind = o.scenario().requests.classes().get(r.kind()).name();
-            String how = r.how().name().toLowerCase(Locale.ROOT) + (r.excused() ? " (fault)" : "");
+            String kind = o.scenario().requests.classes().get(r.classIndex()).name();
+            String how = r.outcome().name().toLowerCase(Locale.ROOT) + (r.excused() ? " (fault)" : "");
             ends.computeIfAbsent(site + "|" + kind + "|" + how, k -> new int[1])[0]++;
         }
         ArrayNode e = j.putArray("ends");
@@ -119,10 +119,10 @@
         o.fell().forEach(x -> wrong.add("fell: " + x));
         o.failures().forEach(x -> wrong.add("fault: " + x));
         o.results().stream()
-                .filter(LoadGenerator.RequestRecord::unanswered)
+                .filter(LoadGenerator.RequestRecord::isUnanswered)
                 .limit(50)
-                .forEach(r -> wrong.add(r.how() + ": " + r.call() + " router " + r.router() + " due at "
-                        + seconds(o, r.due()) + " s, ended at " + seconds(o, r.end()) + " s"));
+                .forEach(r -> wrong.add(r.outcome() + ": " + r.requestId() + " router " + r.router() + " due at "
+                        + seconds(o, r.dueMicros()) + " s, ended at " + seconds(o, r.endMicros()) + " s"));
         j.set("series", series(o));
         return j;
     }
@@ -146,11 +146,12 @@
         Map<String, String> last = new HashMap<>();
         int[] moved = new int[(int) (o.scenario().lengthMs / 1000) + 1];
         o.results().stream()
-                .sorted(Comparator.comparingLong(LoadGenerator.RequestRecord::due))
+                .sorted(Comparator.comparingLong(LoadGenerator.RequestRecord::dueMicros))
                 .forEach(r -> {
-                    String site = at.get(r.call());
-                    String before = site == null ? null : last.put(r.talk(), site);
-                    moved[(int) ((r.due() - o.from()) / 1_000_000)] += before == null || before.equals(site) ? 0 : 1;
+                    String site = at.get(r.requestId());
+                    String before = site == null ? null : last.put(r.sessionHash(), site);
+                    moved[(int) ((r.dueMicros() - o.from()) / 1_000_000)] +=
+                            before == null || before.equals(site) ? 0 : 1;
                 });
         for (int i = 0; i < moved.length; i++) {
             point(s, "Conversations that changed their site, a second", "all", i, moved[i]);
@@ -171,15 +172,15 @@
             Map<LoadGenerator.RequestOutcome, Double> by = new TreeMap<>();
             long late = 0;
             for (LoadGenerator.RequestRecord r : o.results()) {
-                if (r.due() < from || r.due() >= from + BUCKET) {
+                if (r.dueMicros() < from || r.dueMicros() >= from + BUCKET) {
                     continue;
                 }
                 due[r.site()] += r.gain();
-                late = r.again() == 0 ? Math.max(late, r.sent() - r.due()) : late;
-                served[r.site()] += r.how() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
-                by.merge(r.how(), r.gain(), Double::sum);
-                if (r.first() >= 0) {
-                    h.recordValue(Math.min(60_000_000L, r.first()));
+                late = r.retries() == 0 ? Math.max(late, r.sentMicros() - r.dueMicros()) : late;
+                served[r.site()] += r.outcome() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
+                by.merge(r.outcome(), r.gain(), Double::sum);
+                if (r.firstTokenMicros() >= 0) {
+                    h.recordValue(Math.min(60_000_000L, r.firstTokenMicros()));
                 }
             }
             for (int k = 0; k < n; k++) {
@@ -193,7 +194,7 @@
                 }
             }
             for (LoadGenerator.RequestOutcome e : LoadGenerator.RequestOutcome.values()) {
-                if (o.results().stream().anyMatch(r -> r.how() == e)) {
+                if (o.results().stream().anyMatch(r -> r.outcome() == e)) {
                     point(
                             s,
                             "Worth a second by end",
--- a/lab/src/main/java/magpiehub/lab/RunEvaluation.java
+++ b/lab/src/main/java/magpiehub/lab/RunEvaluation.java
@@ -34,8 +34,10 @@
         }
     }
 
-    /** A site loss that the scenario causes: the site, the start and end (us), and whether connections are refused at
-     *  once rather than timing out. */
+    /**
+     * A site loss that the scenario causes: the site, the start and end (us), and whether connections are refused at
+     * once rather than timing out.
+     */
     record SiteLoss(int site, long from, long until, boolean refused) {}
 
     private final Fleet.RunResult o;
@@ -44,15 +46,17 @@
         this.o = o;
     }
 
-    /** The served share, weighted by value, of the requests due within a period; -1 if there are none. Requests from
-     *  clients of site {@code notOf} are excluded. */
+    /**
+     * The served share, weighted by value, of the requests due within a period; -1 if there are none. Requests from
+     * clients of site {@code notOf} are excluded.
+     */
     double served(long from, long until, int notOf) {
         double worth = 0;
         double all = 0;
         for (LoadGenerator.RequestRecord r : o.results()) {
-            if (r.due() >= from && r.due() < until && r.site() != notOf) {
+            if (r.dueMicros() >= from && r.dueMicros() < until && r.site() != notOf) {
                 all += r.gain();
-                worth += r.how() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
+                worth += r.outcome() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
             }
         }
         return all == 0 ? -1 : worth / all;
@@ -86,8 +90,8 @@
     Histogram firsts(long from, long until) {
         Histogram h = new Histogram(60_000_000L, 3);
         for (LoadGenerator.RequestRecord r : o.results()) {
-            if (r.due() >= from && r.due() < until && r.first() >= 0) {
-                h.recordValue(Math.min(60_000_000L, r.first()));
+            if (r.dueMicros() >= from && r.dueMicros() < until && r.firstTokenMicros() >= 0) {
+                h.recordValue(Math.min(60_000_000L, r.firstTokenMicros()));
             }
         }
         return h;
@@ -96,7 +100,7 @@
     /** Number of requests for which a healthy router returned no response, an invalid one, or two. */
     long unanswered() {
         return o.results().stream()
-                        .filter(LoadGenerator.RequestRecord::unanswered)
+                        .filter(LoadGenerator.RequestRecord::isUnanswered)
                         .count()
                 + o.twice()
                 + o.open();
--- a/lab/src/main/java/magpiehub/lab/Scenario.java
+++ b/lab/src/main/java/magpiehub/lab/Scenario.java
@@ -62,7 +62,7 @@
     /** Resource limits in the routers' configuration; {@code probes} allows health checks of engines. */
     record Routers(int memoryMb, int sockets, boolean probes) {}
 
-    /** One fault; see docs/ops/lab.md for the kinds. {@code at} counts from the first request (ms); site -1 means all. */
+    /** One fault; docs/ops/lab.md lists the kinds. {@code at} counts from the first request (ms); site -1 means all. */
     record Fault(long at, String kind, int site, int to, String way, String paths, String target, double value) {
         /** A readable description. */
         String text(List<Site> sites) {
--- a/lab/src/main/java/magpiehub/lab/SiteLossScenario.java
+++ b/lab/src/main/java/magpiehub/lab/SiteLossScenario.java
@@ -11,8 +11,11 @@
  * loss. The load must not be below what the remaining sites can be shown to carry.
  */
 record SiteLossScenario(String kind, Scenario scenario, List<RunEvaluation.SiteLoss> losses) {
-    /** A case: its faults as format strings, and whether it is a loss whose connections are refused or time out. The
-     *  arguments are %1$s start, %2$s end (s), %3$s time of a second fault, %4$s another site, %5$s end of that fault. */
+    /**
+     * A case: its faults as format strings, and whether it is a loss whose connections are refused or time out. The
+     * arguments are the start (1), the end (2), the start of a second fault (3), another site (4) and the end of the
+     * second fault (5). Times are in seconds.
+     */
     private record Case(String name, int refused, String... faults) {}
 
     private static final int NO_LOSS = 0;
--- a/lab/src/test/java/magpiehub/lab/FleetTest.java
+++ b/lab/src/test/java/magpiehub/lab/FleetTest.java
@@ -48,8 +48,8 @@
         assertEquals(0, broken.size(), broken + " " + o.failures() + new RunEvaluation(o).together() + o.toDrained());
         assertTrue(
                 o.results().stream()
-                                .filter(r -> r.how() == LoadGenerator.RequestOutcome.SERVED
-                                        || r.how() == LoadGenerator.RequestOutcome.LATE)
+                                .filter(r -> r.outcome() == LoadGenerator.RequestOutcome.SERVED
+                                        || r.outcome() == LoadGenerator.RequestOutcome.LATE)
                                 .count()
                         > o.results().size() / 2,
                 "requests went through");
@@ -86,9 +86,9 @@
         assertTrue(
                 o.results().stream()
                         .anyMatch(r -> r.site() == site
-                                && r.due() > cut + 200_000
-                                && r.due() < cut + 2_800_000
-                                && r.how() == LoadGenerator.RequestOutcome.SERVED),
+                                && r.dueMicros() > cut + 200_000
+                                && r.dueMicros() < cut + 2_800_000
+                                && r.outcome() == LoadGenerator.RequestOutcome.SERVED),
                 "its own engines serve its clients");
     }
 
--- a/lab/src/test/java/magpiehub/lab/LoadGeneratorTest.java
+++ b/lab/src/test/java/magpiehub/lab/LoadGeneratorTest.java
@@ -99,23 +99,23 @@
                     (from, r) -> (InetSocketAddress) router.getLocalSocketAddress(),
                     new LoadGenerator.RouterHealth() {
                         @Override
-                        public boolean whole(int site, int r, long since) {
+                        public boolean isHealthySince(int site, int r, long since) {
                             return true;
                         }
 
                         @Override
-                        public void unanswered(int r, String call) {}
+                        public void onUnanswered(int r, String call) {}
                     });
-            assertTrue(clients.ready(30_000_000));
-            for (Thread t : clients.send(EngineSiteProcess.nowMicros())) {
+            assertTrue(clients.awaitRouters(30_000_000));
+            for (Thread t : clients.startArrivals(EngineSiteProcess.nowMicros())) {
                 t.join();
             }
-            List<LoadGenerator.RequestRecord> all = clients.finish(30_000_000);
-            assertEquals(0, clients.open());
+            List<LoadGenerator.RequestRecord> all = clients.awaitResults(30_000_000);
+            assertEquals(0, clients.pendingRequests());
             assertTrue(all.size() > 5);
             assertEquals(
                     0, all.stream().filter(LoadGenerator.RequestRecord::excused).count(), "none is excused");
-            return all.stream().map(LoadGenerator.RequestRecord::how).collect(Collectors.toSet());
+            return all.stream().map(LoadGenerator.RequestRecord::outcome).collect(Collectors.toSet());
         }
     }
 
--- a/lab/src/test/java/magpiehub/lab/RunEvaluationTest.java
+++ b/lab/src/test/java/magpiehub/lab/RunEvaluationTest.java
@@ -78,8 +78,9 @@
 
     /** How requests due within a time ended, at one site. */
     private void ended(int site, long from, long until, LoadGenerator.RequestOutcome how, boolean excused) {
-        results.replaceAll(
-                r -> r.site() == site && r.due() >= from && r.due() < until ? result(site, r.due(), how, excused) : r);
+        results.replaceAll(r -> r.site() == site && r.dueMicros() >= from && r.dueMicros() < until
+                ? result(site, r.dueMicros(), how, excused)
+                : r);
     }
 
     @Test
@@ -131,18 +132,18 @@
 
     @Test
     void aReturnThatCostsTooMuchIsSeen() throws IOException {
-        results.replaceAll(r -> r.due() < 14 * S
+        results.replaceAll(r -> r.dueMicros() < 14 * S
                 ? r
                 : new LoadGenerator.RequestRecord(
-                        r.call(),
+                        r.requestId(),
                         r.site(),
                         r.router(),
                         0,
-                        r.due(),
-                        r.due(),
+                        r.dueMicros(),
+                        r.dueMicros(),
                         76_000,
-                        r.end(),
-                        r.how(),
+                        r.endMicros(),
+                        r.outcome(),
                         0,
                         2,
                         false,
