--- a/lab/src/main/java/magpiehub/lab/EngineModel.java
+++ b/lab/src/main/java/magpiehub/lab/EngineModel.java
@@ -42,7 +42,7 @@
             long fallMs,
             double factor) {}
 
-    /** Receives the generated tokens of a sequence; called by {@link #give}. */
+    /** Receives the generated tokens of a sequence; called by {@link #finishStep}. */
     interface TokenListener {
         /**
          * Called for tokens {@code from} (inclusive) to {@code to} (exclusive).
@@ -50,77 +50,77 @@
          * @param last whether the stream ends with them
          * @param cached prompt tokens that were found in the prefix cache
          */
-        void tokens(int from, int to, boolean last, int cached);
+        void onTokens(int from, int to, boolean last, int cachedTokens);
     }
 
     /** Tokens per block of the prefix cache. */
-    static final int BLOCK = 16;
+    static final int BLOCK_TOKENS = 16;
 
     /** Characters per token. */
-    private static final int CHARACTERS = 4;
+    private static final int CHARACTERS_PER_TOKEN = 4;
 
     /** One request being processed by the engine. */
     static final class Sequence {
-        final int prompt;
-        final int out;
-        final TokenListener caller;
+        final int promptTokens;
+        final int outputTokens;
+        final TokenListener listener;
         /** Keys of the prompt's complete blocks: hashes of all text up to the block's end. */
-        private final long[] blocks;
+        private final long[] blockKeys;
 
-        private int toRead;
-        private int cached;
-        private int given;
-        private int told;
-        private boolean over;
+        private int remainingPrefill;
+        private int cachedTokens;
+        private int generatedTokens;
+        private int emittedTokens;
+        private boolean done;
 
         /** @param text the prompt; prompts with a common prefix share its blocks */
-        Sequence(String text, int out, TokenListener caller) {
-            this.prompt = text.length() / CHARACTERS;
-            this.out = Math.max(1, out);
-            this.caller = caller;
-            this.blocks = new long[prompt / BLOCK];
-            long name = 1;
-            for (int i = 0, at = 0; i < blocks.length; i++) {
-                for (int end = at + BLOCK * CHARACTERS; at < end; at++) {
-                    name = name * 0x100000001b3L ^ text.charAt(at);
+        Sequence(String text, int outputTokens, TokenListener listener) {
+            this.promptTokens = text.length() / CHARACTERS_PER_TOKEN;
+            this.outputTokens = Math.max(1, outputTokens);
+            this.listener = listener;
+            this.blockKeys = new long[promptTokens / BLOCK_TOKENS];
+            long key = 1;
+            for (int i = 0, position = 0; i < blockKeys.length; i++) {
+                for (int end = position + BLOCK_TOKENS * CHARACTERS_PER_TOKEN; position < end; position++) {
+                    key = key * 0x100000001b3L ^ text.charAt(position);
                 }
-                blocks[i] = name;
+                blockKeys[i] = key;
             }
         }
     }
 
-    private final Parameters b;
-    private final long started;
+    private final Parameters parameters;
+    private final long startedMicros;
     private final List<Sequence> running = new ArrayList<>();
     private final ArrayDeque<Sequence> waiting = new ArrayDeque<>();
     /** The prefix cache's blocks, least recently used first. */
-    private final Map<Long, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<Long, Boolean> prefixCache = new LinkedHashMap<>(16, 0.75f, true);
     /** Arrival time and work (us) of the requests within the last {@code fallMs}. */
-    private final ArrayDeque<double[]> came = new ArrayDeque<>();
+    private final ArrayDeque<double[]> recentArrivals = new ArrayDeque<>();
 
-    private double cameSum;
-    private double slow = 1;
-    private boolean fallen;
+    private double recentWork;
+    private double slowdown = 1;
+    private boolean crashed;
 
     /** Creates an engine that started at the given time (us); a time in the distant past makes it warm. */
-    EngineModel(Parameters b, long started) {
-        this.b = b;
-        this.started = started;
+    EngineModel(Parameters parameters, long startedMicros) {
+        this.parameters = parameters;
+        this.startedMicros = startedMicros;
     }
 
     /** Current speed relative to a warm engine. */
     double speed(long now) {
-        double part = Math.min(1, Math.max(0, (now - started) / (b.coldMs * 1000.0)));
-        return (b.start + (1 - b.start) * part) / slow;
+        double warmUpShare = Math.min(1, Math.max(0, (now - startedMicros) / (parameters.coldMs * 1000.0)));
+        return (parameters.start + (1 - parameters.start) * warmUpShare) / slowdown;
     }
 
     /** Sets the factor by which the engine is slower than its parameters say. */
-    void slow(double factor) {
-        slow = factor;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    boolean fallen() {
-        return fallen;
+    boolean hasCrashed() {
+        return crashed;
     }
 
     int running() {
@@ -132,95 +132,98 @@
     }
 
     /** Engine time that a request costs on a warm engine (us): prefill, and its steps divided by the slots. */
-    static double work(Parameters b, int prompt, int out) {
-        return prompt * b.promptUs + out * b.stepMs * 1000 / b.slots;
+    static double workMicros(Parameters parameters, int promptTokens, int outputTokens) {
+        return promptTokens * parameters.promptUs + outputTokens * parameters.stepMs * 1000 / parameters.slots;
     }
 
     /** Enqueues a sequence; returns false if it is rejected. Rejected work counts towards overload too. */
-    boolean take(Sequence s, long now) {
-        double work = work(b, s.prompt, s.out);
-        came.addLast(new double[] {now, work});
-        cameSum += work;
-        while (came.peekFirst()[0] < now - b.fallMs * 1000.0) {
-            cameSum -= came.pollFirst()[1];
+    boolean enqueue(Sequence sequence, long now) {
+        double work = workMicros(parameters, sequence.promptTokens, sequence.outputTokens);
+        recentArrivals.addLast(new double[] {now, work});
+        recentWork += work;
+        while (recentArrivals.peekFirst()[0] < now - parameters.fallMs * 1000.0) {
+            recentWork -= recentArrivals.pollFirst()[1];
         }
-        if (now - started < b.coldMs * 1000 && cameSum > b.factor * speed(now) * b.fallMs * 1000) {
-            fallen = true;
+        if (now - startedMicros < parameters.coldMs * 1000
+                && recentWork > parameters.factor * speed(now) * parameters.fallMs * 1000) {
+            crashed = true;
         }
-        if (fallen || waiting.size() >= b.queue) {
+        if (crashed || waiting.size() >= parameters.queue) {
             return false;
         }
-        waiting.addLast(s);
+        waiting.addLast(sequence);
         return true;
     }
 
     /** Cancels a sequence. */
-    void drop(Sequence s) {
-        s.over = true;
-        waiting.remove(s);
-        running.remove(s);
+    void cancel(Sequence sequence) {
+        sequence.done = true;
+        waiting.remove(sequence);
+        running.remove(sequence);
     }
 
-    /** Starts a step; returns its duration (us), or 0 if idle. {@link #give} emits its tokens when it ends. */
-    long step(long now) {
-        while (running.size() < b.slots && !waiting.isEmpty()) {
-            Sequence s = waiting.pollFirst();
-            s.cached = known(s) * BLOCK;
-            s.toRead = s.prompt - s.cached;
-            running.add(s);
+    /** Starts a step; returns its duration (us), or 0 if idle. {@link #finishStep} emits its tokens when it ends. */
+    long startStep(long now) {
+        while (running.size() < parameters.slots && !waiting.isEmpty()) {
+            Sequence sequence = waiting.pollFirst();
+            sequence.cachedTokens = cachedBlocks(sequence) * BLOCK_TOKENS;
+            sequence.remainingPrefill = sequence.promptTokens - sequence.cachedTokens;
+            running.add(sequence);
         }
         if (running.isEmpty()) {
             return 0;
         }
         int read = 0;
-        for (Sequence s : running) {
-            int n = Math.min(s.toRead, b.chunk - read);
-            s.toRead -= n;
-            read += n;
+        for (Sequence sequence : running) {
+            int count = Math.min(sequence.remainingPrefill, parameters.chunk - read);
+            sequence.remainingPrefill -= count;
+            read += count;
         }
-        double us = b.stepMs * 1000 * (0.5 + 0.5 * running.size() / b.slots) + read * b.promptUs;
-        return Math.max(1, Math.round(us / speed(now)));
+        double micros =
+                parameters.stepMs * 1000 * (0.5 + 0.5 * running.size() / parameters.slots) + read * parameters.promptUs;
+        return Math.max(1, Math.round(micros / speed(now)));
     }
 
     /** Number of leading blocks that are in the prefix cache. */
-    private int known(Sequence s) {
-        int n = 0;
-        while (n < s.blocks.length && kept.get(s.blocks[n]) != null) {
-            n++;
+    private int cachedBlocks(Sequence sequence) {
+        int count = 0;
+        while (count < sequence.blockKeys.length && prefixCache.get(sequence.blockKeys[count]) != null) {
+            count++;
         }
-        return n;
+        return count;
     }
 
-    private void keep(Sequence s) {
-        for (int i = s.blocks.length - 1; i >= 0; i--) {
-            kept.put(
-                    s.blocks[i],
-                    true); // In reverse, so that the leading blocks, which other prompts share, are evicted last.
+    /** Caches a prompt's blocks in reverse, so that the leading ones, which other prompts share, are evicted last. */
+    private void cachePrompt(Sequence sequence) {
+        for (int i = sequence.blockKeys.length - 1; i >= 0; i--) {
+            prefixCache.put(sequence.blockKeys[i], true);
         }
-        Iterator<Boolean> oldest = kept.values().iterator();
-        while (kept.size() > b.kept / BLOCK) {
+        Iterator<Boolean> oldest = prefixCache.values().iterator();
+        while (prefixCache.size() > parameters.kept / BLOCK_TOKENS) {
             oldest.next();
             oldest.remove();
         }
     }
 
     /** Ends a step: generates one token for each sequence whose prompt has been prefilled. */
-    void give() {
-        for (Sequence s : List.copyOf(running)) {
-            if (s.over || s.toRead > 0) {
+    void finishStep() {
+        for (Sequence sequence : List.copyOf(running)) {
+            if (sequence.done || sequence.remainingPrefill > 0) {
                 continue;
             }
-            s.given++;
-            boolean last = s.given >= s.out;
+            sequence.generatedTokens++;
+            boolean last = sequence.generatedTokens >= sequence.outputTokens;
             if (last) {
-                running.remove(s);
-                s.over = true;
-                keep(s);
+                running.remove(sequence);
+                sequence.done = true;
+                cachePrompt(sequence);
             }
-            if (last || s.given == 1 || s.given - s.told >= b.event) {
-                int from = s.told;
-                s.told = s.given;
-                s.caller.tokens(from, s.given, last, s.cached);
+            if (last
+                    || sequence.generatedTokens == 1
+                    || sequence.generatedTokens - sequence.emittedTokens >= parameters.event) {
+                int from = sequence.emittedTokens;
+                sequence.emittedTokens = sequence.generatedTokens;
+                sequence.listener.onTokens(from, sequence.generatedTokens, last, sequence.cachedTokens);
             }
         }
     }
--- a/lab/src/main/java/magpiehub/lab/EngineSiteProcess.java
+++ b/lab/src/main/java/magpiehub/lab/EngineSiteProcess.java
@@ -32,27 +32,27 @@
  * the speed is in thousandths), {@code fell US ID} (the engine crashed). Times are in microseconds.
  */
 final class EngineSiteProcess {
-    private static final long REPORT_MS = 200;
+    private static final long REPORT_INTERVAL_MILLIS = 200;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** An engine with its server socket and connections. */
-    private final class Served implements Runnable {
+    private final class EngineServer implements Runnable {
         final String id;
         final EngineModel engine;
         final ServerSocket server;
-        final Set<Socket> open = new HashSet<>();
+        final Set<Socket> connections = new HashSet<>();
         final SplittableRandom random;
         boolean draining;
         boolean silent;
-        double errors;
+        double errorRate;
 
-        Served(String id, InetSocketAddress at, boolean cold) throws IOException {
+        EngineServer(String id, InetSocketAddress address, boolean cold) throws IOException {
             this.id = id;
-            this.engine = new EngineModel(build, cold ? nowMicros() : Long.MIN_VALUE / 2);
+            this.engine = new EngineModel(parameters, cold ? nowMicros() : Long.MIN_VALUE / 2);
             this.random = new SplittableRandom(id.hashCode());
             server = new ServerSocket();
             server.setReuseAddress(true);
-            server.bind(at, 512);
+            server.bind(address, 512);
         }
 
         void start() {
@@ -63,12 +63,13 @@
         private void accept() {
             while (true) {
                 try {
-                    Socket s = server.accept();
-                    s.setTcpNoDelay(true);
+                    Socket socket = server.accept();
+                    socket.setTcpNoDelay(true);
                     synchronized (this) {
-                        open.add(s);
+                        connections.add(socket);
                     }
-                    DaemonThreads.newThread(id + "-call", () -> serve(s)).start();
+                    DaemonThreads.newThread(id + "-call", () -> handleConnection(socket))
+                            .start();
                 } catch (IOException e) {
                     return;
                 }
@@ -79,40 +80,40 @@
         @Override
         public void run() {
             while (true) {
-                long takes;
+                long stepMicros;
                 synchronized (this) {
-                    takes = silent ? 0 : engine.step(nowMicros());
-                    if (takes == 0) {
+                    stepMicros = silent ? 0 : engine.startStep(nowMicros());
+                    if (stepMicros == 0) {
                         await(this, 0);
                         continue;
                     }
                 }
-                sleep(takes);
+                sleep(stepMicros);
                 synchronized (this) {
                     if (!silent) {
-                        engine.give();
+                        engine.finishStep();
                     }
                 }
             }
         }
 
-        private void serve(Socket s) {
-            EngineModel.Sequence[] now = new EngineModel.Sequence[1];
-            try (s) {
-                HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
+        private void handleConnection(Socket socket) {
+            EngineModel.Sequence[] current = new EngineModel.Sequence[1];
+            try (socket) {
+                HttpReader in = new HttpReader(socket.getInputStream(), EngineSiteProcess::nowMicros);
                 while (in.awaitMessage()) {
-                    HttpHead h = in.readRequestHead();
-                    byte[] body = in.readBody(h);
-                    if (h.method().equals("POST")) {
-                        now[0] = post(h, body, s);
+                    HttpHead head = in.readRequestHead();
+                    byte[] body = in.readBody(head);
+                    if (head.method().equals("POST")) {
+                        current[0] = handleCompletion(head, body, socket);
                     } else {
                         synchronized (this) {
                             if (!silent) {
-                                answer(s, h.target().equals("/alive") ? 200 : 404, "");
+                                respond(socket, head.target().equals("/alive") ? 200 : 404, "");
                             }
                         }
                     }
-                    if (h.closesConnection()) {
+                    if (head.closesConnection()) {
                         in.awaitMessage(); // The sequence ends when complete or when the connection closes.
                         return;
                     }
@@ -121,58 +122,59 @@
                 // The router has disconnected; its sequence is cancelled below.
             } finally {
                 synchronized (this) {
-                    open.remove(s);
-                    if (now[0] != null) {
-                        engine.drop(now[0]);
+                    connections.remove(socket);
+                    if (current[0] != null) {
+                        engine.cancel(current[0]);
                     }
                 }
             }
         }
 
-        private EngineModel.Sequence post(HttpHead h, byte[] body, Socket s) throws IOException {
-            String call = h.headers().get("X-Call-Id");
-            JsonNode asked = JSON.readTree(body);
+        private EngineModel.Sequence handleCompletion(HttpHead head, byte[] body, Socket socket) throws IOException {
+            String requestId = head.headers().get("X-Call-Id");
+            JsonNode request = JSON.readTree(body);
             StringBuilder prompt = new StringBuilder();
-            asked.path("messages").forEach(m -> prompt.append(m.path("content").asText()));
-            Stream to = new Stream(s, call, prompt.length() / 4);
-            EngineModel.Sequence q = new EngineModel.Sequence(
-                    prompt.toString(), asked.path("max_tokens").asInt(), to);
-            boolean fell = false;
-            boolean taken;
+            request.path("messages")
+                    .forEach(m -> prompt.append(m.path("content").asText()));
+            ResponseStream stream = new ResponseStream(socket, requestId, prompt.length() / 4);
+            EngineModel.Sequence sequence = new EngineModel.Sequence(
+                    prompt.toString(), request.path("max_tokens").asInt(), stream);
+            boolean crashed = false;
+            boolean accepted;
             synchronized (this) {
                 if (silent) {
-                    say("a " + nowMicros() + " " + id + " " + call + " unheard");
+                    emit("a " + nowMicros() + " " + id + " " + requestId + " unheard");
                     return null;
                 }
-                if (errors > 0 && random.nextDouble() < errors) {
-                    answer(s, 500, "");
-                    say("a " + nowMicros() + " " + id + " " + call + " error");
+                if (errorRate > 0 && random.nextDouble() < errorRate) {
+                    respond(socket, 500, "");
+                    emit("a " + nowMicros() + " " + id + " " + requestId + " error");
                     return null;
                 }
-                boolean before = engine.fallen();
-                taken = engine.take(q, nowMicros()) && !draining;
-                fell = engine.fallen() && !before;
-                if (taken) {
+                boolean crashedBefore = engine.hasCrashed();
+                accepted = engine.enqueue(sequence, nowMicros()) && !draining;
+                crashed = engine.hasCrashed() && !crashedBefore;
+                if (accepted) {
                     notifyAll();
                 } else {
-                    engine.drop(q);
+                    engine.cancel(sequence);
                 }
             }
-            say("a " + nowMicros() + " " + id + " " + call + (taken ? " taken" : " away"));
-            if (fell) {
-                fall();
-            } else if (!taken) {
-                answer(s, 503, "X-Rejected: 1\r\n");
+            emit("a " + nowMicros() + " " + id + " " + requestId + (accepted ? " taken" : " away"));
+            if (crashed) {
+                crash();
+            } else if (!accepted) {
+                respond(socket, 503, "X-Rejected: 1\r\n");
             }
-            return taken ? q : null;
+            return accepted ? sequence : null;
         }
 
         /** Simulates a crash: connections are reset and new ones refused. */
-        private void fall() throws IOException {
-            say("fell " + nowMicros() + " " + id);
+        private void crash() throws IOException {
+            emit("fell " + nowMicros() + " " + id);
             server.close();
             synchronized (this) {
-                open.forEach(Relay::abort);
+                connections.forEach(Relay::abort);
             }
         }
     }
@@ -181,62 +183,62 @@
      * A response stream. Each event names the request and its token range, so that a client can verify that it received
      * the complete stream of one engine.
      */
-    private static final class Stream implements EngineModel.TokenListener {
-        private final Socket to;
-        private final String call;
+    private static final class ResponseStream implements EngineModel.TokenListener {
+        private final Socket output;
+        private final String requestId;
         private final int prompt;
         private final HttpWriter out = new HttpWriter();
-        private boolean begun;
+        private boolean started;
 
-        Stream(Socket to, String call, int prompt) {
-            this.to = to;
-            this.call = call;
+        ResponseStream(Socket output, String requestId, int prompt) {
+            this.output = output;
+            this.requestId = requestId;
             this.prompt = prompt;
         }
 
         @Override
-        public void tokens(int from, int until, boolean last, int cached) {
-            if (!begun) {
-                begun = true;
+        public void onTokens(int from, int until, boolean last, int cached) {
+            if (!started) {
+                started = true;
                 out.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                         + "Transfer-Encoding: chunked\r\n\r\n");
             }
-            event("{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + call + " " + from + " " + until
+            appendEvent("{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"" + requestId + " " + from + " " + until
                     + ";\"},\"finish_reason\":" + (last ? "\"stop\"" : "null") + "}]}");
             if (last) {
-                event("{\"choices\":[],\"usage\":{\"prompt_tokens\":" + prompt + ",\"completion_tokens\":" + until
+                appendEvent("{\"choices\":[],\"usage\":{\"prompt_tokens\":" + prompt + ",\"completion_tokens\":" + until
                         + ",\"prompt_tokens_details\":{\"cached_tokens\":" + cached + "}}}");
-                event("[DONE]");
+                appendEvent("[DONE]");
                 out.appendLastChunk();
             }
             try {
-                out.flushTo(to.getOutputStream());
+                out.flushTo(output.getOutputStream());
             } catch (IOException e) {
                 out.take(); // The thread that reads this connection detects its end.
             }
         }
 
-        private void event(String json) {
+        private void appendEvent(String json) {
             out.appendChunk(("data: " + json + "\n\n").getBytes(StandardCharsets.UTF_8));
         }
     }
 
     private final PrintStream out;
-    private final Map<String, Served> engines = new LinkedHashMap<>();
-    private EngineModel.Parameters build;
+    private final Map<String, EngineServer> engines = new LinkedHashMap<>();
+    private EngineModel.Parameters parameters;
 
     private EngineSiteProcess(PrintStream out) {
         this.out = out;
     }
 
-    private void say(String line) {
+    private void emit(String line) {
         synchronized (out) {
             out.append(line).append('\n');
         }
     }
 
-    private static void answer(Socket s, int status, String headers) throws IOException {
-        s.getOutputStream()
+    private static void respond(Socket socket, int status, String headers) throws IOException {
+        socket.getOutputStream()
                 .write(("HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: 0\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -248,68 +250,69 @@
 
     /** Waits on a monitor that the caller holds, at most for the given time (us); 0 waits until notified. */
     @SuppressWarnings("WaitNotInLoop") // Callers check their condition in a loop.
-    static void await(Object monitor, long us) {
+    static void await(Object monitor, long micros) {
         try {
-            if (us == 0) {
+            if (micros == 0) {
                 monitor.wait();
             } else {
-                monitor.wait(us / 1000, (int) (us % 1000) * 1000);
+                monitor.wait(micros / 1000, (int) (micros % 1000) * 1000);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    static void sleep(long us) {
+    static void sleep(long micros) {
         try {
-            java.util.concurrent.TimeUnit.MICROSECONDS.sleep(us);
+            java.util.concurrent.TimeUnit.MICROSECONDS.sleep(micros);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void command(String[] w) throws IOException {
-        if (w[0].equals("build")) {
-            double[] v = java.util.Arrays.stream(w)
+    private void execute(String[] words) throws IOException {
+        if (words[0].equals("build")) {
+            double[] values = java.util.Arrays.stream(words)
                     .skip(1)
                     .mapToDouble(Double::parseDouble)
                     .toArray();
-            build = new EngineModel.Parameters(
-                    (int) v[0],
-                    (int) v[1],
-                    v[2],
-                    v[3],
-                    (int) v[4],
-                    (int) v[5],
-                    (int) v[6],
-                    (long) v[7],
-                    v[8],
-                    (long) v[9],
-                    v[10]);
+            parameters = new EngineModel.Parameters(
+                    (int) values[0],
+                    (int) values[1],
+                    values[2],
+                    values[3],
+                    (int) values[4],
+                    (int) values[5],
+                    (int) values[6],
+                    (long) values[7],
+                    values[8],
+                    (long) values[9],
+                    values[10]);
             return;
         }
-        if (w[0].equals("add")) {
-            Served e = new Served(w[1], magpiehub.config.HostPort.toSocketAddress(w[2]), w[3].equals("cold"));
-            engines.put(w[1], e);
-            e.start();
-            say("up " + w[1]);
+        if (words[0].equals("add")) {
+            EngineServer engineServer = new EngineServer(
+                    words[1], magpiehub.config.HostPort.toSocketAddress(words[2]), words[3].equals("cold"));
+            engines.put(words[1], engineServer);
+            engineServer.start();
+            emit("up " + words[1]);
             return;
         }
-        Served e = engines.get(w[1]);
-        if (e == null) {
-            say("unknown " + w[1]);
+        EngineServer engineServer = engines.get(words[1]);
+        if (engineServer == null) {
+            emit("unknown " + words[1]);
             return;
         }
-        synchronized (e) {
-            switch (w[0]) {
-                case "drain" -> e.draining = true;
-                case "slow" -> e.engine.slow(Double.parseDouble(w[2]));
-                case "errors" -> e.errors = Double.parseDouble(w[2]);
-                case "silent" -> e.silent = true;
-                case "heard" -> e.silent = false;
-                default -> say("unknown " + w[0]);
+        synchronized (engineServer) {
+            switch (words[0]) {
+                case "drain" -> engineServer.draining = true;
+                case "slow" -> engineServer.engine.setSlowdown(Double.parseDouble(words[2]));
+                case "errors" -> engineServer.errorRate = Double.parseDouble(words[2]);
+                case "silent" -> engineServer.silent = true;
+                case "heard" -> engineServer.silent = false;
+                default -> emit("unknown " + words[0]);
             }
-            e.notifyAll();
+            engineServer.notifyAll();
         }
     }
 
@@ -319,28 +322,29 @@
                 new java.io.BufferedOutputStream(new java.io.FileOutputStream(java.io.FileDescriptor.out), 1 << 16),
                 false,
                 StandardCharsets.UTF_8));
-        DaemonThreads.newThread("reports", site::reports).start();
+        DaemonThreads.newThread("reports", site::reportLoads).start();
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String l = in.readLine(); l != null; l = in.readLine()) {
+        for (String line = in.readLine(); line != null; line = in.readLine()) {
             try {
                 synchronized (site.engines) {
-                    site.command(l.strip().split(" "));
+                    site.execute(line.strip().split(" "));
                 }
             } catch (SocketException e) {
-                site.say("failed " + l + ": " + e.getMessage());
+                site.emit("failed " + line + ": " + e.getMessage());
             }
         }
     }
 
-    private void reports() {
+    private void reportLoads() {
         while (true) {
-            sleep(REPORT_MS * 1000);
+            sleep(REPORT_INTERVAL_MILLIS * 1000);
             synchronized (engines) {
-                for (Served e : engines.values()) {
-                    synchronized (e) {
+                for (EngineServer engineServer : engines.values()) {
+                    synchronized (engineServer) {
                         long now = nowMicros();
-                        say("l " + now + " " + e.id + " " + e.engine.running() + " " + e.engine.waiting() + " "
-                                + Math.round(1000 * e.engine.speed(now)));
+                        emit("l " + now + " " + engineServer.id + " " + engineServer.engine.running() + " "
+                                + engineServer.engine.waiting() + " "
+                                + Math.round(1000 * engineServer.engine.speed(now)));
                     }
                 }
             }
--- a/lab/src/main/java/magpiehub/lab/FakeDiscovery.java
+++ b/lab/src/main/java/magpiehub/lab/FakeDiscovery.java
@@ -24,7 +24,7 @@
  * Records when each change was sent to each router, so that a router is not blamed for a change that it never received.
  */
 final class FakeDiscovery {
-    private static final long HEARTBEAT = 2_000_000;
+    private static final long WATCH_HEARTBEAT_MICROS = 2_000_000;
 
     /** One engine's entry in the list. */
     record Member(String id, int site, int number, String phase, long upSinceMs, long revision) {}
@@ -32,49 +32,49 @@
     private final List<String> sites;
     private final Map<String, Member> members = new LinkedHashMap<>();
     /** Previous entries of engines whose newest change has not been published yet. */
-    private final Map<String, Member> before = new HashMap<>();
+    private final Map<String, Member> previousEntries = new HashMap<>();
     /** When each engine's drain or removal was first sent to a router, by "ID@router" (us). */
-    private final Map<String, Long> told = new HashMap<>();
+    private final Map<String, Long> firstSentMicros = new HashMap<>();
     /** Changes that have not been published yet: revision and publication time (us). */
-    private final List<long[]> changes = new ArrayList<>();
+    private final List<long[]> pendingChanges = new ArrayList<>();
 
     private long revision = 1;
-    private long lateUs;
-    private boolean torn;
+    private long delayMicros;
+    private boolean truncateNext;
     private boolean down;
-    private final Set<Socket> open = new HashSet<>();
+    private final Set<Socket> openConnections = new HashSet<>();
     private final List<ServerSocket> servers = new ArrayList<>();
 
     /** Resolves the address at which a site's routers reach an engine. */
-    interface Addresses {
-        String of(int fromSite, Member m);
+    interface AddressResolver {
+        String of(int fromSite, Member member);
     }
 
-    private final Addresses addresses;
+    private final AddressResolver addresses;
 
-    FakeDiscovery(List<String> sites, Addresses addresses) {
+    FakeDiscovery(List<String> sites, AddressResolver addresses) {
         this.sites = sites;
         this.addresses = addresses;
     }
 
     /** Starts the listener for one router. */
-    void serve(int router, int site, InetSocketAddress at) throws IOException {
+    void listen(int router, int site, InetSocketAddress address) throws IOException {
         ServerSocket server = new ServerSocket();
         server.setReuseAddress(true);
-        server.bind(at, 512);
+        server.bind(address, 512);
         servers.add(server);
         DaemonThreads.newThread("discovery-" + sites.get(site), () -> {
                     while (true) {
                         try {
-                            Socket s = server.accept();
+                            Socket socket = server.accept();
                             synchronized (this) {
                                 if (down) {
-                                    Relay.abort(s);
+                                    Relay.abort(socket);
                                     continue;
                                 }
-                                open.add(s);
+                                openConnections.add(socket);
                             }
-                            DaemonThreads.newThread("discovery-call", () -> call(router, site, s))
+                            DaemonThreads.newThread("discovery-call", () -> serveConnection(router, site, socket))
                                     .start();
                         } catch (IOException e) {
                             return;
@@ -85,15 +85,16 @@
     }
 
     /** Sets an engine's entry, whether or not it matches the engine's real state. */
-    synchronized void put(String id, int site, int number, String phase, long upSinceMs) {
+    synchronized void setMember(String id, int site, int number, String phase, long upSinceMs) {
         revision++;
-        Member old = members.put(id, new Member(id, site, number, phase, upSinceMs, revision));
-        long due = EngineSiteProcess.nowMicros() + lateUs;
-        if (lateUs > 0) {
-            if (old != null) {
-                before.putIfAbsent(id, old); // Without the old entry, the complete list would reveal the change early.
+        Member previous = members.put(id, new Member(id, site, number, phase, upSinceMs, revision));
+        long due = EngineSiteProcess.nowMicros() + delayMicros;
+        if (delayMicros > 0) {
+            if (previous != null) {
+                // Without the old entry, the complete list would reveal the change early.
+                previousEntries.putIfAbsent(id, previous);
             }
-            changes.add(new long[] {revision, due});
+            pendingChanges.add(new long[] {revision, due});
         }
         notifyAll();
     }
@@ -107,167 +108,170 @@
     }
 
     /** Delays the publication of changes from now on. */
-    synchronized void late(long us) {
-        lateUs = us;
+    synchronized void setDelay(long micros) {
+        delayMicros = micros;
     }
 
     /** Truncates the next message of one watch in the middle of a line and closes the watch, once. */
-    synchronized void tear() {
-        torn = true;
+    synchronized void truncateNextMessage() {
+        truncateNext = true;
         notifyAll();
     }
 
     /** While set, resets new connections; setting it resets the open ones too. */
-    void down(boolean now) {
-        List<Socket> all;
+    void setDown(boolean isDown) {
+        List<Socket> connections;
         synchronized (this) {
-            down = now;
-            all = List.copyOf(open);
+            down = isDown;
+            connections = List.copyOf(openConnections);
             notifyAll();
         }
-        if (now) {
-            all.forEach(Relay::abort);
+        if (isDown) {
+            connections.forEach(Relay::abort);
         }
     }
 
     /** When a router was first sent an engine's drain or removal (us); {@code Long.MAX_VALUE} if never. */
-    synchronized long told(String id, int router) {
-        return told.getOrDefault(id + "@" + router, Long.MAX_VALUE);
+    synchronized long firstSentMicros(String id, int router) {
+        return firstSentMicros.getOrDefault(id + "@" + router, Long.MAX_VALUE);
     }
 
     void close() throws IOException {
-        down(true);
-        for (ServerSocket s : servers) {
-            s.close();
+        setDown(true);
+        for (ServerSocket socket : servers) {
+            socket.close();
         }
     }
 
-    /** The newest revision that is due for publication; stores the time until the next one in {@code wait[0]} (us). */
-    private long tellable(long now, long[] wait) {
-        long most = revision;
-        wait[0] = HEARTBEAT;
-        for (long[] c : changes) {
-            if (c[1] > now) {
-                most = Math.min(most, c[0] - 1);
-                wait[0] = Math.min(wait[0], c[1] - now);
+    /** The newest revision that is due for publication; sets {@code waitMicros[0]} to the time until the next. */
+    private long publishableRevision(long now, long[] waitMicros) {
+        long newest = revision;
+        waitMicros[0] = WATCH_HEARTBEAT_MICROS;
+        for (long[] change : pendingChanges) {
+            if (change[1] > now) {
+                newest = Math.min(newest, change[0] - 1);
+                waitMicros[0] = Math.min(waitMicros[0], change[1] - now);
             }
         }
-        changes.removeIf(c -> c[1] <= now);
-        return most;
+        pendingChanges.removeIf(change -> change[1] <= now);
+        return newest;
     }
 
-    private void call(int router, int site, Socket s) {
-        try (s) {
-            s.setTcpNoDelay(true);
-            HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
-            while (in.awaitMessage()) {
-                HttpHead h = in.readRequestHead();
-                if (!h.target().startsWith("/discovery/hosts")) {
-                    s.getOutputStream().write("HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n".getBytes(UTF_8));
-                } else if (h.target().contains("follow=1")) {
-                    follow(router, site, s.getOutputStream(), since(h.target()));
+    private void serveConnection(int router, int site, Socket socket) {
+        try (socket) {
+            socket.setTcpNoDelay(true);
+            HttpReader reader = new HttpReader(socket.getInputStream(), EngineSiteProcess::nowMicros);
+            while (reader.awaitMessage()) {
+                HttpHead head = reader.readRequestHead();
+                if (!head.target().startsWith("/discovery/hosts")) {
+                    socket.getOutputStream().write("HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n".getBytes(UTF_8));
+                } else if (head.target().contains("follow=1")) {
+                    streamWatch(router, site, socket.getOutputStream(), sinceRevision(head.target()));
                     return;
                 } else {
-                    byte[] b;
+                    byte[] body;
                     synchronized (this) {
-                        long upTo = tellable(EngineSiteProcess.nowMicros(), new long[1]);
-                        b = list(router, site, 0, upTo, true).getBytes(UTF_8);
+                        long upToRevision = publishableRevision(EngineSiteProcess.nowMicros(), new long[1]);
+                        body = listJson(router, site, 0, upToRevision, true).getBytes(UTF_8);
                     }
-                    s.getOutputStream()
+                    socket.getOutputStream()
                             .write(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" + "Content-Length: "
-                                            + b.length + "\r\n\r\n")
+                                            + body.length + "\r\n\r\n")
                                     .getBytes(UTF_8));
-                    s.getOutputStream().write(b);
+                    socket.getOutputStream().write(body);
                 }
             }
         } catch (IOException e) {
             // The router has disconnected, or discovery is down.
         } finally {
             synchronized (this) {
-                open.remove(s);
+                openConnections.remove(socket);
             }
         }
     }
 
-    private static long since(String target) {
-        int at = target.indexOf("since=");
-        String v = at < 0 ? "0" : target.substring(at + 6).replaceAll("\\D.*", "");
-        return v.isEmpty() || v.length() > 15 ? 0 : Long.parseLong(v);
+    private static long sinceRevision(String target) {
+        int position = target.indexOf("since=");
+        String digits = position < 0 ? "0" : target.substring(position + 6).replaceAll("\\D.*", "");
+        return digits.isEmpty() || digits.length() > 15 ? 0 : Long.parseLong(digits);
     }
 
-    private void follow(int router, int site, OutputStream to, long since) throws IOException {
-        to.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+    private void streamWatch(int router, int site, OutputStream output, long sinceRevision) throws IOException {
+        output.write("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(UTF_8));
-        long sent = since;
-        boolean first = true;
-        boolean whole = true;
+        long sentRevision = sinceRevision;
+        boolean isFirst = true;
+        boolean complete = true;
         while (true) {
             String line;
             synchronized (this) {
                 if (down) {
                     return;
                 }
-                long[] wait = new long[1];
-                long upTo = tellable(EngineSiteProcess.nowMicros(), wait);
-                if (!first && upTo <= sent && !torn) {
-                    EngineSiteProcess.await(this, wait[0]);
-                    upTo = tellable(EngineSiteProcess.nowMicros(), wait);
+                long[] waitMicros = new long[1];
+                long upToRevision = publishableRevision(EngineSiteProcess.nowMicros(), waitMicros);
+                if (!isFirst && upToRevision <= sentRevision && !truncateNext) {
+                    EngineSiteProcess.await(this, waitMicros[0]);
+                    upToRevision = publishableRevision(EngineSiteProcess.nowMicros(), waitMicros);
                 }
-                whole = first && (since <= 0 || since > upTo);
-                line = upTo > sent || first ? list(router, site, whole ? 0 : sent, upTo, whole) : "";
-                if (torn) {
-                    torn = false;
+                complete = isFirst && (sinceRevision <= 0 || sinceRevision > upToRevision);
+                line = upToRevision > sentRevision || isFirst
+                        ? listJson(router, site, complete ? 0 : sentRevision, upToRevision, complete)
+                        : "";
+                if (truncateNext) {
+                    truncateNext = false;
                     line = line.isEmpty() ? "{\"revision\":" : line.substring(0, line.length() / 2);
-                    to.write((Integer.toHexString(line.length() + 9) + "\r\n" + line).getBytes(UTF_8));
+                    output.write((Integer.toHexString(line.length() + 9) + "\r\n" + line).getBytes(UTF_8));
                     return;
                 }
-                sent = Math.max(sent, upTo);
-                first = false;
+                sentRevision = Math.max(sentRevision, upToRevision);
+                isFirst = false;
             }
-            byte[] b = (line + "\n").getBytes(UTF_8);
-            to.write((Integer.toHexString(b.length) + "\r\n").getBytes(UTF_8));
-            to.write(b);
-            to.write("\r\n".getBytes(UTF_8));
+            byte[] body = (line + "\n").getBytes(UTF_8);
+            output.write((Integer.toHexString(body.length) + "\r\n").getBytes(UTF_8));
+            output.write(body);
+            output.write("\r\n".getBytes(UTF_8));
         }
     }
 
     /** The entries that changed after a revision, or all; records what is sent. The caller must hold the lock. */
     @SuppressWarnings("ReferenceEquality") // Identity distinguishes the newest entry from an equal older one.
-    private String list(int router, int site, long after, long upTo, boolean whole) {
-        StringBuilder l = new StringBuilder("{\"revision\":")
-                .append(upTo)
+    private String listJson(int router, int site, long afterRevision, long upToRevision, boolean complete) {
+        StringBuilder json = new StringBuilder("{\"revision\":")
+                .append(upToRevision)
                 .append(",\"complete\":")
-                .append(whole)
+                .append(complete)
                 .append(",\"members\":[");
-        int n = 0;
+        int count = 0;
         for (Member newest : members.values()) {
-            Member m = newest.revision <= upTo ? newest : before.get(newest.id);
-            if (m == newest) {
-                before.remove(m.id);
+            Member member = newest.revision <= upToRevision ? newest : previousEntries.get(newest.id);
+            if (member == newest) {
+                previousEntries.remove(member.id);
             }
-            if (m == null) {
+            if (member == null) {
                 continue;
             }
-            if (m.phase.equals("Ready")) {
-                told.remove(m.id + "@" + router);
+            if (member.phase.equals("Ready")) {
+                firstSentMicros.remove(member.id + "@" + router);
             } else {
-                told.putIfAbsent(m.id + "@" + router, EngineSiteProcess.nowMicros());
+                firstSentMicros.putIfAbsent(member.id + "@" + router, EngineSiteProcess.nowMicros());
             }
-            if (m.revision > after && !(whole && m.phase.equals("Gone"))) {
-                l.append(n++ == 0 ? "" : ",").append(entry(site, m));
+            if (member.revision > afterRevision && !(complete && member.phase.equals("Gone"))) {
+                json.append(count++ == 0 ? "" : ",").append(memberJson(site, member));
             }
         }
-        return l.append("]}").toString();
+        return json.append("]}").toString();
     }
 
     /** The complete list for a router's initial configuration: only what has been published so far. */
-    synchronized String known(int router, int site) {
-        return list(router, site, 0, tellable(EngineSiteProcess.nowMicros(), new long[1]), true);
+    synchronized String initialList(int router, int site) {
+        return listJson(router, site, 0, publishableRevision(EngineSiteProcess.nowMicros(), new long[1]), true);
     }
 
-    private String entry(int site, Member m) {
-        return "{\"id\":\"" + m.id + "\",\"host_port\":\"" + addresses.of(site, m) + "\",\"locality\":\""
-                + sites.get(m.site) + "\",\"flavor\":\"m\",\"cell\":" + m.site + ",\"phase\":\"" + m.phase
-                + "\",\"size\":1.0,\"up_since_ms\":" + m.upSinceMs + "}";
+    private String memberJson(int site, Member member) {
+        return "{\"id\":\"" + member.id + "\",\"host_port\":\"" + addresses.of(site, member) + "\",\"locality\":\""
+                + sites.get(member.site) + "\",\"flavor\":\"m\",\"cell\":" + member.site + ",\"phase\":\""
+                + member.phase
+                + "\",\"size\":1.0,\"up_since_ms\":" + member.upSinceMs + "}";
     }
 }
--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -29,11 +29,11 @@
  * platform would also give them.
  */
 final class Fleet implements AutoCloseable {
-    private static final int PORT = 8000;
-    private static final int CONSOLE = 8001;
-    private static final long SAMPLE = 500_000;
+    private static final int ROUTER_AND_ENGINE_PORT = 8000;
+    private static final int CONSOLE_PORT = 8001;
+    private static final long SAMPLE_INTERVAL_MICROS = 500_000;
     /** A router's configuration file. */
-    private static final String CONFIG =
+    private static final String CONFIG_TEMPLATE =
             """
             {"name":"%s","listen":"%s","discovery":"%s","seed":"%016x",
              "limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,"settings":{
@@ -49,10 +49,10 @@
               "overloadFactor":%s,"startCapacity":%s,"stopSendingWithinMs":2000}}}
             """;
     /** Time limit for starting routers and engines, ample for a busy machine (us). */
-    private static final long START = 60_000_000;
+    private static final long START_TIMEOUT_MICROS = 60_000_000;
 
     /** An attempt, observed at the router's end of the path; {@code site} is the router's, -1 if still running. */
-    record Attempt(String call, int site, String engine, long began, long over) {}
+    record Attempt(String requestId, int site, String engine, long startedMicros, long endedMicros) {}
 
     /** A change of a site's state as reported in a router's log. */
     record SiteStateChange(long at, int router, String site, String from, String to, String cause) {}
@@ -61,7 +61,7 @@
     record EngineLoad(long at, int site, int running, int waiting, double speed) {}
 
     /** A fault that was injected. */
-    record InjectedFault(long at, String text) {}
+    record InjectedFault(long at, String description) {}
 
     /** Everything observed during a run. Times are in us of the monotonic clock; {@code from} is the run's start. */
     record RunResult(
@@ -72,21 +72,21 @@
             List<EngineLoad> loads,
             List<InjectedFault> faults,
             List<ProcessManager.ResourceSample> samples,
-            List<String> fell,
-            List<String> toDrained,
-            int twice,
-            int open,
+            List<String> crashedEngines,
+            List<String> attemptsToDrained,
+            int duplicateResponses,
+            int pendingRequests,
             int crashes,
-            long late,
+            long sendDelayP99Micros,
             List<String> failures,
-            List<SiteStateChange> stands,
+            List<SiteStateChange> siteStateChanges,
             Map<String, String> counters) {}
 
-    private final Scenario s;
+    private final Scenario scenario;
     private final Path jar;
     private final Map<String, String> files;
     private final Path out;
-    private final int net;
+    private final int secondOctet;
     private final Consumer<String> progress;
     private final ProcessManager processes = new ProcessManager();
     private final FakeDiscovery discovery;
@@ -97,89 +97,90 @@
     private final List<ProcessManager.ManagedProcess> routers = new ArrayList<>();
     private final List<ProcessManager.ManagedProcess> engines = new ArrayList<>();
     private final List<LoadGenerator.RouterTarget> targets = new ArrayList<>();
-    private final List<Integer> numbers = new ArrayList<>();
-    private final Map<String, Boolean> up = new HashMap<>();
-    private final Map<String, long[]> outNow = new HashMap<>();
+    private final List<Integer> nextEngineNumbers = new ArrayList<>();
+    private final Map<String, Boolean> startedEngines = new HashMap<>();
+    private final Map<String, long[]> openAttempts = new HashMap<>();
     private final List<Attempt> attempts = new ArrayList<>();
     private final TreeMap<Long, List<EngineLoad>> loads = new TreeMap<>();
-    private final List<InjectedFault> done = new ArrayList<>();
-    private final List<String> fell = new ArrayList<>();
+    private final List<InjectedFault> injectedFaults = new ArrayList<>();
+    private final List<String> crashedEngines = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
-    private final List<SiteStateChange> stands = new ArrayList<>();
-    private static final Pattern SITE =
+    private final List<SiteStateChange> siteStateChanges = new ArrayList<>();
+    private static final Pattern SITE_STATE_LOG_LINE =
             Pattern.compile(" site \\[\\S+ name=\"(\\S+)\" from=\"(\\S+)\" to=\"(\\S+)\" cause=\"(\\S+)\"\\]");
-    private final Set<Integer> asked = new HashSet<>();
+    private final Set<Integer> dumpedRouters = new HashSet<>();
     private final SplittableRandom seeds;
-    private volatile boolean over;
+    private volatile boolean finished;
 
     /**
      * Prepares a run.
      *
-     * @param net the second octet of all addresses, 16 to 250; concurrent runs need different ones
+     * @param secondOctet the second octet of all addresses, 16 to 250; concurrent runs need different ones
      * @param files contents of the installation's {@code deploy} folder, by file name
      */
-    Fleet(Scenario s, Path jar, Path out, int net, Map<String, String> files, Consumer<String> progress)
+    Fleet(Scenario scenario, Path jar, Path out, int secondOctet, Map<String, String> files, Consumer<String> progress)
             throws IOException {
-        this.s = s;
+        this.scenario = scenario;
         this.jar = jar.toAbsolutePath();
         this.files = Map.copyOf(files);
         this.out = out;
-        this.net = net;
+        this.secondOctet = secondOctet;
         this.progress = progress;
-        this.seeds = new SplittableRandom(s.seed ^ 0x9e3779b97f4a7c15L);
+        this.seeds = new SplittableRandom(scenario.seed ^ 0x9e3779b97f4a7c15L);
         this.discovery = new FakeDiscovery(
-                s.sites.stream().map(Scenario.Site::name).toList(),
-                (from, m) -> text(relayed(from, m.site(), m.number())));
+                scenario.sites.stream().map(Scenario.Site::name).toList(),
+                (from, m) -> hostPort(relayAddress(from, m.site(), m.number())));
         Files.createDirectories(out);
-        for (int i = 0; i < s.sites.size(); i++) {
-            for (int j = 0; j < s.sites.get(i).routers(); j++) {
+        for (int i = 0; i < scenario.sites.size(); i++) {
+            for (int j = 0; j < scenario.sites.get(i).routers(); j++) {
                 targets.add(new LoadGenerator.RouterTarget(
-                        targets.size(), i, s.sites.get(i).name() + "-" + (j + 1)));
+                        targets.size(), i, scenario.sites.get(i).name() + "-" + (j + 1)));
             }
         }
         this.clients = new LoadGenerator(
-                s,
+                scenario,
                 targets,
-                (from, r) -> at(170 + 8 * from + targets.get(r).site(), 1 + r),
+                (from, router) -> address(170 + 8 * from + targets.get(router).site(), 1 + router),
                 new LoadGenerator.RouterHealth() {
                     @Override
-                    public boolean isHealthySince(int from, int r, long since) {
-                        return routers.get(r).whole(since)
-                                && !path("clients", from, targets.get(r).site()).faulted(since);
+                    public boolean isHealthySince(int from, int router, long since) {
+                        return routers.get(router).isHealthySince(since)
+                                && !path("clients", from, targets.get(router).site())
+                                        .hasFaultSince(since);
                     }
 
                     @Override
-                    public void onUnanswered(int r, String call) {
-                        askForThreads(r, call);
+                    public void onUnanswered(int router, String requestId) {
+                        requestThreadDump(router, requestId);
                     }
                 });
     }
 
     /** Writes a router's thread dump to its log, next to the unanswered request's id; once per router. */
-    private void askForThreads(int r, String call) {
-        synchronized (asked) {
-            if (!asked.add(r)) {
+    private void requestThreadDump(int router, String requestId) {
+        synchronized (dumpedRouters) {
+            if (!dumpedRouters.add(router)) {
                 return;
             }
         }
-        log(targets.get(r).name(), "lab: no answer to " + call + "; requesting a thread dump");
+        log(targets.get(router).name(), "lab: no answer to " + requestId + "; requesting a thread dump");
         try {
-            processes.signal("QUIT", List.of(routers.get(r)));
+            processes.signal("QUIT", List.of(routers.get(router)));
         } catch (IOException e) {
-            failures.add("thread dump of " + targets.get(r).name() + ": " + e.getMessage());
+            failures.add("thread dump of " + targets.get(router).name() + ": " + e.getMessage());
         }
     }
 
     // ---- Addresses ------------------------------------------------------------------------------------
-    private InetSocketAddress at(int third, int fourth) {
-        return new InetSocketAddress("127." + net + "." + third + "." + fourth, PORT);
+    private InetSocketAddress address(int third, int fourth) {
+        return new InetSocketAddress("127." + secondOctet + "." + third + "." + fourth, ROUTER_AND_ENGINE_PORT);
     }
 
-    private InetSocketAddress relayed(int from, int site, int number) {
-        return at(100 + 8 * from + site, number);
+    private InetSocketAddress relayAddress(int from, int site, int number) {
+        return address(100 + 8 * from + site, number);
     }
 
-    private static String text(InetSocketAddress a) {
+    private static String hostPort(InetSocketAddress a) {
         return a.getAddress().getHostAddress() + ":" + a.getPort();
     }
 
@@ -193,60 +194,62 @@
     }
 
     private long delay(Relay.NetworkPath p) {
-        return Math.round(1000 * (s.paths.delayMs() + (p.from == p.to || p.to < 0 ? 0 : s.paths.crossDelayMs())));
+        return Math.round(
+                1000 * (scenario.paths.delayMs() + (p.from == p.to || p.to < 0 ? 0 : scenario.paths.crossDelayMs())));
     }
 
     private long jitter() {
-        return Math.round(1000 * s.paths.jitterMs());
+        return Math.round(1000 * scenario.paths.jitterMs());
     }
 
     // ---- Start ----------------------------------------------------------------------------------------
     /** Runs the whole scenario. */
-    RunResult play() throws IOException {
-        int n = s.sites.size();
+    RunResult run() throws IOException {
+        int n = scenario.sites.size();
         for (int a = 0; a < n; a++) {
             for (int b = 0; b < n; b++) {
-                add("engines", a, b);
-                add("clients", a, b);
+                addPath("engines", a, b);
+                addPath("clients", a, b);
             }
-            add("discovery", a, -1);
+            addPath("discovery", a, -1);
         }
         for (int i = 0; i < n; i++) {
-            numbers.add(1);
+            nextEngineNumbers.add(1);
             engines.add(null);
             startEngines(i, false);
         }
         progress.accept("starting " + targets.size() + " routers of " + jar.getFileName());
         for (LoadGenerator.RouterTarget t : targets) {
-            discovery.serve(t.router(), t.site(), at(1, 1 + t.router()));
-            List<Relay> mine = new ArrayList<>();
-            mine.add(new Relay(path("discovery", t.site(), -1), at(2, 1 + t.router()), at(1, 1 + t.router()), null));
+            discovery.listen(t.router(), t.site(), address(1, 1 + t.router()));
+            List<Relay> relays = new ArrayList<>();
+            relays.add(new Relay(
+                    path("discovery", t.site(), -1), address(2, 1 + t.router()), address(1, 1 + t.router()), null));
             for (int from = 0; from < n; from++) {
-                mine.add(new Relay(
+                relays.add(new Relay(
                         path("clients", from, t.site()),
-                        at(170 + 8 * from + t.site(), 1 + t.router()),
-                        at(10, 1 + t.router()),
+                        address(170 + 8 * from + t.site(), 1 + t.router()),
+                        address(10, 1 + t.router()),
                         null));
             }
-            routerRelays.add(mine);
+            routerRelays.add(relays);
             routers.add(startRouter(t, null));
         }
-        if (!clients.awaitRouters(START)) {
+        if (!clients.awaitRouters(START_TIMEOUT_MICROS)) {
             throw new IOException("not all routers passed their health checks; see " + out.resolve("logs"));
         }
-        discovery.late(s.listLateMs * 1000);
+        discovery.setDelay(scenario.listLateMs * 1000);
         long from = EngineSiteProcess.nowMicros() + LoadGenerator.WARM_UP_MICROS + 300_000;
-        DaemonThreads.newThread("samples", this::samples).start();
+        DaemonThreads.newThread("samples", this::sampleUntilFinished).start();
         List<Thread> arrivals = clients.startArrivals(from);
-        for (Scenario.Fault f : s.faults) {
-            until(from + f.at() * 1000);
+        for (Scenario.Fault f : scenario.faults) {
+            sleepUntil(from + f.at() * 1000);
             try {
-                carryOut(f);
+                inject(f);
             } catch (IOException e) {
-                failures.add("fault " + f.text(s.sites) + ": " + e.getMessage());
+                failures.add("fault " + f.describe(scenario.sites) + ": " + e.getMessage());
             }
         }
-        until(from + s.lengthMs * 1000);
+        sleepUntil(from + scenario.lengthMs * 1000);
         for (Thread t : arrivals) {
             try {
                 t.join();
@@ -254,23 +257,23 @@
                 Thread.currentThread().interrupt();
             }
         }
-        long longest = s.requests.classes().stream()
+        long longest = scenario.requests.classes().stream()
                 .mapToLong(Scenario.RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
         List<LoadGenerator.RequestRecord> results = clients.awaitResults((longest + 5_000) * 1000);
-        over = true;
+        finished = true;
         processes.sample();
-        Map<String, String> counters = new TreeMap<>();
+        Map<String, String> fetchCounters = new TreeMap<>();
         for (LoadGenerator.RouterTarget t : targets) {
-            if (routers.get(t.router()).alive()) {
-                counters.put(t.name(), counters(t));
+            if (routers.get(t.router()).isAlive()) {
+                fetchCounters.put(t.name(), fetchCounters(t));
             }
         }
-        return outcome(from, results, counters);
+        return outcome(from, results, fetchCounters);
     }
 
-    private void add(String kind, int a, int b) {
+    private void addPath(String kind, int a, int b) {
         Relay.NetworkPath p = new Relay.NetworkPath(kind + "-" + a + "-" + b, a, b, 0, 0, seeds.nextLong());
         paths.add(p);
         try {
@@ -280,18 +283,18 @@
         }
     }
 
-    private void until(long until) {
-        while (EngineSiteProcess.nowMicros() < until) {
-            EngineSiteProcess.sleep(Math.min(100_000, Math.max(1, until - EngineSiteProcess.nowMicros())));
+    private void sleepUntil(long sleepUntil) {
+        while (EngineSiteProcess.nowMicros() < sleepUntil) {
+            EngineSiteProcess.sleep(Math.min(100_000, Math.max(1, sleepUntil - EngineSiteProcess.nowMicros())));
         }
     }
 
     /** Starts a site's engine process; its engines get new ids and are warm only at the start of the run. */
     private void startEngines(int site, boolean cold) throws IOException {
-        Scenario.Site at = s.sites.get(site);
-        EngineModel.Parameters b = s.engine;
+        Scenario.Site address = scenario.sites.get(site);
+        EngineModel.Parameters b = scenario.engine;
         ProcessManager.ManagedProcess p = processes.start(
-                "engines-" + at.name(),
+                "engines-" + address.name(),
                 List.of(
                         ProcessHandle.current().info().command().orElse("java"),
                         "-XX:+UseSerialGC",
@@ -302,10 +305,10 @@
                         "engines"),
                 Map.of(),
                 null,
-                l -> engineSaid(site, l),
+                l -> handleEngineEvent(site, l),
                 engines.get(site));
         engines.set(site, p);
-        p.say(String.format(
+        p.writeLine(String.format(
                 Locale.ROOT,
                 "build %d %d %s %s %d %d %d %d %s %d %s",
                 b.slots(),
@@ -324,77 +327,77 @@
 
     /** Adds engines with new ids, numbered consecutively, to the site's process. */
     private void addEngines(int site, boolean cold) throws IOException {
-        Scenario.Site at = s.sites.get(site);
+        Scenario.Site address = scenario.sites.get(site);
         ProcessManager.ManagedProcess p = engines.get(site);
         long since = cold ? System.currentTimeMillis() : 0;
         List<String> ids = new ArrayList<>();
-        int first = numbers.get(site);
-        for (int i = 0; i < at.engines(); i++) {
+        int first = nextEngineNumbers.get(site);
+        for (int i = 0; i < address.engines(); i++) {
             int number = first + i;
             if (number > 250) {
-                throw new IOException("site " + at.name() + " has used all 250 engine addresses");
+                throw new IOException("site " + address.name() + " has used all 250 engine addresses");
             }
-            String id = at.name() + "-e" + number;
+            String id = address.name() + "-e" + number;
             ids.add(id);
-            p.say("add " + id + " " + text(at(20 + site, number)) + (cold ? " cold" : " warm"));
+            p.writeLine("add " + id + " " + hostPort(address(20 + site, number)) + (cold ? " cold" : " warm"));
         }
-        numbers.set(site, first + at.engines());
-        synchronized (up) {
-            long until = EngineSiteProcess.nowMicros() + START;
-            while (!ids.stream().allMatch(up::containsKey) && EngineSiteProcess.nowMicros() < until) {
-                EngineSiteProcess.await(up, 100_000);
+        nextEngineNumbers.set(site, first + address.engines());
+        synchronized (startedEngines) {
+            long sleepUntil = EngineSiteProcess.nowMicros() + START_TIMEOUT_MICROS;
+            while (!ids.stream().allMatch(startedEngines::containsKey) && EngineSiteProcess.nowMicros() < sleepUntil) {
+                EngineSiteProcess.await(startedEngines, 100_000);
             }
-            if (!ids.stream().allMatch(up::containsKey)) {
-                throw new IOException("not all engines of " + at.name() + " started; see " + out.resolve("logs"));
+            if (!ids.stream().allMatch(startedEngines::containsKey)) {
+                throw new IOException("not all engines of " + address.name() + " started; see " + out.resolve("logs"));
             }
         }
         for (int i = 0; i < ids.size(); i++) {
-            for (int from = 0; from < s.sites.size(); from++) {
+            for (int from = 0; from < scenario.sites.size(); from++) {
                 engineRelays.put(
                         ids.get(i) + "@" + from,
                         new Relay(
                                 path("engines", from, site),
-                                relayed(from, site, first + i),
-                                at(20 + site, first + i),
-                                watch(from, ids.get(i))));
+                                relayAddress(from, site, first + i),
+                                address(20 + site, first + i),
+                                observeRequests(from, ids.get(i))));
             }
-            discovery.put(ids.get(i), site, first + i, "Ready", since);
+            discovery.setMember(ids.get(i), site, first + i, "Ready", since);
         }
     }
 
-    private Relay.RequestObserver watch(int site, String engine) {
+    private Relay.RequestObserver observeRequests(int site, String engine) {
         return new Relay.RequestObserver() {
             @Override
-            public void began(String call, long at) {
-                synchronized (outNow) {
-                    outNow.put(call + "@" + engine, new long[] {at});
+            public void onRequestStarted(String call, long address) {
+                synchronized (openAttempts) {
+                    openAttempts.put(call + "@" + engine, new long[] {address});
                 }
             }
 
             @Override
-            public void over(String call, long at) {
-                synchronized (outNow) {
-                    long[] began = outNow.remove(call + "@" + engine);
+            public void onRequestEnded(String call, long address) {
+                synchronized (openAttempts) {
+                    long[] began = openAttempts.remove(call + "@" + engine);
                     if (began != null) {
-                        attempts.add(new Attempt(call, site, engine, began[0], at));
+                        attempts.add(new Attempt(call, site, engine, began[0], address));
                     }
                 }
             }
         };
     }
 
-    private void engineSaid(int site, String line) {
+    private void handleEngineEvent(int site, String line) {
         String[] w = line.split(" ");
         switch (w[0]) {
             case "up" -> {
-                synchronized (up) {
-                    up.put(w[1], true);
-                    up.notifyAll();
+                synchronized (startedEngines) {
+                    startedEngines.put(w[1], true);
+                    startedEngines.notifyAll();
                 }
             }
             case "fell" -> {
-                synchronized (fell) {
-                    fell.add(w[2]);
+                synchronized (crashedEngines) {
+                    crashedEngines.add(w[2]);
                 }
             }
             case "l" -> {
@@ -411,15 +414,15 @@
             case "a" -> {
                 return; // Attempts are already observed by the relays.
             }
-            default -> log("engines-" + s.sites.get(site).name(), line);
+            default -> log("engines-" + scenario.sites.get(site).name(), line);
         }
     }
 
-    private void routerSaid(LoadGenerator.RouterTarget t, String line) {
-        Matcher m = SITE.matcher(line);
+    private void handleRouterLog(LoadGenerator.RouterTarget t, String line) {
+        Matcher m = SITE_STATE_LOG_LINE.matcher(line);
         if (m.find()) {
-            synchronized (stands) {
-                stands.add(new SiteStateChange(
+            synchronized (siteStateChanges) {
+                siteStateChanges.add(new SiteStateChange(
                         EngineSiteProcess.nowMicros(), t.router(), m.group(1), m.group(2), m.group(3), m.group(4)));
             }
         }
@@ -452,7 +455,7 @@
         }
         Path config = home.resolve("config.json");
         Files.writeString(config, config(t));
-        String run = Files.readAllLines(root().resolve("deploy/balancer.toml")).stream()
+        String run = Files.readAllLines(projectRoot().resolve("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
@@ -465,19 +468,19 @@
                 "ROUTER_CONFIG",
                 config.toAbsolutePath().toString(),
                 "ROUTER_LISTEN",
-                text(at(10, 1 + t.router())),
+                hostPort(address(10, 1 + t.router())),
                 "ROUTER_DISCOVERY",
-                text(at(2, 1 + t.router())),
+                hostPort(address(2, 1 + t.router())),
                 "TMPDIR",
                 tmp.toAbsolutePath().toString()));
-        if (s.faults.stream().anyMatch(f -> f.kind().equals("say"))) {
-            env.put("ROUTER_CONSOLE", at(10, 1 + t.router()).getAddress().getHostAddress() + ":" + CONSOLE);
+        if (scenario.faults.stream().anyMatch(f -> f.kind().equals("say"))) {
+            env.put("ROUTER_CONSOLE", address(10, 1 + t.router()).getAddress().getHostAddress() + ":" + CONSOLE_PORT);
         }
-        return processes.start(t.name(), List.of("sh", "-c", run), env, home, l -> routerSaid(t, l), was);
+        return processes.start(t.name(), List.of("sh", "-c", run), env, home, l -> handleRouterLog(t, l), was);
     }
 
     /** The project's root: the closest parent of the working directory that contains deploy/balancer.toml. */
-    static Path root() throws IOException {
+    static Path projectRoot() throws IOException {
         for (Path p = Path.of("").toAbsolutePath(); p != null; p = p.getParent()) {
             if (Files.exists(p.resolve("deploy/balancer.toml"))) {
                 return p;
@@ -490,7 +493,7 @@
     private String config(LoadGenerator.RouterTarget t) {
         StringBuilder classes = new StringBuilder();
         StringBuilder tokenAims = new StringBuilder();
-        for (Scenario.RequestClass k : s.requests.classes()) {
+        for (Scenario.RequestClass k : scenario.requests.classes()) {
             classes.append(classes.length() == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
@@ -502,9 +505,9 @@
                             k.gain()));
             tokenAims.append(tokenAims.length() == 0 ? "50" : ",50");
         }
-        double rate = s.sites.stream().mapToDouble(Scenario.Site::rate).sum();
+        double rate = scenario.sites.stream().mapToDouble(Scenario.Site::rate).sum();
         StringBuilder accounts = new StringBuilder();
-        for (Scenario.Tenant a : s.requests.tenants()) {
+        for (Scenario.Tenant a : scenario.requests.tenants()) {
             accounts.append(accounts.length() == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
@@ -514,20 +517,20 @@
                             1.5 * rate * a.share()));
         }
         StringBuilder zones = new StringBuilder();
-        s.sites.forEach(z -> zones.append(zones.length() == 0 ? "\"" : ",\"")
+        scenario.sites.forEach(z -> zones.append(zones.length() == 0 ? "\"" : ",\"")
                 .append(z.name())
                 .append('"'));
-        EngineModel.Parameters b = s.engine;
+        EngineModel.Parameters b = scenario.engine;
         return String.format(
                 Locale.ROOT,
-                CONFIG,
+                CONFIG_TEMPLATE,
                 t.name(),
-                text(at(10, 1 + t.router())),
-                text(at(2, 1 + t.router())),
+                hostPort(address(10, 1 + t.router())),
+                hostPort(address(2, 1 + t.router())),
                 seeds.nextLong(),
-                s.routers.memoryMb(),
-                s.routers.sockets(),
-                discovery.known(t.router(), t.site()),
+                scenario.routers.memoryMb(),
+                scenario.routers.sockets(),
+                discovery.initialList(t.router(), t.site()),
                 targets.size(),
                 t.router(),
                 t.site(),
@@ -535,7 +538,7 @@
                 tokenAims,
                 classes,
                 accounts,
-                s.routers.probes(),
+                scenario.routers.probes(),
                 b.coldMs(),
                 b.fallMs(),
                 b.factor(),
@@ -543,186 +546,186 @@
     }
 
     // ---- Faults ---------------------------------------------------------------------------------------
-    private List<ProcessManager.ManagedProcess> aimed(Scenario.Fault f) {
+    private List<ProcessManager.ManagedProcess> targetedProcesses(Scenario.Fault fault) {
         List<ProcessManager.ManagedProcess> to = new ArrayList<>();
         for (LoadGenerator.RouterTarget t : targets) {
-            boolean there = f.site() < 0 || t.site() == f.site();
-            if ((there && (f.target().equals("site") || f.target().equals("routers")))
-                    || f.target().equals(t.name())) {
+            boolean there = fault.site() < 0 || t.site() == fault.site();
+            if ((there && (fault.target().equals("site") || fault.target().equals("routers")))
+                    || fault.target().equals(t.name())) {
                 to.add(routers.get(t.router()));
             }
         }
         for (int i = 0; i < engines.size(); i++) {
-            if ((f.site() < 0 || i == f.site())
-                    && (f.target().equals("site") || f.target().equals("engines"))) {
+            if ((fault.site() < 0 || i == fault.site())
+                    && (fault.target().equals("site") || fault.target().equals("engines"))) {
                 to.add(engines.get(i));
             }
         }
         return to;
     }
 
-    private List<Relay.NetworkPath> along(Scenario.Fault f) {
+    private List<Relay.NetworkPath> affectedPaths(Scenario.Fault fault) {
         return paths.stream()
-                .filter(p -> f.paths().equals("all") || p.name.startsWith(f.paths()))
-                .filter(p -> f.site() < 0
-                        || (p.from == f.site() && (f.to() < 0 ? p.to != p.from : p.to == f.to()))
-                        || (f.to() < 0 && p.to == f.site() && p.from != p.to)
-                        || (f.to() >= 0 && p.to == f.site() && p.from == f.to()))
+                .filter(p -> fault.paths().equals("all") || p.name.startsWith(fault.paths()))
+                .filter(p -> fault.site() < 0
+                        || (p.from == fault.site() && (fault.to() < 0 ? p.to != p.from : p.to == fault.to()))
+                        || (fault.to() < 0 && p.to == fault.site() && p.from != p.to)
+                        || (fault.to() >= 0 && p.to == fault.site() && p.from == fault.to()))
                 .toList();
     }
 
-    private void note(String text) {
-        done.add(new InjectedFault(EngineSiteProcess.nowMicros(), text));
-        progress.accept(text);
+    private void recordFault(String hostPort) {
+        injectedFaults.add(new InjectedFault(EngineSiteProcess.nowMicros(), hostPort));
+        progress.accept(hostPort);
     }
 
-    private void carryOut(Scenario.Fault f) throws IOException {
-        note(f.text(s.sites));
-        switch (f.kind()) {
-            case "kill" -> kill(f);
-            case "stop" -> processes.signal("STOP", aimed(f));
-            case "continue" -> processes.signal("CONT", aimed(f));
-            case "term" -> processes.signal("TERM", aimed(f));
-            case "start" -> start(f);
+    private void inject(Scenario.Fault fault) throws IOException {
+        recordFault(fault.describe(scenario.sites));
+        switch (fault.kind()) {
+            case "kill" -> kill(fault);
+            case "stop" -> processes.signal("STOP", targetedProcesses(fault));
+            case "continue" -> processes.signal("CONT", targetedProcesses(fault));
+            case "term" -> processes.signal("TERM", targetedProcesses(fault));
+            case "start" -> start(fault);
             case "cut" -> {
-                for (Relay.NetworkPath p : along(f)) {
+                for (Relay.NetworkPath p : affectedPaths(fault)) {
                     // "forth" is the direction that leaves the named site.
-                    boolean leaves = f.site() < 0 || p.from == f.site();
+                    boolean leaves = fault.site() < 0 || p.from == fault.site();
                     p.cut(
-                            f.way().equals("both") || f.way().equals("forth") == leaves,
-                            f.way().equals("both") || f.way().equals("back") == leaves);
+                            fault.way().equals("both") || fault.way().equals("forth") == leaves,
+                            fault.way().equals("both") || fault.way().equals("back") == leaves);
                 }
             }
-            case "blackhole" -> along(f).forEach(Relay.NetworkPath::blackHole);
-            case "reset" -> along(f).forEach(Relay.NetworkPath::reset);
-            case "slow" -> along(f).forEach(p -> p.slow(Math.round(delay(p) * f.value()), jitter(), 0));
-            case "throttle" -> along(f).forEach(p -> p.slow(delay(p), jitter(), Math.round(f.value())));
+            case "blackhole" -> affectedPaths(fault).forEach(Relay.NetworkPath::blackHole);
+            case "reset" -> affectedPaths(fault).forEach(Relay.NetworkPath::reset);
+            case "slow" -> affectedPaths(fault).forEach(p -> p.slow(Math.round(delay(p) * fault.value()), jitter(), 0));
+            case "throttle" -> affectedPaths(fault).forEach(p -> p.slow(delay(p), jitter(), Math.round(fault.value())));
             case "heal" -> {
-                for (Relay.NetworkPath p : along(f)) {
+                for (Relay.NetworkPath p : affectedPaths(fault)) {
                     p.heal(delay(p), jitter());
                 }
             }
             case "engine-slow", "engine-errors", "engine-silent", "engine-heard" -> {
-                for (FakeDiscovery.Member m : aimedEngines(f)) {
-                    engines.get(m.site()).say(f.kind().substring(7) + " " + m.id() + " " + f.value());
+                for (FakeDiscovery.Member m : targetedEngines(fault)) {
+                    engines.get(m.site()).writeLine(fault.kind().substring(7) + " " + m.id() + " " + fault.value());
                 }
             }
             case "drain" -> {
-                for (FakeDiscovery.Member m : aimedEngines(f)) {
-                    discovery.put(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
-                    engines.get(m.site()).say("drain " + m.id());
+                for (FakeDiscovery.Member m : targetedEngines(fault)) {
+                    discovery.setMember(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
+                    engines.get(m.site()).writeLine("drain " + m.id());
                 }
             }
             case "say" -> {
                 for (LoadGenerator.RouterTarget t : targets) {
-                    if (f.site() < 0 || t.site() == f.site()) {
-                        String answer = say(t, f.target());
+                    if (fault.site() < 0 || t.site() == fault.site()) {
+                        String answer = sendConsoleCommand(t, fault.target());
                         if (!answer.startsWith("SUCCESS")) {
-                            failures.add(t.name() + " answered " + f.target() + " with " + answer);
+                            failures.add(t.name() + " answered " + fault.target() + " with " + answer);
                         }
                     }
                 }
             }
-            case "list-late" -> discovery.late(Math.round(f.value() * 1000));
-            case "list-torn" -> discovery.tear();
-            case "list-down" -> discovery.down(true);
-            case "list-up" -> discovery.down(false);
-            case "list-gone" -> list(f, "Gone");
-            case "list-ready" -> list(f, "Ready");
+            case "list-late" -> discovery.setDelay(Math.round(fault.value() * 1000));
+            case "list-torn" -> discovery.truncateNextMessage();
+            case "list-down" -> discovery.setDown(true);
+            case "list-up" -> discovery.setDown(false);
+            case "list-gone" -> setPhase(fault, "Gone");
+            case "list-ready" -> setPhase(fault, "Ready");
             case "replace" -> {
-                for (int i = 0; i < s.sites.size(); i++) {
-                    if (f.site() < 0 || f.site() == i) {
-                        replace(i);
+                for (int i = 0; i < scenario.sites.size(); i++) {
+                    if (fault.site() < 0 || fault.site() == i) {
+                        replaceEngines(i);
                     }
                 }
             }
-            default -> throw new IOException("unknown fault: " + f.kind());
+            default -> throw new IOException("unknown fault: " + fault.kind());
         }
     }
 
     /** Sends one line to a router's console and returns the reply. */
-    private String say(LoadGenerator.RouterTarget t, String line) throws IOException {
-        try (Socket s = new Socket()) {
-            s.connect(new InetSocketAddress(at(10, 1 + t.router()).getAddress(), CONSOLE), 1_000);
-            s.setSoTimeout(2_000);
-            s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+    private String sendConsoleCommand(LoadGenerator.RouterTarget t, String line) throws IOException {
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress(address(10, 1 + t.router()).getAddress(), CONSOLE_PORT), 1_000);
+            socket.setSoTimeout(2_000);
+            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
         }
     }
 
     /** A router's counters; empty if it does not respond. */
-    private String counters(LoadGenerator.RouterTarget t) {
-        try (Socket s = new Socket()) {
-            s.connect(at(10, 1 + t.router()), 1_000);
-            s.setSoTimeout(2_000);
-            s.getOutputStream()
+    private String fetchCounters(LoadGenerator.RouterTarget t) {
+        try (Socket socket = new Socket()) {
+            socket.connect(address(10, 1 + t.router()), 1_000);
+            socket.setSoTimeout(2_000);
+            socket.getOutputStream()
                     .write("GET /counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
+            HttpReader in = new HttpReader(socket.getInputStream(), EngineSiteProcess::nowMicros);
             return in.awaitMessage() ? new String(in.readBody(in.readResponseHead()), StandardCharsets.UTF_8) : "";
         } catch (IOException e) {
             return "";
         }
     }
 
-    private void list(Scenario.Fault f, String phase) {
-        for (FakeDiscovery.Member m : aimedEngines(f)) {
-            discovery.put(m.id(), m.site(), m.number(), phase, m.upSinceMs());
+    private void setPhase(Scenario.Fault fault, String phase) {
+        for (FakeDiscovery.Member m : targetedEngines(fault)) {
+            discovery.setMember(m.id(), m.site(), m.number(), phase, m.upSinceMs());
         }
     }
 
     /** The engines that a fault targets: one by its id, or all current ones of a site or of the fleet. */
-    private List<FakeDiscovery.Member> aimedEngines(Scenario.Fault f) {
+    private List<FakeDiscovery.Member> targetedEngines(Scenario.Fault fault) {
         return discovery.members().stream()
-                .filter(m -> f.target() != null
-                        ? m.id().equals(f.target())
-                        : (f.site() < 0 || m.site() == f.site())
+                .filter(m -> fault.target() != null
+                        ? m.id().equals(fault.target())
+                        : (fault.site() < 0 || m.site() == fault.site())
                                 && m.number()
-                                        >= numbers.get(m.site())
-                                                - s.sites.get(m.site()).engines())
+                                        >= nextEngineNumbers.get(m.site())
+                                                - scenario.sites.get(m.site()).engines())
                 .toList();
     }
 
-    private void kill(Scenario.Fault f) throws IOException {
-        List<ProcessManager.ManagedProcess> to = aimed(f);
+    private void kill(Scenario.Fault fault) throws IOException {
+        List<ProcessManager.ManagedProcess> to = targetedProcesses(fault);
         processes.signal("KILL", to);
         for (LoadGenerator.RouterTarget t : targets) {
             if (to.contains(routers.get(t.router()))) {
-                List<Relay> mine = routerRelays.get(t.router());
-                for (Relay r : mine.subList(1, mine.size())) { // The first relay leads to discovery.
-                    r.down();
+                List<Relay> relays = routerRelays.get(t.router());
+                for (Relay r : relays.subList(1, relays.size())) { // The first relay leads to discovery.
+                    r.markTargetDown();
                 }
             }
         }
         for (int i = 0; i < engines.size(); i++) {
             if (to.contains(engines.get(i))) {
-                gone(i);
+                removeEngines(i);
             }
         }
     }
 
     /** Removes a site's engines: their addresses refuse connections, and the list reports them as gone. */
-    private void gone(int site) throws IOException {
+    private void removeEngines(int site) throws IOException {
         for (FakeDiscovery.Member m : discovery.members()) {
             if (m.site() == site && !m.phase().equals("Gone")) {
-                for (int from = 0; from < s.sites.size(); from++) {
-                    engineRelays.get(m.id() + "@" + from).down();
+                for (int from = 0; from < scenario.sites.size(); from++) {
+                    engineRelays.get(m.id() + "@" + from).markTargetDown();
                 }
-                discovery.put(m.id(), m.site(), m.number(), "Gone", m.upSinceMs());
+                discovery.setMember(m.id(), m.site(), m.number(), "Gone", m.upSinceMs());
             }
         }
     }
 
-    private void start(Scenario.Fault f) throws IOException {
-        List<ProcessManager.ManagedProcess> to = aimed(f);
+    private void start(Scenario.Fault fault) throws IOException {
+        List<ProcessManager.ManagedProcess> to = targetedProcesses(fault);
         for (int i = 0; i < engines.size(); i++) {
-            if (to.contains(engines.get(i)) && !engines.get(i).alive()) {
+            if (to.contains(engines.get(i)) && !engines.get(i).isAlive()) {
                 startEngines(i, true);
             }
         }
         for (LoadGenerator.RouterTarget t : targets) {
             ProcessManager.ManagedProcess p = routers.get(t.router());
-            if (to.contains(p) && !p.alive()) {
+            if (to.contains(p) && !p.isAlive()) {
                 ProcessManager.awaitExit(p, 10_000);
                 startRouter(t, p);
             }
@@ -730,31 +733,31 @@
     }
 
     /** Replaces all engines of a site at once: starts new cold ones and drains the old ones. */
-    private void replace(int site) throws IOException {
+    private void replaceEngines(int site) throws IOException {
         List<FakeDiscovery.Member> old = discovery.members().stream()
                 .filter(m -> m.site() == site && m.phase().equals("Ready"))
                 .toList();
         addEngines(site, true);
         for (FakeDiscovery.Member m : old) {
-            discovery.put(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
-            engines.get(site).say("drain " + m.id());
+            discovery.setMember(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
+            engines.get(site).writeLine("drain " + m.id());
         }
     }
 
-    private void samples() {
-        while (!over) {
+    private void sampleUntilFinished() {
+        while (!finished) {
             processes.sample();
-            EngineSiteProcess.sleep(SAMPLE);
+            EngineSiteProcess.sleep(SAMPLE_INTERVAL_MICROS);
         }
     }
 
     // ---- The end --------------------------------------------------------------------------------------
-    private RunResult outcome(long from, List<LoadGenerator.RequestRecord> results, Map<String, String> counters) {
+    private RunResult outcome(long from, List<LoadGenerator.RequestRecord> results, Map<String, String> fetchCounters) {
         List<Attempt> all;
-        synchronized (outNow) {
+        synchronized (openAttempts) {
             all = new ArrayList<>(attempts);
             long now = EngineSiteProcess.nowMicros();
-            outNow.forEach((k, began) -> {
+            openAttempts.forEach((k, began) -> {
                 String engine = k.substring(k.indexOf('@') + 1);
                 all.add(new Attempt(k.substring(0, k.indexOf('@')), -1, engine, began[0], now));
             });
@@ -763,19 +766,20 @@
         for (Attempt a : all) {
             long told = 0;
             for (LoadGenerator.RouterTarget t : targets) {
-                told = t.site() == a.site ? Math.max(told, discovery.told(a.engine, t.router())) : told;
+                told = t.site() == a.site ? Math.max(told, discovery.firstSentMicros(a.engine, t.router())) : told;
             }
             if (told > 0
                     && told < Long.MAX_VALUE
-                    && a.began > told + 2_050_000
-                    && !path("discovery", Math.max(0, a.site), -1).faulted(told)) {
-                late.add(a.engine + " got " + a.call + " " + (a.began - told) / 1000 + " ms after it was told");
+                    && a.startedMicros > told + 2_050_000
+                    && !path("discovery", Math.max(0, a.site), -1).hasFaultSince(told)) {
+                late.add(a.engine + " got " + a.requestId + " " + (a.startedMicros - told) / 1000
+                        + " ms after it was told");
             }
         }
         List<EngineLoad> sums = new ArrayList<>();
         synchronized (loads) {
             loads.forEach((k, l) -> {
-                for (int i = 0; i < s.sites.size(); i++) {
+                for (int i = 0; i < scenario.sites.size(); i++) {
                     int site = i;
                     List<EngineLoad> of = l.stream().filter(x -> x.site == site).toList();
                     if (!of.isEmpty()) {
@@ -789,32 +793,32 @@
                 }
             });
         }
-        List<SiteStateChange> words;
-        synchronized (stands) {
-            words = List.copyOf(stands);
+        List<SiteStateChange> changes;
+        synchronized (siteStateChanges) {
+            changes = List.copyOf(siteStateChanges);
         }
         return new RunResult(
-                s,
+                scenario,
                 from,
                 results,
                 all,
                 sums,
-                List.copyOf(done),
+                List.copyOf(injectedFaults),
                 processes.samples(),
-                List.copyOf(fell),
+                List.copyOf(crashedEngines),
                 late,
                 clients.duplicateResponses(),
                 clients.pendingRequests(),
                 processes.crashes(),
                 clients.sendDelayP99Micros(),
                 List.copyOf(failures),
-                words,
-                counters);
+                changes,
+                fetchCounters);
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
+        finished = true;
         processes.close();
         discovery.close();
         for (Relay r : engineRelays.values()) {
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -71,7 +71,7 @@
 
         /** Runs the scenario with the jar, and concurrently with the base jar if there is one. */
         List<Fleet.RunResult> play(Scenario s) throws IOException {
-            Path root = Fleet.root();
+            Path root = Fleet.projectRoot();
             jar = jar == null ? root.resolve("target/magpiehub.jar") : jar;
             out = out == null ? root.resolve("target/lab/" + s.name + "-" + s.seed) : out;
             if (!Files.isReadable(jar) || (base != null && !Files.isReadable(base))) {
@@ -121,7 +121,7 @@
                     net,
                     files,
                     l -> System.err.printf("%6.1f s  %s%s%n", (System.nanoTime() - from) / 1e9, mark, l))) {
-                return f.play();
+                return f.run();
             }
         }
 
@@ -131,7 +131,7 @@
             for (int i = 0; i < plays.size(); i++) {
                 Fleet.RunResult o = plays.get(i);
                 List<RunEvaluation.SiteLoss> l = losses == null ? List.of() : losses;
-                List<RunEvaluation.Bound> bounds = new RunEvaluation(o).of(shifted(l, o.from()));
+                List<RunEvaluation.Bound> bounds = new RunEvaluation(o).evaluate(shifted(l, o.from()));
                 if (i == 0) {
                     bounds.forEach(System.out::println);
                     holds = bounds.stream().allMatch(RunEvaluation.Bound::holds);
@@ -146,7 +146,10 @@
                 Report.compare(json.get(0), json.get(1)).forEach(System.out::println);
                 Files.writeString(out.resolve("compare.html"), Report.html(json));
             }
-            long late = plays.stream().mapToLong(Fleet.RunResult::late).max().orElse(0);
+            long late = plays.stream()
+                    .mapToLong(Fleet.RunResult::sendDelayP99Micros)
+                    .max()
+                    .orElse(0);
             if (late > MOST_LATE) {
                 System.out.printf(
                         "this machine was too busy: 99 %% of requests were sent up to %d ms late%n", late / 1000);
@@ -225,7 +228,7 @@
                         "%s: its own clients use %.0f %% of its engines' capacity%n",
                         s.sites.get(i).name(), 100 * s.demand(i) / Math.max(1, s.capacity(i)));
             }
-            s.faults.forEach(f -> System.out.printf("%7.3f s  %s%n", f.at() / 1000.0, f.text(s.sites)));
+            s.faults.forEach(f -> System.out.printf("%7.3f s  %s%n", f.at() / 1000.0, f.describe(s.sites)));
             return 0;
         }
     }
--- a/lab/src/main/java/magpiehub/lab/LoadGenerator.java
+++ b/lab/src/main/java/magpiehub/lab/LoadGenerator.java
@@ -289,9 +289,8 @@
                         requestMix.prefixes() > 0 ? hex(drawPrefix(requestMix, random.nextDouble())) : null,
                         classIndex,
                         requestClass.prompt()[0]
-                                + random.nextInt(requestClass.prompt()[1]
-                                        - requestClass.prompt()[0]
-                                        + 1));
+                                + random.nextInt(
+                                        requestClass.prompt()[1] - requestClass.prompt()[0] + 1));
                 conversations.add(drawn);
                 if (conversations.size() > 40) {
                     conversations.remove(random.nextInt(conversations.size()));
@@ -377,8 +376,7 @@
         long deadlineMicros = dueMicros + requestClass.deadlineMs() * 1000;
         if (dueMicros >= countFromMicros) {
             synchronized (sendDelays) {
-                sendDelays.recordValue(
-                        Math.max(0, Math.min(60_000_000L, EngineSiteProcess.nowMicros() - dueMicros)));
+                sendDelays.recordValue(Math.max(0, Math.min(60_000_000L, EngineSiteProcess.nowMicros() - dueMicros)));
             }
         }
         int excludedRouter = -1;
--- a/lab/src/main/java/magpiehub/lab/ProcessManager.java
+++ b/lab/src/main/java/magpiehub/lab/ProcessManager.java
@@ -20,136 +20,140 @@
  */
 final class ProcessManager implements AutoCloseable {
     /** Frequency of the kernel clock ticks in which /proc reports CPU time (Hz). */
-    private static final long TICKS = 100;
+    private static final long CLOCK_TICKS_PER_SECOND = 100;
 
     /** Resource usage of one process at a time (us): resident memory, CPU time since its start, threads, open files. */
     record ResourceSample(long at, String name, long rssKb, long cpuMs, int threads, int files) {}
 
-    /** One process; {@code since} is its last start, {@code hit} the last signal that changed its state (us). */
+    /** One process; {@code startedMicros} is its last start, {@code lastSignalMicros} the last signal that changed its state (us). */
     static final class ManagedProcess {
         final String name;
         private Process process;
-        private BufferedWriter to;
-        private long since;
-        private long hit = Long.MIN_VALUE;
-        private boolean stopped;
-        private boolean dead;
+        private BufferedWriter stdin;
+        private long startedMicros;
+        private long lastSignalMicros = Long.MIN_VALUE;
+        private boolean paused;
+        private boolean ended;
 
         private ManagedProcess(String name) {
             this.name = name;
         }
 
-        synchronized boolean whole(long from) {
-            return !dead && !stopped && hit < from && since < from && process.isAlive();
+        synchronized boolean isHealthySince(long sinceMicros) {
+            return !ended
+                    && !paused
+                    && lastSignalMicros < sinceMicros
+                    && startedMicros < sinceMicros
+                    && process.isAlive();
         }
 
-        synchronized boolean alive() {
-            return !dead && process.isAlive();
+        synchronized boolean isAlive() {
+            return !ended && process.isAlive();
         }
 
-        synchronized void say(String line) throws IOException {
-            to.write(line + "\n");
-            to.flush();
+        synchronized void writeLine(String line) throws IOException {
+            stdin.write(line + "\n");
+            stdin.flush();
         }
     }
 
-    private final List<ManagedProcess> all = new ArrayList<>();
+    private final List<ManagedProcess> processes = new ArrayList<>();
     private final List<ResourceSample> samples = new ArrayList<>();
-    private final Process shell;
-    private final OutputStream orders;
-    private volatile boolean over;
+    private final Process signalShell;
+    private final OutputStream shellInput;
+    private volatile boolean closing;
     private int crashes;
 
     ProcessManager() throws IOException {
-        shell = new ProcessBuilder("sh")
+        signalShell = new ProcessBuilder("sh")
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        orders = shell.getOutputStream();
+        shellInput = signalShell.getOutputStream();
         Runtime.getRuntime().addShutdownHook(new Thread(this::killAll));
     }
 
-    /** Starts a process, or restarts {@code was} if it is not null; passes each line of output to {@code line}. */
+    /** Starts a process, or restarts {@code previous} if not null; {@code lineConsumer} gets each line of its output. */
     ManagedProcess start(
             String name,
             List<String> command,
             Map<String, String> env,
             Path folder,
-            Consumer<String> line,
-            ManagedProcess was)
+            Consumer<String> lineConsumer,
+            ManagedProcess previous)
             throws IOException {
-        ManagedProcess p = was == null ? new ManagedProcess(name) : was;
-        ProcessBuilder b = new ProcessBuilder(command).redirectErrorStream(true);
+        ManagedProcess managed = previous == null ? new ManagedProcess(name) : previous;
+        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         if (folder != null) {
-            b.directory(folder.toFile());
+            builder.directory(folder.toFile());
         }
-        b.environment().keySet().removeIf(k -> k.startsWith("ROUTER_"));
-        b.environment().putAll(env);
-        Process process = b.start();
-        synchronized (p) {
-            p.process = process;
-            p.to = process.outputWriter(StandardCharsets.UTF_8);
-            p.since = EngineSiteProcess.nowMicros();
-            p.dead = false;
-            p.stopped = false;
+        builder.environment().keySet().removeIf(k -> k.startsWith("ROUTER_"));
+        builder.environment().putAll(env);
+        Process process = builder.start();
+        synchronized (managed) {
+            managed.process = process;
+            managed.stdin = process.outputWriter(StandardCharsets.UTF_8);
+            managed.startedMicros = EngineSiteProcess.nowMicros();
+            managed.ended = false;
+            managed.paused = false;
         }
-        if (was == null) {
-            synchronized (all) {
-                all.add(p);
+        if (previous == null) {
+            synchronized (processes) {
+                processes.add(managed);
             }
         }
         DaemonThreads.newThread("log-" + name, () -> {
                     try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8)) {
-                        for (String l = in.readLine(); l != null; l = in.readLine()) {
-                            line.accept(l);
+                        for (String text = in.readLine(); text != null; text = in.readLine()) {
+                            lineConsumer.accept(text);
                         }
                     } catch (IOException e) {
                         return; // The process has ended.
                     }
                 })
                 .start();
-        var unused = process.onExit().thenAccept(x -> {
-            synchronized (p) {
-                if (!over && p.process == process && !p.dead) {
-                    p.dead = true;
+        var unused = process.onExit().thenAccept(exited -> {
+            synchronized (managed) {
+                if (!closing && managed.process == process && !managed.ended) {
+                    managed.ended = true;
                     crashes++;
-                    line.accept("exited unexpectedly with status " + x.exitValue());
+                    lineConsumer.accept("exited unexpectedly with status " + exited.exitValue());
                 }
             }
         });
-        return p;
+        return managed;
     }
 
     /**
      * Sends one signal to several processes at once with a single shell command: KILL, STOP, CONT, TERM, or QUIT, which
      * only requests a thread dump and does not count as a fault.
      */
-    void signal(String signal, List<ManagedProcess> to) throws IOException {
+    void signal(String signal, List<ManagedProcess> targets) throws IOException {
         StringBuilder pids = new StringBuilder();
         long now = EngineSiteProcess.nowMicros();
-        for (ManagedProcess p : to) {
-            synchronized (p) {
-                if (!p.dead) {
-                    boolean asks = signal.equals("QUIT");
-                    p.hit = asks ? p.hit : now;
-                    p.dead = signal.equals("KILL") || signal.equals("TERM");
-                    p.stopped = signal.equals("STOP") || (asks && p.stopped);
-                    pids.append(' ').append(p.process.pid());
+        for (ManagedProcess target : targets) {
+            synchronized (target) {
+                if (!target.ended) {
+                    boolean onlyRequestsDump = signal.equals("QUIT");
+                    target.lastSignalMicros = onlyRequestsDump ? target.lastSignalMicros : now;
+                    target.ended = signal.equals("KILL") || signal.equals("TERM");
+                    target.paused = signal.equals("STOP") || (onlyRequestsDump && target.paused);
+                    pids.append(' ').append(target.process.pid());
                 }
             }
         }
         if (pids.length() > 0) {
-            synchronized (orders) {
-                orders.write(("kill -" + signal + pids + "\n").getBytes(StandardCharsets.US_ASCII));
-                orders.flush();
+            synchronized (shellInput) {
+                shellInput.write(("kill -" + signal + pids + "\n").getBytes(StandardCharsets.US_ASCII));
+                shellInput.flush();
             }
         }
     }
 
     /** Waits for a signalled process to end; returns false on time-out. */
-    static boolean awaitExit(ManagedProcess p, long ms) {
+    static boolean awaitExit(ManagedProcess managed, long timeoutMillis) {
         try {
-            return p.process.waitFor(ms, TimeUnit.MILLISECONDS);
+            return managed.process.waitFor(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -163,31 +167,31 @@
 
     /** Samples the resource usage of all running processes. */
     void sample() {
-        List<ManagedProcess> now;
-        synchronized (all) {
-            now = List.copyOf(all);
+        List<ManagedProcess> current;
+        synchronized (processes) {
+            current = List.copyOf(processes);
         }
-        for (ManagedProcess p : now) {
-            if (!p.alive()) {
+        for (ManagedProcess managed : current) {
+            if (!managed.isAlive()) {
                 continue;
             }
-            Path at = Path.of("/proc/" + p.process.pid());
+            Path procFolder = Path.of("/proc/" + managed.process.pid());
             try {
-                String stat = Files.readString(at.resolve("stat"));
-                String[] f = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+                String stat = Files.readString(procFolder.resolve("stat"));
+                String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
                 int files;
-                try (var l = Files.list(at.resolve("fd"))) {
-                    files = (int) l.count();
+                try (var entries = Files.list(procFolder.resolve("fd"))) {
+                    files = (int) entries.count();
                 }
-                ResourceSample s = new ResourceSample(
+                ResourceSample sample = new ResourceSample(
                         EngineSiteProcess.nowMicros(),
-                        p.name,
-                        Long.parseLong(f[21]) * 4,
-                        (Long.parseLong(f[11]) + Long.parseLong(f[12])) * 1000 / TICKS,
-                        Integer.parseInt(f[17]),
+                        managed.name,
+                        Long.parseLong(fields[21]) * 4,
+                        (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 1000 / CLOCK_TICKS_PER_SECOND,
+                        Integer.parseInt(fields[17]),
                         files);
                 synchronized (samples) {
-                    samples.add(s);
+                    samples.add(sample);
                 }
             } catch (IOException | java.io.UncheckedIOException e) {
                 // The process has ended in the meantime, so there is no sample.
@@ -202,13 +206,13 @@
     }
 
     private void killAll() {
-        over = true;
-        synchronized (all) {
-            for (ManagedProcess p : all) {
+        closing = true;
+        synchronized (processes) {
+            for (ManagedProcess p : processes) {
                 p.process.destroyForcibly();
             }
         }
-        shell.destroyForcibly();
+        signalShell.destroyForcibly();
     }
 
     @Override
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -23,14 +23,14 @@
  */
 final class Relay implements AutoCloseable {
     /** Maximum number of bytes buffered per direction of a connection, comparable to kernel socket buffers. */
-    private static final int ROOM = 512 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 512 * 1024;
 
-    private static final int BACKLOG = 512;
-    private static final int READ = 16 * 1024;
+    private static final int LISTEN_BACKLOG = 512;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
     /** Interval at which a direction with held data polls its path (us). */
-    private static final long LOOK = 10_000;
+    private static final long CUT_POLL_INTERVAL_MICROS = 10_000;
     /** Interval of connection attempts to a process that has ended (us). */
-    private static final long KNOCK = 20_000;
+    private static final long RECONNECT_INTERVAL_MICROS = 20_000;
 
     /**
      * The network path between two sites for one kind of connection, shared by its relays. Direction 0 ("forth") is
@@ -40,7 +40,7 @@
         final String name;
         final int from;
         final int to;
-        private final boolean[] cut = new boolean[2];
+        private final boolean[] isCut = new boolean[2];
         private boolean blackHole;
         private long delayUs;
         private long jitterUs;
@@ -61,21 +61,21 @@
             this.random = new SplittableRandom(seed);
         }
 
-        synchronized long delay() {
+        synchronized long nextDelayMicros() {
             return delayUs + (jitterUs == 0 ? 0 : random.nextLong(jitterUs + 1));
         }
 
-        synchronized boolean cut(int direction) {
-            return cut[direction] || blackHole;
+        synchronized boolean isCut(int direction) {
+            return isCut[direction] || blackHole;
         }
 
         /** Whether a connection's SYN, or the SYN-ACK, is lost. */
-        synchronized boolean drops() {
-            return cut[0] || cut[1];
+        synchronized boolean dropsSyn() {
+            return isCut[0] || isCut[1];
         }
 
         /** Whether there has been a fault at any time since the given one (us). */
-        synchronized boolean faulted(long since) {
+        synchronized boolean hasFaultSince(long since) {
             return faultSince != Long.MAX_VALUE || faultUntil >= since;
         }
 
@@ -83,7 +83,7 @@
             return bytesPerS;
         }
 
-        private void wrong(boolean now) {
+        private void recordFault(boolean now) {
             if (now && faultSince == Long.MAX_VALUE) {
                 faultSince = EngineSiteProcess.nowMicros();
             } else if (!now) {
@@ -95,20 +95,20 @@
         /** Stops all traffic in the given directions without notifying either side. */
         void cut(boolean forth, boolean back) throws IOException {
             synchronized (this) {
-                cut[0] = forth;
-                cut[1] = back;
-                wrong(true);
+                isCut[0] = forth;
+                isCut[1] = back;
+                recordFault(true);
             }
             // A handshake needs both directions, so that either cut prevents new connections.
-            for (Relay r : all()) {
-                r.apply();
+            for (Relay relay : currentRelays()) {
+                relay.updateListener();
             }
         }
 
         /** Accepts connections but delivers no data on them. */
         synchronized void blackHole() {
             blackHole = true;
-            wrong(true);
+            recordFault(true);
         }
 
         /** Sets delay and jitter (us) and the bandwidth (bytes/s, 0 for unlimited). */
@@ -116,13 +116,13 @@
             delayUs = delay;
             jitterUs = jitter;
             bytesPerS = bytes;
-            wrong(true);
+            recordFault(true);
         }
 
         /** Resets all connections; new ones are accepted. */
         void reset() {
-            for (Relay r : all()) {
-                r.resetAll();
+            for (Relay relay : currentRelays()) {
+                relay.resetAll();
             }
             synchronized (this) {
                 faultUntil = EngineSiteProcess.nowMicros();
@@ -132,20 +132,20 @@
         /** Removes all faults and sets the regular delay and jitter (us). */
         void heal(long delay, long jitter) throws IOException {
             synchronized (this) {
-                cut[0] = false;
-                cut[1] = false;
+                isCut[0] = false;
+                isCut[1] = false;
                 blackHole = false;
                 delayUs = delay;
                 jitterUs = jitter;
                 bytesPerS = 0;
-                wrong(false);
+                recordFault(false);
             }
-            for (Relay r : all()) {
-                r.apply();
+            for (Relay relay : currentRelays()) {
+                relay.updateListener();
             }
         }
 
-        private synchronized List<Relay> all() {
+        private synchronized List<Relay> currentRelays() {
             return List.copyOf(relays);
         }
     }
@@ -153,86 +153,87 @@
     /** Observes the requests on a relay to an engine, at the router's end. */
     interface RequestObserver {
         /** A request's first byte was received from the router. */
-        void began(String call, long at);
+        void onRequestStarted(String requestId, long atMicros);
 
         /** The request has ended: the response is complete, or either side has closed the connection. */
-        void over(String call, long at);
+        void onRequestEnded(String requestId, long atMicros);
     }
 
     private final NetworkPath path;
-    private final InetSocketAddress at;
-    private final InetSocketAddress to;
-    private final RequestObserver watch;
-    private final Set<RelayedConnection> links = new HashSet<>();
+    private final InetSocketAddress listenAddress;
+    private final InetSocketAddress targetAddress;
+    private final RequestObserver observer;
+    private final Set<RelayedConnection> connections = new HashSet<>();
     private ServerSocket server;
     private Thread acceptor;
-    private ListenerState door;
-    private boolean down;
+    private ListenerState state;
+    private boolean targetDown;
     private boolean closed;
     /** The relay's own connections, which fill the listener's backlog while the path is cut. */
     private final List<Socket> fillers = new ArrayList<>();
 
-    /** Creates a relay that listens immediately; {@code watch} may be null. */
-    Relay(NetworkPath path, InetSocketAddress at, InetSocketAddress to, RequestObserver watch) throws IOException {
+    /** Creates a relay that listens immediately; {@code observer} may be null. */
+    Relay(NetworkPath path, InetSocketAddress listenAddress, InetSocketAddress targetAddress, RequestObserver observer)
+            throws IOException {
         this.path = path;
-        this.at = at;
-        this.to = to;
-        this.watch = watch;
+        this.listenAddress = listenAddress;
+        this.targetAddress = targetAddress;
+        this.observer = observer;
         synchronized (path) {
             path.relays.add(this);
         }
-        apply();
+        updateListener();
     }
 
     /** How the listener treats new connections: accepts them, drops their SYN, or refuses them. */
     private enum ListenerState {
-        OPEN,
-        DROPS,
-        REFUSES
+        ACCEPTING,
+        DROPPING,
+        REFUSING
     }
 
     /** Brings the listener into the state that the path and the target process require. */
-    private synchronized void apply() throws IOException {
-        ListenerState now = closed || (down && !path.drops())
-                ? ListenerState.REFUSES
-                : path.drops() ? ListenerState.DROPS : ListenerState.OPEN;
-        if (now == door) {
+    private synchronized void updateListener() throws IOException {
+        ListenerState required = closed || (targetDown && !path.dropsSyn())
+                ? ListenerState.REFUSING
+                : path.dropsSyn() ? ListenerState.DROPPING : ListenerState.ACCEPTING;
+        if (required == state) {
             return;
         }
-        door = now;
+        state = required;
         if (server != null) {
             server.close();
             join(acceptor); // The kernel holds the address until the accepting thread has left the listener.
         }
-        for (Socket s : fillers) {
-            s.close();
+        for (Socket socket : fillers) {
+            socket.close();
         }
         fillers.clear();
-        if (now == ListenerState.REFUSES) {
+        if (required == ListenerState.REFUSING) {
             return;
         }
-        ServerSocket fresh = new ServerSocket();
-        fresh.setReuseAddress(true);
-        fresh.bind(at, now == ListenerState.OPEN ? BACKLOG : 1);
-        server = fresh;
-        if (now == ListenerState.OPEN) {
-            acceptor = DaemonThreads.newThread("relay-" + path.name, () -> accept(fresh));
+        ServerSocket newServer = new ServerSocket();
+        newServer.setReuseAddress(true);
+        newServer.bind(listenAddress, required == ListenerState.ACCEPTING ? LISTEN_BACKLOG : 1);
+        server = newServer;
+        if (required == ListenerState.ACCEPTING) {
+            acceptor = DaemonThreads.newThread("relay-" + path.name, () -> accept(newServer));
             acceptor.start();
             return;
         }
         acceptor = null;
         // The kernel drops SYNs while the accept queue is full; the queue holds one more than the requested backlog.
         for (int i = 0; i < 2; i++) {
-            Socket s = new Socket();
-            s.connect(at, 1_000);
-            fillers.add(s);
+            Socket socket = new Socket();
+            socket.connect(listenAddress, 1_000);
+            fillers.add(socket);
         }
     }
 
-    private static void join(Thread t) {
+    private static void join(Thread thread) {
         try {
-            if (t != null) {
-                t.join();
+            if (thread != null) {
+                thread.join();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -240,19 +241,19 @@
     }
 
     /** Refuses connections, because the target process has ended, until the target accepts one again. */
-    void down() throws IOException {
+    void markTargetDown() throws IOException {
         synchronized (this) {
-            if (down || closed) {
+            if (targetDown || closed) {
                 return;
             }
-            down = true;
-            apply();
+            targetDown = true;
+            updateListener();
         }
         DaemonThreads.newThread("relay-knock", () -> {
                     while (true) {
-                        EngineSiteProcess.sleep(KNOCK);
-                        try (Socket s = new Socket()) {
-                            s.connect(to, 1_000);
+                        EngineSiteProcess.sleep(RECONNECT_INTERVAL_MICROS);
+                        try (Socket socket = new Socket()) {
+                            socket.connect(targetAddress, 1_000);
                         } catch (IOException e) {
                             synchronized (this) {
                                 if (closed) {
@@ -263,8 +264,8 @@
                         }
                         try {
                             synchronized (this) {
-                                down = false;
-                                apply();
+                                targetDown = false;
+                                updateListener();
                             }
                         } catch (IOException e) {
                             throw new java.io.UncheckedIOException(e);
@@ -278,12 +279,12 @@
     private void accept(ServerSocket from) {
         while (true) {
             try {
-                Socket s = from.accept();
-                RelayedConnection l = new RelayedConnection(s);
-                synchronized (links) {
-                    links.add(l);
+                Socket socket = from.accept();
+                RelayedConnection connection = new RelayedConnection(socket);
+                synchronized (connections) {
+                    connections.add(connection);
                 }
-                l.start();
+                connection.start();
             } catch (IOException e) {
                 return; // The path is cut, or the relay is closed.
             }
@@ -292,8 +293,8 @@
 
     private void resetAll() {
         List<RelayedConnection> all;
-        synchronized (links) {
-            all = List.copyOf(links);
+        synchronized (connections) {
+            all = List.copyOf(connections);
         }
         all.forEach(RelayedConnection::reset);
     }
@@ -302,7 +303,7 @@
     public void close() throws IOException {
         synchronized (this) {
             closed = true;
-            apply();
+            updateListener();
         }
         synchronized (path) {
             path.relays.remove(this);
@@ -312,95 +313,98 @@
 
     /** One relayed connection: the client's socket and the one to the target. */
     private final class RelayedConnection {
-        final Socket opener;
+        final Socket client;
         private final Socket target = new Socket();
-        private RequestTracker seen;
-        private int ended;
+        private RequestTracker requests;
+        private int endedDirections;
 
-        RelayedConnection(Socket opener) {
-            this.opener = opener;
+        RelayedConnection(Socket client) {
+            this.client = client;
         }
 
         void start() {
-            DaemonThreads.newThread("relay-forth", this::forth).start();
+            DaemonThreads.newThread("relay-forth", this::forwardRequests).start();
         }
 
-        private void forth() {
+        private void forwardRequests() {
             try {
-                opener.setTcpNoDelay(true);
+                client.setTcpNoDelay(true);
                 target.setTcpNoDelay(true);
-                target.connect(to, 2_000);
-                seen = watch == null ? null : new RequestTracker(watch);
+                target.connect(targetAddress, 2_000);
+                requests = observer == null ? null : new RequestTracker(observer);
             } catch (IOException e) {
                 reset(); // The target is not reachable; the client sees a reset.
-                refuse();
+                refuseNewConnections();
                 return;
             }
-            DaemonThreads.newThread("relay-back", () -> pump(1, target, opener)).start();
-            pump(0, opener, target);
+            DaemonThreads.newThread("relay-back", () -> forward(1, target, client))
+                    .start();
+            forward(0, client, target);
         }
 
-        private void refuse() {
+        private void refuseNewConnections() {
             try {
-                down();
+                markTargetDown();
             } catch (IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
         }
 
         void reset() {
-            abort(opener);
+            abort(client);
             abort(target);
-            gone();
+            remove();
         }
 
-        private void gone() {
-            synchronized (links) {
-                links.remove(this);
+        private void remove() {
+            synchronized (connections) {
+                connections.remove(this);
             }
-            if (seen != null) {
-                seen.end(EngineSiteProcess.nowMicros());
+            if (requests != null) {
+                requests.end(EngineSiteProcess.nowMicros());
             }
         }
 
         /** Forwards one direction: data is delayed in order and held back while the path is cut. */
-        private void pump(int direction, Socket from, Socket into) {
+        private void forward(int direction, Socket source, Socket destination) {
             ArrayDeque<Segment> waiting = new ArrayDeque<>();
-            int held = 0;
+            int bufferedBytes = 0;
             long freeAt = 0;
-            boolean over = false;
-            byte[] buf = new byte[READ];
+            boolean sourceEnded = false;
+            byte[] buffer = new byte[READ_BUFFER_BYTES];
             try {
-                InputStream in = from.getInputStream();
+                InputStream in = source.getInputStream();
                 while (true) {
                     long now = EngineSiteProcess.nowMicros();
                     Segment head = waiting.peekFirst();
-                    boolean open = head == null || !path.cut(direction);
+                    boolean open = head == null || !path.isCut(direction);
                     if (head != null && open && head.due <= now && freeAt <= now) {
                         waiting.pollFirst();
                         if (head.bytes == null) {
-                            finish(into, head.reset);
+                            finish(destination, head.reset);
                             return;
                         }
-                        held -= head.bytes.length;
-                        if (direction == 1 && seen != null) {
-                            seen.answer(head.bytes, now);
+                        bufferedBytes -= head.bytes.length;
+                        if (direction == 1 && requests != null) {
+                            requests.onResponseBytes(head.bytes, now);
                         }
-                        into.getOutputStream().write(head.bytes);
+                        destination.getOutputStream().write(head.bytes);
                         long rate = path.bytesPerS();
                         freeAt = rate == 0 ? 0 : now + head.bytes.length * 1_000_000L / rate;
                         continue;
                     }
-                    long wait = head == null ? 0 : open ? Math.max(1, Math.max(head.due, freeAt) - now) : LOOK;
-                    if (over || held >= ROOM) {
-                        EngineSiteProcess.sleep(wait);
+                    long waitMicros = head == null
+                            ? 0
+                            : open ? Math.max(1, Math.max(head.due, freeAt) - now) : CUT_POLL_INTERVAL_MICROS;
+                    if (sourceEnded || bufferedBytes >= MAX_BUFFERED_BYTES) {
+                        EngineSiteProcess.sleep(waitMicros);
                         continue;
                     }
-                    Segment p = read(in, from, buf, wait, direction);
-                    if (p != null) {
-                        waiting.addLast(p);
-                        over = p.bytes == null;
-                        held += over ? 0 : p.bytes.length;
+                    Segment segment = read(in, source, buffer, waitMicros, direction);
+                    if (segment != null) {
+                        waiting.addLast(segment);
+                        sourceEnded = segment.bytes == null;
+                        bufferedBytes += sourceEnded ? 0 : segment.bytes.length;
                     }
                 }
             } catch (IOException e) {
@@ -409,12 +413,13 @@
         }
 
         /** Reads one piece of data; returns null if nothing arrived within the time. */
-        private Segment read(InputStream in, Socket from, byte[] buf, long wait, int direction) throws IOException {
+        private Segment read(InputStream in, Socket source, byte[] buffer, long waitMicros, int direction)
+                throws IOException {
             int n;
             boolean reset = false;
             try {
-                from.setSoTimeout((int) Math.min(Integer.MAX_VALUE, wait == 0 ? 0 : (wait + 999) / 1000));
-                n = in.read(buf);
+                source.setSoTimeout((int) Math.min(Integer.MAX_VALUE, waitMicros == 0 ? 0 : (waitMicros + 999) / 1000));
+                n = in.read(buffer);
             } catch (SocketTimeoutException e) {
                 return null;
             } catch (IOException e) {
@@ -422,31 +427,31 @@
                 reset = true;
             }
             long now = EngineSiteProcess.nowMicros();
-            if (direction == 0 && seen != null) {
+            if (direction == 0 && requests != null) {
                 if (n > 0) {
-                    seen.request(buf, n, now);
+                    requests.onRequestBytes(buffer, n, now);
                 } else {
-                    seen.end(now);
+                    requests.end(now);
                 }
             }
-            return new Segment(now + path.delay(), n > 0 ? java.util.Arrays.copyOf(buf, n) : null, reset);
+            return new Segment(now + path.nextDelayMicros(), n > 0 ? java.util.Arrays.copyOf(buffer, n) : null, reset);
         }
 
         /** Forwards the end of one direction, or a reset. */
-        private void finish(Socket into, boolean reset) throws IOException {
+        private void finish(Socket destination, boolean reset) throws IOException {
             if (reset) {
                 reset();
                 return;
             }
-            into.shutdownOutput();
+            destination.shutdownOutput();
             boolean both;
             synchronized (this) {
-                both = ++ended == 2;
+                both = ++endedDirections == 2;
             }
             if (both) {
-                opener.close();
+                client.close();
                 target.close();
-                gone();
+                remove();
             }
         }
     }
@@ -454,14 +459,14 @@
     private record Segment(long due, byte[] bytes, boolean reset) {}
 
     /** Ends a connection with a reset. */
-    static void abort(Socket s) {
+    static void abort(Socket socket) {
         try {
-            s.setSoLinger(true, 0);
+            socket.setSoLinger(true, 0);
         } catch (IOException e) {
             // The socket is already closed.
         }
         try {
-            s.close();
+            socket.close();
         } catch (IOException e) {
             return;
         }
@@ -469,103 +474,106 @@
 
     /** Tracks the pending request of one connection from the bytes that pass; there is at most one at a time. */
     static final class RequestTracker {
-        private final RequestObserver watch;
-        private String out;
+        private final RequestObserver observer;
+        private String pendingId;
         private final StringBuilder head = new StringBuilder();
-        private long length;
+        private long contentBytesLeft;
         /** Bytes left of the current chunk with its line break; chunks are parsed, as data may look like the end. */
-        private long left;
+        private long chunkBytesLeft;
 
         /** The current line between chunks, as far as it has arrived. */
         private final StringBuilder line = new StringBuilder();
         /** Whether the last chunk's size, 0, has been read. */
-        private boolean last;
+        private boolean sawLastChunk;
 
-        RequestTracker(RequestObserver watch) {
-            this.watch = watch;
+        RequestTracker(RequestObserver observer) {
+            this.observer = observer;
         }
 
-        synchronized void request(byte[] b, int n, long at) {
-            if (out != null) {
+        synchronized void onRequestBytes(byte[] bytes, int length, long atMicros) {
+            if (pendingId != null) {
                 return; // The rest of the request's body.
             }
-            String s = new String(b, 0, n, StandardCharsets.ISO_8859_1);
-            int id =
-                    s.startsWith("POST ") ? s.toLowerCase(java.util.Locale.ROOT).indexOf("x-call-id: ") : -1;
-            if (id >= 0) {
-                out = s.substring(id + 11, s.indexOf('\r', id)).strip();
+            String text = new String(bytes, 0, length, StandardCharsets.ISO_8859_1);
+            int headerStart = text.startsWith("POST ")
+                    ? text.toLowerCase(java.util.Locale.ROOT).indexOf("x-call-id: ")
+                    : -1;
+            if (headerStart >= 0) {
+                pendingId = text.substring(headerStart + 11, text.indexOf('\r', headerStart))
+                        .strip();
                 head.setLength(0);
                 line.setLength(0);
-                left = 0;
-                last = false;
-                length = 0;
-                watch.began(out, at);
+                chunkBytesLeft = 0;
+                sawLastChunk = false;
+                contentBytesLeft = 0;
+                observer.onRequestStarted(pendingId, atMicros);
             }
         }
 
-        synchronized void answer(byte[] b, long at) {
-            if (out == null) {
+        synchronized void onResponseBytes(byte[] bytes, long atMicros) {
+            if (pendingId == null) {
                 return;
             }
             int from = 0;
             if (head.indexOf("\r\n\r\n") < 0) {
                 int before = head.length();
-                head.append(new String(b, StandardCharsets.ISO_8859_1));
+                head.append(new String(bytes, StandardCharsets.ISO_8859_1));
                 int end = head.indexOf("\r\n\r\n");
                 if (end < 0) {
                     return;
                 }
                 from = end + 4 - before;
                 head.setLength(end + 4);
-                int at2 = head.toString().toLowerCase(java.util.Locale.ROOT).indexOf("content-length:");
-                length = at2 < 0
+                int headerStart =
+                        head.toString().toLowerCase(java.util.Locale.ROOT).indexOf("content-length:");
+                contentBytesLeft = headerStart < 0
                         ? -1
-                        : Long.parseLong(head.substring(at2 + 15, head.indexOf("\r", at2))
+                        : Long.parseLong(head.substring(headerStart + 15, head.indexOf("\r", headerStart))
                                 .strip());
             }
-            if (length >= 0) {
-                length -= b.length - from;
-                if (length <= 0) {
-                    end(at);
+            if (contentBytesLeft >= 0) {
+                contentBytesLeft -= bytes.length - from;
+                if (contentBytesLeft <= 0) {
+                    end(atMicros);
                 }
                 return;
             }
-            for (int i = from; i < b.length; i++) {
-                if (left > 0) {
-                    int skipped = (int) Math.min(left, b.length - i);
-                    left -= skipped;
+            for (int i = from; i < bytes.length; i++) {
+                if (chunkBytesLeft > 0) {
+                    int skipped = (int) Math.min(chunkBytesLeft, bytes.length - i);
+                    chunkBytesLeft -= skipped;
                     i += skipped - 1;
-                } else if (b[i] != '\n') {
-                    line.append((char) (b[i] & 0xff));
-                } else if (line(line.toString().strip())) {
-                    end(at);
+                } else if (bytes[i] != '\n') {
+                    line.append((char) (bytes[i] & 0xff));
+                } else if (parseLine(line.toString().strip())) {
+                    end(atMicros);
                     return;
                 }
             }
         }
 
         /** Parses a line between chunks; returns true if it ends the response. */
-        private boolean line(String text) {
+        private boolean parseLine(String text) {
             line.setLength(0);
-            if (last) {
+            if (sawLastChunk) {
                 return text.isEmpty(); // Any other line is a trailer.
             }
             try {
                 long size = Long.parseLong(text.split(";", 2)[0].strip(), 16);
-                last = size == 0;
-                left = size == 0 ? 0 : size + 2;
+                sawLastChunk = size == 0;
+                chunkBytesLeft = size == 0 ? 0 : size + 2;
             } catch (NumberFormatException e) {
-                left = Long.MAX_VALUE; // Not a chunk size: the rest cannot be parsed, so that the request ends with its
-                // connection.
+                // Not a chunk size: the rest cannot be parsed, so that the request ends with its connection.
+                chunkBytesLeft = Long.MAX_VALUE;
             }
             return false;
         }
 
-        synchronized void end(long at) {
-            if (out != null) {
-                String call = out;
-                out = null;
-                watch.over(call, at);
+        synchronized void end(long atMicros) {
+            if (pendingId != null) {
+                String requestId = pendingId;
+                pendingId = null;
+                observer.onRequestEnded(requestId, atMicros);
             }
         }
     }
--- a/lab/src/main/java/magpiehub/lab/Report.java
+++ b/lab/src/main/java/magpiehub/lab/Report.java
@@ -77,15 +77,15 @@
                 .put("allowed", x.allowed())
                 .put("holds", x.holds()));
         ObjectNode totals = j.putObject("totals");
-        RunEvaluation v = new RunEvaluation(o);
-        Histogram all = v.firsts(Long.MIN_VALUE, Long.MAX_VALUE);
+        RunEvaluation evaluation = new RunEvaluation(o);
+        Histogram all = evaluation.firstTokenTimes(Long.MIN_VALUE, Long.MAX_VALUE);
         totals.put("requests", o.results().size());
-        totals.put("servedWorth", round(v.served(Long.MIN_VALUE, Long.MAX_VALUE, -1)));
+        totals.put("servedWorth", round(evaluation.servedShare(Long.MIN_VALUE, Long.MAX_VALUE, -1)));
         totals.put("attempts", o.attempts().size());
         totals.put("firstTokenP50Ms", all.getValueAtPercentile(50) / 1000.0);
         totals.put("firstTokenP99Ms", all.getValueAtPercentile(99) / 1000.0);
-        totals.put("rigLateP99Ms", o.late() / 1000.0);
-        totals.put("routerMemoryMb", v.memory() / 1024);
+        totals.put("rigLateP99Ms", o.sendDelayP99Micros() / 1000.0);
+        totals.put("routerMemoryMb", evaluation.maxRouterMemoryKb() / 1024);
         Map<String, int[]> ends = new TreeMap<>();
         for (LoadGenerator.RequestRecord r : o.results()) {
             String site = o.scenario().sites.get(r.site()).name();
@@ -104,7 +104,7 @@
             lines.lines().map(l -> l.split(" ", 2)).filter(w -> w.length == 2).forEach(w -> c.put(w[0], w[1]));
         });
         ArrayNode said = j.putArray("stands");
-        o.stands().forEach(x -> said.addObject()
+        o.siteStateChanges().forEach(x -> said.addObject()
                 .put("s", seconds(o, x.at()))
                 .put("router", x.router())
                 .put("site", x.site())
@@ -112,11 +112,11 @@
                 .put("to", x.to())
                 .put("cause", x.cause()));
         ArrayNode faults = j.putArray("faults");
-        o.faults().forEach(f -> faults.addObject().put("s", seconds(o, f.at())).put("what", f.text()));
+        o.faults().forEach(f -> faults.addObject().put("s", seconds(o, f.at())).put("what", f.description()));
         ArrayNode wrong = j.putArray("violations");
-        v.together().forEach(x -> wrong.add("two attempts: " + x));
-        o.toDrained().forEach(x -> wrong.add("drained: " + x));
-        o.fell().forEach(x -> wrong.add("fell: " + x));
+        evaluation.concurrentAttempts().forEach(x -> wrong.add("two attempts: " + x));
+        o.attemptsToDrained().forEach(x -> wrong.add("drained: " + x));
+        o.crashedEngines().forEach(x -> wrong.add("fell: " + x));
         o.failures().forEach(x -> wrong.add("fault: " + x));
         o.results().stream()
                 .filter(LoadGenerator.RequestRecord::isUnanswered)
@@ -141,8 +141,8 @@
     private static void moves(Fleet.RunResult o, ObjectNode s) {
         Map<String, String> at = new HashMap<>();
         o.attempts()
-                .forEach(
-                        a -> at.put(a.call(), a.engine().substring(0, a.engine().lastIndexOf("-e"))));
+                .forEach(a ->
+                        at.put(a.requestId(), a.engine().substring(0, a.engine().lastIndexOf("-e"))));
         Map<String, String> last = new HashMap<>();
         int[] moved = new int[(int) (o.scenario().lengthMs / 1000) + 1];
         o.results().stream()
--- a/lab/src/main/java/magpiehub/lab/RunEvaluation.java
+++ b/lab/src/main/java/magpiehub/lab/RunEvaluation.java
@@ -14,17 +14,17 @@
  */
 final class RunEvaluation {
     /** Overlap from which two attempts count as concurrent (us): the protocol's tolerance for socket delays. */
-    private static final long TOGETHER = 50_000;
+    private static final long MAX_ATTEMPT_OVERLAP_MICROS = 50_000;
     /** Window over which the share of served requests is computed (us). */
-    private static final long WINDOW = 500_000;
+    private static final long SERVED_WINDOW_MICROS = 500_000;
     /** How long after a site's return a router may still act on a delayed endpoint list (us). */
-    private static final long LATE_WORD = 4_000_000;
+    private static final long LATE_LIST_TOLERANCE_MICROS = 4_000_000;
 
-    static final int CHANGES = 4;
-    static final double SERVED = 0.90;
-    static final double BACK = 1.5;
-    static final long TAKES_REFUSED = 2_000_000;
-    static final long TAKES_SILENT = 3_000_000;
+    static final int MAX_STATE_CHANGES = 4;
+    static final double MIN_SERVED_SHARE = 0.90;
+    static final double MAX_RETURN_LATENCY_RATIO = 1.5;
+    static final long MAX_RECOVERY_REFUSED_MICROS = 2_000_000;
+    static final long MAX_RECOVERY_SILENT_MICROS = 3_000_000;
 
     /** One bound: the observed value and the permitted one. */
     record Bound(String name, String seen, String allowed, boolean holds) {
@@ -40,46 +40,46 @@
      */
     record SiteLoss(int site, long from, long until, boolean refused) {}
 
-    private final Fleet.RunResult o;
+    private final Fleet.RunResult run;
 
-    RunEvaluation(Fleet.RunResult o) {
-        this.o = o;
+    RunEvaluation(Fleet.RunResult run) {
+        this.run = run;
     }
 
     /**
      * The served share, weighted by value, of the requests due within a period; -1 if there are none. Requests from
-     * clients of site {@code notOf} are excluded.
+     * clients of site {@code excludedSite} are excluded.
      */
-    double served(long from, long until, int notOf) {
-        double worth = 0;
-        double all = 0;
-        for (LoadGenerator.RequestRecord r : o.results()) {
-            if (r.dueMicros() >= from && r.dueMicros() < until && r.site() != notOf) {
-                all += r.gain();
-                worth += r.outcome() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
+    double servedShare(long from, long until, int excludedSite) {
+        double servedValue = 0;
+        double dueValue = 0;
+        for (LoadGenerator.RequestRecord r : run.results()) {
+            if (r.dueMicros() >= from && r.dueMicros() < until && r.site() != excludedSite) {
+                dueValue += r.gain();
+                servedValue += r.outcome() == LoadGenerator.RequestOutcome.SERVED ? r.gain() : 0;
             }
         }
-        return all == 0 ? -1 : worth / all;
+        return dueValue == 0 ? -1 : servedValue / dueValue;
     }
 
     /** The share of the other sites' demand that the engines of the other sites can serve, at most 1. */
-    private double allowed(int lost) {
+    private double feasibleShare(int lost) {
         double demand = 0;
         double capacity = 0;
-        for (int i = 0; i < o.scenario().sites.size(); i++) {
+        for (int i = 0; i < run.scenario().sites.size(); i++) {
             if (i != lost) {
-                demand += o.scenario().demand(i);
-                capacity += o.scenario().capacity(i);
+                demand += run.scenario().demand(i);
+                capacity += run.scenario().capacity(i);
             }
         }
         return demand == 0 ? 1 : Math.min(1, capacity / demand);
     }
 
     /** Time from the loss until 90 % of the permitted share is served over a whole window (us). */
-    private long takes(SiteLoss l) {
-        for (long t = l.from; t < l.until - WINDOW; t += 50_000) {
-            double s = served(t, t + WINDOW, l.site);
-            if (s < 0 || s >= SERVED * allowed(l.site)) {
+    private long recoveryMicros(SiteLoss l) {
+        for (long t = l.from; t < l.until - SERVED_WINDOW_MICROS; t += 50_000) {
+            double s = servedShare(t, t + SERVED_WINDOW_MICROS, l.site);
+            if (s < 0 || s >= MIN_SERVED_SHARE * feasibleShare(l.site)) {
                 return t - l.from;
             }
         }
@@ -87,9 +87,9 @@
     }
 
     /** Times to the first token of the requests due within a period (us). */
-    Histogram firsts(long from, long until) {
+    Histogram firstTokenTimes(long from, long until) {
         Histogram h = new Histogram(60_000_000L, 3);
-        for (LoadGenerator.RequestRecord r : o.results()) {
+        for (LoadGenerator.RequestRecord r : run.results()) {
             if (r.dueMicros() >= from && r.dueMicros() < until && r.firstTokenMicros() >= 0) {
                 h.recordValue(Math.min(60_000_000L, r.firstTokenMicros()));
             }
@@ -99,35 +99,35 @@
 
     /** Number of requests for which a healthy router returned no response, an invalid one, or two. */
     long unanswered() {
-        return o.results().stream()
+        return run.results().stream()
                         .filter(LoadGenerator.RequestRecord::isUnanswered)
                         .count()
-                + o.twice()
-                + o.open();
+                + run.duplicateResponses()
+                + run.pendingRequests();
     }
 
     /** Requests with two concurrent attempts. */
-    List<String> together() {
+    List<String> concurrentAttempts() {
         Map<String, List<Fleet.Attempt>> by = new HashMap<>();
-        o.attempts().forEach(a -> by.computeIfAbsent(a.call(), k -> new ArrayList<>())
+        run.attempts().forEach(a -> by.computeIfAbsent(a.requestId(), k -> new ArrayList<>())
                 .add(a));
-        List<String> all = new ArrayList<>();
+        List<String> concurrent = new ArrayList<>();
         by.forEach((call, l) -> {
-            l.sort(Comparator.comparingLong(Fleet.Attempt::began));
+            l.sort(Comparator.comparingLong(Fleet.Attempt::startedMicros));
             for (int i = 1; i < l.size(); i++) {
-                if (l.get(i - 1).over() - l.get(i).began() > TOGETHER) {
-                    all.add(call + " at " + l.get(i - 1).engine() + " and "
+                if (l.get(i - 1).endedMicros() - l.get(i).startedMicros() > MAX_ATTEMPT_OVERLAP_MICROS) {
+                    concurrent.add(call + " at " + l.get(i - 1).engine() + " and "
                             + l.get(i).engine());
                     return;
                 }
             }
         });
-        return all;
+        return concurrent;
     }
 
     /** Maximum resident memory of any router (KB). */
-    long memory() {
-        return o.samples().stream()
+    long maxRouterMemoryKb() {
+        return run.samples().stream()
                 .filter(s -> !s.name().startsWith("engines-"))
                 .mapToLong(ProcessManager.ResourceSample::rssKb)
                 .max()
@@ -135,83 +135,85 @@
     }
 
     /** Number of times that a router declared a site lost without an injected loss of that site. */
-    long lostWrongly(List<SiteLoss> losses) {
-        return o.stands().stream()
+    long falseLosses(List<SiteLoss> losses) {
+        return run.siteStateChanges().stream()
                 .filter(s -> s.to().equals("lost"))
                 .filter(s -> losses.stream()
-                        .noneMatch(l -> o.scenario().sites.get(l.site()).name().equals(s.site())
-                                && s.at() >= l.from()
-                                && s.at() <= l.until() + LATE_WORD))
+                        .noneMatch(
+                                l -> run.scenario().sites.get(l.site()).name().equals(s.site())
+                                        && s.at() >= l.from()
+                                        && s.at() <= l.until() + LATE_LIST_TOLERANCE_MICROS))
                 .count();
     }
 
     /** Maximum number of state changes that one router reported for one site. */
-    long changes() {
+    long maxStateChanges() {
         Map<String, Long> by = new HashMap<>();
-        o.stands().stream()
-                .filter(s -> s.at() >= o.from())
+        run.siteStateChanges().stream()
+                .filter(s -> s.at() >= run.from())
                 .forEach(s -> by.merge(s.router() + s.site(), 1L, Long::sum));
         return by.values().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
     /** The bounds that apply to every run. */
-    List<Bound> rules() {
+    List<Bound> generalBounds() {
         List<Bound> b = new ArrayList<>();
-        b.add(none("requests with none or two final answers of a running router", unanswered()));
-        b.add(none("requests with two attempts out at once", together().size()));
-        b.add(none(
+        b.add(zeroBound("requests with none or two final answers of a running router", unanswered()));
+        b.add(zeroBound(
+                "requests with two attempts out at once", concurrentAttempts().size()));
+        b.add(zeroBound(
                 "new work to an engine 2 s after a router was told it takes none",
-                o.toDrained().size()));
-        b.add(none("engines that fell over", o.fell().size()));
-        b.add(none("processes that ended by themselves", o.crashes()));
-        b.add(none("faults that could not be carried out", o.failures().size()));
-        long most = o.scenario().routers.memoryMb() * 1024L;
+                run.attemptsToDrained().size()));
+        b.add(zeroBound("engines that fell over", run.crashedEngines().size()));
+        b.add(zeroBound("processes that ended by themselves", run.crashes()));
+        b.add(zeroBound("faults that could not be carried out", run.failures().size()));
+        long most = run.scenario().routers.memoryMb() * 1024L;
         b.add(new Bound(
                 "most memory of a router (MB)",
-                Long.toString(memory() / 1024),
+                Long.toString(maxRouterMemoryKb() / 1024),
                 "at most " + most / 1024,
-                memory() <= most));
+                maxRouterMemoryKb() <= most));
         return b;
     }
 
-    private static Bound none(String name, long seen) {
+    private static Bound zeroBound(String name, long seen) {
         return new Bound(name, Long.toString(seen), "0", seen == 0);
     }
 
     /** The bounds of every run, and those on the effect of the given losses. */
-    List<Bound> of(List<SiteLoss> losses) {
-        List<Bound> b = rules();
-        b.add(none("sites called lost without a loss", lostWrongly(losses)));
+    List<Bound> evaluate(List<SiteLoss> losses) {
+        List<Bound> b = generalBounds();
+        b.add(zeroBound("sites called lost without a loss", falseLosses(losses)));
         int events = Math.max(1, 2 * losses.size());
         b.add(new Bound(
                 "changes of a router's word on a site, for each event",
-                String.format(Locale.ROOT, "%.1f", (double) changes() / events),
-                "at most " + CHANGES,
-                changes() <= (long) CHANGES * events));
+                String.format(Locale.ROOT, "%.1f", (double) maxStateChanges() / events),
+                "at most " + MAX_STATE_CHANGES,
+                maxStateChanges() <= (long) MAX_STATE_CHANGES * events));
         for (SiteLoss l : losses) {
-            String name = o.scenario().sites.get(l.site).name();
-            double share = served(l.from, l.until, l.site);
-            double part = share < 0 ? 1 : share / allowed(l.site);
+            String name = run.scenario().sites.get(l.site).name();
+            double share = servedShare(l.from, l.until, l.site);
+            double part = share < 0 ? 1 : share / feasibleShare(l.site);
             b.add(new Bound(
                     "served while " + name + " is lost, of what the others can carry",
                     String.format(Locale.ROOT, "%.3f", part),
-                    "at least " + SERVED,
-                    part >= SERVED));
-            long takes = takes(l);
-            long most = l.refused ? TAKES_REFUSED : TAKES_SILENT;
+                    "at least " + MIN_SERVED_SHARE,
+                    part >= MIN_SERVED_SHARE));
+            long recoveryMicros = recoveryMicros(l);
+            long most = l.refused ? MAX_RECOVERY_REFUSED_MICROS : MAX_RECOVERY_SILENT_MICROS;
             b.add(new Bound(
                     "from the loss of " + name + " until nine tenths of that (ms)",
-                    Long.toString(takes / 1000),
+                    Long.toString(recoveryMicros / 1000),
                     "at most " + most / 1000,
-                    takes <= most));
-            double before = firsts(o.from(), l.from).getValueAtPercentile(99);
-            double after = firsts(l.until, l.until + 5_000_000).getValueAtPercentile(99);
+                    recoveryMicros <= most));
+            double before = firstTokenTimes(run.from(), l.from).getValueAtPercentile(99);
+            double after = firstTokenTimes(l.until, l.until + 5_000_000).getValueAtPercentile(99);
             double ratio = before == 0 ? 1 : after / before;
             b.add(new Bound(
                     "p99 of first tokens in the 5 s from its return, against before",
                     String.format(Locale.ROOT, "%.2f", ratio),
-                    "at most " + BACK,
-                    ratio <= BACK));
+                    "at most " + MAX_RETURN_LATENCY_RATIO,
+                    ratio <= MAX_RETURN_LATENCY_RATIO));
         }
         return b;
     }
--- a/lab/src/main/java/magpiehub/lab/Scenario.java
+++ b/lab/src/main/java/magpiehub/lab/Scenario.java
@@ -65,7 +65,7 @@
     /** One fault; docs/ops/lab.md lists the kinds. {@code at} counts from the first request (ms); site -1 means all. */
     record Fault(long at, String kind, int site, int to, String way, String paths, String target, double value) {
         /** A readable description. */
-        String text(List<Site> sites) {
+        String describe(List<Site> sites) {
             return kind
                     + (target == null ? "" : " " + target)
                     + (site < 0 ? "" : " " + sites.get(site).name())
@@ -116,7 +116,8 @@
             "replace",
             "say");
 
-    private static final Set<String> VALUED = Set.of("slow", "throttle", "engine-slow", "engine-errors", "list-late");
+    private static final Set<String> KINDS_WITH_VALUE =
+            Set.of("slow", "throttle", "engine-slow", "engine-errors", "list-late");
     private static final ObjectMapper JSON = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_NULL_CREATOR_PROPERTIES)
@@ -135,30 +136,30 @@
     final long noticeMs;
 
     final List<Fault> faults;
-    private final int drawn;
-    private final int other;
+    private final int anySite;
+    private final int otherSite;
 
-    private Scenario(File f, long seed) {
-        this.name = f.name;
+    private Scenario(File file, long seed) {
+        this.name = file.name;
         this.seed = seed;
-        this.lengthMs = Math.round(f.seconds * 1000);
-        this.sites = List.copyOf(f.sites);
-        this.engine = f.engine;
-        this.requests = f.requests;
-        this.paths = f.paths;
-        this.routers = f.routers;
-        this.listLateMs = Math.round(f.listLateMs);
-        this.noticeMs = Math.round(f.noticeMs);
-        check();
+        this.lengthMs = Math.round(file.seconds * 1000);
+        this.sites = List.copyOf(file.sites);
+        this.engine = file.engine;
+        this.requests = file.requests;
+        this.paths = file.paths;
+        this.routers = file.routers;
+        this.listLateMs = Math.round(file.listLateMs);
+        this.noticeMs = Math.round(file.noticeMs);
+        validate();
         SplittableRandom random = new SplittableRandom(seed);
-        drawn = random.nextInt(sites.size());
-        other = sites.size() == 1 ? drawn : (drawn + 1 + random.nextInt(sites.size() - 1)) % sites.size();
-        List<Fault> all = new ArrayList<>();
-        for (int i = 0; i < f.faults.size(); i++) {
-            all.add(fault(f.faults.get(i), "faults[" + i + "]", random.split()));
+        anySite = random.nextInt(sites.size());
+        otherSite = sites.size() == 1 ? anySite : (anySite + 1 + random.nextInt(sites.size() - 1)) % sites.size();
+        List<Fault> sorted = new ArrayList<>();
+        for (int i = 0; i < file.faults.size(); i++) {
+            sorted.add(parseFault(file.faults.get(i), "faults[" + i + "]", random.split()));
         }
-        all.sort(Comparator.comparingLong(Fault::at));
-        faults = List.copyOf(all);
+        sorted.sort(Comparator.comparingLong(Fault::at));
+        faults = List.copyOf(sorted);
     }
 
     /** Reads a file; random choices are derived from the seed. */
@@ -177,30 +178,34 @@
         }
     }
 
-    private void check() {
-        need(lengthMs >= 1_000 && lengthMs <= 600_000, "seconds must be 1 to 600");
-        need(!sites.isEmpty() && sites.size() <= 8, "sites must be 1 to 8");
-        for (Site s : sites) {
-            need(
-                    s.routers >= 0 && s.routers <= 60 && s.engines >= 0 && s.engines <= 100 && s.rate >= 0,
-                    "sites: " + s.name + " must have at most 60 routers and 100 engines");
+    private void validate() {
+        require(lengthMs >= 1_000 && lengthMs <= 600_000, "seconds must be 1 to 600");
+        require(!sites.isEmpty() && sites.size() <= 8, "sites must be 1 to 8");
+        for (Site site : sites) {
+            require(
+                    site.routers >= 0
+                            && site.routers <= 60
+                            && site.engines >= 0
+                            && site.engines <= 100
+                            && site.rate >= 0,
+                    "sites: " + site.name + " must have at most 60 routers and 100 engines");
         }
-        need(sites.stream().map(Site::name).distinct().count() == sites.size(), "sites must have distinct names");
-        need(!requests.classes.isEmpty(), "requests.classes is empty");
-        for (RequestClass k : requests.classes) {
-            need(
-                    k.deadlineMs > 0
-                            && k.aimMs > 0
-                            && k.prompt.length == 2
-                            && k.output.length == 2
-                            && k.prompt[0] > 0
-                            && k.output[0] > 0
-                            && k.prompt[1] >= k.prompt[0]
-                            && k.output[1] >= k.output[0],
-                    "requests.classes: " + k.name
+        require(sites.stream().map(Site::name).distinct().count() == sites.size(), "sites must have distinct names");
+        require(!requests.classes.isEmpty(), "requests.classes is empty");
+        for (RequestClass requestClass : requests.classes) {
+            require(
+                    requestClass.deadlineMs > 0
+                            && requestClass.aimMs > 0
+                            && requestClass.prompt.length == 2
+                            && requestClass.output.length == 2
+                            && requestClass.prompt[0] > 0
+                            && requestClass.output[0] > 0
+                            && requestClass.prompt[1] >= requestClass.prompt[0]
+                            && requestClass.output[1] >= requestClass.output[0],
+                    "requests.classes: " + requestClass.name
                             + " needs deadlineMs, aimMs, prompt [from, to] and output [from, to] above 0");
         }
-        need(
+        require(
                 engine.slots() > 0
                         && engine.stepMs() > 0
                         && engine.coldMs() > 0
@@ -209,88 +214,95 @@
                 "engine: slots, stepMs, chunk, coldMs and start must be above 0");
     }
 
-    private static void need(boolean holds, String otherwise) {
+    private static void require(boolean holds, String message) {
         if (!holds) {
-            throw new InvalidScenarioException(otherwise);
+            throw new InvalidScenarioException(message);
         }
     }
 
-    private Fault fault(JsonNode n, String at, SplittableRandom random) {
-        n.fieldNames().forEachRemaining(f -> need(FIELDS.contains(f), at + " has an unknown field " + f));
-        String kind = n.path("do").asText("");
-        need(KINDS.contains(kind), at + ".do must be one of " + String.join(", ", KINDS));
-        need(n.has("at"), at + ".at is missing");
-        need(n.has("value") || !VALUED.contains(kind), at + ".value is missing for " + kind);
-        String way = n.path("way").asText("both");
-        need(Set.of("both", "forth", "back").contains(way), at + ".way must be both, forth or back");
-        String paths = n.path("paths").asText("all");
-        need(
+    private Fault parseFault(JsonNode node, String location, SplittableRandom random) {
+        node.fieldNames()
+                .forEachRemaining(
+                        field -> require(FIELDS.contains(field), location + " has an unknown field " + field));
+        String kind = node.path("do").asText("");
+        require(KINDS.contains(kind), location + ".do must be one of " + String.join(", ", KINDS));
+        require(node.has("at"), location + ".at is missing");
+        require(node.has("value") || !KINDS_WITH_VALUE.contains(kind), location + ".value is missing for " + kind);
+        String way = node.path("way").asText("both");
+        require(Set.of("both", "forth", "back").contains(way), location + ".way must be both, forth or back");
+        String paths = node.path("paths").asText("all");
+        require(
                 Set.of("all", "engines", "clients", "discovery").contains(paths),
-                at + ".paths must be all, engines, clients or discovery");
-        boolean path =
+                location + ".paths must be all, engines, clients or discovery");
+        boolean affectsPaths =
                 Set.of("cut", "blackhole", "reset", "slow", "throttle", "heal").contains(kind);
-        String target = n.path("target").asText(null);
-        need(
+        String target = node.path("target").asText(null);
+        require(
                 !Set.of("kill", "stop", "continue", "term", "start").contains(kind) || target != null,
-                at + ".target is missing: site, engines, routers or a router as NAME-1");
-        need(!kind.equals("say") || target != null, at + ".target is missing: the console command");
-        double when = number(n.get("at"), at + ".at", random);
-        need(when >= 0 && when * 1000 <= lengthMs, at + ".at is outside the run");
+                location + ".target is missing: site, engines, routers or a router as NAME-1");
+        require(!kind.equals("say") || target != null, location + ".target is missing: the console command");
+        double atSeconds = parseNumber(node.get("at"), location + ".at", random);
+        require(atSeconds >= 0 && atSeconds * 1000 <= lengthMs, location + ".at is outside the run");
         return new Fault(
-                Math.round(when * 1000),
+                Math.round(atSeconds * 1000),
                 kind,
-                site(n, "site", at),
-                site(n, "to", at),
+                siteIndex(node, "site", location),
+                siteIndex(node, "to", location),
                 kind.equals("cut") ? way : null,
-                path ? paths : null,
+                affectsPaths ? paths : null,
                 target,
-                n.has("value") ? number(n.get("value"), at + ".value", random) : 0);
+                node.has("value") ? parseNumber(node.get("value"), location + ".value", random) : 0);
     }
 
     /** The index of the site under a key, or -1 for all sites if it is absent. */
-    private int site(JsonNode n, String key, String at) {
-        if (!n.has(key)) {
+    private int siteIndex(JsonNode node, String key, String location) {
+        if (!node.has(key)) {
             return -1;
         }
-        String s = n.get(key).asText();
-        if (s.equals("any")) {
-            return drawn;
+        String siteName = node.get(key).asText();
+        if (siteName.equals("any")) {
+            return anySite;
         }
-        if (s.equals("other")) {
-            return other;
+        if (siteName.equals("other")) {
+            return otherSite;
         }
         for (int i = 0; i < sites.size(); i++) {
-            if (sites.get(i).name().equals(s)) {
+            if (sites.get(i).name().equals(siteName)) {
                 return i;
             }
         }
-        throw new InvalidScenarioException(at + "." + key + " names an unknown site: " + s);
+        throw new InvalidScenarioException(location + "." + key + " names an unknown site: " + siteName);
     }
 
-    private static double number(JsonNode n, String at, SplittableRandom random) {
-        if (n.isNumber()) {
-            return n.asDouble();
+    private static double parseNumber(JsonNode node, String location, SplittableRandom random) {
+        if (node.isNumber()) {
+            return node.asDouble();
         }
-        if (n.isArray()
-                && n.size() == 2
-                && n.get(0).isNumber()
-                && n.get(1).isNumber()
-                && n.get(0).asDouble() <= n.get(1).asDouble()) {
-            return n.get(0).asDouble()
-                    + random.nextDouble() * (n.get(1).asDouble() - n.get(0).asDouble());
+        if (node.isArray()
+                && node.size() == 2
+                && node.get(0).isNumber()
+                && node.get(1).isNumber()
+                && node.get(0).asDouble() <= node.get(1).asDouble()) {
+            return node.get(0).asDouble()
+                    + random.nextDouble()
+                            * (node.get(1).asDouble() - node.get(0).asDouble());
         }
-        throw new InvalidScenarioException(at + " must be a number or [from, to]");
+        throw new InvalidScenarioException(location + " must be a number or [from, to]");
     }
 
     /** Work requested by one site's clients, in engine time (us/s). */
     double demand(int site) {
-        double parts = requests.classes.stream().mapToDouble(RequestClass::part).sum();
-        double mean = requests.classes.stream()
-                .mapToDouble(k -> k.part()
-                        / parts
-                        * EngineModel.work(engine, (k.prompt[0] + k.prompt[1]) / 2, (k.output[0] + k.output[1]) / 2))
+        double totalWeight =
+                requests.classes.stream().mapToDouble(RequestClass::part).sum();
+        double meanWorkMicros = requests.classes.stream()
+                .mapToDouble(requestClass -> requestClass.part()
+                        / totalWeight
+                        * EngineModel.workMicros(
+                                engine,
+                                (requestClass.prompt[0] + requestClass.prompt[1]) / 2,
+                                (requestClass.output[0] + requestClass.output[1]) / 2))
                 .sum();
-        return sites.get(site).rate() * mean;
+        return sites.get(site).rate() * meanWorkMicros;
     }
 
     /** Capacity of one site's engines, in engine time (us/s). */
--- a/lab/src/test/java/magpiehub/lab/EngineModelTest.java
+++ b/lab/src/test/java/magpiehub/lab/EngineModelTest.java
@@ -26,9 +26,9 @@
     /** Steps until nothing is left; returns how long that took (us). */
     private static long run(EngineModel e, long now) {
         long all = 0;
-        for (long t = e.step(now); t > 0; t = e.step(now + all)) {
+        for (long t = e.startStep(now); t > 0; t = e.startStep(now + all)) {
             all += t;
-            e.give();
+            e.finishStep();
         }
         return all;
     }
@@ -36,7 +36,7 @@
     @Test
     void aStreamComesInOrderAndEndsOnce() {
         EngineModel e = new EngineModel(B, Long.MIN_VALUE / 2);
-        assertTrue(e.take(sequence("a", "", 9), 0));
+        assertTrue(e.enqueue(sequence("a", "", 9), 0));
         run(e, 0);
         assertEquals(List.of("a 0-1 cached 0", "a 1-5 cached 0", "a 5-9 last cached 0"), told);
     }
@@ -44,15 +44,15 @@
     @Test
     void aPromptThatWasReadIsKeptByItsBlocksAndTheOldestGoes() {
         EngineModel e = new EngineModel(B, Long.MIN_VALUE / 2);
-        e.take(sequence("a", TEXT, 1), 0);
+        e.enqueue(sequence("a", TEXT, 1), 0);
         long cold = run(e, 0);
-        e.take(sequence("b", TEXT + "another end of the same beginning", 1), 0);
+        e.enqueue(sequence("b", TEXT + "another end of the same beginning", 1), 0);
         long warm = run(e, 0);
         assertTrue(warm < cold, "a prompt that is kept is not read again: " + warm);
         assertEquals("b 0-1 last cached 64", told.get(1));
-        e.take(sequence("c", "wxyz".repeat(128), 1), 0);
+        e.enqueue(sequence("c", "wxyz".repeat(128), 1), 0);
         run(e, 0);
-        e.take(sequence("d", TEXT, 1), 0);
+        e.enqueue(sequence("d", TEXT, 1), 0);
         run(e, 0);
         assertEquals("d 0-1 last cached 0", told.get(3), "there is room for 128 tokens");
     }
@@ -61,15 +61,15 @@
     void aFullQueueTurnsAwayAndADroppedSequenceMakesRoom() {
         EngineModel e = new EngineModel(B, Long.MIN_VALUE / 2);
         EngineModel.Sequence first = sequence("0", "", 99);
-        assertTrue(e.take(first, 0));
-        assertTrue(e.take(sequence("1", "", 99), 0));
-        assertTrue(e.take(sequence("2", "", 99), 0));
-        assertFalse(e.take(sequence("3", "", 99), 0), "three wait");
-        e.step(0);
+        assertTrue(e.enqueue(first, 0));
+        assertTrue(e.enqueue(sequence("1", "", 99), 0));
+        assertTrue(e.enqueue(sequence("2", "", 99), 0));
+        assertFalse(e.enqueue(sequence("3", "", 99), 0), "three wait");
+        e.startStep(0);
         assertEquals(2, e.running());
         assertEquals(1, e.waiting());
-        e.drop(first);
-        e.step(0);
+        e.cancel(first);
+        e.startStep(0);
         assertEquals(2, e.running());
         assertEquals(0, e.waiting());
     }
@@ -81,15 +81,15 @@
         assertEquals(1, cold.speed(1_000_000));
         EngineModel warm = new EngineModel(B, Long.MIN_VALUE / 2);
         for (int i = 0; i < 30; i++) {
-            cold.take(sequence("x", TEXT, 10), i * 1_000L);
-            warm.take(sequence("x", TEXT, 10), i * 1_000L);
+            cold.enqueue(sequence("x", TEXT, 10), i * 1_000L);
+            warm.enqueue(sequence("x", TEXT, 10), i * 1_000L);
         }
-        assertTrue(cold.fallen(), "30 times 0.106 s of work within 30 ms, 4 x 0.5 s may come");
-        assertFalse(warm.fallen());
+        assertTrue(cold.hasCrashed(), "30 times 0.106 s of work within 30 ms, 4 x 0.5 s may come");
+        assertFalse(warm.hasCrashed());
         EngineModel little = new EngineModel(B, 0);
         for (int i = 0; i < 15; i++) {
-            little.take(sequence("x", TEXT, 10), i * 1_000L);
+            little.enqueue(sequence("x", TEXT, 10), i * 1_000L);
         }
-        assertFalse(little.fallen());
+        assertFalse(little.hasCrashed());
     }
 }
--- a/lab/src/test/java/magpiehub/lab/FakeDiscoveryTest.java
+++ b/lab/src/test/java/magpiehub/lab/FakeDiscoveryTest.java
@@ -30,9 +30,9 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             at = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        discovery.serve(4, 1, at);
-        discovery.put("a", 0, 1, "Ready", 0);
-        discovery.put("b", 1, 2, "Ready", 0);
+        discovery.listen(4, 1, at);
+        discovery.setMember("a", 0, 1, "Ready", 0);
+        discovery.setMember("b", 1, 2, "Ready", 0);
     }
 
     @AfterEach
@@ -64,12 +64,12 @@
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         String all = told(watch);
         assertTrue(all.contains("\"complete\":true") && all.contains("\"host_port\":\"10.0.1.2:80\""), all);
-        assertEquals(Long.MAX_VALUE, discovery.told("a", 4));
-        discovery.put("a", 0, 1, "Terminating", 0);
+        assertEquals(Long.MAX_VALUE, discovery.firstSentMicros("a", 4));
+        discovery.setMember("a", 0, 1, "Terminating", 0);
         String change = told(watch);
         assertTrue(change.contains("Terminating") && !change.contains("\"id\":\"b\""), change);
-        assertTrue(discovery.told("a", 4) <= EngineSiteProcess.nowMicros(), "and it is known when");
-        discovery.put("a", 0, 1, "Gone", 0);
+        assertTrue(discovery.firstSentMicros("a", 4) <= EngineSiteProcess.nowMicros(), "and it is known when");
+        discovery.setMember("a", 0, 1, "Gone", 0);
         assertTrue(told(watch).contains("Gone"));
         String later = told(ask("/discovery/hosts?follow=1&since=3"));
         assertTrue(later.contains("Gone") && !later.contains("\"id\":\"b\""), "only what came after");
@@ -79,11 +79,11 @@
     void aLateListTellsNothingBeforeItsTimeAndAllOfItThen() throws IOException {
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         told(watch);
-        discovery.late(200_000);
+        discovery.setDelay(200_000);
         long from = EngineSiteProcess.nowMicros();
-        discovery.put("b", 1, 2, "Gone", 0);
+        discovery.setMember("b", 1, 2, "Gone", 0);
         assertTrue(
-                discovery.known(4, 1).contains("\"id\":\"b\"") || EngineSiteProcess.nowMicros() - from >= 200_000,
+                discovery.initialList(4, 1).contains("\"id\":\"b\"") || EngineSiteProcess.nowMicros() - from >= 200_000,
                 "a router that starts now knows no more");
         assertTrue(
                 told(ask("/discovery/hosts?follow=1")).contains("\"id\":\"b\"")
@@ -97,7 +97,7 @@
     void aTornWatchEndsInALineAndTheNextIsWhole() throws IOException {
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         told(watch);
-        discovery.tear();
+        discovery.truncateNextMessage();
         String half = told(watch);
         assertTrue(half != null && !half.endsWith("}"), half);
         assertEquals(null, told(watch), "and no more");
@@ -108,7 +108,7 @@
     void whileItIsDownNobodyIsAnswered() throws IOException {
         BufferedReader watch = ask("/discovery/hosts?follow=1");
         told(watch);
-        discovery.down(true);
+        discovery.setDown(true);
         for (BufferedReader in : List.of(watch)) {
             try {
                 assertEquals(null, told(in));
@@ -116,7 +116,7 @@
                 assertTrue(e.getMessage() != null, "a reset is an end");
             }
         }
-        discovery.down(false);
+        discovery.setDown(false);
         assertTrue(told(ask("/discovery/hosts?follow=1")).contains("\"complete\":true"));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/FleetTest.java
+++ b/lab/src/test/java/magpiehub/lab/FleetTest.java
@@ -36,16 +36,19 @@
                 .replace("\"engines\": 6", "\"engines\": 3")
                 .replace("\"rate\": 25", "\"rate\": 8")
                 .replaceFirst("(?s)\"faults\": \\[.*", "\"faults\": [" + faults.replace('\'', '"') + "]}");
-        Path jar = Fleet.root().resolve("target/magpiehub.jar");
+        Path jar = Fleet.projectRoot().resolve("target/magpiehub.jar");
         try (Fleet f = new Fleet(Scenario.read(json, seed), jar, folder, net, files, l -> {})) {
-            return f.play();
+            return f.run();
         }
     }
 
     private static void rulesHold(Fleet.RunResult o) {
-        List<RunEvaluation.Bound> broken =
-                new RunEvaluation(o).rules().stream().filter(b -> !b.holds()).toList();
-        assertEquals(0, broken.size(), broken + " " + o.failures() + new RunEvaluation(o).together() + o.toDrained());
+        List<RunEvaluation.Bound> broken = new RunEvaluation(o)
+                .generalBounds().stream().filter(b -> !b.holds()).toList();
+        assertEquals(
+                0,
+                broken.size(),
+                broken + " " + o.failures() + new RunEvaluation(o).concurrentAttempts() + o.attemptsToDrained());
         assertTrue(
                 o.results().stream()
                                 .filter(r -> r.outcome() == LoadGenerator.RequestOutcome.SERVED
@@ -116,12 +119,12 @@
         rulesHold(o);
         String lost = o.scenario().sites.get(o.scenario().faults.get(0).site()).name();
         assertTrue(
-                o.stands().stream()
+                o.siteStateChanges().stream()
                         .anyMatch(s -> s.site().equals(lost) && s.from().equals("whole") && s.to().equals("doubted")),
-                o.stands().toString());
+                o.siteStateChanges().toString());
         assertEquals(
                 0,
-                o.stands().stream()
+                o.siteStateChanges().stream()
                         .filter(s -> s.to().equals("lost") && !s.site().equals(lost))
                         .count(),
                 "none else is called lost");
@@ -143,7 +146,7 @@
         long in = o.faults().get(2).at();
         long out = o.faults().get(0).at();
         List<Fleet.Attempt> then = o.attempts().stream()
-                .filter(a -> a.began() > out + 2_000_000 && a.began() < in)
+                .filter(a -> a.startedMicros() > out + 2_000_000 && a.startedMicros() < in)
                 .toList();
         long there = then.stream().filter(a -> a.engine().startsWith("north-")).count();
         assertTrue(
@@ -151,6 +154,6 @@
                 "once its part has fallen to nothing, the last resort of few, until it is taken back: "
                         + there
                         + " of " + then.size());
-        assertTrue(o.stands().stream().anyMatch(s -> s.site().equals("north") && s.to().equals("returning")));
+        assertTrue(o.siteStateChanges().stream().anyMatch(s -> s.site().equals("north") && s.to().equals("returning")));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/RelayTest.java
+++ b/lab/src/test/java/magpiehub/lab/RelayTest.java
@@ -38,12 +38,12 @@
         path = new Relay.NetworkPath("engines-0-1", 0, 1, 0, 0, 1);
         relay = new Relay(path, at, (InetSocketAddress) target.getLocalSocketAddress(), new Relay.RequestObserver() {
             @Override
-            public void began(String call, long when) {
+            public void onRequestStarted(String call, long when) {
                 note("began " + call);
             }
 
             @Override
-            public void over(String call, long when) {
+            public void onRequestEnded(String call, long when) {
                 note("over " + call);
             }
         });
@@ -149,7 +149,7 @@
     void anEndedProcessRefusesAndIsThereAgainOnceItListens() throws Exception {
         InetSocketAddress was = (InetSocketAddress) target.getLocalSocketAddress();
         target.close();
-        relay.down();
+        relay.markTargetDown();
         assertThrows(ConnectException.class, this::client);
         target = new ServerSocket();
         target.setReuseAddress(true);
--- a/lab/src/test/java/magpiehub/lab/RunEvaluationTest.java
+++ b/lab/src/test/java/magpiehub/lab/RunEvaluationTest.java
@@ -66,7 +66,7 @@
 
     private void fails(String... names) throws IOException {
         List<String> no = new RunEvaluation(outcome())
-                .of(List.of(LOSS)).stream()
+                .evaluate(List.of(LOSS)).stream()
                         .filter(b -> !b.holds())
                         .map(RunEvaluation.Bound::name)
                         .toList();
@@ -170,13 +170,13 @@
     @Test
     void aReportHoldsItselfAndCompares() throws IOException {
         Fleet.RunResult o = outcome();
-        Report.write(o, new RunEvaluation(o).of(List.of(LOSS)), folder, "a.jar");
+        Report.write(o, new RunEvaluation(o).evaluate(List.of(LOSS)), folder, "a.jar");
         String page = Files.readString(folder.resolve("report.html"));
         assertTrue(page.contains("<svg") && page.contains("kill south") && !page.contains("<script"));
         ended(0, 10 * S, 13 * S, LoadGenerator.RequestOutcome.REFUSED, false);
         Path b = Files.createTempDirectory(folder, "junit");
         Fleet.RunResult other = outcome();
-        Report.write(other, new RunEvaluation(other).of(List.of(LOSS)), b, "b.jar");
+        Report.write(other, new RunEvaluation(other).evaluate(List.of(LOSS)), b, "b.jar");
         List<String> lines = Report.compare(Report.read(folder), Report.read(b));
         assertTrue(lines.stream().anyMatch(l -> l.matches("served while south.* 1.000 +0.625 !")), lines.toString());
         Path page2 = folder.resolve("both.html");
--- a/lab/src/test/java/magpiehub/lab/SiteLossScenarioTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteLossScenarioTest.java
@@ -27,24 +27,26 @@
         assertEquals(kind, p.kind(), "drawn from the seed");
         try (Fleet f = new Fleet(
                 p.scenario(),
-                Fleet.root().resolve("target/magpiehub.jar"),
+                Fleet.projectRoot().resolve("target/magpiehub.jar"),
                 folder,
                 net,
                 Map.of("site.json", "{}"),
                 l -> {})) {
-            Fleet.RunResult o = f.play();
+            Fleet.RunResult o = f.run();
             List<RunEvaluation.Bound> all = new RunEvaluation(o)
-                    .of(p.losses().stream()
+                    .evaluate(p.losses().stream()
                             .map(l -> new RunEvaluation.SiteLoss(
                                     l.site(), l.from() + o.from(), l.until() + o.from(), l.refused()))
                             .toList());
-            System.out.println("proof-site seed=" + seed + " case=" + kind + " rig late p99 ms=" + o.late() / 1000);
+            System.out.println(
+                    "proof-site seed=" + seed + " case=" + kind + " rig late p99 ms=" + o.sendDelayP99Micros() / 1000);
             all.forEach(System.out::println);
-            Assumptions.assumeTrue(o.late() <= 50_000, "requests left " + o.late() / 1000 + " ms late");
+            Assumptions.assumeTrue(
+                    o.sendDelayP99Micros() <= 50_000, "requests left " + o.sendDelayP99Micros() / 1000 + " ms late");
             List<RunEvaluation.Bound> broken = all.stream()
                     .filter(b -> !b.holds() && TIMES.stream().noneMatch(b.name()::contains))
                     .toList();
-            assertTrue(broken.isEmpty(), broken + " " + o.toDrained() + o.failures());
+            assertTrue(broken.isEmpty(), broken + " " + o.attemptsToDrained() + o.failures());
         }
     }
 
