--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -205,34 +205,37 @@
     // ---- Start ----------------------------------------------------------------------------------------
     /** Runs the whole scenario. */
     RunResult run() throws IOException {
-        int n = scenario.sites.size();
-        for (int a = 0; a < n; a++) {
-            for (int b = 0; b < n; b++) {
+        int siteCount = scenario.sites.size();
+        for (int a = 0; a < siteCount; a++) {
+            for (int b = 0; b < siteCount; b++) {
                 addPath("engines", a, b);
                 addPath("clients", a, b);
             }
             addPath("discovery", a, -1);
         }
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < siteCount; i++) {
             nextEngineNumbers.add(1);
             engines.add(null);
             startEngines(i, false);
         }
         progress.accept("starting " + targets.size() + " routers of " + jar.getFileName());
-        for (LoadGenerator.RouterTarget t : targets) {
-            discovery.listen(t.router(), t.site(), address(1, 1 + t.router()));
+        for (LoadGenerator.RouterTarget target : targets) {
+            discovery.listen(target.router(), target.site(), address(1, 1 + target.router()));
             List<Relay> relays = new ArrayList<>();
             relays.add(new Relay(
-                    path("discovery", t.site(), -1), address(2, 1 + t.router()), address(1, 1 + t.router()), null));
-            for (int from = 0; from < n; from++) {
+                    path("discovery", target.site(), -1),
+                    address(2, 1 + target.router()),
+                    address(1, 1 + target.router()),
+                    null));
+            for (int from = 0; from < siteCount; from++) {
                 relays.add(new Relay(
-                        path("clients", from, t.site()),
-                        address(170 + 8 * from + t.site(), 1 + t.router()),
-                        address(10, 1 + t.router()),
+                        path("clients", from, target.site()),
+                        address(170 + 8 * from + target.site(), 1 + target.router()),
+                        address(10, 1 + target.router()),
                         null));
             }
             routerRelays.add(relays);
-            routers.add(startRouter(t, null));
+            routers.add(startRouter(target, null));
         }
         if (!clients.awaitRouters(START_TIMEOUT_MICROS)) {
             throw new IOException("not all routers passed their health checks; see " + out.resolve("logs"));
@@ -241,36 +244,36 @@
         long from = EngineSiteProcess.nowMicros() + LoadGenerator.WARM_UP_MICROS + 300_000;
         DaemonThreads.newThread("samples", this::sampleUntilFinished).start();
         List<Thread> arrivals = clients.startArrivals(from);
-        for (Scenario.Fault f : scenario.faults) {
-            sleepUntil(from + f.at() * 1000);
+        for (Scenario.Fault fault : scenario.faults) {
+            sleepUntil(from + fault.at() * 1000);
             try {
-                inject(f);
+                inject(fault);
             } catch (IOException e) {
-                failures.add("fault " + f.describe(scenario.sites) + ": " + e.getMessage());
+                failures.add("fault " + fault.describe(scenario.sites) + ": " + e.getMessage());
             }
         }
         sleepUntil(from + scenario.lengthMs * 1000);
-        for (Thread t : arrivals) {
+        for (Thread thread : arrivals) {
             try {
-                t.join();
+                thread.join();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        long longest = scenario.requests.classes().stream()
+        long longestDeadlineMillis = scenario.requests.classes().stream()
                 .mapToLong(Scenario.RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
-        List<LoadGenerator.RequestRecord> results = clients.awaitResults((longest + 5_000) * 1000);
+        List<LoadGenerator.RequestRecord> results = clients.awaitResults((longestDeadlineMillis + 5_000) * 1000);
         finished = true;
         processes.sample();
-        Map<String, String> fetchCounters = new TreeMap<>();
-        for (LoadGenerator.RouterTarget t : targets) {
-            if (routers.get(t.router()).isAlive()) {
-                fetchCounters.put(t.name(), fetchCounters(t));
+        Map<String, String> counters = new TreeMap<>();
+        for (LoadGenerator.RouterTarget target : targets) {
+            if (routers.get(target.router()).isAlive()) {
+                counters.put(target.name(), fetchCounters(target));
             }
         }
-        return outcome(from, results, fetchCounters);
+        return buildResult(from, results, counters);
     }
 
     private void addPath(String kind, int a, int b) {
@@ -283,18 +286,18 @@
         }
     }
 
-    private void sleepUntil(long sleepUntil) {
-        while (EngineSiteProcess.nowMicros() < sleepUntil) {
-            EngineSiteProcess.sleep(Math.min(100_000, Math.max(1, sleepUntil - EngineSiteProcess.nowMicros())));
+    private void sleepUntil(long untilMicros) {
+        while (EngineSiteProcess.nowMicros() < untilMicros) {
+            EngineSiteProcess.sleep(Math.min(100_000, Math.max(1, untilMicros - EngineSiteProcess.nowMicros())));
         }
     }
 
     /** Starts a site's engine process; its engines get new ids and are warm only at the start of the run. */
     private void startEngines(int site, boolean cold) throws IOException {
-        Scenario.Site address = scenario.sites.get(site);
-        EngineModel.Parameters b = scenario.engine;
-        ProcessManager.ManagedProcess p = processes.start(
-                "engines-" + address.name(),
+        Scenario.Site siteConfig = scenario.sites.get(site);
+        EngineModel.Parameters parameters = scenario.engine;
+        ProcessManager.ManagedProcess process = processes.start(
+                "engines-" + siteConfig.name(),
                 List.of(
                         ProcessHandle.current().info().command().orElse("java"),
                         "-XX:+UseSerialGC",
@@ -305,50 +308,51 @@
                         "engines"),
                 Map.of(),
                 null,
-                l -> handleEngineEvent(site, l),
+                line -> handleEngineEvent(site, line),
                 engines.get(site));
-        engines.set(site, p);
-        p.writeLine(String.format(
+        engines.set(site, process);
+        process.writeLine(String.format(
                 Locale.ROOT,
                 "build %d %d %s %s %d %d %d %d %s %d %s",
-                b.slots(),
-                b.queue(),
-                b.stepMs(),
-                b.promptUs(),
-                b.chunk(),
-                b.event(),
-                b.kept(),
-                b.coldMs(),
-                b.start(),
-                b.fallMs(),
-                b.factor()));
+                parameters.slots(),
+                parameters.queue(),
+                parameters.stepMs(),
+                parameters.promptUs(),
+                parameters.chunk(),
+                parameters.event(),
+                parameters.kept(),
+                parameters.coldMs(),
+                parameters.start(),
+                parameters.fallMs(),
+                parameters.factor()));
         addEngines(site, cold);
     }
 
     /** Adds engines with new ids, numbered consecutively, to the site's process. */
     private void addEngines(int site, boolean cold) throws IOException {
-        Scenario.Site address = scenario.sites.get(site);
-        ProcessManager.ManagedProcess p = engines.get(site);
-        long since = cold ? System.currentTimeMillis() : 0;
+        Scenario.Site siteConfig = scenario.sites.get(site);
+        ProcessManager.ManagedProcess process = engines.get(site);
+        long upSinceMs = cold ? System.currentTimeMillis() : 0;
         List<String> ids = new ArrayList<>();
         int first = nextEngineNumbers.get(site);
-        for (int i = 0; i < address.engines(); i++) {
+        for (int i = 0; i < siteConfig.engines(); i++) {
             int number = first + i;
             if (number > 250) {
-                throw new IOException("site " + address.name() + " has used all 250 engine addresses");
+                throw new IOException("site " + siteConfig.name() + " has used all 250 engine addresses");
             }
-            String id = address.name() + "-e" + number;
+            String id = siteConfig.name() + "-e" + number;
             ids.add(id);
-            p.writeLine("add " + id + " " + hostPort(address(20 + site, number)) + (cold ? " cold" : " warm"));
+            process.writeLine("add " + id + " " + hostPort(address(20 + site, number)) + (cold ? " cold" : " warm"));
         }
-        nextEngineNumbers.set(site, first + address.engines());
+        nextEngineNumbers.set(site, first + siteConfig.engines());
         synchronized (startedEngines) {
-            long sleepUntil = EngineSiteProcess.nowMicros() + START_TIMEOUT_MICROS;
-            while (!ids.stream().allMatch(startedEngines::containsKey) && EngineSiteProcess.nowMicros() < sleepUntil) {
+            long deadline = EngineSiteProcess.nowMicros() + START_TIMEOUT_MICROS;
+            while (!ids.stream().allMatch(startedEngines::containsKey) && EngineSiteProcess.nowMicros() < deadline) {
                 EngineSiteProcess.await(startedEngines, 100_000);
             }
             if (!ids.stream().allMatch(startedEngines::containsKey)) {
-                throw new IOException("not all engines of " + address.name() + " started; see " + out.resolve("logs"));
+                throw new IOException(
+                        "not all engines of " + siteConfig.name() + " started; see " + out.resolve("logs"));
             }
         }
         for (int i = 0; i < ids.size(); i++) {
@@ -361,25 +365,25 @@
                                 address(20 + site, first + i),
                                 observeRequests(from, ids.get(i))));
             }
-            discovery.setMember(ids.get(i), site, first + i, "Ready", since);
+            discovery.setMember(ids.get(i), site, first + i, "Ready", upSinceMs);
         }
     }
 
     private Relay.RequestObserver observeRequests(int site, String engine) {
         return new Relay.RequestObserver() {
             @Override
-            public void onRequestStarted(String call, long address) {
+            public void onRequestStarted(String requestId, long atMicros) {
                 synchronized (openAttempts) {
-                    openAttempts.put(call + "@" + engine, new long[] {address});
+                    openAttempts.put(requestId + "@" + engine, new long[] {atMicros});
                 }
             }
 
             @Override
-            public void onRequestEnded(String call, long address) {
+            public void onRequestEnded(String requestId, long atMicros) {
                 synchronized (openAttempts) {
-                    long[] began = openAttempts.remove(call + "@" + engine);
-                    if (began != null) {
-                        attempts.add(new Attempt(call, site, engine, began[0], address));
+                    long[] started = openAttempts.remove(requestId + "@" + engine);
+                    if (started != null) {
+                        attempts.add(new Attempt(requestId, site, engine, started[0], atMicros));
                     }
                 }
             }
@@ -387,28 +391,28 @@
     }
 
     private void handleEngineEvent(int site, String line) {
-        String[] w = line.split(" ");
-        switch (w[0]) {
+        String[] fields = line.split(" ");
+        switch (fields[0]) {
             case "up" -> {
                 synchronized (startedEngines) {
-                    startedEngines.put(w[1], true);
+                    startedEngines.put(fields[1], true);
                     startedEngines.notifyAll();
                 }
             }
             case "fell" -> {
                 synchronized (crashedEngines) {
-                    crashedEngines.add(w[2]);
+                    crashedEngines.add(fields[2]);
                 }
             }
             case "l" -> {
                 synchronized (loads) {
-                    loads.computeIfAbsent(Long.parseLong(w[1]) / 200_000, k -> new ArrayList<>())
+                    loads.computeIfAbsent(Long.parseLong(fields[1]) / 200_000, k -> new ArrayList<>())
                             .add(new EngineLoad(
-                                    Long.parseLong(w[1]),
+                                    Long.parseLong(fields[1]),
                                     site,
-                                    Integer.parseInt(w[3]),
-                                    Integer.parseInt(w[4]),
-                                    Double.parseDouble(w[5]) / 1000));
+                                    Integer.parseInt(fields[3]),
+                                    Integer.parseInt(fields[4]),
+                                    Double.parseDouble(fields[5]) / 1000));
                 }
             }
             case "a" -> {
@@ -419,11 +423,16 @@
     }
 
     private void handleRouterLog(LoadGenerator.RouterTarget t, String line) {
-        Matcher m = SITE_STATE_LOG_LINE.matcher(line);
-        if (m.find()) {
+        Matcher matcher = SITE_STATE_LOG_LINE.matcher(line);
+        if (matcher.find()) {
             synchronized (siteStateChanges) {
                 siteStateChanges.add(new SiteStateChange(
-                        EngineSiteProcess.nowMicros(), t.router(), m.group(1), m.group(2), m.group(3), m.group(4)));
+                        EngineSiteProcess.nowMicros(),
+                        t.router(),
+                        matcher.group(1),
+                        matcher.group(2),
+                        matcher.group(3),
+                        matcher.group(4)));
             }
         }
         log(t.name(), line);
@@ -432,11 +441,11 @@
     private synchronized void log(String name, String line) {
         try {
             Files.createDirectories(out.resolve("logs"));
-            try (BufferedWriter w = Files.newBufferedWriter(
+            try (BufferedWriter writer = Files.newBufferedWriter(
                     out.resolve("logs").resolve(name + ".log"),
                     java.nio.file.StandardOpenOption.CREATE,
                     java.nio.file.StandardOpenOption.APPEND)) {
-                w.write(line + "\n");
+                writer.write(line + "\n");
             }
         } catch (IOException e) {
             failures.add("log of " + name + ": " + e.getMessage());
@@ -444,9 +453,9 @@
     }
 
     /** Starts a router with the command of {@code run}, replacing the built jar by the run's jar. */
-    private ProcessManager.ManagedProcess startRouter(LoadGenerator.RouterTarget t, ProcessManager.ManagedProcess was)
-            throws IOException {
-        Path home = out.resolve("routers").resolve(t.name());
+    private ProcessManager.ManagedProcess startRouter(
+            LoadGenerator.RouterTarget router, ProcessManager.ManagedProcess previous) throws IOException {
+        Path home = out.resolve("routers").resolve(router.name());
         Path tmp = home.resolve("tmp-" + EngineSiteProcess.nowMicros());
         Files.createDirectories(tmp);
         Files.createDirectories(home.resolve("deploy"));
@@ -454,7 +463,7 @@
             Files.writeString(home.resolve("deploy").resolve(f.getKey()), f.getValue());
         }
         Path config = home.resolve("config.json");
-        Files.writeString(config, config(t));
+        Files.writeString(config, config(router));
         String run = Files.readAllLines(projectRoot().resolve("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = "))
                 .findFirst()
@@ -464,19 +473,22 @@
                 .replace("target/magpiehub.jsa", jar.toString().replaceAll("\\.jar$", ".jsa"));
         Map<String, String> env = new HashMap<>(Map.of(
                 "ROUTER_NAME",
-                t.name(),
+                router.name(),
                 "ROUTER_CONFIG",
                 config.toAbsolutePath().toString(),
                 "ROUTER_LISTEN",
-                hostPort(address(10, 1 + t.router())),
+                hostPort(address(10, 1 + router.router())),
                 "ROUTER_DISCOVERY",
-                hostPort(address(2, 1 + t.router())),
+                hostPort(address(2, 1 + router.router())),
                 "TMPDIR",
                 tmp.toAbsolutePath().toString()));
         if (scenario.faults.stream().anyMatch(f -> f.kind().equals("say"))) {
-            env.put("ROUTER_CONSOLE", address(10, 1 + t.router()).getAddress().getHostAddress() + ":" + CONSOLE_PORT);
+            env.put(
+                    "ROUTER_CONSOLE",
+                    address(10, 1 + router.router()).getAddress().getHostAddress() + ":" + CONSOLE_PORT);
         }
-        return processes.start(t.name(), List.of("sh", "-c", run), env, home, l -> handleRouterLog(t, l), was);
+        return processes.start(
+                router.name(), List.of("sh", "-c", run), env, home, l -> handleRouterLog(router, l), previous);
     }
 
     /** The project's root: the closest parent of the working directory that contains deploy/balancer.toml. */
@@ -490,78 +502,79 @@
                 "deploy/balancer.toml not found in this folder or its parents; run in the project's folder");
     }
 
-    private String config(LoadGenerator.RouterTarget t) {
+    private String config(LoadGenerator.RouterTarget router) {
         StringBuilder classes = new StringBuilder();
         StringBuilder tokenAims = new StringBuilder();
-        for (Scenario.RequestClass k : scenario.requests.classes()) {
+        for (Scenario.RequestClass requestClass : scenario.requests.classes()) {
             classes.append(classes.length() == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
                             "{\"name\":\"%s\",\"aimMs\":%d,\"deadlineMs\":%d,\"effect\":\"pure\",\"gain\":%s,"
                                     + "\"group\":\"all\",\"lateShare\":0.0,\"stream\":true,\"windowMs\":5000}",
-                            k.name(),
-                            k.aimMs(),
-                            k.deadlineMs(),
-                            k.gain()));
+                            requestClass.name(),
+                            requestClass.aimMs(),
+                            requestClass.deadlineMs(),
+                            requestClass.gain()));
             tokenAims.append(tokenAims.length() == 0 ? "50" : ",50");
         }
-        double rate = scenario.sites.stream().mapToDouble(Scenario.Site::rate).sum();
+        double totalRate =
+                scenario.sites.stream().mapToDouble(Scenario.Site::rate).sum();
         StringBuilder accounts = new StringBuilder();
-        for (Scenario.Tenant a : scenario.requests.tenants()) {
+        for (Scenario.Tenant tenant : scenario.requests.tenants()) {
             accounts.append(accounts.length() == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
                             "{\"name\":\"%s\",\"share\":%s,\"allowancePerS\":%s}",
-                            a.name(),
-                            a.share(),
-                            1.5 * rate * a.share()));
+                            tenant.name(),
+                            tenant.share(),
+                            1.5 * totalRate * tenant.share()));
         }
         StringBuilder zones = new StringBuilder();
-        scenario.sites.forEach(z -> zones.append(zones.length() == 0 ? "\"" : ",\"")
-                .append(z.name())
+        scenario.sites.forEach(zone -> zones.append(zones.length() == 0 ? "\"" : ",\"")
+                .append(zone.name())
                 .append('"'));
-        EngineModel.Parameters b = scenario.engine;
+        EngineModel.Parameters parameters = scenario.engine;
         return String.format(
                 Locale.ROOT,
                 CONFIG_TEMPLATE,
-                t.name(),
-                hostPort(address(10, 1 + t.router())),
-                hostPort(address(2, 1 + t.router())),
+                router.name(),
+                hostPort(address(10, 1 + router.router())),
+                hostPort(address(2, 1 + router.router())),
                 seeds.nextLong(),
                 scenario.routers.memoryMb(),
                 scenario.routers.sockets(),
-                discovery.initialList(t.router(), t.site()),
+                discovery.initialList(router.router(), router.site()),
                 targets.size(),
-                t.router(),
-                t.site(),
+                router.router(),
+                router.site(),
                 zones,
                 tokenAims,
                 classes,
                 accounts,
                 scenario.routers.probes(),
-                b.coldMs(),
-                b.fallMs(),
-                b.factor(),
-                b.start());
+                parameters.coldMs(),
+                parameters.fallMs(),
+                parameters.factor(),
+                parameters.start());
     }
 
     // ---- Faults ---------------------------------------------------------------------------------------
     private List<ProcessManager.ManagedProcess> targetedProcesses(Scenario.Fault fault) {
-        List<ProcessManager.ManagedProcess> to = new ArrayList<>();
+        List<ProcessManager.ManagedProcess> processesHit = new ArrayList<>();
         for (LoadGenerator.RouterTarget t : targets) {
-            boolean there = fault.site() < 0 || t.site() == fault.site();
-            if ((there && (fault.target().equals("site") || fault.target().equals("routers")))
+            boolean siteMatches = fault.site() < 0 || t.site() == fault.site();
+            if ((siteMatches && (fault.target().equals("site") || fault.target().equals("routers")))
                     || fault.target().equals(t.name())) {
-                to.add(routers.get(t.router()));
+                processesHit.add(routers.get(t.router()));
             }
         }
         for (int i = 0; i < engines.size(); i++) {
             if ((fault.site() < 0 || i == fault.site())
                     && (fault.target().equals("site") || fault.target().equals("engines"))) {
-                to.add(engines.get(i));
+                processesHit.add(engines.get(i));
             }
         }
-        return to;
+        return processesHit;
     }
 
     private List<Relay.NetworkPath> affectedPaths(Scenario.Fault fault) {
@@ -574,9 +587,9 @@
                 .toList();
     }
 
-    private void recordFault(String hostPort) {
-        injectedFaults.add(new InjectedFault(EngineSiteProcess.nowMicros(), hostPort));
-        progress.accept(hostPort);
+    private void recordFault(String description) {
+        injectedFaults.add(new InjectedFault(EngineSiteProcess.nowMicros(), description));
+        progress.accept(description);
     }
 
     private void inject(Scenario.Fault fault) throws IOException {
@@ -588,40 +601,43 @@
             case "term" -> processes.signal("TERM", targetedProcesses(fault));
             case "start" -> start(fault);
             case "cut" -> {
-                for (Relay.NetworkPath p : affectedPaths(fault)) {
+                for (Relay.NetworkPath path : affectedPaths(fault)) {
                     // "forth" is the direction that leaves the named site.
-                    boolean leaves = fault.site() < 0 || p.from == fault.site();
-                    p.cut(
+                    boolean leaves = fault.site() < 0 || path.from == fault.site();
+                    path.cut(
                             fault.way().equals("both") || fault.way().equals("forth") == leaves,
                             fault.way().equals("both") || fault.way().equals("back") == leaves);
                 }
             }
             case "blackhole" -> affectedPaths(fault).forEach(Relay.NetworkPath::blackHole);
             case "reset" -> affectedPaths(fault).forEach(Relay.NetworkPath::reset);
-            case "slow" -> affectedPaths(fault).forEach(p -> p.slow(Math.round(delay(p) * fault.value()), jitter(), 0));
-            case "throttle" -> affectedPaths(fault).forEach(p -> p.slow(delay(p), jitter(), Math.round(fault.value())));
+            case "slow" -> affectedPaths(fault)
+                    .forEach(path -> path.slow(Math.round(delay(path) * fault.value()), jitter(), 0));
+            case "throttle" -> affectedPaths(fault)
+                    .forEach(path -> path.slow(delay(path), jitter(), Math.round(fault.value())));
             case "heal" -> {
-                for (Relay.NetworkPath p : affectedPaths(fault)) {
-                    p.heal(delay(p), jitter());
+                for (Relay.NetworkPath path : affectedPaths(fault)) {
+                    path.heal(delay(path), jitter());
                 }
             }
             case "engine-slow", "engine-errors", "engine-silent", "engine-heard" -> {
-                for (FakeDiscovery.Member m : targetedEngines(fault)) {
-                    engines.get(m.site()).writeLine(fault.kind().substring(7) + " " + m.id() + " " + fault.value());
+                for (FakeDiscovery.Member member : targetedEngines(fault)) {
+                    engines.get(member.site())
+                            .writeLine(fault.kind().substring(7) + " " + member.id() + " " + fault.value());
                 }
             }
             case "drain" -> {
-                for (FakeDiscovery.Member m : targetedEngines(fault)) {
-                    discovery.setMember(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
-                    engines.get(m.site()).writeLine("drain " + m.id());
+                for (FakeDiscovery.Member member : targetedEngines(fault)) {
+                    discovery.setMember(member.id(), member.site(), member.number(), "Terminating", member.upSinceMs());
+                    engines.get(member.site()).writeLine("drain " + member.id());
                 }
             }
             case "say" -> {
                 for (LoadGenerator.RouterTarget t : targets) {
                     if (fault.site() < 0 || t.site() == fault.site()) {
-                        String answer = sendConsoleCommand(t, fault.target());
-                        if (!answer.startsWith("SUCCESS")) {
-                            failures.add(t.name() + " answered " + fault.target() + " with " + answer);
+                        String reply = sendConsoleCommand(t, fault.target());
+                        if (!reply.startsWith("SUCCESS")) {
+                            failures.add(t.name() + " answered " + fault.target() + " with " + reply);
                         }
                     }
                 }
@@ -644,9 +660,10 @@
     }
 
     /** Sends one line to a router's console and returns the reply. */
-    private String sendConsoleCommand(LoadGenerator.RouterTarget t, String line) throws IOException {
+    private String sendConsoleCommand(LoadGenerator.RouterTarget router, String line) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(address(10, 1 + t.router()).getAddress(), CONSOLE_PORT), 1_000);
+            socket.connect(
+                    new InetSocketAddress(address(10, 1 + router.router()).getAddress(), CONSOLE_PORT), 1_000);
             socket.setSoTimeout(2_000);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
@@ -654,9 +671,9 @@
     }
 
     /** A router's counters; empty if it does not respond. */
-    private String fetchCounters(LoadGenerator.RouterTarget t) {
+    private String fetchCounters(LoadGenerator.RouterTarget router) {
         try (Socket socket = new Socket()) {
-            socket.connect(address(10, 1 + t.router()), 1_000);
+            socket.connect(address(10, 1 + router.router()), 1_000);
             socket.setSoTimeout(2_000);
             socket.getOutputStream()
                     .write("GET /counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
@@ -669,36 +686,38 @@
     }
 
     private void setPhase(Scenario.Fault fault, String phase) {
-        for (FakeDiscovery.Member m : targetedEngines(fault)) {
-            discovery.setMember(m.id(), m.site(), m.number(), phase, m.upSinceMs());
+        for (FakeDiscovery.Member member : targetedEngines(fault)) {
+            discovery.setMember(member.id(), member.site(), member.number(), phase, member.upSinceMs());
         }
     }
 
     /** The engines that a fault targets: one by its id, or all current ones of a site or of the fleet. */
     private List<FakeDiscovery.Member> targetedEngines(Scenario.Fault fault) {
         return discovery.members().stream()
-                .filter(m -> fault.target() != null
-                        ? m.id().equals(fault.target())
-                        : (fault.site() < 0 || m.site() == fault.site())
-                                && m.number()
-                                        >= nextEngineNumbers.get(m.site())
-                                                - scenario.sites.get(m.site()).engines())
+                .filter(member -> fault.target() != null
+                        ? member.id().equals(fault.target())
+                        : (fault.site() < 0 || member.site() == fault.site())
+                                && member.number()
+                                        >= nextEngineNumbers.get(member.site())
+                                                - scenario.sites
+                                                        .get(member.site())
+                                                        .engines())
                 .toList();
     }
 
     private void kill(Scenario.Fault fault) throws IOException {
-        List<ProcessManager.ManagedProcess> to = targetedProcesses(fault);
-        processes.signal("KILL", to);
+        List<ProcessManager.ManagedProcess> targeted = targetedProcesses(fault);
+        processes.signal("KILL", targeted);
         for (LoadGenerator.RouterTarget t : targets) {
-            if (to.contains(routers.get(t.router()))) {
+            if (targeted.contains(routers.get(t.router()))) {
                 List<Relay> relays = routerRelays.get(t.router());
-                for (Relay r : relays.subList(1, relays.size())) { // The first relay leads to discovery.
-                    r.markTargetDown();
+                for (Relay relay : relays.subList(1, relays.size())) { // The first relay leads to discovery.
+                    relay.markTargetDown();
                 }
             }
         }
         for (int i = 0; i < engines.size(); i++) {
-            if (to.contains(engines.get(i))) {
+            if (targeted.contains(engines.get(i))) {
                 removeEngines(i);
             }
         }
@@ -706,28 +725,28 @@
 
     /** Removes a site's engines: their addresses refuse connections, and the list reports them as gone. */
     private void removeEngines(int site) throws IOException {
-        for (FakeDiscovery.Member m : discovery.members()) {
-            if (m.site() == site && !m.phase().equals("Gone")) {
+        for (FakeDiscovery.Member member : discovery.members()) {
+            if (member.site() == site && !member.phase().equals("Gone")) {
                 for (int from = 0; from < scenario.sites.size(); from++) {
-                    engineRelays.get(m.id() + "@" + from).markTargetDown();
+                    engineRelays.get(member.id() + "@" + from).markTargetDown();
                 }
-                discovery.setMember(m.id(), m.site(), m.number(), "Gone", m.upSinceMs());
+                discovery.setMember(member.id(), member.site(), member.number(), "Gone", member.upSinceMs());
             }
         }
     }
 
     private void start(Scenario.Fault fault) throws IOException {
-        List<ProcessManager.ManagedProcess> to = targetedProcesses(fault);
+        List<ProcessManager.ManagedProcess> targeted = targetedProcesses(fault);
         for (int i = 0; i < engines.size(); i++) {
-            if (to.contains(engines.get(i)) && !engines.get(i).isAlive()) {
+            if (targeted.contains(engines.get(i)) && !engines.get(i).isAlive()) {
                 startEngines(i, true);
             }
         }
         for (LoadGenerator.RouterTarget t : targets) {
-            ProcessManager.ManagedProcess p = routers.get(t.router());
-            if (to.contains(p) && !p.isAlive()) {
-                ProcessManager.awaitExit(p, 10_000);
-                startRouter(t, p);
+            ProcessManager.ManagedProcess process = routers.get(t.router());
+            if (targeted.contains(process) && !process.isAlive()) {
+                ProcessManager.awaitExit(process, 10_000);
+                startRouter(t, process);
             }
         }
     }
@@ -735,12 +754,12 @@
     /** Replaces all engines of a site at once: starts new cold ones and drains the old ones. */
     private void replaceEngines(int site) throws IOException {
         List<FakeDiscovery.Member> old = discovery.members().stream()
-                .filter(m -> m.site() == site && m.phase().equals("Ready"))
+                .filter(member -> member.site() == site && member.phase().equals("Ready"))
                 .toList();
         addEngines(site, true);
-        for (FakeDiscovery.Member m : old) {
-            discovery.setMember(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
-            engines.get(site).writeLine("drain " + m.id());
+        for (FakeDiscovery.Member member : old) {
+            discovery.setMember(member.id(), member.site(), member.number(), "Terminating", member.upSinceMs());
+            engines.get(site).writeLine("drain " + member.id());
         }
     }
 
@@ -751,44 +770,49 @@
         }
     }
 
-    // ---- The end --------------------------------------------------------------------------------------
-    private RunResult outcome(long from, List<LoadGenerator.RequestRecord> results, Map<String, String> fetchCounters) {
-        List<Attempt> all;
+    // ---- Result --------------------------------------------------------------------------------------
+    private RunResult buildResult(long from, List<LoadGenerator.RequestRecord> results, Map<String, String> counters) {
+        List<Attempt> allAttempts;
         synchronized (openAttempts) {
-            all = new ArrayList<>(attempts);
+            allAttempts = new ArrayList<>(attempts);
             long now = EngineSiteProcess.nowMicros();
-            openAttempts.forEach((k, began) -> {
-                String engine = k.substring(k.indexOf('@') + 1);
-                all.add(new Attempt(k.substring(0, k.indexOf('@')), -1, engine, began[0], now));
+            openAttempts.forEach((key, started) -> {
+                String engine = key.substring(key.indexOf('@') + 1);
+                allAttempts.add(new Attempt(key.substring(0, key.indexOf('@')), -1, engine, started[0], now));
             });
         }
-        List<String> late = new ArrayList<>();
-        for (Attempt a : all) {
-            long told = 0;
+        List<String> attemptsToDrained = new ArrayList<>();
+        for (Attempt attempt : allAttempts) {
+            long informedMicros = 0;
             for (LoadGenerator.RouterTarget t : targets) {
-                told = t.site() == a.site ? Math.max(told, discovery.firstSentMicros(a.engine, t.router())) : told;
+                informedMicros = t.site() == attempt.site
+                        ? Math.max(informedMicros, discovery.firstSentMicros(attempt.engine, t.router()))
+                        : informedMicros;
             }
-            if (told > 0
-                    && told < Long.MAX_VALUE
-                    && a.startedMicros > told + 2_050_000
-                    && !path("discovery", Math.max(0, a.site), -1).hasFaultSince(told)) {
-                late.add(a.engine + " got " + a.requestId + " " + (a.startedMicros - told) / 1000
-                        + " ms after it was told");
+            if (informedMicros > 0
+                    && informedMicros < Long.MAX_VALUE
+                    && attempt.startedMicros > informedMicros + 2_050_000
+                    && !path("discovery", Math.max(0, attempt.site), -1).hasFaultSince(informedMicros)) {
+                attemptsToDrained.add(attempt.engine + " got " + attempt.requestId + " "
+                        + (attempt.startedMicros - informedMicros) / 1000 + " ms after its router was informed");
             }
         }
         List<EngineLoad> sums = new ArrayList<>();
         synchronized (loads) {
-            loads.forEach((k, l) -> {
+            loads.forEach((key, samples) -> {
                 for (int i = 0; i < scenario.sites.size(); i++) {
                     int site = i;
-                    List<EngineLoad> of = l.stream().filter(x -> x.site == site).toList();
-                    if (!of.isEmpty()) {
+                    List<EngineLoad> siteLoads =
+                            samples.stream().filter(load -> load.site == site).toList();
+                    if (!siteLoads.isEmpty()) {
                         sums.add(new EngineLoad(
-                                k * 200_000,
+                                key * 200_000,
                                 site,
-                                of.stream().mapToInt(EngineLoad::running).sum(),
-                                of.stream().mapToInt(EngineLoad::waiting).sum(),
-                                of.stream().mapToDouble(EngineLoad::speed).sum()));
+                                siteLoads.stream().mapToInt(EngineLoad::running).sum(),
+                                siteLoads.stream().mapToInt(EngineLoad::waiting).sum(),
+                                siteLoads.stream()
+                                        .mapToDouble(EngineLoad::speed)
+                                        .sum()));
                     }
                 }
             });
@@ -801,19 +825,19 @@
                 scenario,
                 from,
                 results,
-                all,
+                allAttempts,
                 sums,
                 List.copyOf(injectedFaults),
                 processes.samples(),
                 List.copyOf(crashedEngines),
-                late,
+                attemptsToDrained,
                 clients.duplicateResponses(),
                 clients.pendingRequests(),
                 processes.crashes(),
                 clients.sendDelayP99Micros(),
                 List.copyOf(failures),
                 changes,
-                fetchCounters);
+                counters);
     }
 
     @Override
@@ -824,8 +848,8 @@
         for (Relay r : engineRelays.values()) {
             r.close();
         }
-        for (List<Relay> l : routerRelays) {
-            for (Relay r : l) {
+        for (List<Relay> samples : routerRelays) {
+            for (Relay r : samples) {
                 r.close();
             }
         }
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -24,16 +24,16 @@
         version = "magpiehub-lab 0.1.0",
         description = "Runs fleets of real routers and injects faults.",
         subcommands = {
-            Lab.Run.class,
-            Lab.Compare.class,
-            Lab.Check.class,
-            Lab.ProofSite.class,
-            Lab.Drive.class,
-            Lab.Engines.class
+            Lab.RunCommand.class,
+            Lab.CompareCommand.class,
+            Lab.CheckCommand.class,
+            Lab.ProofSiteCommand.class,
+            Lab.DriveCommand.class,
+            Lab.EnginesCommand.class
         })
 public final class Lab {
     /** Maximum 99th percentile of the sending delay for the measurements to be valid (us). */
-    private static final long MOST_LATE = 50_000;
+    private static final long MAX_SEND_DELAY_MICROS = 50_000;
 
     private Lab() {}
 
@@ -56,7 +56,7 @@
     }
 
     /** Options of all commands that run a scenario. */
-    static final class Play {
+    static final class RunOptions {
         @Option(names = "--jar", description = "the router's jar (target/magpiehub.jar)")
         Path jar;
 
@@ -70,42 +70,48 @@
         Path out;
 
         /** Runs the scenario with the jar, and concurrently with the base jar if there is one. */
-        List<Fleet.RunResult> play(Scenario s) throws IOException {
+        List<Fleet.RunResult> run(Scenario scenario) throws IOException {
             Path root = Fleet.projectRoot();
             jar = jar == null ? root.resolve("target/magpiehub.jar") : jar;
-            out = out == null ? root.resolve("target/lab/" + s.name + "-" + s.seed) : out;
+            out = out == null ? root.resolve("target/lab/" + scenario.name + "-" + scenario.seed) : out;
             if (!Files.isReadable(jar) || (base != null && !Files.isReadable(base))) {
                 throw new Scenario.InvalidScenarioException("cannot read jar: " + (Files.isReadable(jar) ? base : jar));
             }
             Map<String, String> files = site == null ? Map.of() : Map.of("site.json", site);
-            int net = 16 + (int) (ProcessHandle.current().pid() % 110);
+            int secondOctet = 16 + (int) (ProcessHandle.current().pid() % 110);
             if (base == null) {
-                return List.of(one(s, jar, out, net, files, ""));
+                return List.of(runOnce(scenario, jar, out, secondOctet, files, ""));
             }
-            Fleet.RunResult[] both = new Fleet.RunResult[1];
+            Fleet.RunResult[] baseResult = new Fleet.RunResult[1];
             IOException[] failed = new IOException[1];
-            Thread t = DaemonThreads.newThread("base", () -> {
+            Thread baseThread = DaemonThreads.newThread("base", () -> {
                 try {
-                    both[0] = one(s, base, out.resolve("base"), net + 110, Map.of(), "base: ");
+                    baseResult[0] = runOnce(scenario, base, out.resolve("base"), secondOctet + 110, Map.of(), "base: ");
                 } catch (IOException e) {
                     failed[0] = e;
                 }
             });
-            t.start();
-            Fleet.RunResult mine = one(s, jar, out, net, files, "");
+            baseThread.start();
+            Fleet.RunResult result = runOnce(scenario, jar, out, secondOctet, files, "");
             try {
-                t.join();
+                baseThread.join();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             if (failed[0] != null) {
                 throw failed[0];
             }
-            return List.of(mine, both[0]);
+            return List.of(result, baseResult[0]);
         }
 
-        private static Fleet.RunResult one(
-                Scenario s, Path jar, Path out, int net, Map<String, String> files, String mark) throws IOException {
+        private static Fleet.RunResult runOnce(
+                Scenario scenario,
+                Path jar,
+                Path out,
+                int secondOctet,
+                Map<String, String> files,
+                String progressPrefix)
+                throws IOException {
             long from = System.nanoTime();
             if (Files.exists(out.resolve("logs"))) {
                 try (var old = Files.list(out.resolve("logs"))) {
@@ -115,29 +121,31 @@
                 }
             }
             try (Fleet f = new Fleet(
-                    s,
+                    scenario,
                     jar,
                     out,
-                    net,
+                    secondOctet,
                     files,
-                    l -> System.err.printf("%6.1f s  %s%s%n", (System.nanoTime() - from) / 1e9, mark, l))) {
+                    line -> System.err.printf(
+                            "%6.1f s  %s%s%n", (System.nanoTime() - from) / 1e9, progressPrefix, line))) {
                 return f.run();
             }
         }
 
-        int report(List<Fleet.RunResult> plays, List<RunEvaluation.SiteLoss> losses) throws IOException {
-            boolean holds = true;
+        int report(List<Fleet.RunResult> results, List<RunEvaluation.SiteLoss> losses) throws IOException {
+            boolean allHold = true;
             List<JsonNode> json = new ArrayList<>();
-            for (int i = 0; i < plays.size(); i++) {
-                Fleet.RunResult o = plays.get(i);
-                List<RunEvaluation.SiteLoss> l = losses == null ? List.of() : losses;
-                List<RunEvaluation.Bound> bounds = new RunEvaluation(o).evaluate(shifted(l, o.from()));
+            for (int i = 0; i < results.size(); i++) {
+                Fleet.RunResult result = results.get(i);
+                List<RunEvaluation.SiteLoss> relativeLosses = losses == null ? List.of() : losses;
+                List<RunEvaluation.Bound> bounds =
+                        new RunEvaluation(result).evaluate(toMonotonicClock(relativeLosses, result.from()));
                 if (i == 0) {
                     bounds.forEach(System.out::println);
-                    holds = bounds.stream().allMatch(RunEvaluation.Bound::holds);
+                    allHold = bounds.stream().allMatch(RunEvaluation.Bound::holds);
                 }
                 json.add(Report.write(
-                        o,
+                        result,
                         bounds,
                         i == 0 ? out : out.resolve("base"),
                         (i == 0 ? jar : base).getFileName().toString()));
@@ -146,29 +154,30 @@
                 Report.compare(json.get(0), json.get(1)).forEach(System.out::println);
                 Files.writeString(out.resolve("compare.html"), Report.html(json));
             }
-            long late = plays.stream()
+            long sendDelay = results.stream()
                     .mapToLong(Fleet.RunResult::sendDelayP99Micros)
                     .max()
                     .orElse(0);
-            if (late > MOST_LATE) {
+            if (sendDelay > MAX_SEND_DELAY_MICROS) {
                 System.out.printf(
-                        "this machine was too busy: 99 %% of requests were sent up to %d ms late%n", late / 1000);
+                        "this machine was too busy: 99 %% of requests were sent up to %d ms late%n", sendDelay / 1000);
             }
             System.out.println("report: " + out.resolve("report.html"));
-            return late > MOST_LATE ? 3 : holds ? 0 : 1;
+            return sendDelay > MAX_SEND_DELAY_MICROS ? 3 : allHold ? 0 : 1;
         }
 
         /** Converts losses from times relative to the first request to the monotonic clock. */
-        private static List<RunEvaluation.SiteLoss> shifted(List<RunEvaluation.SiteLoss> l, long from) {
-            return l.stream()
-                    .map(x -> new RunEvaluation.SiteLoss(x.site(), x.from() + from, x.until() + from, x.refused()))
+        private static List<RunEvaluation.SiteLoss> toMonotonicClock(List<RunEvaluation.SiteLoss> losses, long from) {
+            return losses.stream()
+                    .map(loss -> new RunEvaluation.SiteLoss(
+                            loss.site(), loss.from() + from, loss.until() + from, loss.refused()))
                     .toList();
         }
     }
 
     /** Runs a scenario file. */
     @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a scenario file.")
-    static final class Run implements Callable<Integer> {
+    static final class RunCommand implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         Path file;
 
@@ -176,17 +185,17 @@
         long seed;
 
         @CommandLine.Mixin
-        Play play = new Play();
+        RunOptions runOptions = new RunOptions();
 
         @Override
         public Integer call() throws IOException {
-            return play.report(play.play(Scenario.read(file, seed)), null);
+            return runOptions.report(runOptions.run(Scenario.read(file, seed)), null);
         }
     }
 
     /** Compares the reports of two runs. */
     @Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares the reports of two runs.")
-    static final class Compare implements Callable<Integer> {
+    static final class CompareCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A")
         Path a;
 
@@ -198,11 +207,11 @@
 
         @Override
         public Integer call() throws IOException {
-            JsonNode x = Report.read(a);
-            JsonNode y = Report.read(b);
-            Report.compare(x, y).forEach(System.out::println);
+            JsonNode first = Report.read(a);
+            JsonNode second = Report.read(b);
+            Report.compare(first, second).forEach(System.out::println);
             if (html != null) {
-                Files.writeString(html, Report.html(List.of(x, y)));
+                Files.writeString(html, Report.html(List.of(first, second)));
             }
             return 0;
         }
@@ -213,7 +222,7 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description = "Validates a scenario file without running it.")
-    static final class Check implements Callable<Integer> {
+    static final class CheckCommand implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         Path file;
 
@@ -222,13 +231,14 @@
 
         @Override
         public Integer call() throws IOException {
-            Scenario s = Scenario.read(file, seed);
-            for (int i = 0; i < s.sites.size(); i++) {
+            Scenario scenario = Scenario.read(file, seed);
+            for (int i = 0; i < scenario.sites.size(); i++) {
                 System.out.printf(
                         "%s: its own clients use %.0f %% of its engines' capacity%n",
-                        s.sites.get(i).name(), 100 * s.demand(i) / Math.max(1, s.capacity(i)));
+                        scenario.sites.get(i).name(), 100 * scenario.demand(i) / Math.max(1, scenario.capacity(i)));
             }
-            s.faults.forEach(f -> System.out.printf("%7.3f s  %s%n", f.at() / 1000.0, f.describe(s.sites)));
+            scenario.faults.forEach(
+                    fault -> System.out.printf("%7.3f s  %s%n", fault.at() / 1000.0, fault.describe(scenario.sites)));
             return 0;
         }
     }
@@ -239,21 +249,21 @@
             mixinStandardHelpOptions = true,
             description =
                     "Runs a site loss generated from the seed with nine routers at three sites and checks its bounds.")
-    static final class ProofSite implements Callable<Integer> {
+    static final class ProofSiteCommand implements Callable<Integer> {
         @Parameters(paramLabel = "SEED")
         long seed;
 
         @Option(names = "--case", description = "a named case instead of the one that the seed selects")
-        String kind;
+        String caseName;
 
         @CommandLine.Mixin
-        Play play = new Play();
+        RunOptions runOptions = new RunOptions();
 
         @Override
         public Integer call() throws IOException {
-            SiteLossScenario p = SiteLossScenario.drawn(seed, kind);
-            System.out.println("case: " + p.kind());
-            return play.report(play.play(p.scenario()), p.losses());
+            SiteLossScenario generated = SiteLossScenario.fromSeed(seed, caseName);
+            System.out.println("case: " + generated.caseName());
+            return runOptions.report(runOptions.run(generated.scenario()), generated.losses());
         }
     }
 
@@ -262,7 +272,7 @@
             name = "drive",
             mixinStandardHelpOptions = true,
             description = "Simulates random site losses with the site health trackers of 100 routers, in virtual time.")
-    static final class Drive implements Callable<Integer> {
+    static final class DriveCommand implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "SEED")
         long seed;
 
@@ -274,15 +284,15 @@
 
         @Override
         public Integer call() throws Exception {
-            SiteFailoverSimulation.Result r = SiteFailoverSimulation.play(seed, scenarios, threads);
-            System.out.println(SiteFailoverSimulation.line(seed, scenarios, r));
-            return r.lostWrongly == 0 ? 0 : 1;
+            SiteFailoverSimulation.Result result = SiteFailoverSimulation.play(seed, scenarios, threads);
+            System.out.println(SiteFailoverSimulation.formatResult(seed, scenarios, result));
+            return result.falseLosses == 0 ? 0 : 1;
         }
     }
 
     /** Serves one site's engines; started by the laboratory itself. */
     @Command(name = "engines", hidden = true)
-    static final class Engines implements Callable<Integer> {
+    static final class EnginesCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
             EngineSiteProcess.run();
--- a/lab/src/main/java/magpiehub/lab/ProcessManager.java
+++ b/lab/src/main/java/magpiehub/lab/ProcessManager.java
@@ -22,7 +22,7 @@
     /** Frequency of the kernel clock ticks in which /proc reports CPU time (Hz). */
     private static final long CLOCK_TICKS_PER_SECOND = 100;
 
-    /** Resource usage of one process at a time (us): resident memory, CPU time since its start, threads, open files. */
+    /** Resource usage of one process; {@code cpuMs} counts from its start, {@code files} are open files. */
     record ResourceSample(long at, String name, long rssKb, long cpuMs, int threads, int files) {}
 
     /** One process; {@code startedMicros} is its last start, {@code lastSignalMicros} the last signal that changed its state (us). */
@@ -73,7 +73,7 @@
         Runtime.getRuntime().addShutdownHook(new Thread(this::killAll));
     }
 
-    /** Starts a process, or restarts {@code previous} if not null; {@code lineConsumer} gets each line of its output. */
+    /** Starts a process, or restarts {@code previous} if not null; {@code lineConsumer} gets its output by lines. */
     ManagedProcess start(
             String name,
             List<String> command,
--- a/lab/src/main/java/magpiehub/lab/RunEvaluation.java
+++ b/lab/src/main/java/magpiehub/lab/RunEvaluation.java
@@ -75,26 +75,26 @@
         return demand == 0 ? 1 : Math.min(1, capacity / demand);
     }
 
-    /** Time from the loss until 90 % of the permitted share is served over a whole window (us). */
-    private long recoveryMicros(SiteLoss l) {
-        for (long t = l.from; t < l.until - SERVED_WINDOW_MICROS; t += 50_000) {
-            double s = servedShare(t, t + SERVED_WINDOW_MICROS, l.site);
-            if (s < 0 || s >= MIN_SERVED_SHARE * feasibleShare(l.site)) {
-                return t - l.from;
+    /** Time from the loss until 90 % of the feasible share is served over a whole window (us). */
+    private long recoveryMicros(SiteLoss loss) {
+        for (long t = loss.from; t < loss.until - SERVED_WINDOW_MICROS; t += 50_000) {
+            double share = servedShare(t, t + SERVED_WINDOW_MICROS, loss.site);
+            if (share < 0 || share >= MIN_SERVED_SHARE * feasibleShare(loss.site)) {
+                return t - loss.from;
             }
         }
-        return l.until - l.from;
+        return loss.until - loss.from;
     }
 
     /** Times to the first token of the requests due within a period (us). */
     Histogram firstTokenTimes(long from, long until) {
-        Histogram h = new Histogram(60_000_000L, 3);
+        Histogram histogram = new Histogram(60_000_000L, 3);
         for (LoadGenerator.RequestRecord r : run.results()) {
             if (r.dueMicros() >= from && r.dueMicros() < until && r.firstTokenMicros() >= 0) {
-                h.recordValue(Math.min(60_000_000L, r.firstTokenMicros()));
+                histogram.recordValue(Math.min(60_000_000L, r.firstTokenMicros()));
             }
         }
-        return h;
+        return histogram;
     }
 
     /** Number of requests for which a healthy router returned no response, an invalid one, or two. */
@@ -108,16 +108,17 @@
 
     /** Requests with two concurrent attempts. */
     List<String> concurrentAttempts() {
-        Map<String, List<Fleet.Attempt>> by = new HashMap<>();
-        run.attempts().forEach(a -> by.computeIfAbsent(a.requestId(), k -> new ArrayList<>())
-                .add(a));
+        Map<String, List<Fleet.Attempt>> attemptsByRequest = new HashMap<>();
+        run.attempts().forEach(attempt -> attemptsByRequest
+                .computeIfAbsent(attempt.requestId(), k -> new ArrayList<>())
+                .add(attempt));
         List<String> concurrent = new ArrayList<>();
-        by.forEach((call, l) -> {
-            l.sort(Comparator.comparingLong(Fleet.Attempt::startedMicros));
-            for (int i = 1; i < l.size(); i++) {
-                if (l.get(i - 1).endedMicros() - l.get(i).startedMicros() > MAX_ATTEMPT_OVERLAP_MICROS) {
-                    concurrent.add(call + " at " + l.get(i - 1).engine() + " and "
-                            + l.get(i).engine());
+        attemptsByRequest.forEach((requestId, attempts) -> {
+            attempts.sort(Comparator.comparingLong(Fleet.Attempt::startedMicros));
+            for (int i = 1; i < attempts.size(); i++) {
+                if (attempts.get(i - 1).endedMicros() - attempts.get(i).startedMicros() > MAX_ATTEMPT_OVERLAP_MICROS) {
+                    concurrent.add(requestId + " at " + attempts.get(i - 1).engine() + " and "
+                            + attempts.get(i).engine());
                     return;
                 }
             }
@@ -137,43 +138,47 @@
     /** Number of times that a router declared a site lost without an injected loss of that site. */
     long falseLosses(List<SiteLoss> losses) {
         return run.siteStateChanges().stream()
-                .filter(s -> s.to().equals("lost"))
-                .filter(s -> losses.stream()
-                        .noneMatch(
-                                l -> run.scenario().sites.get(l.site()).name().equals(s.site())
-                                        && s.at() >= l.from()
-                                        && s.at() <= l.until() + LATE_LIST_TOLERANCE_MICROS))
+                .filter(change -> change.to().equals("lost"))
+                .filter(change -> losses.stream()
+                        .noneMatch(loss ->
+                                run.scenario().sites.get(loss.site()).name().equals(change.site())
+                                        && change.at() >= loss.from()
+                                        && change.at() <= loss.until() + LATE_LIST_TOLERANCE_MICROS))
                 .count();
     }
 
     /** Maximum number of state changes that one router reported for one site. */
     long maxStateChanges() {
-        Map<String, Long> by = new HashMap<>();
+        Map<String, Long> changesByRouterAndSite = new HashMap<>();
         run.siteStateChanges().stream()
-                .filter(s -> s.at() >= run.from())
-                .forEach(s -> by.merge(s.router() + s.site(), 1L, Long::sum));
-        return by.values().stream().mapToLong(Long::longValue).max().orElse(0);
+                .filter(change -> change.at() >= run.from())
+                .forEach(change -> changesByRouterAndSite.merge(change.router() + change.site(), 1L, Long::sum));
+        return changesByRouterAndSite.values().stream()
+                .mapToLong(Long::longValue)
+                .max()
+                .orElse(0);
     }
 
     /** The bounds that apply to every run. */
     List<Bound> generalBounds() {
-        List<Bound> b = new ArrayList<>();
-        b.add(zeroBound("requests with none or two final answers of a running router", unanswered()));
-        b.add(zeroBound(
+        List<Bound> bounds = new ArrayList<>();
+        bounds.add(zeroBound("requests with none or two final answers of a running router", unanswered()));
+        bounds.add(zeroBound(
                 "requests with two attempts out at once", concurrentAttempts().size()));
-        b.add(zeroBound(
+        bounds.add(zeroBound(
                 "new work to an engine 2 s after a router was told it takes none",
                 run.attemptsToDrained().size()));
-        b.add(zeroBound("engines that fell over", run.crashedEngines().size()));
-        b.add(zeroBound("processes that ended by themselves", run.crashes()));
-        b.add(zeroBound("faults that could not be carried out", run.failures().size()));
-        long most = run.scenario().routers.memoryMb() * 1024L;
-        b.add(new Bound(
+        bounds.add(zeroBound("engines that fell over", run.crashedEngines().size()));
+        bounds.add(zeroBound("processes that ended by themselves", run.crashes()));
+        bounds.add(
+                zeroBound("faults that could not be carried out", run.failures().size()));
+        long limit = run.scenario().routers.memoryMb() * 1024L;
+        bounds.add(new Bound(
                 "most memory of a router (MB)",
                 Long.toString(maxRouterMemoryKb() / 1024),
-                "at most " + most / 1024,
-                maxRouterMemoryKb() <= most));
-        return b;
+                "at most " + limit / 1024,
+                maxRouterMemoryKb() <= limit));
+        return bounds;
     }
 
     private static Bound zeroBound(String name, long seen) {
@@ -182,39 +187,39 @@
 
     /** The bounds of every run, and those on the effect of the given losses. */
     List<Bound> evaluate(List<SiteLoss> losses) {
-        List<Bound> b = generalBounds();
-        b.add(zeroBound("sites called lost without a loss", falseLosses(losses)));
+        List<Bound> bounds = generalBounds();
+        bounds.add(zeroBound("sites called lost without a loss", falseLosses(losses)));
         int events = Math.max(1, 2 * losses.size());
-        b.add(new Bound(
+        bounds.add(new Bound(
                 "changes of a router's word on a site, for each event",
                 String.format(Locale.ROOT, "%.1f", (double) maxStateChanges() / events),
                 "at most " + MAX_STATE_CHANGES,
                 maxStateChanges() <= (long) MAX_STATE_CHANGES * events));
-        for (SiteLoss l : losses) {
-            String name = run.scenario().sites.get(l.site).name();
-            double share = servedShare(l.from, l.until, l.site);
-            double part = share < 0 ? 1 : share / feasibleShare(l.site);
-            b.add(new Bound(
+        for (SiteLoss loss : losses) {
+            String name = run.scenario().sites.get(loss.site).name();
+            double share = servedShare(loss.from, loss.until, loss.site);
+            double servedOfFeasible = share < 0 ? 1 : share / feasibleShare(loss.site);
+            bounds.add(new Bound(
                     "served while " + name + " is lost, of what the others can carry",
-                    String.format(Locale.ROOT, "%.3f", part),
+                    String.format(Locale.ROOT, "%.3f", servedOfFeasible),
                     "at least " + MIN_SERVED_SHARE,
-                    part >= MIN_SERVED_SHARE));
-            long recoveryMicros = recoveryMicros(l);
-            long most = l.refused ? MAX_RECOVERY_REFUSED_MICROS : MAX_RECOVERY_SILENT_MICROS;
-            b.add(new Bound(
+                    servedOfFeasible >= MIN_SERVED_SHARE));
+            long recoveryMicros = recoveryMicros(loss);
+            long limit = loss.refused ? MAX_RECOVERY_REFUSED_MICROS : MAX_RECOVERY_SILENT_MICROS;
+            bounds.add(new Bound(
                     "from the loss of " + name + " until nine tenths of that (ms)",
                     Long.toString(recoveryMicros / 1000),
-                    "at most " + most / 1000,
-                    recoveryMicros <= most));
-            double before = firstTokenTimes(run.from(), l.from).getValueAtPercentile(99);
-            double after = firstTokenTimes(l.until, l.until + 5_000_000).getValueAtPercentile(99);
+                    "at most " + limit / 1000,
+                    recoveryMicros <= limit));
+            double before = firstTokenTimes(run.from(), loss.from).getValueAtPercentile(99);
+            double after = firstTokenTimes(loss.until, loss.until + 5_000_000).getValueAtPercentile(99);
             double ratio = before == 0 ? 1 : after / before;
-            b.add(new Bound(
+            bounds.add(new Bound(
                     "p99 of first tokens in the 5 s from its return, against before",
                     String.format(Locale.ROOT, "%.2f", ratio),
                     "at most " + MAX_RETURN_LATENCY_RATIO,
                     ratio <= MAX_RETURN_LATENCY_RATIO));
         }
-        return b;
+        return bounds;
     }
 }
--- a/lab/src/main/java/magpiehub/lab/SiteFailoverSimulation.java
+++ b/lab/src/main/java/magpiehub/lab/SiteFailoverSimulation.java
@@ -30,38 +30,39 @@
         NONE
     }
 
-    private static final SiteFailoverSettings S = SiteFailoverSettings.DEFAULTS;
+    private static final SiteFailoverSettings SETTINGS = SiteFailoverSettings.DEFAULTS;
     private static final int ROUTERS = 100;
     private static final int ENGINES = 100;
-    private static final long TICK = 50_000;
-    private static final long CONNECT = 250_000;
-    private static final long SILENCE = 1_000_000;
+    private static final long TICK_MICROS = 50_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 250_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 1_000_000;
 
     /** The sums over scenarios and routers. */
     static final class Result {
         long digest = 1;
-        int lostWrongly;
-        int notSeen;
-        int seen;
-        int mostChanges;
-        final List<Long> times = new ArrayList<>();
+        int falseLosses;
+        int undetected;
+        int detected;
+        int maxChanges;
+        final List<Long> detectionTimes = new ArrayList<>();
 
         void add(Result r) {
             digest = digest * 31 + r.digest;
-            lostWrongly += r.lostWrongly;
-            notSeen += r.notSeen;
-            seen += r.seen;
-            mostChanges = Math.max(mostChanges, r.mostChanges);
-            times.addAll(r.times);
+            falseLosses += r.falseLosses;
+            undetected += r.undetected;
+            detected += r.detected;
+            maxChanges = Math.max(maxChanges, r.maxChanges);
+            detectionTimes.addAll(r.detectionTimes);
         }
 
-        long at(double part) {
-            long[] all = times.stream().mapToLong(Long::longValue).sorted().toArray();
-            return all.length == 0 ? 0 : all[(int) Math.min(all.length - 1, part * all.length)];
+        long detectionTimeAt(double quantile) {
+            long[] all =
+                    detectionTimes.stream().mapToLong(Long::longValue).sorted().toArray();
+            return all.length == 0 ? 0 : all[(int) Math.min(all.length - 1, quantile * all.length)];
         }
     }
 
-    private record Due(long at, long sent, int site, String engine, ZoneEvidence sign, double ratio) {}
+    private record PendingEvidence(long at, long sent, int site, String engine, ZoneEvidence evidence, double ratio) {}
 
     /** One scenario, shared by all routers and derived from the seed alone. */
     private static final class Scenario {
@@ -70,31 +71,32 @@
         final int site;
         final long from;
         final long until;
-        final long again;
-        final double badPart;
-        final long listLate;
+        final long secondLossAt;
+        final double faultyEngineShare;
+        final long listDelay;
         final long end;
 
-        Scenario(SplittableRandom r) {
-            sites = r.nextInt(3, 9);
-            fault = Fault.values()[r.nextInt(Fault.values().length)];
-            site = r.nextInt(sites);
-            from = 4_000_000 + r.nextLong(2_000_000);
-            until = from + 3_000_000 + r.nextLong(6_000_000);
+        Scenario(SplittableRandom random) {
+            sites = random.nextInt(3, 9);
+            fault = Fault.values()[random.nextInt(Fault.values().length)];
+            site = random.nextInt(sites);
+            from = 4_000_000 + random.nextLong(2_000_000);
+            until = from + 3_000_000 + random.nextLong(6_000_000);
             // In half of the scenarios the site is lost again halfway through its ramp-up.
-            again = r.nextBoolean() ? until + 2 * S.rampStepMicros() : Long.MAX_VALUE;
-            badPart = r.nextDouble(0.12);
-            listLate = r.nextLong(500_000, 8_000_000);
+            secondLossAt = random.nextBoolean() ? until + 2 * SETTINGS.rampStepMicros() : Long.MAX_VALUE;
+            faultyEngineShare = random.nextDouble(0.12);
+            listDelay = random.nextLong(500_000, 8_000_000);
             end = until + 14_000_000;
         }
 
-        boolean down(long t) {
-            return (t >= from && t < until) || (again != Long.MAX_VALUE && t >= again && t < again + 3_000_000);
+        boolean isSiteDown(long t) {
+            return (t >= from && t < until)
+                    || (secondLossAt != Long.MAX_VALUE && t >= secondLossAt && t < secondLossAt + 3_000_000);
         }
 
         /** Whether a router at one site cannot reach another site. */
-        boolean fails(int router, int to, long t) {
-            return down(t)
+        boolean isUnreachable(int router, int to, long t) {
+            return isSiteDown(t)
                     && switch (fault) {
                         case KILLED, SILENT -> to == site;
                         case CUT -> (router == site) != (to == site);
@@ -106,107 +108,127 @@
     private SiteFailoverSimulation() {}
 
     private static Result play(long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
-        Scenario c = new Scenario(r);
+        SplittableRandom random = new SplittableRandom(seed);
+        Scenario scenario = new Scenario(random);
         Result all = new Result();
         for (int i = 0; i < ROUTERS; i++) {
-            all.add(router(c, i % c.sites, r.split()));
+            all.add(simulateRouter(scenario, i % scenario.sites, random.split()));
         }
         return all;
     }
 
     @SuppressWarnings("EnumOrdinal") // The digest is compared with a recorded value that is based on ordinals.
-    private static Result router(Scenario c, int own, SplittableRandom r) {
+    private static Result simulateRouter(Scenario scenario, int ownSite, SplittableRandom random) {
         Result result = new Result();
-        SiteHealthTracker m = new SiteHealthTracker(S, c.sites, own, r.nextLong());
+        SiteHealthTracker tracker = new SiteHealthTracker(SETTINGS, scenario.sites, ownSite, random.nextLong());
         // 1 to 30 requests per second and router.
-        double perTick = r.nextDouble(1, 30) * TICK / 1e6;
-        List<Due> due = new ArrayList<>();
-        int[] changes = new int[c.sites];
-        long shutAt = -1;
-        long touched = -1;
-        boolean gone = false;
-        boolean truth = c.fault == Fault.KILLED || c.fault == Fault.SILENT;
-        for (long now = 0; now < c.end; now += TICK) {
+        double perTick = random.nextDouble(1, 30) * TICK_MICROS / 1e6;
+        List<PendingEvidence> pending = new ArrayList<>();
+        int[] changes = new int[scenario.sites];
+        long detectedAfter = -1;
+        long firstSentAt = -1;
+        boolean removedFromList = false;
+        boolean siteIsLost = scenario.fault == Fault.KILLED || scenario.fault == Fault.SILENT;
+        for (long now = 0; now < scenario.end; now += TICK_MICROS) {
             long t = now;
-            for (int site = 0; site < c.sites; site++) {
-                for (int k = m.takeHealthChecks(site); k > 0; k--) {
-                    send(c, own, site, t, r, due);
+            for (int site = 0; site < scenario.sites; site++) {
+                for (int remaining = tracker.takeHealthChecks(site); remaining > 0; remaining--) {
+                    send(scenario, ownSite, site, t, random, pending);
                 }
-                if (m.takeTrial(site, t)) {
-                    send(c, own, site, t, r, due);
+                if (tracker.takeTrial(site, t)) {
+                    send(scenario, ownSite, site, t, random, pending);
                 }
             }
-            for (double left = perTick; left > 0 && r.nextDouble() < left; left--) {
-                int site = r.nextInt(c.sites);
-                if (r.nextDouble() < m.share(site, t) && !(gone && site == c.site)) {
-                    send(c, own, site, t, r, due);
+            for (double left = perTick; left > 0 && random.nextDouble() < left; left--) {
+                int site = random.nextInt(scenario.sites);
+                if (random.nextDouble() < tracker.share(site, t) && !(removedFromList && site == scenario.site)) {
+                    send(scenario, ownSite, site, t, random, pending);
                 }
             }
-            for (Due d : due) {
+            for (PendingEvidence pendingEvidence : pending) {
                 // A router cannot detect the loss before it has sent a request to the site.
-                touched = touched < 0 && d.site == c.site && d.sent >= c.from && d.sent < c.until ? d.sent : touched;
+                firstSentAt = firstSentAt < 0
+                                && pendingEvidence.site == scenario.site
+                                && pendingEvidence.sent >= scenario.from
+                                && pendingEvidence.sent < scenario.until
+                        ? pendingEvidence.sent
+                        : firstSentAt;
             }
             if (now % 1_000_000 == 0) {
-                gone = truth && c.down(t - c.listLate);
-                m.onListed(t, c.site, gone ? 0 : ENGINES / c.sites, 100_000);
+                removedFromList = siteIsLost && scenario.isSiteDown(t - scenario.listDelay);
+                tracker.onListed(t, scenario.site, removedFromList ? 0 : ENGINES / scenario.sites, 100_000);
             }
-            for (Due d : due) {
-                if (d.at <= t) {
-                    m.onEvidence(t, d.site, d.engine, d.sign, t - d.sent, d.ratio);
+            for (PendingEvidence pendingEvidence : pending) {
+                if (pendingEvidence.at <= t) {
+                    tracker.onEvidence(
+                            t,
+                            pendingEvidence.site,
+                            pendingEvidence.engine,
+                            pendingEvidence.evidence,
+                            t - pendingEvidence.sent,
+                            pendingEvidence.ratio);
                 }
             }
-            due.removeIf(d -> d.at <= t);
-            m.onTick(t);
-            for (SiteTransition ch : m.takeTransitions()) {
+            pending.removeIf(pendingEvidence -> pendingEvidence.at <= t);
+            tracker.onTick(t);
+            for (SiteTransition transition : tracker.takeTransitions()) {
                 // Ordinals, because the hash codes of enum constants differ between processes.
                 result.digest = result.digest * 31
                         + java.util.Objects.hash(
-                                ch.site(),
-                                ch.from().ordinal(),
-                                ch.to().ordinal(),
-                                ch.cause().ordinal(),
-                                ch.atMicros());
-                changes[ch.site()]++;
-                boolean right = (truth && ch.site() == c.site)
-                        || (c.fault == Fault.CUT && ch.site() == c.site && own != c.site);
-                result.lostWrongly += ch.to() == SiteState.LOST && !right ? 1 : 0;
+                                transition.site(),
+                                transition.from().ordinal(),
+                                transition.to().ordinal(),
+                                transition.cause().ordinal(),
+                                transition.atMicros());
+                changes[transition.site()]++;
+                boolean isTrueLoss = (siteIsLost && transition.site() == scenario.site)
+                        || (scenario.fault == Fault.CUT
+                                && transition.site() == scenario.site
+                                && ownSite != scenario.site);
+                result.falseLosses += transition.to() == SiteState.LOST && !isTrueLoss ? 1 : 0;
             }
-            boolean hit = truth ? true : c.fault == Fault.CUT && own != c.site;
-            if (hit && shutAt < 0 && touched >= 0 && t < c.until && m.share(c.site, t) == 0) {
-                shutAt = t - touched;
-                result.times.add(shutAt);
+            boolean shouldDetect = siteIsLost ? true : scenario.fault == Fault.CUT && ownSite != scenario.site;
+            if (shouldDetect
+                    && detectedAfter < 0
+                    && firstSentAt >= 0
+                    && t < scenario.until
+                    && tracker.share(scenario.site, t) == 0) {
+                detectedAfter = t - firstSentAt;
+                result.detectionTimes.add(detectedAfter);
             }
-            if (hit && t >= c.until && t < c.until + TICK) {
-                result.seen += shutAt >= 0 ? 1 : 0;
-                result.notSeen += shutAt >= 0 || touched < 0 || t - touched < 3_000_000 ? 0 : 1;
+            if (shouldDetect && t >= scenario.until && t < scenario.until + TICK_MICROS) {
+                result.detected += detectedAfter >= 0 ? 1 : 0;
+                result.undetected += detectedAfter >= 0 || firstSentAt < 0 || t - firstSentAt < 3_000_000 ? 0 : 1;
             }
         }
         for (int n : changes) {
-            result.mostChanges = Math.max(result.mostChanges, n);
+            result.maxChanges = Math.max(result.maxChanges, n);
         }
         return result;
     }
 
-    private static void send(Scenario c, int own, int to, long t, SplittableRandom r, List<Due> due) {
-        int engine = r.nextInt(Math.max(1, ENGINES / c.sites));
+    private static void send(
+            Scenario scenario, int ownSite, int to, long t, SplittableRandom random, List<PendingEvidence> pending) {
+        int engine = random.nextInt(Math.max(1, ENGINES / scenario.sites));
         String id = to + "." + engine;
-        if (c.fails(own, to, t)) {
-            boolean silent = c.fault == Fault.SILENT;
-            due.add(new Due(
-                    t + (silent ? SILENCE : CONNECT),
+        if (scenario.isUnreachable(ownSite, to, t)) {
+            boolean silent = scenario.fault == Fault.SILENT;
+            pending.add(new PendingEvidence(
+                    t + (silent ? RESPONSE_TIMEOUT_MICROS : CONNECT_TIMEOUT_MICROS),
                     t,
                     to,
                     id,
                     silent ? ZoneEvidence.SILENCE : ZoneEvidence.NO_CONNECTION,
                     0));
-        } else if (engine < c.badPart * ENGINES / c.sites) {
-            due.add(new Due(t + 20_000, t, to, id, ZoneEvidence.ERROR, 0));
+        } else if (engine < scenario.faultyEngineShare * ENGINES / scenario.sites) {
+            pending.add(new PendingEvidence(t + 20_000, t, to, id, ZoneEvidence.ERROR, 0));
         } else {
-            boolean slow = c.down(t) && (c.fault == Fault.ALL_SLOW || (c.fault == Fault.SLOW && to == c.site));
-            double ratio =
-                    slow ? 2.9 * (0.5 + r.nextDouble()) * (c.fault == Fault.SLOW ? 10 : 1) : 0.5 + r.nextDouble();
-            due.add(new Due(t + (long) (100_000 * ratio), t, to, id, ZoneEvidence.ANSWERED, ratio));
+            boolean slow = scenario.isSiteDown(t)
+                    && (scenario.fault == Fault.ALL_SLOW || (scenario.fault == Fault.SLOW && to == scenario.site));
+            double ratio = slow
+                    ? 2.9 * (0.5 + random.nextDouble()) * (scenario.fault == Fault.SLOW ? 10 : 1)
+                    : 0.5 + random.nextDouble();
+            pending.add(new PendingEvidence(t + (long) (100_000 * ratio), t, to, id, ZoneEvidence.ANSWERED, ratio));
         }
     }
 
@@ -229,7 +251,7 @@
         }
     }
 
-    static String line(long seed, int scenarios, Result r) {
+    static String formatResult(long seed, int scenarios, Result r) {
         return String.format(
                 Locale.ROOT,
                 "drive sites seed=%d scenarios=%d routers=%d lost_wrongly=%d "
@@ -237,13 +259,13 @@
                 seed,
                 scenarios,
                 ROUTERS,
-                r.lostWrongly,
-                r.seen,
-                r.notSeen,
-                r.at(0.5) / 1000,
-                r.at(0.99) / 1000,
-                r.at(1) / 1000,
-                r.mostChanges,
+                r.falseLosses,
+                r.detected,
+                r.undetected,
+                r.detectionTimeAt(0.5) / 1000,
+                r.detectionTimeAt(0.99) / 1000,
+                r.detectionTimeAt(1) / 1000,
+                r.maxChanges,
                 r.digest);
     }
 }
--- a/lab/src/main/java/magpiehub/lab/SiteLossScenario.java
+++ b/lab/src/main/java/magpiehub/lab/SiteLossScenario.java
@@ -10,7 +10,7 @@
  * site, time and duration are derived from the seed. Defines the cases as faults of a scenario, and which of them are a
  * loss. The load must not be below what the remaining sites can be shown to carry.
  */
-record SiteLossScenario(String kind, Scenario scenario, List<RunEvaluation.SiteLoss> losses) {
+record SiteLossScenario(String caseName, Scenario scenario, List<RunEvaluation.SiteLoss> losses) {
     /**
      * A case: its faults as format strings, and whether it is a loss whose connections are refused or time out. The
      * arguments are the start (1), the end (2), the start of a second fault (3), another site (4) and the end of the
@@ -83,7 +83,7 @@
                     "'at':%5$s,'do':'start','target':'%4$s-1'",
                     "'at':%2$s,'do':'start','target':'site','site':'any'"));
 
-    private static final String BASE =
+    private static final String SCENARIO_TEMPLATE =
             """
             {"name": "site-%s", "seconds": %s,
              "sites": [{"name": "a", "routers": 3, "engines": 8, "rate": 40},
@@ -104,65 +104,78 @@
              "faults": [%s]}
             """;
 
-    static List<String> kinds() {
+    static List<String> caseNames() {
         return CASES.stream().map(Case::name).toList();
     }
 
-    /** Generates the scenario of a seed; {@code kind} overrides the seed's case if it is not null. */
-    static SiteLossScenario drawn(long seed, String kind) throws IOException {
+    /** Generates the scenario of a seed; {@code caseName} overrides the seed's case if it is not null. */
+    static SiteLossScenario fromSeed(long seed, String caseName) throws IOException {
         SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L);
-        int drawn = random.nextInt(CASES.size());
-        Case c = kind == null
-                ? CASES.get(drawn)
+        int caseIndex = random.nextInt(CASES.size());
+        Case selected = caseName == null
+                ? CASES.get(caseIndex)
                 : CASES.stream()
-                        .filter(x -> x.name.equals(kind))
+                        .filter(candidate -> candidate.name.equals(caseName))
                         .findFirst()
                         .orElseThrow(() -> new Scenario.InvalidScenarioException(
-                                "unknown case " + kind + "; must be one of " + kinds()));
+                                "unknown case " + caseName + "; must be one of " + caseNames()));
         double from = 6 + random.nextDouble() * 2;
-        double lasts = 5 + random.nextDouble() * 3;
-        double late = random.nextDouble() * 3000;
-        double second = from + 0.2 + random.nextDouble() * 0.5;
-        String other = otherThanDrawn(seed);
+        double duration = 5 + random.nextDouble() * 3;
+        double listLateMs = random.nextDouble() * 3000;
+        double secondFaultAt = from + 0.2 + random.nextDouble() * 0.5;
+        String otherSite = otherSiteName(seed);
         StringBuilder faults = new StringBuilder();
-        for (String f : c.faults) {
+        for (String fault : selected.faults) {
             faults.append(faults.length() == 0 ? "" : ",")
                     .append('{')
                     .append(String.format(
                             Locale.ROOT,
-                            f.replace('\'', '"'),
-                            text(from),
-                            text(from + lasts),
-                            text(second),
-                            other,
-                            text(second + 1)))
+                            fault.replace('\'', '"'),
+                            formatSeconds(from),
+                            formatSeconds(from + duration),
+                            formatSeconds(secondFaultAt),
+                            otherSite,
+                            formatSeconds(secondFaultAt + 1)))
                     .append('}');
         }
-        Scenario s = Scenario.read(
-                String.format(Locale.ROOT, BASE, c.name, text(from + lasts + 7), text(late), faults), seed);
-        List<RunEvaluation.SiteLoss> losses = c.refused == NO_LOSS
+        Scenario scenario = Scenario.read(
+                String.format(
+                        Locale.ROOT,
+                        SCENARIO_TEMPLATE,
+                        selected.name,
+                        formatSeconds(from + duration + 7),
+                        formatSeconds(listLateMs),
+                        faults),
+                seed);
+        List<RunEvaluation.SiteLoss> losses = selected.refused == NO_LOSS
                 ? List.of()
                 : List.of(new RunEvaluation.SiteLoss(
-                        s.faults.stream()
+                        scenario.faults.stream()
                                 .mapToInt(Scenario.Fault::site)
-                                .filter(x -> x >= 0)
+                                .filter(candidate -> candidate >= 0)
                                 .findFirst()
                                 .orElseThrow(),
                         Math.round(from * 1e6),
-                        Math.round((from + lasts) * 1e6),
-                        c.refused == REFUSED));
-        return new SiteLossScenario(c.name, s, losses);
+                        Math.round((from + duration) * 1e6),
+                        selected.refused == REFUSED));
+        return new SiteLossScenario(selected.name, scenario, losses);
     }
 
     /** The name of the site that "other" refers to in a scenario of this seed. */
-    private static String otherThanDrawn(long seed) throws IOException {
-        Scenario s = Scenario.read(
-                String.format(Locale.ROOT, BASE, "x", "10", "0", "{\"at\":1,\"do\":\"reset\",\"site\":\"other\"}"),
+    private static String otherSiteName(long seed) throws IOException {
+        Scenario scenario = Scenario.read(
+                String.format(
+                        Locale.ROOT,
+                        SCENARIO_TEMPLATE,
+                        "x",
+                        "10",
+                        "0",
+                        "{\"at\":1,\"do\":\"reset\",\"site\":\"other\"}"),
                 seed);
-        return s.sites.get(s.faults.get(0).site()).name();
+        return scenario.sites.get(scenario.faults.get(0).site()).name();
     }
 
-    private static String text(double v) {
-        return String.format(Locale.ROOT, "%.3f", v);
+    private static String formatSeconds(double value) {
+        return String.format(Locale.ROOT, "%.3f", value);
     }
 }
--- a/lab/src/test/java/magpiehub/lab/FakeDiscoveryTest.java
+++ b/lab/src/test/java/magpiehub/lab/FakeDiscoveryTest.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The discovery stand-in and its faults, as a router meets them. */
+/** Tests the fake discovery service and its faults from a router's point of view. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FakeDiscoveryTest {
     private final FakeDiscovery discovery =
             new FakeDiscovery(List.of("north", "south"), (from, m) -> "10.0." + from + "." + m.number() + ":80");
-    private InetSocketAddress at;
+    private InetSocketAddress address;
 
     @BeforeEach
     @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
     void open() throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            at = (InetSocketAddress) free.getLocalSocketAddress();
+            address = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        discovery.listen(4, 1, at);
+        discovery.listen(4, 1, address);
         discovery.setMember("a", 0, 1, "Ready", 0);
         discovery.setMember("b", 1, 2, "Ready", 0);
     }
@@ -41,16 +41,16 @@
         discovery.close();
     }
 
-    private BufferedReader ask(String target) throws IOException {
-        Socket s = new Socket(at.getAddress(), at.getPort());
+    private BufferedReader request(String target) throws IOException {
+        Socket s = new Socket(address.getAddress(), address.getPort());
         s.setSoTimeout(30_000);
         s.getOutputStream()
                 .write(("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
         return new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.US_ASCII));
     }
 
-    /** The next line of a watch that tells something; null at its end. */
-    private static String told(BufferedReader in) throws IOException {
+    /** The next line of a watch that contains a message; null at its end. */
+    private static String nextMessage(BufferedReader in) throws IOException {
         for (String l = in.readLine(); l != null; l = in.readLine()) {
             if (l.startsWith("{")) {
                 return l;
@@ -60,63 +60,64 @@
     }
 
     @Test
-    void aRouterIsToldTheWholeListAndThenEachChangeByItsOwnAddresses() throws IOException {
-        BufferedReader watch = ask("/discovery/hosts?follow=1");
-        String all = told(watch);
+    void watchSendsCompleteListThenChangesWithAddressesOfItsSite() throws IOException {
+        BufferedReader watch = request("/discovery/hosts?follow=1");
+        String all = nextMessage(watch);
         assertTrue(all.contains("\"complete\":true") && all.contains("\"host_port\":\"10.0.1.2:80\""), all);
         assertEquals(Long.MAX_VALUE, discovery.firstSentMicros("a", 4));
         discovery.setMember("a", 0, 1, "Terminating", 0);
-        String change = told(watch);
+        String change = nextMessage(watch);
         assertTrue(change.contains("Terminating") && !change.contains("\"id\":\"b\""), change);
-        assertTrue(discovery.firstSentMicros("a", 4) <= EngineSiteProcess.nowMicros(), "and it is known when");
+        assertTrue(
+                discovery.firstSentMicros("a", 4) <= EngineSiteProcess.nowMicros(), "the time of sending is recorded");
         discovery.setMember("a", 0, 1, "Gone", 0);
-        assertTrue(told(watch).contains("Gone"));
-        String later = told(ask("/discovery/hosts?follow=1&since=3"));
-        assertTrue(later.contains("Gone") && !later.contains("\"id\":\"b\""), "only what came after");
+        assertTrue(nextMessage(watch).contains("Gone"));
+        String later = nextMessage(request("/discovery/hosts?follow=1&since=3"));
+        assertTrue(later.contains("Gone") && !later.contains("\"id\":\"b\""), "only later changes are sent");
     }
 
     @Test
-    void aLateListTellsNothingBeforeItsTimeAndAllOfItThen() throws IOException {
-        BufferedReader watch = ask("/discovery/hosts?follow=1");
-        told(watch);
+    void delayedChangeIsSentOnlyAfterTheDelay() throws IOException {
+        BufferedReader watch = request("/discovery/hosts?follow=1");
+        nextMessage(watch);
         discovery.setDelay(200_000);
         long from = EngineSiteProcess.nowMicros();
         discovery.setMember("b", 1, 2, "Gone", 0);
         assertTrue(
                 discovery.initialList(4, 1).contains("\"id\":\"b\"") || EngineSiteProcess.nowMicros() - from >= 200_000,
-                "a router that starts now knows no more");
+                "a newly started router gets no later state");
         assertTrue(
-                told(ask("/discovery/hosts?follow=1")).contains("\"id\":\"b\"")
+                nextMessage(request("/discovery/hosts?follow=1")).contains("\"id\":\"b\"")
                         || EngineSiteProcess.nowMicros() - from >= 200_000,
-                "a list asked for meanwhile is as late");
-        assertTrue(told(watch).contains("Gone"));
+                "a list requested in the meantime is delayed as well");
+        assertTrue(nextMessage(watch).contains("Gone"));
         assertTrue(EngineSiteProcess.nowMicros() - from >= 200_000);
     }
 
     @Test
-    void aTornWatchEndsInALineAndTheNextIsWhole() throws IOException {
-        BufferedReader watch = ask("/discovery/hosts?follow=1");
-        told(watch);
+    void truncatedWatchEndsWithinALineAndTheNextIsComplete() throws IOException {
+        BufferedReader watch = request("/discovery/hosts?follow=1");
+        nextMessage(watch);
         discovery.truncateNextMessage();
-        String half = told(watch);
+        String half = nextMessage(watch);
         assertTrue(half != null && !half.endsWith("}"), half);
-        assertEquals(null, told(watch), "and no more");
-        assertTrue(told(ask("/discovery/hosts?follow=1")).endsWith("]}"));
+        assertEquals(null, nextMessage(watch), "the watch ends");
+        assertTrue(nextMessage(request("/discovery/hosts?follow=1")).endsWith("]}"));
     }
 
     @Test
-    void whileItIsDownNobodyIsAnswered() throws IOException {
-        BufferedReader watch = ask("/discovery/hosts?follow=1");
-        told(watch);
+    void noRequestIsAnsweredWhileDown() throws IOException {
+        BufferedReader watch = request("/discovery/hosts?follow=1");
+        nextMessage(watch);
         discovery.setDown(true);
         for (BufferedReader in : List.of(watch)) {
             try {
-                assertEquals(null, told(in));
+                assertEquals(null, nextMessage(in));
             } catch (IOException e) {
-                assertTrue(e.getMessage() != null, "a reset is an end");
+                assertTrue(e.getMessage() != null, "a reset ends the watch as well");
             }
         }
         discovery.setDown(false);
-        assertTrue(told(ask("/discovery/hosts?follow=1")).contains("\"complete\":true"));
+        assertTrue(nextMessage(request("/discovery/hosts?follow=1")).contains("\"complete\":true"));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/FleetTest.java
+++ b/lab/src/test/java/magpiehub/lab/FleetTest.java
@@ -14,22 +14,23 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whole processes with faults between them: routers as {@code run} starts them, engines, the list, clients.
- *  What
- *  is asserted are the rules, which no machine is too slow for; times are the proof's. */
+/**
+ * End-to-end tests with real processes and injected faults: routers started with the command of {@code run}, engines,
+ * discovery and clients. Asserts only the general bounds, which hold on a slow machine too; {@code make proof-site}
+ * checks the bounds on times.
+ */
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FleetTest {
-    /** Guards against a play that does not come to its end. */
     @TempDir
     Path folder;
 
-    private static final Map<String, String> PLANNED = Map.of("site.json", "{\"gentleMs\": 500}");
+    private static final Map<String, String> SITE_FAILOVER_CONFIG = Map.of("site.json", "{\"gentleMs\": 500}");
 
-    private Fleet.RunResult play(int net, long seed, String faults) throws IOException {
-        return play(net, seed, faults, Map.of());
+    private Fleet.RunResult run(int net, long seed, String faults) throws IOException {
+        return run(net, seed, faults, Map.of());
     }
 
-    private Fleet.RunResult play(int net, long seed, String faults, Map<String, String> files) throws IOException {
+    private Fleet.RunResult run(int net, long seed, String faults, Map<String, String> files) throws IOException {
         String json = Files.readString(Path.of("scenarios/zone-cut.json"))
                 .replaceFirst("\"seconds\": \\d+", "\"seconds\": 5")
                 .replace("\"routers\": 2", "\"routers\": 1")
@@ -42,7 +43,7 @@
         }
     }
 
-    private static void rulesHold(Fleet.RunResult o) {
+    private static void assertGeneralBoundsHold(Fleet.RunResult o) {
         List<RunEvaluation.Bound> broken = new RunEvaluation(o)
                 .generalBounds().stream().filter(b -> !b.holds()).toList();
         assertEquals(
@@ -55,25 +56,27 @@
                                         || r.outcome() == LoadGenerator.RequestOutcome.LATE)
                                 .count()
                         > o.results().size() / 2,
-                "requests went through");
+                "more than half of the requests were served");
     }
 
     @Test
-    void aSiteIsKilledAndComesBackColdUnderNewIds() throws IOException {
-        Fleet.RunResult o = play(
+    void killedSiteReturnsColdUnderNewIds() throws IOException {
+        Fleet.RunResult o = run(
                 240,
                 1,
                 "{'at':1.5,'do':'kill','target':'site','site':'any'},"
                         + "{'at':3,'do':'start','target':'site','site':'any'}");
-        rulesHold(o);
+        assertGeneralBoundsHold(o);
         Set<String> at = o.attempts().stream().map(Fleet.Attempt::engine).collect(Collectors.toSet());
         String lost = o.scenario().sites.get(o.scenario().faults.get(0).site()).name();
-        assertTrue(at.stream().anyMatch(e -> e.matches(lost + "-e[123]")), at + " has old ones of " + lost);
+        assertTrue(
+                at.stream().anyMatch(e -> e.matches(lost + "-e[123]")),
+                at + " lacks the engines from before the loss of " + lost);
     }
 
     @Test
-    void aSiteIsStoppedAndContinued() throws IOException {
-        rulesHold(play(
+    void stoppedSiteContinues() throws IOException {
+        assertGeneralBoundsHold(run(
                 241,
                 2,
                 "{'at':1.5,'do':'stop','target':'engines','site':'any'},"
@@ -81,9 +84,9 @@
     }
 
     @Test
-    void aSiteIsCutOffAndServesItsOwnClients() throws IOException {
-        Fleet.RunResult o = play(242, 3, "{'at':1.5,'do':'cut','site':'any'},{'at':4.5,'do':'heal','site':'any'}");
-        rulesHold(o);
+    void isolatedSiteServesItsOwnClients() throws IOException {
+        Fleet.RunResult o = run(242, 3, "{'at':1.5,'do':'cut','site':'any'},{'at':4.5,'do':'heal','site':'any'}");
+        assertGeneralBoundsHold(o);
         int site = o.scenario().faults.get(0).site();
         long cut = o.faults().get(0).at();
         assertTrue(
@@ -92,12 +95,12 @@
                                 && r.dueMicros() > cut + 200_000
                                 && r.dueMicros() < cut + 2_800_000
                                 && r.outcome() == LoadGenerator.RequestOutcome.SERVED),
-                "its own engines serve its clients");
+                "the site's engines serve its own clients");
     }
 
     @Test
-    void enginesDrainWhileTheListIsTornAndARouterIsKilled() throws IOException {
-        rulesHold(play(
+    void enginesDrainWhileListIsTruncatedAndRouterIsKilled() throws IOException {
+        assertGeneralBoundsHold(run(
                 243,
                 4,
                 "{'at':1,'do':'list-torn'},{'at':1.2,'do':'drain','target':'north-e1'},"
@@ -106,17 +109,16 @@
                         + "{'at':3,'do':'start','target':'south-1'}"));
     }
 
-    /** With the plan for the loss of a site: routers say what became of it, of the right one, and it is
-     *  back. */
+    /** With site failover configured, routers report state changes of the right site only. */
     @Test
-    void aSilentSiteIsDoubtedByItsNameWhereThatIsPlannedFor() throws IOException {
-        Fleet.RunResult o = play(
+    void silentSiteIsDoubtedIfSiteFailoverIsConfigured() throws IOException {
+        Fleet.RunResult o = run(
                 244,
                 5,
                 "{'at':1.5,'do':'stop','target':'engines','site':'any'},"
                         + "{'at':4.5,'do':'continue','target':'engines','site':'any'}",
-                PLANNED);
-        rulesHold(o);
+                SITE_FAILOVER_CONFIG);
+        assertGeneralBoundsHold(o);
         String lost = o.scenario().sites.get(o.scenario().faults.get(0).site()).name();
         assertTrue(
                 o.siteStateChanges().stream()
@@ -127,13 +129,13 @@
                 o.siteStateChanges().stream()
                         .filter(s -> s.to().equals("lost") && !s.site().equals(lost))
                         .count(),
-                "none else is called lost");
+                "no other site is declared lost");
     }
 
-    /** An operator gives one site up and takes it back, while another is lost. */
+    /** An operator takes one site out and back in while another one is lost. */
     @Test
-    void anOperatorsWordHoldsDuringTheLossOfAnotherSite() throws IOException {
-        Fleet.RunResult o = play(
+    void operatorCommandHoldsDuringLossOfAnotherSite() throws IOException {
+        Fleet.RunResult o = run(
                 245,
                 6,
                 "{'at':0.2,'do':'say','target':'site-out north'},"
@@ -141,8 +143,8 @@
                         + "{'at':3.5,'do':'say','target':'site-in north'},"
                         + "{'at':3.6,'do':'say','target':'site-status'},"
                         + "{'at':4,'do':'start','target':'engines','site':'south'}",
-                PLANNED);
-        rulesHold(o);
+                SITE_FAILOVER_CONFIG);
+        assertGeneralBoundsHold(o);
         long in = o.faults().get(2).at();
         long out = o.faults().get(0).at();
         List<Fleet.Attempt> then = o.attempts().stream()
@@ -151,7 +153,7 @@
         long there = then.stream().filter(a -> a.engine().startsWith("north-")).count();
         assertTrue(
                 then.size() > 5 && there * 5 < then.size(),
-                "once its part has fallen to nothing, the last resort of few, until it is taken back: "
+                "a site that was taken out gets only the few requests that have no alternative: "
                         + there
                         + " of " + then.size());
         assertTrue(o.siteStateChanges().stream().anyMatch(s -> s.site().equals("north") && s.to().equals("returning")));
--- a/lab/src/test/java/magpiehub/lab/LoadGeneratorTest.java
+++ b/lab/src/test/java/magpiehub/lab/LoadGeneratorTest.java
@@ -20,18 +20,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The verdict on each answer, on sockets: a router that does wrong in one way, and the word that the rig
- *  has for
- *  it. This is how each bound on answers was seen to fail. */
+/** Tests the classification of responses over sockets, with a fake router that misbehaves in one way per case. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class LoadGeneratorTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private LoadGenerator clients;
+    private LoadGenerator generator;
 
-    /** What a router says to a request: its id, and how many tokens are asked for. */
-    private interface Answer {
-        String to(String call, int tokens);
+    /** The fake router's response to a request, given its id and the number of tokens requested. */
+    private interface FakeRouter {
+        String respond(String requestId, int tokens);
     }
 
     private static String event(String text) {
@@ -43,37 +41,37 @@
         return event("{\"choices\":[{\"delta\":{\"content\":\"" + call + " " + from + " " + to + ";\"}}]}");
     }
 
-    private static String whole(String call, int n) {
+    private static String completeStream(String call, int n) {
         return HEAD + tokens(call, 0, 1) + tokens(call, 1, n) + event("[DONE]") + "0\r\n\r\n";
     }
 
-    /** An answer of null ends the connection; one that ends in "|" ends it behind what was said. */
-    private static void serve(Socket s, Answer answer) {
-        try (s) {
-            HttpReader in = new HttpReader(s.getInputStream(), EngineSiteProcess::nowMicros);
+    /** A null response closes the connection; one that ends in "|" is sent and then closes it. */
+    private static void serve(Socket socket, FakeRouter fakeRouter) {
+        try (socket) {
+            HttpReader in = new HttpReader(socket.getInputStream(), EngineSiteProcess::nowMicros);
             while (in.awaitMessage()) {
-                HttpHead h = in.readRequestHead();
-                String body = new String(in.readBody(h), StandardCharsets.UTF_8);
-                String say = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-                if (h.method().equals("POST")) {
-                    say = answer.to(
-                            h.headers().get("X-Call-Id"),
+                HttpHead head = in.readRequestHead();
+                String body = new String(in.readBody(head), StandardCharsets.UTF_8);
+                String response = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+                if (head.method().equals("POST")) {
+                    response = fakeRouter.respond(
+                            head.headers().get("X-Call-Id"),
                             Integer.parseInt(body.replaceAll(".*\"max_tokens\":(\\d+).*", "$1")));
                 }
-                if (say == null) {
+                if (response == null) {
                     return;
                 }
-                s.getOutputStream().write(say.replace("|", "").getBytes(StandardCharsets.UTF_8));
-                if (say.endsWith("|")) {
+                socket.getOutputStream().write(response.replace("|", "").getBytes(StandardCharsets.UTF_8));
+                if (response.endsWith("|")) {
                     return;
                 }
             }
         } catch (IOException e) {
-            return; // The client has gone.
+            return; // The client has disconnected.
         }
     }
 
-    private Set<LoadGenerator.RequestOutcome> ends(Answer answer) throws Exception {
+    private Set<LoadGenerator.RequestOutcome> outcomesWith(FakeRouter fakeRouter) throws Exception {
         String json = Files.readString(Path.of("scenarios/zone-cut.json"))
                 .replaceFirst("\"seconds\": \\d+", "\"seconds\": 1")
                 .replaceFirst(
@@ -85,7 +83,7 @@
                         while (true) {
                             try {
                                 Socket s = router.accept();
-                                DaemonThreads.newThread("call", () -> serve(s, answer))
+                                DaemonThreads.newThread("call", () -> serve(s, fakeRouter))
                                         .start();
                             } catch (IOException e) {
                                 return;
@@ -93,7 +91,7 @@
                         }
                     })
                     .start();
-            clients = new LoadGenerator(
+            generator = new LoadGenerator(
                     Scenario.read(json, 1),
                     List.of(new LoadGenerator.RouterTarget(0, 0, "north-1")),
                     (from, r) -> (InetSocketAddress) router.getLocalSocketAddress(),
@@ -106,62 +104,65 @@
                         @Override
                         public void onUnanswered(int r, String call) {}
                     });
-            assertTrue(clients.awaitRouters(30_000_000));
-            for (Thread t : clients.startArrivals(EngineSiteProcess.nowMicros())) {
+            assertTrue(generator.awaitRouters(30_000_000));
+            for (Thread t : generator.startArrivals(EngineSiteProcess.nowMicros())) {
                 t.join();
             }
-            List<LoadGenerator.RequestRecord> all = clients.awaitResults(30_000_000);
-            assertEquals(0, clients.pendingRequests());
+            List<LoadGenerator.RequestRecord> all = generator.awaitResults(30_000_000);
+            assertEquals(0, generator.pendingRequests());
             assertTrue(all.size() > 5);
             assertEquals(
-                    0, all.stream().filter(LoadGenerator.RequestRecord::excused).count(), "none is excused");
+                    0, all.stream().filter(LoadGenerator.RequestRecord::excused).count(), "no request is excused");
             return all.stream().map(LoadGenerator.RequestRecord::outcome).collect(Collectors.toSet());
         }
     }
 
     @Test
-    void aWholeStreamIsServed() throws Exception {
-        assertEquals(Set.of(LoadGenerator.RequestOutcome.SERVED), ends(LoadGeneratorTest::whole));
-        assertEquals(0, clients.duplicateResponses());
+    void completeStreamIsServed() throws Exception {
+        assertEquals(Set.of(LoadGenerator.RequestOutcome.SERVED), outcomesWith(LoadGeneratorTest::completeStream));
+        assertEquals(0, generator.duplicateResponses());
     }
 
     @Test
-    void aSecondAnswerBehindTheFirstIsCounted() throws Exception {
-        ends((call, n) -> whole(call, n) + "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n|");
-        assertTrue(clients.duplicateResponses() > 0);
+    void secondResponseOnAConnectionIsCounted() throws Exception {
+        outcomesWith((call, n) -> completeStream(call, n) + "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n|");
+        assertTrue(generator.duplicateResponses() > 0);
     }
 
     @Test
-    void aConnectionThatEndsWithoutAWordIsNone() throws Exception {
-        assertEquals(Set.of(LoadGenerator.RequestOutcome.NONE), ends((call, n) -> null));
+    void connectionClosedWithoutResponseIsNone() throws Exception {
+        assertEquals(Set.of(LoadGenerator.RequestOutcome.NONE), outcomesWith((call, n) -> null));
     }
 
     @Test
-    void aStreamThatLacksTokensOrHasAnothersIsSpoilt() throws Exception {
+    void streamWithMissingOrForeignTokensIsSpoilt() throws Exception {
         assertEquals(
                 Set.of(LoadGenerator.RequestOutcome.SPOILT),
-                ends((call, n) -> HEAD + tokens(call, 0, 1) + tokens(call, 2, n) + event("[DONE]") + "0\r\n\r\n"));
+                outcomesWith(
+                        (call, n) -> HEAD + tokens(call, 0, 1) + tokens(call, 2, n) + event("[DONE]") + "0\r\n\r\n"));
         assertEquals(
                 Set.of(LoadGenerator.RequestOutcome.SPOILT),
-                ends((call, n) -> whole("0" + call.substring(1) + "x", n)));
+                outcomesWith((call, n) -> completeStream("0" + call.substring(1) + "x", n)));
         assertEquals(
                 Set.of(LoadGenerator.RequestOutcome.SPOILT),
-                ends((call, n) -> HEAD + tokens(call, 0, n) + "0\r\n\r\n"),
-                "an end in order that is none");
+                outcomesWith((call, n) -> HEAD + tokens(call, 0, n) + "0\r\n\r\n"),
+                "the stream ends normally without its final event");
     }
 
     @Test
-    void aStreamThatBreaksOffIsBroken() throws Exception {
-        assertEquals(Set.of(LoadGenerator.RequestOutcome.BROKEN), ends((call, n) -> HEAD + tokens(call, 0, 1) + "|"));
+    void interruptedStreamIsBroken() throws Exception {
+        assertEquals(
+                Set.of(LoadGenerator.RequestOutcome.BROKEN),
+                outcomesWith((call, n) -> HEAD + tokens(call, 0, 1) + "|"));
     }
 
     @Test
-    void refusedAndFailedAreToldApart() throws Exception {
+    void refusedAndFailedAreDistinguished() throws Exception {
         assertEquals(
                 Set.of(LoadGenerator.RequestOutcome.REFUSED),
-                ends((call, n) -> "HTTP/1.1 503 x\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n"));
+                outcomesWith((call, n) -> "HTTP/1.1 503 x\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n"));
         assertEquals(
                 Set.of(LoadGenerator.RequestOutcome.FAILED),
-                ends((call, n) -> "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
+                outcomesWith((call, n) -> "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"));
     }
 }
--- a/lab/src/test/java/magpiehub/lab/RelayTest.java
+++ b/lab/src/test/java/magpiehub/lab/RelayTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Paths and their faults, on real sockets. */
+/** Tests network paths and their faults with real sockets. */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class RelayTest {
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> observed = new ArrayList<>();
     private ServerSocket target;
     private Relay relay;
     private Relay.NetworkPath path;
@@ -39,12 +39,12 @@
         relay = new Relay(path, at, (InetSocketAddress) target.getLocalSocketAddress(), new Relay.RequestObserver() {
             @Override
             public void onRequestStarted(String call, long when) {
-                note("began " + call);
+                record("began " + call);
             }
 
             @Override
             public void onRequestEnded(String call, long when) {
-                note("over " + call);
+                record("over " + call);
             }
         });
     }
@@ -56,16 +56,16 @@
         target.close();
     }
 
-    private synchronized void note(String what) {
-        seen.add(what);
+    private synchronized void record(String what) {
+        observed.add(what);
         notifyAll();
     }
 
     private synchronized void await(String... all) throws InterruptedException {
-        while (seen.size() < all.length) {
+        while (observed.size() < all.length) {
             wait();
         }
-        assertEquals(List.of(all), seen);
+        assertEquals(List.of(all), observed);
     }
 
     private Socket client() throws IOException {
@@ -75,36 +75,36 @@
         return s;
     }
 
-    private static void say(Socket s, String text) throws IOException {
+    private static void send(Socket s, String text) throws IOException {
         s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String hear(Socket s, int bytes) throws IOException {
+    private static String receive(Socket s, int bytes) throws IOException {
         return new String(s.getInputStream().readNBytes(bytes), StandardCharsets.US_ASCII);
     }
 
     @Test
-    void whatACutPathHoldsBackComesOnceItIsHealedAndNoneIsLost() throws Exception {
+    void dataHeldOnACutPathArrivesAfterHealing() throws Exception {
         try (Socket c = client();
                 Socket t = target.accept()) {
-            say(c, "one");
-            assertEquals("one", hear(t, 3));
+            send(c, "one");
+            assertEquals("one", receive(t, 3));
             path.cut(true, false);
-            say(c, "two");
-            say(t, "back");
-            assertEquals("back", hear(c, 4), "the other way is open");
+            send(c, "two");
+            send(t, "back");
+            assertEquals("back", receive(c, 4), "the other direction is open");
             c.shutdownOutput();
             t.setSoTimeout(50);
             assertThrows(SocketTimeoutException.class, () -> t.getInputStream().read());
             path.heal(0, 0);
             t.setSoTimeout(30_000);
-            assertEquals("two", hear(t, 3));
-            assertEquals(-1, t.getInputStream().read(), "the end comes behind it");
+            assertEquals("two", receive(t, 3));
+            assertEquals(-1, t.getInputStream().read(), "the end follows the data");
         }
     }
 
     @Test
-    void aNewConnectionDoesNotComeUpOverACutPathAndDoesOnceItIsHealed() throws Exception {
+    void cutPathPreventsConnectionsUntilHealed() throws Exception {
         path.cut(false, true);
         assertThrows(SocketTimeoutException.class, () -> {
             try (Socket s = new Socket()) {
@@ -114,31 +114,31 @@
         path.heal(0, 0);
         try (Socket c = client();
                 Socket t = target.accept()) {
-            say(c, "x");
-            assertEquals("x", hear(t, 1));
+            send(c, "x");
+            assertEquals("x", receive(t, 1));
         }
     }
 
     @Test
-    void aBlackHoleTakesConnectionsAndSaysNothing() throws Exception {
+    void blackHoleAcceptsConnectionsAndDeliversNothing() throws Exception {
         path.blackHole();
         try (Socket c = client();
                 Socket t = target.accept()) {
-            say(c, "x");
+            send(c, "x");
             t.setSoTimeout(50);
             assertThrows(SocketTimeoutException.class, () -> t.getInputStream().read());
             path.heal(0, 0);
             t.setSoTimeout(30_000);
-            assertEquals("x", hear(t, 1));
+            assertEquals("x", receive(t, 1));
         }
     }
 
     @Test
-    void aResetEndsWhatIsOpenAtBothSides() throws Exception {
+    void resetClosesConnectionsOnBothSides() throws Exception {
         try (Socket c = client();
                 Socket t = target.accept()) {
-            say(c, "x");
-            assertEquals("x", hear(t, 1));
+            send(c, "x");
+            assertEquals("x", receive(t, 1));
             path.reset();
             assertThrows(IOException.class, () -> c.getInputStream().read());
             assertThrows(IOException.class, () -> t.getInputStream().read());
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void anEndedProcessRefusesAndIsThereAgainOnceItListens() throws Exception {
+    void connectionsAreRefusedUntilTargetListensAgain() throws Exception {
         InetSocketAddress was = (InetSocketAddress) target.getLocalSocketAddress();
         target.close();
         relay.markTargetDown();
@@ -154,53 +154,55 @@
         target = new ServerSocket();
         target.setReuseAddress(true);
         target.bind(was, 16);
-        target.accept().close(); // The relay's own look.
+        target.accept().close(); // The relay's own connection attempt.
         while (true) {
             try (Socket c = client();
                     Socket t = target.accept()) {
-                say(c, "x");
-                assertEquals("x", hear(t, 1));
+                send(c, "x");
+                assertEquals("x", receive(t, 1));
                 return;
             } catch (ConnectException e) {
-                Thread.onSpinWait(); // It has looked, and does not listen yet.
+                Thread.onSpinWait(); // The relay has reached the target but does not listen yet.
             }
         }
     }
 
     @Test
-    void aSlowPathTakesItsTimeAndKeepsTheOrder() throws Exception {
+    void slowPathDelaysDataAndKeepsItsOrder() throws Exception {
         path.slow(30_000, 0, 0);
         try (Socket c = client();
                 Socket t = target.accept()) {
             long from = EngineSiteProcess.nowMicros();
             for (int i = 0; i < 50; i++) {
-                say(c, i % 10 + "");
+                send(c, i % 10 + "");
             }
-            assertEquals("01234567890123456789012345678901234567890123456789", hear(t, 50));
+            assertEquals("01234567890123456789012345678901234567890123456789", receive(t, 50));
             assertTrue(EngineSiteProcess.nowMicros() - from >= 30_000);
         }
     }
 
     @Test
-    void aRequestIsSeenFromItsFirstByteToTheLastChunkOfItsAnswer() throws Exception {
+    void requestIsObservedFromItsFirstByteToTheLastChunkOfTheResponse() throws Exception {
         try (Socket c = client();
                 Socket t = target.accept()) {
-            say(c, "POST /x HTTP/1.1\r\nX-Call-Id: 7\r\nContent-Length: 2\r\n\r\n{}");
-            hear(t, 20);
+            send(c, "POST /x HTTP/1.1\r\nX-Call-Id: 7\r\nContent-Length: 2\r\n\r\n{}");
+            receive(t, 20);
             await("began 7");
-            say(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n0\r\n\r\n");
-            hear(c, 55); // What is in a chunk may look like the last one: it has passed, and nothing is over.
+            send(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n0\r\n\r\n");
+            receive(
+                    c,
+                    55); // The chunk's data looks like the last chunk; it has been forwarded, and the request goes on.
             await("began 7");
-            say(t, "0\r\n\r\n");
+            send(t, "0\r\n\r\n");
             await("began 7", "over 7");
-            say(c, "POST /x HTTP/1.1\r\nx-call-id: 8\r\nContent-Length: 2\r\n\r\n{}");
+            send(c, "POST /x HTTP/1.1\r\nx-call-id: 8\r\nContent-Length: 2\r\n\r\n{}");
             await("began 7", "over 7", "began 8");
-            say(t, "HTTP/1.1 503 x\r\nContent-Length: 3\r\n\r\nabc");
+            send(t, "HTTP/1.1 503 x\r\nContent-Length: 3\r\n\r\nabc");
             await("began 7", "over 7", "began 8", "over 8");
-            say(c, "POST /x HTTP/1.1\r\nX-Call-Id: 9\r\nContent-Length: 2\r\n\r\n{}");
+            send(c, "POST /x HTTP/1.1\r\nX-Call-Id: 9\r\nContent-Length: 2\r\n\r\n{}");
             await("began 7", "over 7", "began 8", "over 8", "began 9");
             path.cut(true, true);
-            c.close(); // Given up by its caller: over for it, whatever the path still holds.
+            c.close(); // The client gives up: the request has ended for it, whatever the path still holds.
             await("began 7", "over 7", "began 8", "over 8", "began 9", "over 9");
         }
     }
--- a/lab/src/test/java/magpiehub/lab/RunEvaluationTest.java
+++ b/lab/src/test/java/magpiehub/lab/RunEvaluationTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each bound seen to hold on a play without a fault, and to fail on one that breaks it. */
+/** Tests that each bound holds for a run without faults and fails for a run that violates it. */
 class RunEvaluationTest {
-    private static final long S = 1_000_000;
-    private static final RunEvaluation.SiteLoss LOSS = new RunEvaluation.SiteLoss(1, 10 * S, 14 * S, true);
+    private static final long SECOND = 1_000_000;
+    private static final RunEvaluation.SiteLoss LOSS = new RunEvaluation.SiteLoss(1, 10 * SECOND, 14 * SECOND, true);
 
     @TempDir
     Path folder;
@@ -22,26 +22,26 @@
     private final List<LoadGenerator.RequestRecord> results = new ArrayList<>();
     private final List<Fleet.Attempt> attempts = new ArrayList<>();
     private final List<ProcessManager.ResourceSample> samples = new ArrayList<>();
-    private List<String> fell = List.of();
-    private List<String> drained = List.of();
+    private List<String> crashedEngines = List.of();
+    private List<String> attemptsToDrained = List.of();
     private List<String> failures = List.of();
     private int crashes;
-    private final List<Fleet.SiteStateChange> stands = new ArrayList<>();
+    private final List<Fleet.SiteStateChange> siteStateChanges = new ArrayList<>();
 
-    /** A request a tenth of a second at each of three sites, served at once. */
+    /** One request per 0.1 s at each of three sites, all served. */
     public RunEvaluationTest() {
         for (int i = 0; i < 200; i++) {
             for (int site = 0; site < 3; site++) {
-                results.add(result(site, i * S / 10, LoadGenerator.RequestOutcome.SERVED, false));
+                results.add(result(site, i * SECOND / 10, LoadGenerator.RequestOutcome.SERVED, false));
             }
         }
-        samples.add(new ProcessManager.ResourceSample(S, "north-1", 90_000, 10, 30, 40));
+        samples.add(new ProcessManager.ResourceSample(SECOND, "north-1", 90_000, 10, 30, 40));
     }
 
     private static LoadGenerator.RequestRecord result(
-            int site, long due, LoadGenerator.RequestOutcome how, boolean excused) {
+            int site, long due, LoadGenerator.RequestOutcome outcome, boolean excused) {
         return new LoadGenerator.RequestRecord(
-                "c" + due + site, site, site, 0, due, due, 50_000, due + S, how, 0, 2, excused, "t");
+                "c" + due + site, site, site, 0, due, due, 50_000, due + SECOND, outcome, 0, 2, excused, "t");
     }
 
     private Fleet.RunResult outcome() throws IOException {
@@ -51,20 +51,20 @@
                 results,
                 attempts,
                 List.of(),
-                List.of(new Fleet.InjectedFault(10 * S, "kill south")),
+                List.of(new Fleet.InjectedFault(10 * SECOND, "kill south")),
                 samples,
-                fell,
-                drained,
+                crashedEngines,
+                attemptsToDrained,
                 0,
                 0,
                 crashes,
                 0,
                 failures,
-                stands,
+                siteStateChanges,
                 java.util.Map.of());
     }
 
-    private void fails(String... names) throws IOException {
+    private void assertOnlyFails(String... names) throws IOException {
         List<String> no = new RunEvaluation(outcome())
                 .evaluate(List.of(LOSS)).stream()
                         .filter(b -> !b.holds())
@@ -76,63 +76,64 @@
         }
     }
 
-    /** How requests due within a time ended, at one site. */
-    private void ended(int site, long from, long until, LoadGenerator.RequestOutcome how, boolean excused) {
+    /** Replaces the outcome of the requests due within a period at one site. */
+    private void setOutcome(int site, long from, long until, LoadGenerator.RequestOutcome outcome, boolean excused) {
         results.replaceAll(r -> r.site() == site && r.dueMicros() >= from && r.dueMicros() < until
-                ? result(site, r.dueMicros(), how, excused)
+                ? result(site, r.dueMicros(), outcome, excused)
                 : r);
     }
 
     @Test
-    void aPlayWithoutAFaultHolds() throws IOException {
-        fails();
+    void runWithoutFaultsHolds() throws IOException {
+        assertOnlyFails();
     }
 
     @Test
-    void whoGetsNoAnswerOfARunningRouterIsSeenAndWhoMetTheFaultIsNot() throws IOException {
-        ended(1, 10 * S, 10 * S + 100_000, LoadGenerator.RequestOutcome.NONE, true);
-        fails();
-        ended(1, 2 * S, 2 * S + 100_000, LoadGenerator.RequestOutcome.NONE, false);
-        fails("none or two final answers");
+    void unansweredRequestFailsUnlessExcusedByAFault() throws IOException {
+        setOutcome(1, 10 * SECOND, 10 * SECOND + 100_000, LoadGenerator.RequestOutcome.NONE, true);
+        assertOnlyFails();
+        setOutcome(1, 2 * SECOND, 2 * SECOND + 100_000, LoadGenerator.RequestOutcome.NONE, false);
+        assertOnlyFails("none or two final answers");
     }
 
     @Test
-    void aSpoiltAnswerIsSeen() throws IOException {
-        ended(1, 2 * S, 2 * S + 100_000, LoadGenerator.RequestOutcome.SPOILT, false);
-        fails("none or two final answers");
+    void invalidResponseFails() throws IOException {
+        setOutcome(1, 2 * SECOND, 2 * SECOND + 100_000, LoadGenerator.RequestOutcome.SPOILT, false);
+        assertOnlyFails("none or two final answers");
     }
 
     @Test
-    void twoAttemptsAtOnceAreSeenBeyondTheSlackOnly() throws IOException {
-        attempts.add(new Fleet.Attempt("x", 0, "e1", S, 2 * S));
-        attempts.add(new Fleet.Attempt("x", 0, "e2", 2 * S - 50_000, 3 * S));
-        fails();
-        attempts.add(new Fleet.Attempt("x", 0, "e3", 3 * S - 50_001, 4 * S));
-        fails("two attempts out at once");
+    void concurrentAttemptsFailBeyondTheToleranceOnly() throws IOException {
+        attempts.add(new Fleet.Attempt("x", 0, "e1", SECOND, 2 * SECOND));
+        attempts.add(new Fleet.Attempt("x", 0, "e2", 2 * SECOND - 50_000, 3 * SECOND));
+        assertOnlyFails();
+        attempts.add(new Fleet.Attempt("x", 0, "e3", 3 * SECOND - 50_001, 4 * SECOND));
+        assertOnlyFails("two attempts out at once");
     }
 
     @Test
-    void whatTheRigCountedIsSeen() throws IOException {
-        fell = List.of("e1");
-        drained = List.of("e1 got x");
+    void countedViolationsFail() throws IOException {
+        crashedEngines = List.of("e1");
+        attemptsToDrained = List.of("e1 got x");
         failures = List.of("kill");
         crashes = 1;
-        samples.add(new ProcessManager.ResourceSample(S, "north-1", 200_000, 10, 30, 40));
-        samples.add(new ProcessManager.ResourceSample(S, "engines-north", 400_000, 10, 30, 40));
-        fails("new work to an engine", "fell over", "ended by themselves", "could not be carried out", "memory");
+        samples.add(new ProcessManager.ResourceSample(SECOND, "north-1", 200_000, 10, 30, 40));
+        samples.add(new ProcessManager.ResourceSample(SECOND, "engines-north", 400_000, 10, 30, 40));
+        assertOnlyFails(
+                "new work to an engine", "fell over", "ended by themselves", "could not be carried out", "memory");
     }
 
     @Test
-    void aLossThatCostsTooMuchIsSeen() throws IOException {
-        ended(0, 10 * S, 11 * S, LoadGenerator.RequestOutcome.REFUSED, false);
-        fails("served while south is lost"); // 0.875 of it, and nine tenths again after 1 s.
-        ended(2, 10 * S, 13 * S, LoadGenerator.RequestOutcome.LATE, false);
-        fails("served while south is lost", "until nine tenths");
+    void lossWithTooLittleServedFails() throws IOException {
+        setOutcome(0, 10 * SECOND, 11 * SECOND, LoadGenerator.RequestOutcome.REFUSED, false);
+        assertOnlyFails("served while south is lost"); // 0.875 are served, and at least 0.9 again after 1 s.
+        setOutcome(2, 10 * SECOND, 13 * SECOND, LoadGenerator.RequestOutcome.LATE, false);
+        assertOnlyFails("served while south is lost", "until nine tenths");
     }
 
     @Test
-    void aReturnThatCostsTooMuchIsSeen() throws IOException {
-        results.replaceAll(r -> r.dueMicros() < 14 * S
+    void returnWithTooMuchLatencyFails() throws IOException {
+        results.replaceAll(r -> r.dueMicros() < 14 * SECOND
                 ? r
                 : new LoadGenerator.RequestRecord(
                         r.requestId(),
@@ -148,32 +149,32 @@
                         2,
                         false,
                         "t"));
-        fails("p99 of first tokens");
+        assertOnlyFails("p99 of first tokens");
     }
 
     @Test
-    void aSiteCalledLostWithoutALossIsSeenAndOneThatWasLostIsNot() throws IOException {
-        stands.add(new Fleet.SiteStateChange(11 * S, 0, "south", "doubted", "lost", "silence"));
-        fails();
-        stands.add(new Fleet.SiteStateChange(11 * S, 0, "west", "doubted", "lost", "silence"));
-        fails("called lost without a loss");
+    void falseLossFailsAndTrueLossDoesNot() throws IOException {
+        siteStateChanges.add(new Fleet.SiteStateChange(11 * SECOND, 0, "south", "doubted", "lost", "silence"));
+        assertOnlyFails();
+        siteStateChanges.add(new Fleet.SiteStateChange(11 * SECOND, 0, "west", "doubted", "lost", "silence"));
+        assertOnlyFails("called lost without a loss");
     }
 
     @Test
-    void aWordThatSwingsIsSeen() throws IOException {
+    void tooManyStateChangesFail() throws IOException {
         for (int i = 0; i < 9; i++) {
-            stands.add(new Fleet.SiteStateChange(11 * S, 0, "south", "whole", "doubted", "silence"));
-            fails(i < 8 ? new String[0] : new String[] {"changes of a router's word"});
+            siteStateChanges.add(new Fleet.SiteStateChange(11 * SECOND, 0, "south", "whole", "doubted", "silence"));
+            assertOnlyFails(i < 8 ? new String[0] : new String[] {"changes of a router's word"});
         }
     }
 
     @Test
-    void aReportHoldsItselfAndCompares() throws IOException {
+    void reportIsSelfContainedAndComparable() throws IOException {
         Fleet.RunResult o = outcome();
         Report.write(o, new RunEvaluation(o).evaluate(List.of(LOSS)), folder, "a.jar");
         String page = Files.readString(folder.resolve("report.html"));
         assertTrue(page.contains("<svg") && page.contains("kill south") && !page.contains("<script"));
-        ended(0, 10 * S, 13 * S, LoadGenerator.RequestOutcome.REFUSED, false);
+        setOutcome(0, 10 * SECOND, 13 * SECOND, LoadGenerator.RequestOutcome.REFUSED, false);
         Path b = Files.createTempDirectory(folder, "junit");
         Fleet.RunResult other = outcome();
         Report.write(other, new RunEvaluation(other).evaluate(List.of(LOSS)), b, "b.jar");
--- a/lab/src/test/java/magpiehub/lab/SiteLossScenarioTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteLossScenarioTest.java
@@ -12,19 +12,20 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The proof of the loss of a site as CI plays it: nine routers, 24 engines, what three seeds draw. Its
- *  bounds on
- *  times are left to {@code make proof-site}; a machine that can't carry the load by itself says nothing. */
+/**
+ * Runs the site loss scenarios of three seeds, with nine routers and 24 engines. The bounds on times are checked by
+ * {@code make proof-site} only, and a machine that is too busy to send the requests in time aborts the test.
+ */
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SiteLossScenarioTest {
-    private static final List<String> TIMES = List.of("until nine tenths", "p99 of first tokens");
-    /** Guards against a play that does not come to its end. */
+    private static final List<String> TIME_BOUNDS = List.of("until nine tenths", "p99 of first tokens");
+
     @TempDir
     Path folder;
 
-    private void holds(int net, long seed, String kind) throws IOException {
-        SiteLossScenario p = SiteLossScenario.drawn(seed, null);
-        assertEquals(kind, p.kind(), "drawn from the seed");
+    private void assertBoundsHold(int net, long seed, String caseName) throws IOException {
+        SiteLossScenario p = SiteLossScenario.fromSeed(seed, null);
+        assertEquals(caseName, p.caseName(), "the case that the seed selects");
         try (Fleet f = new Fleet(
                 p.scenario(),
                 Fleet.projectRoot().resolve("target/magpiehub.jar"),
@@ -33,18 +34,18 @@
                 Map.of("site.json", "{}"),
                 l -> {})) {
             Fleet.RunResult o = f.run();
-            List<RunEvaluation.Bound> all = new RunEvaluation(o)
+            List<RunEvaluation.Bound> bounds = new RunEvaluation(o)
                     .evaluate(p.losses().stream()
                             .map(l -> new RunEvaluation.SiteLoss(
                                     l.site(), l.from() + o.from(), l.until() + o.from(), l.refused()))
                             .toList());
-            System.out.println(
-                    "proof-site seed=" + seed + " case=" + kind + " rig late p99 ms=" + o.sendDelayP99Micros() / 1000);
-            all.forEach(System.out::println);
+            System.out.println("proof-site seed=" + seed + " case=" + caseName + " rig late p99 ms="
+                    + o.sendDelayP99Micros() / 1000);
+            bounds.forEach(System.out::println);
             Assumptions.assumeTrue(
                     o.sendDelayP99Micros() <= 50_000, "requests left " + o.sendDelayP99Micros() / 1000 + " ms late");
-            List<RunEvaluation.Bound> broken = all.stream()
-                    .filter(b -> !b.holds() && TIMES.stream().noneMatch(b.name()::contains))
+            List<RunEvaluation.Bound> broken = bounds.stream()
+                    .filter(b -> !b.holds() && TIME_BOUNDS.stream().noneMatch(b.name()::contains))
                     .toList();
             assertTrue(broken.isEmpty(), broken + " " + o.attemptsToDrained() + o.failures());
         }
@@ -52,16 +53,16 @@
 
     @Test
     void seedOne() throws IOException {
-        holds(246, 1, "cut-back");
+        assertBoundsHold(246, 1, "cut-back");
     }
 
     @Test
     void seedTwo() throws IOException {
-        holds(247, 2, "cut-off");
+        assertBoundsHold(247, 2, "cut-off");
     }
 
     @Test
     void seedThree() throws IOException {
-        holds(248, 3, "killed");
+        assertBoundsHold(248, 3, "killed");
     }
 }
