--- a/lab/src/main/java/magpiehub/lab/EngineModel.java
+++ b/lab/src/main/java/magpiehub/lab/EngineModel.java
@@ -48,7 +48,7 @@
          * Called for tokens {@code from} (inclusive) to {@code to} (exclusive).
          *
          * @param last whether the stream ends with them
-         * @param cached prompt tokens that were found in the prefix cache
+         * @param cachedTokens prompt tokens that were found in the prefix cache
          */
         void onTokens(int from, int to, boolean last, int cachedTokens);
     }
--- a/lab/src/main/java/magpiehub/lab/ProcessManager.java
+++ b/lab/src/main/java/magpiehub/lab/ProcessManager.java
@@ -25,7 +25,7 @@
     /** Resource usage of one process; {@code cpuMs} counts from its start, {@code files} are open files. */
     record ResourceSample(long at, String name, long rssKb, long cpuMs, int threads, int files) {}
 
-    /** One process; {@code startedMicros} is its last start, {@code lastSignalMicros} the last signal that changed its state (us). */
+    /** One process, with the times of its last start and of the last signal that changed its state. */
     static final class ManagedProcess {
         final String name;
         private Process process;
--- a/lab/src/test/java/magpiehub/lab/FleetTest.java
+++ b/lab/src/test/java/magpiehub/lab/FleetTest.java
@@ -19,6 +19,7 @@
  * discovery and clients. Asserts only the general bounds, which hold on a slow machine too; {@code make proof-site}
  * checks the bounds on times.
  */
+// The time limit guards against a run that does not end.
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class FleetTest {
     @TempDir
--- a/lab/src/test/java/magpiehub/lab/RelayTest.java
+++ b/lab/src/test/java/magpiehub/lab/RelayTest.java
@@ -189,9 +189,8 @@
             receive(t, 20);
             await("began 7");
             send(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n0\r\n\r\n");
-            receive(
-                    c,
-                    55); // The chunk's data looks like the last chunk; it has been forwarded, and the request goes on.
+            receive(c, 55);
+            // The chunk's data looks like the last chunk; it has been forwarded, and the request goes on.
             await("began 7");
             send(t, "0\r\n\r\n");
             await("began 7", "over 7");
--- a/lab/src/test/java/magpiehub/lab/SiteLossScenarioTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteLossScenarioTest.java
@@ -16,6 +16,7 @@
  * Runs the site loss scenarios of three seeds, with nine routers and 24 engines. The bounds on times are checked by
  * {@code make proof-site} only, and a machine that is too busy to send the requests in time aborts the test.
  */
+// The time limit guards against a run that does not end.
 @Timeout(value = 300, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SiteLossScenarioTest {
     private static final List<String> TIME_BOUNDS = List.of("until nine tenths", "p99 of first tokens");
--- a/src/main/java/magpiehub/simulator/RouterEventDecoder.java
+++ b/src/main/java/magpiehub/simulator/RouterEventDecoder.java
@@ -12,7 +12,7 @@
     /**
      * Decodes the event that the message represents.
      *
-     * @throws MalformedMessageException if the message type is unknown, or a required field is absent or has an unknown value
+     * @throws MalformedMessageException if the message type is unknown, or a field is missing or has an unknown value
      */
     static RouterEvent decode(MessageFields fields) {
         return switch (fields.messageName()) {
