--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -32,6 +32,10 @@
     private static final int ROUTER_AND_ENGINE_PORT = 8000;
     private static final int CONSOLE_PORT = 8001;
     private static final long SAMPLE_INTERVAL_MICROS = 500_000;
+    /** Time within which a router must stop sending to a drained engine: 2 s, with a tolerance of 50 ms. */
+    private static final long STOP_SENDING_LIMIT_MICROS = 2_050_000;
+    /** Interval into which load reports of engines are grouped. */
+    private static final long LOAD_INTERVAL_MICROS = 200_000;
     /** A router's configuration file. */
     private static final String CONFIG_TEMPLATE =
             """
@@ -406,7 +410,7 @@
             }
             case "l" -> {
                 synchronized (loads) {
-                    loads.computeIfAbsent(Long.parseLong(fields[1]) / 200_000, k -> new ArrayList<>())
+                    loads.computeIfAbsent(Long.parseLong(fields[1]) / LOAD_INTERVAL_MICROS, k -> new ArrayList<>())
                             .add(new EngineLoad(
                                     Long.parseLong(fields[1]),
                                     site,
@@ -791,7 +795,7 @@
             }
             if (informedMicros > 0
                     && informedMicros < Long.MAX_VALUE
-                    && attempt.startedMicros > informedMicros + 2_050_000
+                    && attempt.startedMicros > informedMicros + STOP_SENDING_LIMIT_MICROS
                     && !path("discovery", Math.max(0, attempt.site), -1).hasFaultSince(informedMicros)) {
                 attemptsToDrained.add(attempt.engine + " got " + attempt.requestId + " "
                         + (attempt.startedMicros - informedMicros) / 1000 + " ms after its router was informed");
@@ -806,7 +810,7 @@
                             samples.stream().filter(load -> load.site == site).toList();
                     if (!siteLoads.isEmpty()) {
                         sums.add(new EngineLoad(
-                                key * 200_000,
+                                key * LOAD_INTERVAL_MICROS,
                                 site,
                                 siteLoads.stream().mapToInt(EngineLoad::running).sum(),
                                 siteLoads.stream().mapToInt(EngineLoad::waiting).sum(),
--- a/lab/src/main/java/magpiehub/lab/Lab.java
+++ b/lab/src/main/java/magpiehub/lab/Lab.java
@@ -284,7 +284,7 @@
 
         @Override
         public Integer call() throws Exception {
-            SiteFailoverSimulation.Result result = SiteFailoverSimulation.play(seed, scenarios, threads);
+            SiteFailoverSimulation.Result result = SiteFailoverSimulation.run(seed, scenarios, threads);
             System.out.println(SiteFailoverSimulation.formatResult(seed, scenarios, result));
             return result.falseLosses == 0 ? 0 : 1;
         }
--- a/lab/src/main/java/magpiehub/lab/LoadGenerator.java
+++ b/lab/src/main/java/magpiehub/lab/LoadGenerator.java
@@ -95,6 +95,9 @@
 
     private static final long HEALTH_CHECK_INTERVAL_MICROS = 200_000;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    /** Maximum number of open conversations per site. */
+    private static final int MAX_CONVERSATIONS = 40;
+
     /** Warm-up time before the first request that is counted (us). */
     static final long WARM_UP_MICROS = 2_000_000;
 
@@ -292,7 +295,7 @@
                                 + random.nextInt(
                                         requestClass.prompt()[1] - requestClass.prompt()[0] + 1));
                 conversations.add(drawn);
-                if (conversations.size() > 40) {
+                if (conversations.size() > MAX_CONVERSATIONS) {
                     conversations.remove(random.nextInt(conversations.size()));
                 }
             }
--- a/lab/src/main/java/magpiehub/lab/Relay.java
+++ b/lab/src/main/java/magpiehub/lab/Relay.java
@@ -249,7 +249,7 @@
             targetDown = true;
             updateListener();
         }
-        DaemonThreads.newThread("relay-knock", () -> {
+        DaemonThreads.newThread("relay-reconnect", () -> {
                     while (true) {
                         EngineSiteProcess.sleep(RECONNECT_INTERVAL_MICROS);
                         try (Socket socket = new Socket()) {
--- a/lab/src/main/java/magpiehub/lab/SiteFailoverSimulation.java
+++ b/lab/src/main/java/magpiehub/lab/SiteFailoverSimulation.java
@@ -89,14 +89,16 @@
             end = until + 14_000_000;
         }
 
-        boolean isSiteDown(long t) {
-            return (t >= from && t < until)
-                    || (secondLossAt != Long.MAX_VALUE && t >= secondLossAt && t < secondLossAt + 3_000_000);
+        boolean isSiteDown(long nowMicros) {
+            return (nowMicros >= from && nowMicros < until)
+                    || (secondLossAt != Long.MAX_VALUE
+                            && nowMicros >= secondLossAt
+                            && nowMicros < secondLossAt + 3_000_000);
         }
 
         /** Whether a router at one site cannot reach another site. */
-        boolean isUnreachable(int router, int to, long t) {
-            return isSiteDown(t)
+        boolean isUnreachable(int router, int to, long nowMicros) {
+            return isSiteDown(nowMicros)
                     && switch (fault) {
                         case KILLED, SILENT -> to == site;
                         case CUT -> (router == site) != (to == site);
@@ -107,7 +109,7 @@
 
     private SiteFailoverSimulation() {}
 
-    private static Result play(long seed) {
+    private static Result run(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Scenario scenario = new Scenario(random);
         Result all = new Result();
@@ -130,19 +132,20 @@
         boolean removedFromList = false;
         boolean siteIsLost = scenario.fault == Fault.KILLED || scenario.fault == Fault.SILENT;
         for (long now = 0; now < scenario.end; now += TICK_MICROS) {
-            long t = now;
+            long nowMicros = now;
             for (int site = 0; site < scenario.sites; site++) {
                 for (int remaining = tracker.takeHealthChecks(site); remaining > 0; remaining--) {
-                    send(scenario, ownSite, site, t, random, pending);
+                    send(scenario, ownSite, site, nowMicros, random, pending);
                 }
-                if (tracker.takeTrial(site, t)) {
-                    send(scenario, ownSite, site, t, random, pending);
+                if (tracker.takeTrial(site, nowMicros)) {
+                    send(scenario, ownSite, site, nowMicros, random, pending);
                 }
             }
             for (double left = perTick; left > 0 && random.nextDouble() < left; left--) {
                 int site = random.nextInt(scenario.sites);
-                if (random.nextDouble() < tracker.share(site, t) && !(removedFromList && site == scenario.site)) {
-                    send(scenario, ownSite, site, t, random, pending);
+                if (random.nextDouble() < tracker.share(site, nowMicros)
+                        && !(removedFromList && site == scenario.site)) {
+                    send(scenario, ownSite, site, nowMicros, random, pending);
                 }
             }
             for (PendingEvidence pendingEvidence : pending) {
@@ -155,22 +158,22 @@
                         : firstSentAt;
             }
             if (now % 1_000_000 == 0) {
-                removedFromList = siteIsLost && scenario.isSiteDown(t - scenario.listDelay);
-                tracker.onListed(t, scenario.site, removedFromList ? 0 : ENGINES / scenario.sites, 100_000);
+                removedFromList = siteIsLost && scenario.isSiteDown(nowMicros - scenario.listDelay);
+                tracker.onListed(nowMicros, scenario.site, removedFromList ? 0 : ENGINES / scenario.sites, 100_000);
             }
             for (PendingEvidence pendingEvidence : pending) {
-                if (pendingEvidence.at <= t) {
+                if (pendingEvidence.at <= nowMicros) {
                     tracker.onEvidence(
-                            t,
+                            nowMicros,
                             pendingEvidence.site,
                             pendingEvidence.engine,
                             pendingEvidence.evidence,
-                            t - pendingEvidence.sent,
+                            nowMicros - pendingEvidence.sent,
                             pendingEvidence.ratio);
                 }
             }
-            pending.removeIf(pendingEvidence -> pendingEvidence.at <= t);
-            tracker.onTick(t);
+            pending.removeIf(pendingEvidence -> pendingEvidence.at <= nowMicros);
+            tracker.onTick(nowMicros);
             for (SiteTransition transition : tracker.takeTransitions()) {
                 // Ordinals, because the hash codes of enum constants differ between processes.
                 result.digest = result.digest * 31
@@ -191,59 +194,66 @@
             if (shouldDetect
                     && detectedAfter < 0
                     && firstSentAt >= 0
-                    && t < scenario.until
-                    && tracker.share(scenario.site, t) == 0) {
-                detectedAfter = t - firstSentAt;
+                    && nowMicros < scenario.until
+                    && tracker.share(scenario.site, nowMicros) == 0) {
+                detectedAfter = nowMicros - firstSentAt;
                 result.detectionTimes.add(detectedAfter);
             }
-            if (shouldDetect && t >= scenario.until && t < scenario.until + TICK_MICROS) {
+            if (shouldDetect && nowMicros >= scenario.until && nowMicros < scenario.until + TICK_MICROS) {
                 result.detected += detectedAfter >= 0 ? 1 : 0;
-                result.undetected += detectedAfter >= 0 || firstSentAt < 0 || t - firstSentAt < 3_000_000 ? 0 : 1;
+                result.undetected +=
+                        detectedAfter >= 0 || firstSentAt < 0 || nowMicros - firstSentAt < 3_000_000 ? 0 : 1;
             }
         }
-        for (int n : changes) {
-            result.maxChanges = Math.max(result.maxChanges, n);
+        for (int changeCount : changes) {
+            result.maxChanges = Math.max(result.maxChanges, changeCount);
         }
         return result;
     }
 
     private static void send(
-            Scenario scenario, int ownSite, int to, long t, SplittableRandom random, List<PendingEvidence> pending) {
+            Scenario scenario,
+            int ownSite,
+            int to,
+            long nowMicros,
+            SplittableRandom random,
+            List<PendingEvidence> pending) {
         int engine = random.nextInt(Math.max(1, ENGINES / scenario.sites));
         String id = to + "." + engine;
-        if (scenario.isUnreachable(ownSite, to, t)) {
+        if (scenario.isUnreachable(ownSite, to, nowMicros)) {
             boolean silent = scenario.fault == Fault.SILENT;
             pending.add(new PendingEvidence(
-                    t + (silent ? RESPONSE_TIMEOUT_MICROS : CONNECT_TIMEOUT_MICROS),
-                    t,
+                    nowMicros + (silent ? RESPONSE_TIMEOUT_MICROS : CONNECT_TIMEOUT_MICROS),
+                    nowMicros,
                     to,
                     id,
                     silent ? ZoneEvidence.SILENCE : ZoneEvidence.NO_CONNECTION,
                     0));
         } else if (engine < scenario.faultyEngineShare * ENGINES / scenario.sites) {
-            pending.add(new PendingEvidence(t + 20_000, t, to, id, ZoneEvidence.ERROR, 0));
+            pending.add(new PendingEvidence(nowMicros + 20_000, nowMicros, to, id, ZoneEvidence.ERROR, 0));
         } else {
-            boolean slow = scenario.isSiteDown(t)
+            boolean slow = scenario.isSiteDown(nowMicros)
                     && (scenario.fault == Fault.ALL_SLOW || (scenario.fault == Fault.SLOW && to == scenario.site));
             double ratio = slow
                     ? 2.9 * (0.5 + random.nextDouble()) * (scenario.fault == Fault.SLOW ? 10 : 1)
                     : 0.5 + random.nextDouble();
-            pending.add(new PendingEvidence(t + (long) (100_000 * ratio), t, to, id, ZoneEvidence.ANSWERED, ratio));
+            pending.add(new PendingEvidence(
+                    nowMicros + (long) (100_000 * ratio), nowMicros, to, id, ZoneEvidence.ANSWERED, ratio));
         }
     }
 
     /** Runs scenarios on a thread pool. */
-    static Result play(long seed, int scenarios, int threads) throws Exception {
+    static Result run(long seed, int scenarios, int threads) throws Exception {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Result>> all = new ArrayList<>();
+            List<Future<Result>> futures = new ArrayList<>();
             for (int i = 0; i < scenarios; i++) {
-                long own = seed * 1_000_003 + i;
-                all.add(pool.submit(() -> play(own)));
+                long scenarioSeed = seed * 1_000_003 + i;
+                futures.add(pool.submit(() -> run(scenarioSeed)));
             }
             Result sum = new Result();
-            for (Future<Result> f : all) {
-                sum.add(f.get());
+            for (Future<Result> future : futures) {
+                sum.add(future.get());
             }
             return sum;
         } finally {
--- a/lab/src/test/java/magpiehub/lab/SiteFailoverSimulationTest.java
+++ b/lab/src/test/java/magpiehub/lab/SiteFailoverSimulationTest.java
@@ -11,7 +11,7 @@
 
     @Test
     void lossesAreDetectedWithoutFalseOnes() throws Exception {
-        SiteFailoverSimulation.Result r = SiteFailoverSimulation.play(
+        SiteFailoverSimulation.Result r = SiteFailoverSimulation.run(
                 1, SCENARIO_COUNT, Runtime.getRuntime().availableProcessors());
         String line = SiteFailoverSimulation.formatResult(1, SCENARIO_COUNT, r);
         assertEquals(0, r.falseLosses, line);
@@ -24,9 +24,9 @@
 
     @Test
     void resultDependsOnSeedNotOnThreads() throws Exception {
-        SiteFailoverSimulation.Result one = SiteFailoverSimulation.play(7, 40, 1);
-        assertEquals(one.digest, SiteFailoverSimulation.play(7, 40, 8).digest);
+        SiteFailoverSimulation.Result one = SiteFailoverSimulation.run(7, 40, 1);
+        assertEquals(one.digest, SiteFailoverSimulation.run(7, 40, 8).digest);
         assertEquals(0x047444b225d08a5dL, one.digest, "on any machine");
-        assertTrue(one.digest != SiteFailoverSimulation.play(8, 40, 8).digest);
+        assertTrue(one.digest != SiteFailoverSimulation.run(8, 40, 8).digest);
     }
 }
