--- a/lab/src/main/java/magpiehub/lab/SiteFailoverSimulation.java
+++ b/lab/src/main/java/magpiehub/lab/SiteFailoverSimulation.java
@@ -134,10 +134,10 @@
         for (long now = 0; now < scenario.end; now += TICK_MICROS) {
             long nowMicros = now;
             for (int site = 0; site < scenario.sites; site++) {
-                for (int remaining = tracker.takeHealthChecks(site); remaining > 0; remaining--) {
+                for (int remaining = tracker.acquireHealthChecks(site); remaining > 0; remaining--) {
                     send(scenario, ownSite, site, nowMicros, random, pending);
                 }
-                if (tracker.takeTrial(site, nowMicros)) {
+                if (tracker.acquireTrial(site, nowMicros)) {
                     send(scenario, ownSite, site, nowMicros, random, pending);
                 }
             }
@@ -159,7 +159,8 @@
             }
             if (now % 1_000_000 == 0) {
                 removedFromList = siteIsLost && scenario.isSiteDown(nowMicros - scenario.listDelay);
-                tracker.onListed(nowMicros, scenario.site, removedFromList ? 0 : ENGINES / scenario.sites, 100_000);
+                tracker.onEndpointList(
+                        nowMicros, scenario.site, removedFromList ? 0 : ENGINES / scenario.sites, 100_000);
             }
             for (PendingEvidence pendingEvidence : pending) {
                 if (pendingEvidence.at <= nowMicros) {
@@ -174,7 +175,7 @@
             }
             pending.removeIf(pendingEvidence -> pendingEvidence.at <= nowMicros);
             tracker.onTick(nowMicros);
-            for (SiteTransition transition : tracker.takeTransitions()) {
+            for (SiteTransition transition : tracker.drainTransitions()) {
                 // Ordinals, because the hash codes of enum constants differ between processes.
                 result.digest = result.digest * 31
                         + java.util.Objects.hash(
--- a/src/main/java/magpiehub/routing/ZoneFailover.java
+++ b/src/main/java/magpiehub/routing/ZoneFailover.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Serves a {@link ZoneHealth} that plans for the loss of a zone: reports silence while it lasts, gives up attempts that
- * wait at a closed zone, and has replicas checked where too few requests would tell late.
+ * Drives a {@link ZoneHealth} that plans for the loss of a zone: reports overdue first tokens, cancels attempts that
+ * wait at a closed zone, and sends health checks where there are too few requests for a timely detection.
  */
 final class ZoneFailover {
     private final ActiveSettings settings;
@@ -18,7 +18,7 @@
     private final LatencyEstimator latencies;
     private final HealthChecker healthChecker;
     private final RoutingActions actions;
-    /** Zones that were closed at the last tick. */
+    /** The zones that were closed at the last tick. */
     private boolean[] closed = {};
 
     ZoneFailover(
@@ -43,7 +43,7 @@
         resize();
     }
 
-    /** Makes room for zones that new settings add. */
+    /** Adds the zones of new settings. */
     void resize() {
         zones.setZoneCount(fleet.zoneCount());
         closed = Arrays.copyOf(closed, fleet.zoneCount());
@@ -57,7 +57,7 @@
         }
         reportSilence(now);
         for (RequestInFlight request : List.copyOf(requests)) {
-            giveUpAttempts(request);
+            abandonAttempts(request);
         }
         for (int zone = 0; zone < fleet.zoneCount(); zone++) {
             forgetFailuresIfReopened(zone);
@@ -66,12 +66,12 @@
     }
 
     private void reportSilence(long now) {
-        long usual = (long) (OutlierDetector.SLOW_RATIO * latencies.longestMeanFirstToken());
-        long patience = Math.max(LoadTracker.FIRST_TOKEN_PATIENCE_MICROS, usual);
+        long slowFirstToken = (long) (OutlierDetector.SLOW_RATIO * latencies.longestMeanFirstToken());
+        long overdueAfter = Math.max(LoadTracker.FIRST_TOKEN_OVERDUE_MICROS, slowFirstToken);
         for (int i = 0; i < fleet.size(); i++) {
             for (Attempt attempt : load.possiblyAwaitingFirstToken(fleet.get(i))) {
                 long elapsed = now - attempt.sentAt();
-                if (attempt.awaitsFirstToken() && !attempt.isSilenceReported() && elapsed > patience) {
+                if (attempt.awaitsFirstToken() && !attempt.isSilenceReported() && elapsed > overdueAfter) {
                     attempt.markSilenceReported();
                     recorder.recordSilence(attempt.replica(), elapsed, now);
                 }
@@ -79,24 +79,24 @@
         }
     }
 
-    /** What waits at a closed zone is cancelled, except a trial that has not been silent for long. */
-    private void giveUpAttempts(RequestInFlight request) {
+    /** Cancels attempts that wait at a closed zone, except trials whose first token is not overdue. */
+    private void abandonAttempts(RequestInFlight request) {
         for (int number = 0; number < request.attemptCount(); number++) {
             Attempt attempt = request.findAttempt(number);
             long closedSince = zones.closedSince(fleet.validZone(attempt.zone()));
             if (closedSince != Long.MAX_VALUE
                     && !attempt.hasEnded()
-                    && !attempt.isGivenUp()
+                    && !attempt.isAbandoned()
                     && !request.isStreaming()
                     && (attempt.isSilenceReported() || attempt.sentAt() < closedSince)
                     && settings.get().limits().allowsCancellation()) {
-                attempt.markGivenUp();
+                attempt.markAbandoned();
                 actions.cancelAttempt(request.id(), number);
             }
         }
     }
 
-    /** What was learnt of a zone's replicas while nothing reached them says nothing once it is open again. */
+    /** Resets the ejections of a zone that is open again: failures of the closed zone are no evidence any more. */
     private void forgetFailuresIfReopened(int zone) {
         boolean isClosed = zones.closedSince(zone) != Long.MAX_VALUE;
         if (closed[zone] && !isClosed) {
--- a/src/main/java/magpiehub/sites/SiteFailoverPlan.java
+++ b/src/main/java/magpiehub/sites/SiteFailover.java
@@ -11,14 +11,14 @@
 import magpiehub.telemetry.EventLog;
 
 /**
- * Site failover as the routing decisions see it: each zone is a site of a {@link SiteHealthTracker}. Also
- * logs and counts the sites' transitions, and connects the operators.
+ * Site failover as a {@link ZoneHealth} of the routing policy: each zone is a site of a {@link SiteHealthTracker}. Also
+ * logs and counts the transitions of sites, and carries out withdrawals by operators.
  *
  * <p>The methods of {@link ZoneHealth} are called by the routing thread only. Those for operators and metrics may be
- * called from any thread; a withdrawal takes effect at the next tick.
+ * called from any thread; a withdrawal takes effect at the next {@link #advance}.
  */
-public final class SiteFailoverPlan implements ZoneHealth {
-    /** Stands for "not suspended" in {@link #closedSince}. */
+public final class SiteFailover implements ZoneHealth {
+    /** The result of {@link #closedSince} for a site that receives more than trials. */
     private static final long NOT_SUSPENDED = Long.MAX_VALUE;
 
     private final SiteFailoverSettings settings;
@@ -28,23 +28,22 @@
     private final List<String> siteNames;
     /** Null until the number of zones is known. */
     private SiteHealthTracker tracker;
-    /** Since when each site gets nothing but trials, or {@link #NOT_SUSPENDED}. */
+    /** Since when each site receives trials only, or {@link #NOT_SUSPENDED}. */
     private long[] suspendedSince;
 
-    /** Names of the sites that operators have withdrawn. */
+    /** The names of the sites that operators have withdrawn. */
     private final Set<String> withdrawnSites = ConcurrentHashMap.newKeySet();
 
-    /** The status of each site by its name, as of the last tick. */
+    /** The status of each site by its name, as of the last {@link #advance}. */
     private final Map<String, String> siteStatus = new ConcurrentHashMap<>();
 
     /**
-     * Creates a plan in which all sites are healthy.
+     * Creates a failover whose sites are all healthy.
      *
      * @param siteNames the zones of the router configuration, in their order
      * @param ownSite the index of the router's own site, -1 if it has none
      */
-    public SiteFailoverPlan(
-            SiteFailoverSettings settings, List<String> siteNames, int ownSite, long seed, EventLog log) {
+    public SiteFailover(SiteFailoverSettings settings, List<String> siteNames, int ownSite, long seed, EventLog log) {
         this.settings = settings;
         this.siteNames = List.copyOf(siteNames);
         for (String name : siteNames) {
@@ -55,7 +54,7 @@
         this.log = log;
     }
 
-    // ---- The routing thread ---------------------------------------------------------------------------
+    // ---- Routing thread -------------------------------------------------------------------------------
 
     @Override
     public void setZoneCount(int zones) {
@@ -66,16 +65,16 @@
         }
     }
 
-    /** Whether the zone is a site of the tracker. Zones that a later configuration adds are not, and never lost. */
+    /** Whether the tracker has the zone as a site. Zones that a reload adds are not tracked, and never lost. */
     private boolean isTracked(int zone) {
         return zone < suspendedSince.length;
     }
 
     @Override
     public void recordEvidence(
-            long now, int zone, String replica, ZoneEvidence evidence, long tookMicros, double latencyRatio) {
+            long now, int zone, String replica, ZoneEvidence evidence, long elapsedMicros, double latencyRatio) {
         if (isTracked(zone)) {
-            tracker.onEvidence(now, zone, replica, evidence, tookMicros, latencyRatio);
+            tracker.onEvidence(now, zone, replica, evidence, elapsedMicros, latencyRatio);
             publishTransitions(now);
         }
     }
@@ -86,14 +85,14 @@
     @Override
     public void setReplicaCount(long now, int zone, int replicas) {
         if (isTracked(zone)) {
-            tracker.onListed(now, zone, replicas, 0);
+            tracker.onEndpointList(now, zone, replicas, 0);
             publishTransitions(now);
         }
     }
 
     @Override
-    public boolean accepts(long now, int zone, double place) {
-        return !isTracked(zone) || place < tracker.share(zone, now);
+    public boolean accepts(long now, int zone, double position) {
+        return !isTracked(zone) || position < tracker.share(zone, now);
     }
 
     @Override
@@ -103,12 +102,12 @@
 
     @Override
     public boolean acquireTrial(long now, int zone) {
-        return isTracked(zone) && tracker.takeTrial(zone, now);
+        return isTracked(zone) && tracker.acquireTrial(zone, now);
     }
 
     @Override
     public int acquireHealthChecks(int zone) {
-        return isTracked(zone) ? tracker.takeHealthChecks(zone) : 0;
+        return isTracked(zone) ? tracker.acquireHealthChecks(zone) : 0;
     }
 
     @Override
@@ -133,7 +132,7 @@
     }
 
     private void publishTransitions(long now) {
-        for (SiteTransition transition : tracker.takeTransitions()) {
+        for (SiteTransition transition : tracker.drainTransitions()) {
             log.count("site_" + transition.to().label());
             log.log(
                     "site",
@@ -147,8 +146,8 @@
                     transition.cause().label());
         }
         for (int site = 0; site < suspendedSince.length; site++) {
-            boolean getsTraffic = tracker.share(site, now) > 0;
-            suspendedSince[site] = getsTraffic ? NOT_SUSPENDED : Math.min(suspendedSince[site], now);
+            boolean receivesTraffic = tracker.share(site, now) > 0;
+            suspendedSince[site] = receivesTraffic ? NOT_SUSPENDED : Math.min(suspendedSince[site], now);
         }
     }
 
@@ -168,7 +167,7 @@
 
     // ---- Any thread -----------------------------------------------------------------------------------
 
-    /** Sets which sites are withdrawn from service, by name; all others are put back. */
+    /** Sets which sites are withdrawn from service, by name; all others are returned to service. */
     public void setWithdrawnSites(Set<String> names) {
         withdrawnSites.retainAll(names);
         withdrawnSites.addAll(names);
@@ -179,12 +178,12 @@
         return siteNames;
     }
 
-    /** The status of each site by its name: its state, and unless it is healthy its share of traffic and the cause. */
+    /** The status of each site by its name: its state and, unless it is healthy, its share of traffic and the cause. */
     public Map<String, String> siteStatus() {
         return new TreeMap<>(siteStatus);
     }
 
-    /** The same as lines of the metrics page. */
+    /** The status of all sites as lines of the metrics page. */
     public String metrics() {
         StringBuilder lines = new StringBuilder();
         siteStatus().forEach((name, status) -> lines.append("site_" + name + " " + status + "\n"));
