--- a/lab/src/main/java/magpiehub/lab/Fleet.java
+++ b/lab/src/main/java/magpiehub/lab/Fleet.java
@@ -23,17 +23,21 @@
 import magpiehub.http.HttpReader;
 
 /**
- * One play of a scenario: routers as real processes by the command of {@code run}, one process of engines a
- * site, discovery, clients, and a relay between any two of them. It carries out the faults at their times and
- * keeps what was seen. It owns all addresses, on loopback only. It must never tell a router anything that the
- * platform would not.
+ * One run of a scenario: routers as real processes started with the command of {@code run}, one engine process per
+ * site, the discovery service, clients, and a relay between any two of them. Injects the faults at their times and
+ * records observations. All addresses are on the loopback interface. Routers receive only information that the
+ * platform would also give them.
  */
 final class Fleet implements AutoCloseable {
-    private static final int PORT = 8000;
-    private static final int CONSOLE = 8001;
-    private static final long SAMPLE = 500_000;
-    /** A router's file: name, addresses, seed, limits, list, its place, classes, figures of the engines. */
-    private static final String CONFIG =
+    private static final int ROUTER_AND_ENGINE_PORT = 8000;
+    private static final int CONSOLE_PORT = 8001;
+    private static final long SAMPLE_INTERVAL_MICROS = 500_000;
+    /** Time within which a router must stop sending to a drained engine: 2 s, with a tolerance of 50 ms. */
+    private static final long STOP_SENDING_LIMIT_MICROS = 2_050_000;
+    /** Interval into which load reports of engines are grouped. */
+    private static final long LOAD_INTERVAL_MICROS = 200_000;
+    /** A router's configuration file. */
+    private static final String CONFIG_TEMPLATE =
             """
             {"name":"%s","listen":"%s","discovery":"%s","seed":"%016x",
              "limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,"settings":{
@@ -48,135 +52,144 @@
              "guarantees":{"answerSlackMs":8,"askWithinMs":10000,"coldMs":%d,"fallMs":%d,
               "overloadFactor":%s,"startCapacity":%s,"stopSendingWithinMs":2000}}}
             """;
-    /** A router's start on a busy machine (us). */
-    private static final long START = 60_000_000;
+    /** Time limit for starting routers and engines, ample for a busy machine (us). */
+    private static final long START_TIMEOUT_MICROS = 60_000_000;
 
-    /** An attempt as seen at the router's end of the path: from which site, at which engine. */
-    record Attempt(String call, int site, String engine, long began, long over) {}
+    /** An attempt, observed at the router's end of the path; {@code site} is the router's, -1 if still running. */
+    record Attempt(String requestId, int site, String engine, long startedMicros, long endedMicros) {}
 
-    /** A router's word on a site, as its log has it. */
-    record Stand(long at, int router, String site, String from, String to, String cause) {}
+    /** A change of a site's state as reported in a router's log. */
+    record SiteStateChange(long at, int router, String site, String from, String to, String cause) {}
 
-    /** What the engines of a site had in hand. */
-    record Load(long at, int site, int running, int waiting, double speed) {}
+    /** Load of a site's engines at one time. */
+    record EngineLoad(long at, int site, int running, int waiting, double speed) {}
 
-    /** A fault as it was carried out. */
-    record Done(long at, String text) {}
+    /** A fault that was injected. */
+    record InjectedFault(long at, String description) {}
 
-    /** All that a play left. Times in us of the machine's clock, {@code from} is the first request's. */
-    record Outcome(
+    /** Everything observed during a run. Times are in us of the monotonic clock; {@code from} is the run's start. */
+    record RunResult(
             Scenario scenario,
             long from,
-            List<Clients.Result> results,
+            List<LoadGenerator.RequestRecord> results,
             List<Attempt> attempts,
-            List<Load> loads,
-            List<Done> faults,
-            List<Processes.Sample> samples,
-            List<String> fell,
-            List<String> toDrained,
-            int twice,
-            int open,
+            List<EngineLoad> loads,
+            List<InjectedFault> faults,
+            List<ProcessManager.ResourceSample> samples,
+            List<String> crashedEngines,
+            List<String> attemptsToDrained,
+            int duplicateResponses,
+            int pendingRequests,
             int crashes,
-            long late,
+            long sendDelayP99Micros,
             List<String> failures,
-            List<Stand> stands,
+            List<SiteStateChange> siteStateChanges,
             Map<String, String> counters) {}
 
-    private final Scenario s;
+    private final Scenario scenario;
     private final Path jar;
     private final Map<String, String> files;
     private final Path out;
-    private final int net;
+    private final int secondOctet;
     private final Consumer<String> progress;
-    private final Processes processes = new Processes();
-    private final Discovery discovery;
-    private final Clients clients;
-    private final List<Relay.Path> paths = new ArrayList<>();
+    private final ProcessManager processes = new ProcessManager();
+    private final FakeDiscovery discovery;
+    private final LoadGenerator clients;
+    private final List<Relay.NetworkPath> paths = new ArrayList<>();
     private final Map<String, Relay> engineRelays = new HashMap<>();
     private final List<List<Relay>> routerRelays = new ArrayList<>();
-    private final List<Processes.Proc> routers = new ArrayList<>();
-    private final List<Processes.Proc> engines = new ArrayList<>();
-    private final List<Clients.Target> targets = new ArrayList<>();
-    private final List<Integer> numbers = new ArrayList<>();
-    private final Map<String, Boolean> up = new HashMap<>();
-    private final Map<String, long[]> outNow = new HashMap<>();
+    private final List<ProcessManager.ManagedProcess> routers = new ArrayList<>();
+    private final List<ProcessManager.ManagedProcess> engines = new ArrayList<>();
+    private final List<LoadGenerator.RouterTarget> targets = new ArrayList<>();
+    private final List<Integer> nextEngineNumbers = new ArrayList<>();
+    private final Map<String, Boolean> startedEngines = new HashMap<>();
+    private final Map<String, long[]> openAttempts = new HashMap<>();
     private final List<Attempt> attempts = new ArrayList<>();
-    private final TreeMap<Long, List<Load>> loads = new TreeMap<>();
-    private final List<Done> done = new ArrayList<>();
-    private final List<String> fell = new ArrayList<>();
+    private final TreeMap<Long, List<EngineLoad>> loads = new TreeMap<>();
+    private final List<InjectedFault> injectedFaults = new ArrayList<>();
+    private final List<String> crashedEngines = new ArrayList<>();
     private final List<String> failures = new ArrayList<>();
-    private final List<Stand> stands = new ArrayList<>();
-    private static final Pattern SITE =
+    private final List<SiteStateChange> siteStateChanges = new ArrayList<>();
+    private static final Pattern SITE_STATE_LOG_LINE =
             Pattern.compile(" site \\[\\S+ name=\"(\\S+)\" from=\"(\\S+)\" to=\"(\\S+)\" cause=\"(\\S+)\"\\]");
-    private final Set<Integer> asked = new HashSet<>();
+    private final Set<Integer> dumpedRouters = new HashSet<>();
     private final SplittableRandom seeds;
-    private volatile boolean over;
-
-    /** @param net the second number of all addresses, 16 to 250: two plays side by side take two
-     *  @param files what the installation's {@code deploy} folder holds, by name */
-    Fleet(Scenario s, Path jar, Path out, int net, Map<String, String> files, Consumer<String> progress)
+    private volatile boolean finished;
+
+    /**
+     * Prepares a run.
+     *
+     * @param secondOctet the second octet of all addresses, 16 to 250; concurrent runs need different ones
+     * @param files contents of the installation's {@code deploy} folder, by file name
+     */
+    Fleet(Scenario scenario, Path jar, Path out, int secondOctet, Map<String, String> files, Consumer<String> progress)
             throws IOException {
-        this.s = s;
+        this.scenario = scenario;
         this.jar = jar.toAbsolutePath();
         this.files = Map.copyOf(files);
         this.out = out;
-        this.net = net;
+        this.secondOctet = secondOctet;
         this.progress = progress;
-        this.seeds = new SplittableRandom(s.seed ^ 0x9e3779b97f4a7c15L);
-        this.discovery = new Discovery(
-                s.sites.stream().map(Scenario.Site::name).toList(),
-                (from, m) -> text(relayed(from, m.site(), m.number())));
+        this.seeds = new SplittableRandom(scenario.seed ^ 0x9e3779b97f4a7c15L);
+        this.discovery = new FakeDiscovery(
+                scenario.sites.stream().map(Scenario.Site::name).toList(),
+                (from, m) -> hostPort(relayAddress(from, m.site(), m.number())));
         Files.createDirectories(out);
-        for (int i = 0; i < s.sites.size(); i++) {
-            for (int j = 0; j < s.sites.get(i).routers(); j++) {
-                targets.add(new Clients.Target(targets.size(), i, s.sites.get(i).name() + "-" + (j + 1)));
+        for (int i = 0; i < scenario.sites.size(); i++) {
+            for (int j = 0; j < scenario.sites.get(i).routers(); j++) {
+                targets.add(new LoadGenerator.RouterTarget(
+                        targets.size(), i, scenario.sites.get(i).name() + "-" + (j + 1)));
             }
         }
-        this.clients = new Clients(
-                s, targets, (from, r) -> at(170 + 8 * from + targets.get(r).site(), 1 + r), new Clients.Truth() {
+        this.clients = new LoadGenerator(
+                scenario,
+                targets,
+                (from, router) -> address(170 + 8 * from + targets.get(router).site(), 1 + router),
+                new LoadGenerator.RouterHealth() {
                     @Override
-                    public boolean whole(int from, int r, long since) {
-                        return routers.get(r).whole(since)
-                                && !path("clients", from, targets.get(r).site()).faulted(since);
+                    public boolean isHealthySince(int from, int router, long since) {
+                        return routers.get(router).isHealthySince(since)
+                                && !path("clients", from, targets.get(router).site())
+                                        .hasFaultSince(since);
                     }
 
                     @Override
-                    public void unanswered(int r, String call) {
-                        askForThreads(r, call);
+                    public void onUnanswered(int router, String requestId) {
+                        requestThreadDump(router, requestId);
                     }
                 });
     }
 
-    /** Once a router: its threads go into its log, beside the request that it left without an answer. */
-    private void askForThreads(int r, String call) {
-        synchronized (asked) {
-            if (!asked.add(r)) {
+    /** Writes a router's thread dump to its log, next to the unanswered request's id; once per router. */
+    private void requestThreadDump(int router, String requestId) {
+        synchronized (dumpedRouters) {
+            if (!dumpedRouters.add(router)) {
                 return;
             }
         }
-        log(targets.get(r).name(), "lab: no answer to " + call);
+        log(targets.get(router).name(), "lab: no answer to " + requestId + "; requesting a thread dump");
         try {
-            processes.signal("QUIT", List.of(routers.get(r)));
+            processes.signal("QUIT", List.of(routers.get(router)));
         } catch (IOException e) {
-            failures.add("threads of " + targets.get(r).name() + ": " + e.getMessage());
+            failures.add("thread dump of " + targets.get(router).name() + ": " + e.getMessage());
         }
     }
 
     // ---- Addresses ------------------------------------------------------------------------------------
-    private InetSocketAddress at(int third, int fourth) {
-        return new InetSocketAddress("127." + net + "." + third + "." + fourth, PORT);
+    private InetSocketAddress address(int third, int fourth) {
+        return new InetSocketAddress("127." + secondOctet + "." + third + "." + fourth, ROUTER_AND_ENGINE_PORT);
     }
 
-    private InetSocketAddress relayed(int from, int site, int number) {
-        return at(100 + 8 * from + site, number);
+    private InetSocketAddress relayAddress(int from, int site, int number) {
+        return address(100 + 8 * from + site, number);
     }
 
-    private static String text(InetSocketAddress a) {
+    private static String hostPort(InetSocketAddress a) {
         return a.getAddress().getHostAddress() + ":" + a.getPort();
     }
 
-    private Relay.Path path(String kind, int from, int to) {
-        for (Relay.Path p : paths) {
+    private Relay.NetworkPath path(String kind, int from, int to) {
+        for (Relay.NetworkPath p : paths) {
             if (p.from == from && p.to == to && p.name.startsWith(kind)) {
                 return p;
             }
@@ -184,106 +197,111 @@
         throw new IllegalStateException("no path " + kind + " " + from + " " + to);
     }
 
-    private long delay(Relay.Path p) {
-        return Math.round(1000 * (s.paths.delayMs() + (p.from == p.to || p.to < 0 ? 0 : s.paths.crossDelayMs())));
+    private long delay(Relay.NetworkPath p) {
+        return Math.round(
+                1000 * (scenario.paths.delayMs() + (p.from == p.to || p.to < 0 ? 0 : scenario.paths.crossDelayMs())));
     }
 
     private long jitter() {
-        return Math.round(1000 * s.paths.jitterMs());
+        return Math.round(1000 * scenario.paths.jitterMs());
     }
 
     // ---- Start ----------------------------------------------------------------------------------------
-    /** Plays the whole scenario. */
-    Outcome play() throws IOException {
-        int n = s.sites.size();
-        for (int a = 0; a < n; a++) {
-            for (int b = 0; b < n; b++) {
-                add("engines", a, b);
-                add("clients", a, b);
-            }
-            add("discovery", a, -1);
-        }
-        for (int i = 0; i < n; i++) {
-            numbers.add(1);
+    /** Runs the whole scenario. */
+    RunResult run() throws IOException {
+        int siteCount = scenario.sites.size();
+        for (int a = 0; a < siteCount; a++) {
+            for (int b = 0; b < siteCount; b++) {
+                addPath("engines", a, b);
+                addPath("clients", a, b);
+            }
+            addPath("discovery", a, -1);
+        }
+        for (int i = 0; i < siteCount; i++) {
+            nextEngineNumbers.add(1);
             engines.add(null);
             startEngines(i, false);
         }
         progress.accept("starting " + targets.size() + " routers of " + jar.getFileName());
-        for (Clients.Target t : targets) {
-            discovery.serve(t.router(), t.site(), at(1, 1 + t.router()));
-            List<Relay> mine = new ArrayList<>();
-            mine.add(new Relay(path("discovery", t.site(), -1), at(2, 1 + t.router()), at(1, 1 + t.router()), null));
-            for (int from = 0; from < n; from++) {
-                mine.add(new Relay(
-                        path("clients", from, t.site()),
-                        at(170 + 8 * from + t.site(), 1 + t.router()),
-                        at(10, 1 + t.router()),
+        for (LoadGenerator.RouterTarget target : targets) {
+            discovery.listen(target.router(), target.site(), address(1, 1 + target.router()));
+            List<Relay> relays = new ArrayList<>();
+            relays.add(new Relay(
+                    path("discovery", target.site(), -1),
+                    address(2, 1 + target.router()),
+                    address(1, 1 + target.router()),
+                    null));
+            for (int from = 0; from < siteCount; from++) {
+                relays.add(new Relay(
+                        path("clients", from, target.site()),
+                        address(170 + 8 * from + target.site(), 1 + target.router()),
+                        address(10, 1 + target.router()),
                         null));
             }
-            routerRelays.add(mine);
-            routers.add(startRouter(t, null));
+            routerRelays.add(relays);
+            routers.add(startRouter(target, null));
         }
-        if (!clients.ready(START)) {
-            throw new IOException("the routers did not all answer their health checks; see " + out.resolve("logs"));
+        if (!clients.awaitRouters(START_TIMEOUT_MICROS)) {
+            throw new IOException("not all routers passed their health checks; see " + out.resolve("logs"));
         }
-        discovery.late(s.listLateMs * 1000);
-        long from = EngineSite.micros() + Clients.WARM + 300_000;
-        DaemonThreads.newThread("samples", this::samples).start();
-        List<Thread> arrivals = clients.send(from);
-        for (Scenario.Fault f : s.faults) {
-            until(from + f.at() * 1000);
+        discovery.setDelay(scenario.listLateMs * 1000);
+        long from = EngineSiteProcess.nowMicros() + LoadGenerator.WARM_UP_MICROS + 300_000;
+        DaemonThreads.newThread("samples", this::sampleUntilFinished).start();
+        List<Thread> arrivals = clients.startArrivals(from);
+        for (Scenario.Fault fault : scenario.faults) {
+            sleepUntil(from + fault.at() * 1000);
             try {
-                carryOut(f);
+                inject(fault);
             } catch (IOException e) {
-                failures.add("fault " + f.text(s.sites) + ": " + e.getMessage());
+                failures.add("fault " + fault.describe(scenario.sites) + ": " + e.getMessage());
             }
         }
-        until(from + s.lengthMs * 1000);
-        for (Thread t : arrivals) {
+        sleepUntil(from + scenario.lengthMs * 1000);
+        for (Thread thread : arrivals) {
             try {
-                t.join();
+                thread.join();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        long longest = s.requests.classes().stream()
-                .mapToLong(Scenario.Kind::deadlineMs)
+        long longestDeadlineMillis = scenario.requests.classes().stream()
+                .mapToLong(Scenario.RequestClass::deadlineMs)
                 .max()
                 .orElse(0);
-        List<Clients.Result> results = clients.finish((longest + 5_000) * 1000);
-        over = true;
+        List<LoadGenerator.RequestRecord> results = clients.awaitResults((longestDeadlineMillis + 5_000) * 1000);
+        finished = true;
         processes.sample();
         Map<String, String> counters = new TreeMap<>();
-        for (Clients.Target t : targets) {
-            if (routers.get(t.router()).alive()) {
-                counters.put(t.name(), counters(t));
+        for (LoadGenerator.RouterTarget target : targets) {
+            if (routers.get(target.router()).isAlive()) {
+                counters.put(target.name(), fetchCounters(target));
             }
         }
-        return outcome(from, results, counters);
+        return buildResult(from, results, counters);
     }
 
-    private void add(String kind, int a, int b) {
-        Relay.Path p = new Relay.Path(kind + "-" + a + "-" + b, a, b, 0, 0, seeds.nextLong());
+    private void addPath(String kind, int a, int b) {
+        Relay.NetworkPath p = new Relay.NetworkPath(kind + "-" + a + "-" + b, a, b, 0, 0, seeds.nextLong());
         paths.add(p);
         try {
             p.heal(delay(p), jitter());
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e); // It has no relays yet.
+            throw new java.io.UncheckedIOException(e); // Cannot happen: the path has no relays yet.
         }
     }
 
-    private void until(long until) {
-        while (EngineSite.micros() < until) {
-            EngineSite.sleep(Math.min(100_000, Math.max(1, until - EngineSite.micros())));
+    private void sleepUntil(long untilMicros) {
+        while (EngineSiteProcess.nowMicros() < untilMicros) {
+            EngineSiteProcess.sleep(Math.min(100_000, Math.max(1, untilMicros - EngineSiteProcess.nowMicros())));
         }
     }
 
-    /** A site's engines as a new process: ids that nobody has seen, warm only at the play's start. */
+    /** Starts a site's engine process; its engines get new ids and are warm only at the start of the run. */
     private void startEngines(int site, boolean cold) throws IOException {
-        Scenario.Site at = s.sites.get(site);
-        Engine.Build b = s.engine;
-        Processes.Proc p = processes.start(
-                "engines-" + at.name(),
+        Scenario.Site siteConfig = scenario.sites.get(site);
+        EngineModel.Parameters parameters = scenario.engine;
+        ProcessManager.ManagedProcess process = processes.start(
+                "engines-" + siteConfig.name(),
                 List.of(
                         ProcessHandle.current().info().command().orElse("java"),
                         "-XX:+UseSerialGC",
@@ -294,124 +312,131 @@
                         "engines"),
                 Map.of(),
                 null,
-                l -> engineSaid(site, l),
+                line -> handleEngineEvent(site, line),
                 engines.get(site));
-        engines.set(site, p);
-        p.say(String.format(
+        engines.set(site, process);
+        process.writeLine(String.format(
                 Locale.ROOT,
                 "build %d %d %s %s %d %d %d %d %s %d %s",
-                b.slots(),
-                b.queue(),
-                b.stepMs(),
-                b.promptUs(),
-                b.chunk(),
-                b.event(),
-                b.kept(),
-                b.coldMs(),
-                b.start(),
-                b.fallMs(),
-                b.factor()));
+                parameters.slots(),
+                parameters.queue(),
+                parameters.stepMs(),
+                parameters.promptUs(),
+                parameters.chunk(),
+                parameters.event(),
+                parameters.kept(),
+                parameters.coldMs(),
+                parameters.start(),
+                parameters.fallMs(),
+                parameters.factor()));
         addEngines(site, cold);
     }
 
-    /** Engines that nobody has seen, in the site's process: each takes the next number. */
+    /** Adds engines with new ids, numbered consecutively, to the site's process. */
     private void addEngines(int site, boolean cold) throws IOException {
-        Scenario.Site at = s.sites.get(site);
-        Processes.Proc p = engines.get(site);
-        long since = cold ? System.currentTimeMillis() : 0;
+        Scenario.Site siteConfig = scenario.sites.get(site);
+        ProcessManager.ManagedProcess process = engines.get(site);
+        long upSinceMs = cold ? System.currentTimeMillis() : 0;
         List<String> ids = new ArrayList<>();
-        int first = numbers.get(site);
-        for (int i = 0; i < at.engines(); i++) {
+        int first = nextEngineNumbers.get(site);
+        for (int i = 0; i < siteConfig.engines(); i++) {
             int number = first + i;
             if (number > 250) {
-                throw new IOException("site " + at.name() + " has had 250 engines; no address is left");
+                throw new IOException("site " + siteConfig.name() + " has used all 250 engine addresses");
             }
-            String id = at.name() + "-e" + number;
+            String id = siteConfig.name() + "-e" + number;
             ids.add(id);
-            p.say("add " + id + " " + text(at(20 + site, number)) + (cold ? " cold" : " warm"));
+            process.writeLine("add " + id + " " + hostPort(address(20 + site, number)) + (cold ? " cold" : " warm"));
         }
-        numbers.set(site, first + at.engines());
-        synchronized (up) {
-            long until = EngineSite.micros() + START;
-            while (!ids.stream().allMatch(up::containsKey) && EngineSite.micros() < until) {
-                EngineSite.pause(up, 100_000);
+        nextEngineNumbers.set(site, first + siteConfig.engines());
+        synchronized (startedEngines) {
+            long deadline = EngineSiteProcess.nowMicros() + START_TIMEOUT_MICROS;
+            while (!ids.stream().allMatch(startedEngines::containsKey) && EngineSiteProcess.nowMicros() < deadline) {
+                EngineSiteProcess.await(startedEngines, 100_000);
             }
-            if (!ids.stream().allMatch(up::containsKey)) {
-                throw new IOException("the engines of " + at.name() + " did not start; see " + out.resolve("logs"));
+            if (!ids.stream().allMatch(startedEngines::containsKey)) {
+                throw new IOException(
+                        "not all engines of " + siteConfig.name() + " started; see " + out.resolve("logs"));
             }
         }
         for (int i = 0; i < ids.size(); i++) {
-            for (int from = 0; from < s.sites.size(); from++) {
+            for (int from = 0; from < scenario.sites.size(); from++) {
                 engineRelays.put(
                         ids.get(i) + "@" + from,
                         new Relay(
                                 path("engines", from, site),
-                                relayed(from, site, first + i),
-                                at(20 + site, first + i),
-                                watch(from, ids.get(i))));
+                                relayAddress(from, site, first + i),
+                                address(20 + site, first + i),
+                                observeRequests(from, ids.get(i))));
             }
-            discovery.put(ids.get(i), site, first + i, "Ready", since);
+            discovery.setMember(ids.get(i), site, first + i, "Ready", upSinceMs);
         }
     }
 
-    private Relay.Watch watch(int site, String engine) {
-        return new Relay.Watch() {
+    private Relay.RequestObserver observeRequests(int site, String engine) {
+        return new Relay.RequestObserver() {
             @Override
-            public void began(String call, long at) {
-                synchronized (outNow) {
-                    outNow.put(call + "@" + engine, new long[] {at});
+            public void onRequestStarted(String requestId, long atMicros) {
+                synchronized (openAttempts) {
+                    openAttempts.put(requestId + "@" + engine, new long[] {atMicros});
                 }
             }
 
             @Override
-            public void over(String call, long at) {
-                synchronized (outNow) {
-                    long[] began = outNow.remove(call + "@" + engine);
-                    if (began != null) {
-                        attempts.add(new Attempt(call, site, engine, began[0], at));
+            public void onRequestEnded(String requestId, long atMicros) {
+                synchronized (openAttempts) {
+                    long[] started = openAttempts.remove(requestId + "@" + engine);
+                    if (started != null) {
+                        attempts.add(new Attempt(requestId, site, engine, started[0], atMicros));
                     }
                 }
             }
         };
     }
 
-    private void engineSaid(int site, String line) {
-        String[] w = line.split(" ");
-        switch (w[0]) {
+    private void handleEngineEvent(int site, String line) {
+        String[] fields = line.split(" ");
+        switch (fields[0]) {
             case "up" -> {
-                synchronized (up) {
-                    up.put(w[1], true);
-                    up.notifyAll();
+                synchronized (startedEngines) {
+                    startedEngines.put(fields[1], true);
+                    startedEngines.notifyAll();
                 }
             }
             case "fell" -> {
-                synchronized (fell) {
-                    fell.add(w[2]);
+                synchronized (crashedEngines) {
+                    crashedEngines.add(fields[2]);
                 }
             }
             case "l" -> {
                 synchronized (loads) {
-                    loads.computeIfAbsent(Long.parseLong(w[1]) / 200_000, k -> new ArrayList<>())
-                            .add(new Load(
-                                    Long.parseLong(w[1]),
+                    loads.computeIfAbsent(Long.parseLong(fields[1]) / LOAD_INTERVAL_MICROS, k -> new ArrayList<>())
+                            .add(new EngineLoad(
+                                    Long.parseLong(fields[1]),
                                     site,
-                                    Integer.parseInt(w[3]),
-                                    Integer.parseInt(w[4]),
-                                    Double.parseDouble(w[5]) / 1000));
+                                    Integer.parseInt(fields[3]),
+                                    Integer.parseInt(fields[4]),
+                                    Double.parseDouble(fields[5]) / 1000));
                 }
             }
             case "a" -> {
-                return; // What an engine took is seen on the paths as well.
+                return; // Attempts are already observed by the relays.
             }
-            default -> log("engines-" + s.sites.get(site).name(), line);
+            default -> log("engines-" + scenario.sites.get(site).name(), line);
         }
     }
 
-    private void routerSaid(Clients.Target t, String line) {
-        Matcher m = SITE.matcher(line);
-        if (m.find()) {
-            synchronized (stands) {
-                stands.add(new Stand(EngineSite.micros(), t.router(), m.group(1), m.group(2), m.group(3), m.group(4)));
+    private void handleRouterLog(LoadGenerator.RouterTarget t, String line) {
+        Matcher matcher = SITE_STATE_LOG_LINE.matcher(line);
+        if (matcher.find()) {
+            synchronized (siteStateChanges) {
+                siteStateChanges.add(new SiteStateChange(
+                        EngineSiteProcess.nowMicros(),
+                        t.router(),
+                        matcher.group(1),
+                        matcher.group(2),
+                        matcher.group(3),
+                        matcher.group(4)));
             }
         }
         log(t.name(), line);
@@ -420,29 +445,30 @@
     private synchronized void log(String name, String line) {
         try {
             Files.createDirectories(out.resolve("logs"));
-            try (BufferedWriter w = Files.newBufferedWriter(
+            try (BufferedWriter writer = Files.newBufferedWriter(
                     out.resolve("logs").resolve(name + ".log"),
                     java.nio.file.StandardOpenOption.CREATE,
                     java.nio.file.StandardOpenOption.APPEND)) {
-                w.write(line + "\n");
+                writer.write(line + "\n");
             }
         } catch (IOException e) {
             failures.add("log of " + name + ": " + e.getMessage());
         }
     }
 
-    /** A router by the command of {@code run}, with this jar in place of the built one. */
-    private Processes.Proc startRouter(Clients.Target t, Processes.Proc was) throws IOException {
-        Path home = out.resolve("routers").resolve(t.name());
-        Path tmp = home.resolve("tmp-" + EngineSite.micros());
+    /** Starts a router with the command of {@code run}, replacing the built jar by the run's jar. */
+    private ProcessManager.ManagedProcess startRouter(
+            LoadGenerator.RouterTarget router, ProcessManager.ManagedProcess previous) throws IOException {
+        Path home = out.resolve("routers").resolve(router.name());
+        Path tmp = home.resolve("tmp-" + EngineSiteProcess.nowMicros());
         Files.createDirectories(tmp);
         Files.createDirectories(home.resolve("deploy"));
         for (Map.Entry<String, String> f : files.entrySet()) {
             Files.writeString(home.resolve("deploy").resolve(f.getKey()), f.getValue());
         }
         Path config = home.resolve("config.json");
-        Files.writeString(config, config(t));
-        String run = Files.readAllLines(root().resolve("deploy/balancer.toml")).stream()
+        Files.writeString(config, config(router));
+        String run = Files.readAllLines(projectRoot().resolve("deploy/balancer.toml")).stream()
                 .filter(l -> l.startsWith("run = "))
                 .findFirst()
                 .orElseThrow();
@@ -451,366 +477,383 @@
                 .replace("target/magpiehub.jsa", jar.toString().replaceAll("\\.jar$", ".jsa"));
         Map<String, String> env = new HashMap<>(Map.of(
                 "ROUTER_NAME",
-                t.name(),
+                router.name(),
                 "ROUTER_CONFIG",
                 config.toAbsolutePath().toString(),
                 "ROUTER_LISTEN",
-                text(at(10, 1 + t.router())),
+                hostPort(address(10, 1 + router.router())),
                 "ROUTER_DISCOVERY",
-                text(at(2, 1 + t.router())),
+                hostPort(address(2, 1 + router.router())),
                 "TMPDIR",
                 tmp.toAbsolutePath().toString()));
-        if (s.faults.stream().anyMatch(f -> f.kind().equals("say"))) {
-            env.put("ROUTER_CONSOLE", at(10, 1 + t.router()).getAddress().getHostAddress() + ":" + CONSOLE);
+        if (scenario.faults.stream().anyMatch(f -> f.kind().equals("say"))) {
+            env.put(
+                    "ROUTER_CONSOLE",
+                    address(10, 1 + router.router()).getAddress().getHostAddress() + ":" + CONSOLE_PORT);
         }
-        return processes.start(t.name(), List.of("sh", "-c", run), env, home, l -> routerSaid(t, l), was);
+        return processes.start(
+                router.name(), List.of("sh", "-c", run), env, home, l -> handleRouterLog(router, l), previous);
     }
 
-    /** The project's root: where deploy/balancer.toml is, from here upwards. */
-    static Path root() throws IOException {
+    /** The project's root: the closest parent of the working directory that contains deploy/balancer.toml. */
+    static Path projectRoot() throws IOException {
         for (Path p = Path.of("").toAbsolutePath(); p != null; p = p.getParent()) {
             if (Files.exists(p.resolve("deploy/balancer.toml"))) {
                 return p;
             }
         }
-        throw new IOException("deploy/balancer.toml is not here or above: run in the project's folder");
+        throw new IOException(
+                "deploy/balancer.toml not found in this folder or its parents; run in the project's folder");
     }
 
-    private String config(Clients.Target t) {
+    private String config(LoadGenerator.RouterTarget router) {
         StringBuilder classes = new StringBuilder();
         StringBuilder tokenAims = new StringBuilder();
-        for (Scenario.Kind k : s.requests.classes()) {
+        for (Scenario.RequestClass requestClass : scenario.requests.classes()) {
             classes.append(classes.length() == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
                             "{\"name\":\"%s\",\"aimMs\":%d,\"deadlineMs\":%d,\"effect\":\"pure\",\"gain\":%s,"
                                     + "\"group\":\"all\",\"lateShare\":0.0,\"stream\":true,\"windowMs\":5000}",
-                            k.name(),
-                            k.aimMs(),
-                            k.deadlineMs(),
-                            k.gain()));
+                            requestClass.name(),
+                            requestClass.aimMs(),
+                            requestClass.deadlineMs(),
+                            requestClass.gain()));
             tokenAims.append(tokenAims.length() == 0 ? "50" : ",50");
         }
-        double rate = s.sites.stream().mapToDouble(Scenario.Site::rate).sum();
+        double totalRate =
+                scenario.sites.stream().mapToDouble(Scenario.Site::rate).sum();
         StringBuilder accounts = new StringBuilder();
-        for (Scenario.Tenant a : s.requests.tenants()) {
+        for (Scenario.Tenant tenant : scenario.requests.tenants()) {
             accounts.append(accounts.length() == 0 ? "" : ",")
                     .append(String.format(
                             Locale.ROOT,
                             "{\"name\":\"%s\",\"share\":%s,\"allowancePerS\":%s}",
-                            a.name(),
-                            a.share(),
-                            1.5 * rate * a.share()));
+                            tenant.name(),
+                            tenant.share(),
+                            1.5 * totalRate * tenant.share()));
         }
         StringBuilder zones = new StringBuilder();
-        s.sites.forEach(z -> zones.append(zones.length() == 0 ? "\"" : ",\"")
-                .append(z.name())
+        scenario.sites.forEach(zone -> zones.append(zones.length() == 0 ? "\"" : ",\"")
+                .append(zone.name())
                 .append('"'));
-        Engine.Build b = s.engine;
+        EngineModel.Parameters parameters = scenario.engine;
         return String.format(
                 Locale.ROOT,
-                CONFIG,
-                t.name(),
-                text(at(10, 1 + t.router())),
-                text(at(2, 1 + t.router())),
+                CONFIG_TEMPLATE,
+                router.name(),
+                hostPort(address(10, 1 + router.router())),
+                hostPort(address(2, 1 + router.router())),
                 seeds.nextLong(),
-                s.routers.memoryMb(),
-                s.routers.sockets(),
-                discovery.known(t.router(), t.site()),
+                scenario.routers.memoryMb(),
+                scenario.routers.sockets(),
+                discovery.initialList(router.router(), router.site()),
                 targets.size(),
-                t.router(),
-                t.site(),
+                router.router(),
+                router.site(),
                 zones,
                 tokenAims,
                 classes,
                 accounts,
-                s.routers.probes(),
-                b.coldMs(),
-                b.fallMs(),
-                b.factor(),
-                b.start());
+                scenario.routers.probes(),
+                parameters.coldMs(),
+                parameters.fallMs(),
+                parameters.factor(),
+                parameters.start());
     }
 
     // ---- Faults ---------------------------------------------------------------------------------------
-    private List<Processes.Proc> aimed(Scenario.Fault f) {
-        List<Processes.Proc> to = new ArrayList<>();
-        for (Clients.Target t : targets) {
-            boolean there = f.site() < 0 || t.site() == f.site();
-            if ((there && (f.target().equals("site") || f.target().equals("routers")))
-                    || f.target().equals(t.name())) {
-                to.add(routers.get(t.router()));
+    private List<ProcessManager.ManagedProcess> targetedProcesses(Scenario.Fault fault) {
+        List<ProcessManager.ManagedProcess> processesHit = new ArrayList<>();
+        for (LoadGenerator.RouterTarget t : targets) {
+            boolean siteMatches = fault.site() < 0 || t.site() == fault.site();
+            if ((siteMatches && (fault.target().equals("site") || fault.target().equals("routers")))
+                    || fault.target().equals(t.name())) {
+                processesHit.add(routers.get(t.router()));
             }
         }
         for (int i = 0; i < engines.size(); i++) {
-            if ((f.site() < 0 || i == f.site())
-                    && (f.target().equals("site") || f.target().equals("engines"))) {
-                to.add(engines.get(i));
+            if ((fault.site() < 0 || i == fault.site())
+                    && (fault.target().equals("site") || fault.target().equals("engines"))) {
+                processesHit.add(engines.get(i));
             }
         }
-        return to;
+        return processesHit;
     }
 
-    private List<Relay.Path> along(Scenario.Fault f) {
+    private List<Relay.NetworkPath> affectedPaths(Scenario.Fault fault) {
         return paths.stream()
-                .filter(p -> f.paths().equals("all") || p.name.startsWith(f.paths()))
-                .filter(p -> f.site() < 0
-                        || (p.from == f.site() && (f.to() < 0 ? p.to != p.from : p.to == f.to()))
-                        || (f.to() < 0 && p.to == f.site() && p.from != p.to)
-                        || (f.to() >= 0 && p.to == f.site() && p.from == f.to()))
+                .filter(p -> fault.paths().equals("all") || p.name.startsWith(fault.paths()))
+                .filter(p -> fault.site() < 0
+                        || (p.from == fault.site() && (fault.to() < 0 ? p.to != p.from : p.to == fault.to()))
+                        || (fault.to() < 0 && p.to == fault.site() && p.from != p.to)
+                        || (fault.to() >= 0 && p.to == fault.site() && p.from == fault.to()))
                 .toList();
     }
 
-    private void note(String text) {
-        done.add(new Done(EngineSite.micros(), text));
-        progress.accept(text);
+    private void recordFault(String description) {
+        injectedFaults.add(new InjectedFault(EngineSiteProcess.nowMicros(), description));
+        progress.accept(description);
     }
 
-    private void carryOut(Scenario.Fault f) throws IOException {
-        note(f.text(s.sites));
-        switch (f.kind()) {
-            case "kill" -> kill(f);
-            case "stop" -> processes.signal("STOP", aimed(f));
-            case "continue" -> processes.signal("CONT", aimed(f));
-            case "term" -> processes.signal("TERM", aimed(f));
-            case "start" -> start(f);
+    private void inject(Scenario.Fault fault) throws IOException {
+        recordFault(fault.describe(scenario.sites));
+        switch (fault.kind()) {
+            case "kill" -> kill(fault);
+            case "stop" -> processes.signal("STOP", targetedProcesses(fault));
+            case "continue" -> processes.signal("CONT", targetedProcesses(fault));
+            case "term" -> processes.signal("TERM", targetedProcesses(fault));
+            case "start" -> start(fault);
             case "cut" -> {
-                for (Relay.Path p : along(f)) {
-                    // "forth" is what leaves the site that is named.
-                    boolean leaves = f.site() < 0 || p.from == f.site();
-                    p.cut(
-                            f.way().equals("both") || f.way().equals("forth") == leaves,
-                            f.way().equals("both") || f.way().equals("back") == leaves);
+                for (Relay.NetworkPath path : affectedPaths(fault)) {
+                    // "forth" is the direction that leaves the named site.
+                    boolean leaves = fault.site() < 0 || path.from == fault.site();
+                    path.cut(
+                            fault.way().equals("both") || fault.way().equals("forth") == leaves,
+                            fault.way().equals("both") || fault.way().equals("back") == leaves);
                 }
             }
-            case "blackhole" -> along(f).forEach(Relay.Path::blackHole);
-            case "reset" -> along(f).forEach(Relay.Path::reset);
-            case "slow" -> along(f).forEach(p -> p.slow(Math.round(delay(p) * f.value()), jitter(), 0));
-            case "throttle" -> along(f).forEach(p -> p.slow(delay(p), jitter(), Math.round(f.value())));
+            case "blackhole" -> affectedPaths(fault).forEach(Relay.NetworkPath::blackHole);
+            case "reset" -> affectedPaths(fault).forEach(Relay.NetworkPath::reset);
+            case "slow" -> affectedPaths(fault)
+                    .forEach(path -> path.slow(Math.round(delay(path) * fault.value()), jitter(), 0));
+            case "throttle" -> affectedPaths(fault)
+                    .forEach(path -> path.slow(delay(path), jitter(), Math.round(fault.value())));
             case "heal" -> {
-                for (Relay.Path p : along(f)) {
-                    p.heal(delay(p), jitter());
+                for (Relay.NetworkPath path : affectedPaths(fault)) {
+                    path.heal(delay(path), jitter());
                 }
             }
             case "engine-slow", "engine-errors", "engine-silent", "engine-heard" -> {
-                for (Discovery.Member m : aimedEngines(f)) {
-                    engines.get(m.site()).say(f.kind().substring(7) + " " + m.id() + " " + f.value());
+                for (FakeDiscovery.Member member : targetedEngines(fault)) {
+                    engines.get(member.site())
+                            .writeLine(fault.kind().substring(7) + " " + member.id() + " " + fault.value());
                 }
             }
             case "drain" -> {
-                for (Discovery.Member m : aimedEngines(f)) {
-                    discovery.put(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
-                    engines.get(m.site()).say("drain " + m.id());
+                for (FakeDiscovery.Member member : targetedEngines(fault)) {
+                    discovery.setMember(member.id(), member.site(), member.number(), "Terminating", member.upSinceMs());
+                    engines.get(member.site()).writeLine("drain " + member.id());
                 }
             }
             case "say" -> {
-                for (Clients.Target t : targets) {
-                    if (f.site() < 0 || t.site() == f.site()) {
-                        String answer = say(t, f.target());
-                        if (!answer.startsWith("SUCCESS")) {
-                            failures.add(t.name() + " answered " + f.target() + " with " + answer);
+                for (LoadGenerator.RouterTarget t : targets) {
+                    if (fault.site() < 0 || t.site() == fault.site()) {
+                        String reply = sendConsoleCommand(t, fault.target());
+                        if (!reply.startsWith("SUCCESS")) {
+                            failures.add(t.name() + " answered " + fault.target() + " with " + reply);
                         }
                     }
                 }
             }
-            case "list-late" -> discovery.late(Math.round(f.value() * 1000));
-            case "list-torn" -> discovery.tear();
-            case "list-down" -> discovery.down(true);
-            case "list-up" -> discovery.down(false);
-            case "list-gone" -> list(f, "Gone");
-            case "list-ready" -> list(f, "Ready");
+            case "list-late" -> discovery.setDelay(Math.round(fault.value() * 1000));
+            case "list-torn" -> discovery.truncateNextMessage();
+            case "list-down" -> discovery.setDown(true);
+            case "list-up" -> discovery.setDown(false);
+            case "list-gone" -> setPhase(fault, "Gone");
+            case "list-ready" -> setPhase(fault, "Ready");
             case "replace" -> {
-                for (int i = 0; i < s.sites.size(); i++) {
-                    if (f.site() < 0 || f.site() == i) {
-                        replace(i);
+                for (int i = 0; i < scenario.sites.size(); i++) {
+                    if (fault.site() < 0 || fault.site() == i) {
+                        replaceEngines(i);
                     }
                 }
             }
-            default -> throw new IOException("no such fault: " + f.kind());
+            default -> throw new IOException("unknown fault: " + fault.kind());
         }
     }
 
-    /** One call on a router's console. */
-    private String say(Clients.Target t, String line) throws IOException {
-        try (Socket s = new Socket()) {
-            s.connect(new InetSocketAddress(at(10, 1 + t.router()).getAddress(), CONSOLE), 1_000);
-            s.setSoTimeout(2_000);
-            s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
-            return new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+    /** Sends one line to a router's console and returns the reply. */
+    private String sendConsoleCommand(LoadGenerator.RouterTarget router, String line) throws IOException {
+        try (Socket socket = new Socket()) {
+            socket.connect(
+                    new InetSocketAddress(address(10, 1 + router.router()).getAddress(), CONSOLE_PORT), 1_000);
+            socket.setSoTimeout(2_000);
+            socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
         }
     }
 
-    /** What a router has counted; nothing where it does not answer. */
-    private String counters(Clients.Target t) {
-        try (Socket s = new Socket()) {
-            s.connect(at(10, 1 + t.router()), 1_000);
-            s.setSoTimeout(2_000);
-            s.getOutputStream()
+    /** A router's counters; empty if it does not respond. */
+    private String fetchCounters(LoadGenerator.RouterTarget router) {
+        try (Socket socket = new Socket()) {
+            socket.connect(address(10, 1 + router.router()), 1_000);
+            socket.setSoTimeout(2_000);
+            socket.getOutputStream()
                     .write("GET /counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            HttpReader in = new HttpReader(s.getInputStream(), EngineSite::micros);
+            HttpReader in = new HttpReader(socket.getInputStream(), EngineSiteProcess::nowMicros);
             return in.awaitMessage() ? new String(in.readBody(in.readResponseHead()), StandardCharsets.UTF_8) : "";
         } catch (IOException e) {
             return "";
         }
     }
 
-    private void list(Scenario.Fault f, String phase) {
-        for (Discovery.Member m : aimedEngines(f)) {
-            discovery.put(m.id(), m.site(), m.number(), phase, m.upSinceMs());
+    private void setPhase(Scenario.Fault fault, String phase) {
+        for (FakeDiscovery.Member member : targetedEngines(fault)) {
+            discovery.setMember(member.id(), member.site(), member.number(), phase, member.upSinceMs());
         }
     }
 
-    /** The engines that are meant: one by its id, or all that a site (or the fleet) has now. */
-    private List<Discovery.Member> aimedEngines(Scenario.Fault f) {
+    /** The engines that a fault targets: one by its id, or all current ones of a site or of the fleet. */
+    private List<FakeDiscovery.Member> targetedEngines(Scenario.Fault fault) {
         return discovery.members().stream()
-                .filter(m -> f.target() != null
-                        ? m.id().equals(f.target())
-                        : (f.site() < 0 || m.site() == f.site())
-                                && m.number()
-                                        >= numbers.get(m.site())
-                                                - s.sites.get(m.site()).engines())
+                .filter(member -> fault.target() != null
+                        ? member.id().equals(fault.target())
+                        : (fault.site() < 0 || member.site() == fault.site())
+                                && member.number()
+                                        >= nextEngineNumbers.get(member.site())
+                                                - scenario.sites
+                                                        .get(member.site())
+                                                        .engines())
                 .toList();
     }
 
-    private void kill(Scenario.Fault f) throws IOException {
-        List<Processes.Proc> to = aimed(f);
-        processes.signal("KILL", to);
-        for (Clients.Target t : targets) {
-            if (to.contains(routers.get(t.router()))) {
-                List<Relay> mine = routerRelays.get(t.router());
-                for (Relay r : mine.subList(1, mine.size())) { // The first is its way to discovery.
-                    r.down();
+    private void kill(Scenario.Fault fault) throws IOException {
+        List<ProcessManager.ManagedProcess> targeted = targetedProcesses(fault);
+        processes.signal("KILL", targeted);
+        for (LoadGenerator.RouterTarget t : targets) {
+            if (targeted.contains(routers.get(t.router()))) {
+                List<Relay> relays = routerRelays.get(t.router());
+                for (Relay relay : relays.subList(1, relays.size())) { // The first relay leads to discovery.
+                    relay.markTargetDown();
                 }
             }
         }
         for (int i = 0; i < engines.size(); i++) {
-            if (to.contains(engines.get(i))) {
-                gone(i);
+            if (targeted.contains(engines.get(i))) {
+                removeEngines(i);
             }
         }
     }
 
-    /** The engines of a site are no more: its addresses refuse, and the list will say so in its time. */
-    private void gone(int site) throws IOException {
-        for (Discovery.Member m : discovery.members()) {
-            if (m.site() == site && !m.phase().equals("Gone")) {
-                for (int from = 0; from < s.sites.size(); from++) {
-                    engineRelays.get(m.id() + "@" + from).down();
+    /** Removes a site's engines: their addresses refuse connections, and the list reports them as gone. */
+    private void removeEngines(int site) throws IOException {
+        for (FakeDiscovery.Member member : discovery.members()) {
+            if (member.site() == site && !member.phase().equals("Gone")) {
+                for (int from = 0; from < scenario.sites.size(); from++) {
+                    engineRelays.get(member.id() + "@" + from).markTargetDown();
                 }
-                discovery.put(m.id(), m.site(), m.number(), "Gone", m.upSinceMs());
+                discovery.setMember(member.id(), member.site(), member.number(), "Gone", member.upSinceMs());
             }
         }
     }
 
-    private void start(Scenario.Fault f) throws IOException {
-        List<Processes.Proc> to = aimed(f);
+    private void start(Scenario.Fault fault) throws IOException {
+        List<ProcessManager.ManagedProcess> targeted = targetedProcesses(fault);
         for (int i = 0; i < engines.size(); i++) {
-            if (to.contains(engines.get(i)) && !engines.get(i).alive()) {
+            if (targeted.contains(engines.get(i)) && !engines.get(i).isAlive()) {
                 startEngines(i, true);
             }
         }
-        for (Clients.Target t : targets) {
-            Processes.Proc p = routers.get(t.router());
-            if (to.contains(p) && !p.alive()) {
-                Processes.ended(p, 10_000);
-                startRouter(t, p);
+        for (LoadGenerator.RouterTarget t : targets) {
+            ProcessManager.ManagedProcess process = routers.get(t.router());
+            if (targeted.contains(process) && !process.isAlive()) {
+                ProcessManager.awaitExit(process, 10_000);
+                startRouter(t, process);
             }
         }
     }
 
-    /** A release of a site's engines at once: new ones, cold, and the old ones drain. */
-    private void replace(int site) throws IOException {
-        List<Discovery.Member> old = discovery.members().stream()
-                .filter(m -> m.site() == site && m.phase().equals("Ready"))
+    /** Replaces all engines of a site at once: starts new cold ones and drains the old ones. */
+    private void replaceEngines(int site) throws IOException {
+        List<FakeDiscovery.Member> old = discovery.members().stream()
+                .filter(member -> member.site() == site && member.phase().equals("Ready"))
                 .toList();
         addEngines(site, true);
-        for (Discovery.Member m : old) {
-            discovery.put(m.id(), m.site(), m.number(), "Terminating", m.upSinceMs());
-            engines.get(site).say("drain " + m.id());
+        for (FakeDiscovery.Member member : old) {
+            discovery.setMember(member.id(), member.site(), member.number(), "Terminating", member.upSinceMs());
+            engines.get(site).writeLine("drain " + member.id());
         }
     }
 
-    private void samples() {
-        while (!over) {
+    private void sampleUntilFinished() {
+        while (!finished) {
             processes.sample();
-            EngineSite.sleep(SAMPLE);
+            EngineSiteProcess.sleep(SAMPLE_INTERVAL_MICROS);
         }
     }
 
-    // ---- The end --------------------------------------------------------------------------------------
-    private Outcome outcome(long from, List<Clients.Result> results, Map<String, String> counters) {
-        List<Attempt> all;
-        synchronized (outNow) {
-            all = new ArrayList<>(attempts);
-            long now = EngineSite.micros();
-            outNow.forEach((k, began) -> {
-                String engine = k.substring(k.indexOf('@') + 1);
-                all.add(new Attempt(k.substring(0, k.indexOf('@')), -1, engine, began[0], now));
+    // ---- Result --------------------------------------------------------------------------------------
+    private RunResult buildResult(long from, List<LoadGenerator.RequestRecord> results, Map<String, String> counters) {
+        List<Attempt> allAttempts;
+        synchronized (openAttempts) {
+            allAttempts = new ArrayList<>(attempts);
+            long now = EngineSiteProcess.nowMicros();
+            openAttempts.forEach((key, started) -> {
+                String engine = key.substring(key.indexOf('@') + 1);
+                allAttempts.add(new Attempt(key.substring(0, key.indexOf('@')), -1, engine, started[0], now));
             });
         }
-        List<String> late = new ArrayList<>();
-        for (Attempt a : all) {
-            long told = 0;
-            for (Clients.Target t : targets) {
-                told = t.site() == a.site ? Math.max(told, discovery.told(a.engine, t.router())) : told;
+        List<String> attemptsToDrained = new ArrayList<>();
+        for (Attempt attempt : allAttempts) {
+            long informedMicros = 0;
+            for (LoadGenerator.RouterTarget t : targets) {
+                informedMicros = t.site() == attempt.site
+                        ? Math.max(informedMicros, discovery.firstSentMicros(attempt.engine, t.router()))
+                        : informedMicros;
             }
-            if (told > 0
-                    && told < Long.MAX_VALUE
-                    && a.began > told + 2_050_000
-                    && !path("discovery", Math.max(0, a.site), -1).faulted(told)) {
-                late.add(a.engine + " got " + a.call + " " + (a.began - told) / 1000 + " ms after it was told");
+            if (informedMicros > 0
+                    && informedMicros < Long.MAX_VALUE
+                    && attempt.startedMicros > informedMicros + STOP_SENDING_LIMIT_MICROS
+                    && !path("discovery", Math.max(0, attempt.site), -1).hasFaultSince(informedMicros)) {
+                attemptsToDrained.add(attempt.engine + " got " + attempt.requestId + " "
+                        + (attempt.startedMicros - informedMicros) / 1000 + " ms after its router was informed");
             }
         }
-        List<Load> sums = new ArrayList<>();
+        List<EngineLoad> sums = new ArrayList<>();
         synchronized (loads) {
-            loads.forEach((k, l) -> {
-                for (int i = 0; i < s.sites.size(); i++) {
+            loads.forEach((key, samples) -> {
+                for (int i = 0; i < scenario.sites.size(); i++) {
                     int site = i;
-                    List<Load> of = l.stream().filter(x -> x.site == site).toList();
-                    if (!of.isEmpty()) {
-                        sums.add(new Load(
-                                k * 200_000,
+                    List<EngineLoad> siteLoads =
+                            samples.stream().filter(load -> load.site == site).toList();
+                    if (!siteLoads.isEmpty()) {
+                        sums.add(new EngineLoad(
+                                key * LOAD_INTERVAL_MICROS,
                                 site,
-                                of.stream().mapToInt(Load::running).sum(),
-                                of.stream().mapToInt(Load::waiting).sum(),
-                                of.stream().mapToDouble(Load::speed).sum()));
+                                siteLoads.stream().mapToInt(EngineLoad::running).sum(),
+                                siteLoads.stream().mapToInt(EngineLoad::waiting).sum(),
+                                siteLoads.stream()
+                                        .mapToDouble(EngineLoad::speed)
+                                        .sum()));
                     }
                 }
             });
         }
-        List<Stand> words;
-        synchronized (stands) {
-            words = List.copyOf(stands);
+        List<SiteStateChange> changes;
+        synchronized (siteStateChanges) {
+            changes = List.copyOf(siteStateChanges);
         }
-        return new Outcome(
-                s,
+        return new RunResult(
+                scenario,
                 from,
                 results,
-                all,
+                allAttempts,
                 sums,
-                List.copyOf(done),
+                List.copyOf(injectedFaults),
                 processes.samples(),
-                List.copyOf(fell),
-                late,
-                clients.twice(),
-                clients.open(),
+                List.copyOf(crashedEngines),
+                attemptsToDrained,
+                clients.duplicateResponses(),
+                clients.pendingRequests(),
                 processes.crashes(),
-                clients.late(),
+                clients.sendDelayP99Micros(),
                 List.copyOf(failures),
-                words,
+                changes,
                 counters);
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
+        finished = true;
         processes.close();
         discovery.close();
         for (Relay r : engineRelays.values()) {
             r.close();
         }
-        for (List<Relay> l : routerRelays) {
-            for (Relay r : l) {
+        for (List<Relay> samples : routerRelays) {
+            for (Relay r : samples) {
                 r.close();
             }
         }
