--- a/src/main/java/magpiehub/downstream/ClientConnection.java
+++ b/src/main/java/magpiehub/downstream/ClientConnection.java
@@ -40,7 +40,7 @@
      * The end of the client's input was read, or the connection is closed: no new work may start for it. Set by the
      * first thread to detect it, before the corresponding message passes through the mailboxes.
      */
-    private volatile boolean clientGone;
+    private volatile boolean clientDisconnected;
     /** When the monitor is to post a {@link ClientMessage.TimerExpired}. */
     private volatile long timerMicros;
 
@@ -175,7 +175,7 @@
     private boolean closeSocketOnce() {
         boolean first = disconnected.compareAndSet(false, true);
         if (first) {
-            clientGone = true;
+            clientDisconnected = true;
             Sockets.closeQuietly(socket);
             mailbox.post(new ClientMessage.Disconnected());
         }
@@ -186,8 +186,8 @@
      * Called by the reader when the client has disconnected. Counted unless the connection was closed from this side.
      */
     void onInputEnded() {
-        if (!clientGone) {
-            clientGone = true;
+        if (!clientDisconnected) {
+            clientDisconnected = true;
             services.eventLog().count("clients_left");
         }
         mailbox.post(new ClientMessage.Disconnected());
@@ -195,8 +195,8 @@
 
     // ---- State shared between threads ------------------------------------------------------------------
 
-    boolean isClientGone() {
-        return clientGone;
+    boolean isClientDisconnected() {
+        return clientDisconnected;
     }
 
     @Override
@@ -240,8 +240,8 @@
     }
 
     /** Called by the actor when it closes the connection. */
-    void markClientGone() {
-        clientGone = true;
+    void markClientDisconnected() {
+        clientDisconnected = true;
     }
 
     /** Called by the actor: when the timer expires. */
--- a/src/main/java/magpiehub/downstream/ClientConnectionActor.java
+++ b/src/main/java/magpiehub/downstream/ClientConnectionActor.java
@@ -103,7 +103,7 @@
 
     /** Closes the socket and releases the connection's resources, once; messages that arrive later are dropped. */
     private void closeConnection() {
-        connection.markClientGone();
+        connection.markClientDisconnected();
         Sockets.closeQuietly(socket);
         mailbox.close();
         dropMessages();
--- a/src/main/java/magpiehub/downstream/ClientExchange.java
+++ b/src/main/java/magpiehub/downstream/ClientExchange.java
@@ -65,7 +65,7 @@
 
     @Override
     public boolean isClientDisconnected() {
-        return connection.isClientGone();
+        return connection.isClientDisconnected();
     }
 
     // ---- Called by the actor ----------------------------------------------------------------------------
--- a/src/main/java/magpiehub/simulator/RouterEvent.java
+++ b/src/main/java/magpiehub/simulator/RouterEvent.java
@@ -53,7 +53,7 @@
     }
 
     /** The client has disconnected. */
-    record ClientGone(String requestId) implements RouterEvent {
+    record ClientDisconnected(String requestId) implements RouterEvent {
         @Override
         public void deliverTo(RoutingEvents policy, long nowMicros) {
             policy.onClientDisconnected(nowMicros, requestId);
--- a/src/main/java/magpiehub/simulator/RouterEventDecoder.java
+++ b/src/main/java/magpiehub/simulator/RouterEventDecoder.java
@@ -20,7 +20,7 @@
             case "BEGUN" -> new RouterEvent.StreamStarted(
                     fields.requireRequestId(), fields.attempt, Milliseconds.toMicros(fields.durationMillis));
             case "ANSWER" -> attemptEnded(fields);
-            case "ABANDONED" -> new RouterEvent.ClientGone(fields.requireRequestId());
+            case "ABANDONED" -> new RouterEvent.ClientDisconnected(fields.requireRequestId());
             case "TICK_DUE" -> new RouterEvent.TimerFired(fields.timerToken);
             case "STATUS_BACK" -> new RouterEvent.HealthCheckEnded(
                     fields.requireReplicaId(),
--- a/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
+++ b/src/test/java/magpiehub/upstream/UpstreamPoolTest.java
@@ -47,7 +47,7 @@
 class UpstreamPoolTest {
     private final SyslogEventLog eventLog = new SyslogEventLog(System.err, "test", 1);
     private volatile CompletableFuture<String> answer = new CompletableFuture<>();
-    private volatile boolean clientGone;
+    private volatile boolean clientDisconnected;
     private Thread dispatcherThread;
     private SiteSettings site;
     private FlowController streams;
@@ -123,7 +123,7 @@
             startRouter(upstream, true);
             submit(null);
             awaitCounter("engine_connects 1\n");
-            clientGone = true;
+            clientDisconnected = true;
             upstream.setSoTimeout(60_000);
             upstream.accept().close();
             upstream.accept().close();
@@ -238,7 +238,7 @@
 
         @Override
         public boolean isClientDisconnected() {
-            return clientGone;
+            return clientDisconnected;
         }
     };
     private final EndpointListSource endpointSource = new EndpointListSource() {
