--- a/src/main/java/magpiehub/upstream/AttemptExecution.java
+++ b/src/main/java/magpiehub/upstream/AttemptExecution.java
@@ -91,12 +91,12 @@
     }
 
     /**
-     * Completes the attempt if its stream is granted and has ended; otherwise does nothing. The dispatcher is notified
-     * before the client: a client may send the same request again as soon as it has read the end of the stream, and the
-     * first request must be finished by then.
+     * Completes the attempt if its stream is forwarded and has ended; otherwise does nothing. The dispatcher is
+     * notified before the client: a client may send the same request again as soon as it has read the end of the
+     * stream, and the first request must be finished by then.
      */
     void finishStream() {
-        if (!response.isGranted() || !response.hasEnded() || attempt == null) {
+        if (!response.isForwarding() || !response.hasEnded() || attempt == null) {
             return;
         }
         StreamListener client = response.streamListener();
@@ -158,7 +158,7 @@
         context.dispatcher().execute(() -> listener.onClosedWhileIdle(connection));
     }
 
-    /** Discards the events of a stream that was not granted, which must not reach the client. */
+    /** Discards the events of a stream that was not forwarded, which must not reach the client. */
     private void discardBufferedEvents() {
         for (byte[] event : response.bufferedEvents()) {
             streams.discard(connection.flow(), event.length);
--- a/src/main/java/magpiehub/upstream/ConnectionActor.java
+++ b/src/main/java/magpiehub/upstream/ConnectionActor.java
@@ -103,9 +103,9 @@
     }
 
     @Override
-    public void onStreamGranted(ConnectionMessage.StreamGranted message) {
+    public void onForwardingStarted(ConnectionMessage.ForwardingStarted message) {
         if (execution.isCurrent(message.attempt())) {
-            responses.streamGranted();
+            responses.startForwarding();
         }
     }
 
--- a/src/main/java/magpiehub/upstream/ConnectionMessage.java
+++ b/src/main/java/magpiehub/upstream/ConnectionMessage.java
@@ -16,7 +16,7 @@
     interface Handler {
         void onAttemptStarted(AttemptStarted message);
 
-        void onStreamGranted(StreamGranted message);
+        void onForwardingStarted(ForwardingStarted message);
 
         void onAttemptAborted(AttemptAborted message);
 
@@ -44,10 +44,10 @@
     }
 
     /** The dispatcher has assigned the attempt's response stream to the client. */
-    record StreamGranted(UpstreamAttempt attempt) implements ConnectionMessage {
+    record ForwardingStarted(UpstreamAttempt attempt) implements ConnectionMessage {
         @Override
         public void deliverTo(Handler handler) {
-            handler.onStreamGranted(this);
+            handler.onForwardingStarted(this);
         }
     }
 
--- a/src/main/java/magpiehub/upstream/ResponseHandler.java
+++ b/src/main/java/magpiehub/upstream/ResponseHandler.java
@@ -4,9 +4,9 @@
 import magpiehub.streaming.FlowController;
 
 /**
- * Handles what is read from a connection's current socket: forwards the events of a granted stream to the client,
- * buffers those of a stream that is not granted yet, and ends the attempt with the response's outcome. Data that
- * arrives without an attempt in progress closes the socket. Confined to the connection's actor.
+ * Handles what is read from a connection's current socket: forwards the events of a stream to the client, or
+ * buffers them until forwarding starts, and ends the attempt with the response's outcome. Data that arrives without
+ * an attempt in progress closes the socket. Confined to the connection's actor.
  */
 final class ResponseHandler {
     private static final int STATUS_SERVICE_UNAVAILABLE = 503;
@@ -54,7 +54,7 @@
         execution.endBeforeStream(notExecuted ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
     }
 
-    /** Handles an event; returns whether it was forwarded, or buffered until the stream is granted. */
+    /** Handles an event; returns whether it was forwarded, or buffered until forwarding starts. */
     boolean acceptEvent(byte[] event, long nowMicros) {
         if (!execution.isActive()) {
             execution.closeWhileIdle();
@@ -96,8 +96,8 @@
     }
 
     /** Forwards the buffered events to the client, and later ones as they arrive. */
-    void streamGranted() {
-        response.markGranted();
+    void startForwarding() {
+        response.markForwarding();
         streams.startStream(connection.flow(), endpointId);
         response.forwardBufferedEvents();
         execution.finishStream();
--- a/src/main/java/magpiehub/upstream/ResponseState.java
+++ b/src/main/java/magpiehub/upstream/ResponseState.java
@@ -7,17 +7,17 @@
 import magpiehub.streaming.StreamOutcome;
 
 /**
- * The state of the response to a connection's attempt in progress. Buffers the events that arrive before the stream is
- * granted. Confined to the connection's actor, which {@linkplain #reset resets} it for each attempt.
+ * The state of the response to a connection's attempt in progress. Buffers the events that arrive before
+ * forwarding starts. Confined to the connection's actor, which {@linkplain #reset resets} it for each attempt.
  */
 final class ResponseState {
-    /** Receives the events of a granted stream; null between attempts. */
+    /** Receives the events of a forwarded stream; null between attempts. */
     private StreamListener streamListener;
 
     private boolean started;
-    private boolean granted;
+    private boolean forwarding;
     private boolean stalled;
-    /** How the stream ended, kept until it is granted or aborted; null until it ends. */
+    /** How the stream ended, kept until forwarding starts or the attempt is aborted; null until it ends. */
     private AttemptOutcome outcome;
     /** The error event that the upstream sent, or null. */
     private byte[] errorEvent;
@@ -37,7 +37,7 @@
     /** Clears the state of the previous attempt's response. */
     void reset() {
         started = false;
-        granted = false;
+        forwarding = false;
         stalled = false;
         outcome = null;
         errorEvent = null;
@@ -63,12 +63,12 @@
         started = true;
     }
 
-    boolean isGranted() {
-        return granted;
+    boolean isForwarding() {
+        return forwarding;
     }
 
-    void markGranted() {
-        granted = true;
+    void markForwarding() {
+        forwarding = true;
     }
 
     void markStalled() {
@@ -153,9 +153,9 @@
         loadReport = report;
     }
 
-    /** Forwards an event to the client, or buffers it until the stream is granted. */
+    /** Forwards an event to the client, or buffers it until forwarding starts. */
     void forwardOrBuffer(byte[] event) {
-        if (granted) {
+        if (forwarding) {
             streamListener.onEvent(event);
         } else {
             bufferedEvents.add(event);
--- a/src/main/java/magpiehub/upstream/UpstreamAttempt.java
+++ b/src/main/java/magpiehub/upstream/UpstreamAttempt.java
@@ -6,9 +6,9 @@
 import magpiehub.http.Sockets;
 
 /**
- * An attempt on its connection, and the dispatcher's handle to control it. The dispatcher's thread grants and aborts
- * while the connection's actor attaches the socket; the monitor makes the two atomic, so that a socket is either closed
- * by {@link #abort} or never used for an aborted attempt.
+ * An attempt on its connection, and the dispatcher's handle to control it. The dispatcher's thread starts forwarding
+ * and aborts while the connection's actor attaches the socket; the monitor makes the two atomic, so that a socket is
+ * either closed by {@link #abort} or never used for an aborted attempt.
  */
 final class UpstreamAttempt implements AttemptHandle {
     private final Attempt attempt;
@@ -45,7 +45,7 @@
 
     @Override
     public void startForwarding() {
-        connection.post(new ConnectionMessage.StreamGranted(this));
+        connection.post(new ConnectionMessage.ForwardingStarted(this));
     }
 
     @Override
--- a/src/test/java/magpiehub/upstream/ResponseStateTest.java
+++ b/src/test/java/magpiehub/upstream/ResponseStateTest.java
@@ -75,11 +75,11 @@
     void resetClearsThePreviousResponse() {
         response.recordEvent(COMMENT, true, 10);
         response.markStarted();
-        response.markGranted();
+        response.markForwarding();
         response.end(AttemptOutcome.OK);
         response.reset();
         assertFalse(response.isStarted());
-        assertFalse(response.isGranted());
+        assertFalse(response.isForwarding());
         assertFalse(response.hasEnded());
         assertNull(response.loadReport());
         assertNull(response.lastEvent());
