--- a/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
+++ b/src/main/java/magpiehub/discovery/platform/PlatformDiscovery.java
@@ -162,8 +162,8 @@
     }
 
     @Override
-    public void applyMaintenance(Set<String> outOfService, Map<String, Long> backSinceMicros, Runnable onApplied) {
-        MaintenanceUpdate update = new MaintenanceUpdate(outOfService, backSinceMicros, onApplied);
+    public void applyMaintenance(Set<String> outOfService, Map<String, Long> returnedAtMicros, Runnable onApplied) {
+        MaintenanceUpdate update = new MaintenanceUpdate(outOfService, returnedAtMicros, onApplied);
         mailbox.post(new PlatformMessage.MaintenanceChanged(update));
     }
 
