--- a/src/test/java/magpiehub/ExchangesTest.java
+++ b/src/test/java/magpiehub/ExchangesTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays every recorded exchange, each against a router of its own. */
+/** Replays every recorded exchange, each against a new router. */
 class ExchangesTest {
-    public static List<Path> files() throws IOException {
+    public static List<Path> exchangeFiles() throws IOException {
         try (var all = Files.list(Path.of("src/test/resources/exchanges"))) {
             return all.filter(f -> f.toString().endsWith(".txt")).sorted().toList();
         }
     }
 
     @ParameterizedTest(name = "{0}")
-    @MethodSource("files")
-    void isPlayedToItsEnd(Path file) throws Exception {
-        Player.play(file);
+    @MethodSource("exchangeFiles")
+    void replaysToTheEnd(Path file) throws Exception {
+        ExchangeReplayer.replay(file);
     }
 }
