--- a/src/main/java/magpiehub/discovery/RegistryCallChannel.java
+++ b/src/main/java/magpiehub/discovery/RegistryCallChannel.java
@@ -6,11 +6,11 @@
 import magpiehub.concurrent.Mailbox;
 
 /**
- * A thread that makes one call after another on a connection that it keeps open. One thread for all calls,
- * rather than one a call: a check each second would otherwise start a thread each second.
+ * Executes calls one after another on one thread, over a connection that it keeps open. The thread is shared by all
+ * calls, because a position check each second would otherwise start a thread each second.
  */
 final class RegistryCallChannel {
-    /** A connection closed sooner than this after its last use was not closed for being idle. */
+    /** A connection that is closed sooner than this after its last use was not closed by an idle timeout. */
     private static final long MIN_IDLE_MICROS = 2_000_000;
 
     private static final int MAILBOX_BYTES = 1 << 10;
@@ -18,13 +18,13 @@
 
     private sealed interface Task {}
 
-    private record MakeCall(RegistryCall call) implements Task {}
+    private record ExecuteCall(RegistryCall call) implements Task {}
 
     private record Stop() implements Task {}
 
     private final RegistryClientContext context;
     private final Mailbox<Task> tasks;
-    /** The open connection; null for none. */
+    /** The open connection, or null. */
     private RegistryConnection connection;
 
     private long lastUsedAtMicros;
@@ -36,20 +36,20 @@
         context.startThread(threadName, this::run);
     }
 
-    /** Makes a call once those before it have ended. Any thread. */
+    /** Queues a call behind those started before. May be called from any thread. */
     void start(RegistryCall call) {
-        tasks.post(new MakeCall(call));
+        tasks.post(new ExecuteCall(call));
     }
 
-    /** Ends the thread once the calls before this have ended. Any thread. */
+    /** Ends the thread after the calls queued so far. May be called from any thread. */
     void stop() {
         tasks.post(new Stop());
     }
 
     private void run() {
         try {
-            while (tasks.take(Long.MAX_VALUE) instanceof MakeCall task) {
-                makeCall(task.call);
+            while (tasks.take(Long.MAX_VALUE) instanceof ExecuteCall task) {
+                process(task.call);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -58,11 +58,11 @@
         }
     }
 
-    /** Makes a call, and posts {@link RegistryMessage.CallEnded} after its last event. */
-    private void makeCall(RegistryCall call) throws InterruptedException {
+    /** Executes a call and posts {@link RegistryMessage.CallEnded} after its last event. */
+    private void process(RegistryCall call) throws InterruptedException {
         IOException failure = null;
         try {
-            exchangeWithRetry(call);
+            executeWithRetry(call);
         } catch (IOException e) {
             failure = e;
         } catch (RuntimeException | OutOfMemoryError e) {
@@ -75,40 +75,40 @@
         context.actor().post(new RegistryMessage.CallEnded(call, failure));
     }
 
-    /** Makes a call, once more on a new connection if the server had closed the idle one. */
-    private void exchangeWithRetry(RegistryCall call) throws IOException, InterruptedException {
+    /** Executes a call, and retries it once on a new connection if the server had closed the idle one. */
+    private void executeWithRetry(RegistryCall call) throws IOException, InterruptedException {
         String endpoint = call.endpointAddress();
         boolean reused = connection != null && connection.endpoint().equals(endpoint) && !connection.isClosed();
         if (!reused) {
             closeConnection();
         }
         try {
-            exchange(call, endpoint);
+            execute(call, endpoint);
         } catch (EOFException | SocketException e) {
             if (!reused || call.isCancelled() || !call.awaitsFirstEvent()) {
                 throw e;
             }
-            // A connection that the server closed after it was idle for long says nothing of the server. Between
-            // two queries of a list it was lost with all other routers' connections, which are idle at the
-            // same time.
+            // A server that closes a connection after a long idle time may be healthy, so the call is retried. A
+            // connection lost in the short pause between two list queries indicates a server failure: the idle
+            // connections of all other routers were lost at the same time.
             if (call.kind != RegistryCallKind.CHECK && context.clock().micros() - lastUsedAtMicros < MIN_IDLE_MICROS) {
                 call.markLostWhileIdle();
                 throw e;
             }
             connection.close();
-            exchange(call, endpoint);
+            execute(call, endpoint);
         }
     }
 
-    private void exchange(RegistryCall call, String endpoint) throws IOException, InterruptedException {
+    private void execute(RegistryCall call, String endpoint) throws IOException, InterruptedException {
         RegistrySession session = call.session;
         if (connection == null || connection.isClosed()) {
             connection = new RegistryConnection(endpoint, session.tls(), context.clock(), context.bytesRead());
-            call.use(connection);
-            context.observer().connecting(call.kind, endpoint);
+            call.setConnection(connection);
+            context.observer().onConnecting(call.kind, endpoint);
             connection.connect((int) Math.max(1, session.settings().timeoutMicros() / MICROS_PER_MILLI));
         }
-        call.use(connection);
+        call.setConnection(connection);
         if (call.isCancelled()) {
             connection.close();
             throw new IOException("cancelled");
@@ -116,9 +116,9 @@
         RegistryEventListener listener = new RegistryCallEventPoster(call, context.actor());
         switch (call.kind) {
             case LIST -> session.protocol().readList(connection, listener);
-            case WATCH -> session.protocol().watch(connection, call.requestedAt, listener);
+            case WATCH -> session.protocol().watch(connection, call.requestedPosition, listener);
             case CHECK -> session.protocol().checkPosition(connection, listener);
-            default -> throw new IllegalStateException("no such call: " + call.kind);
+            default -> throw new IllegalStateException("unexpected call kind: " + call.kind);
         }
     }
 
--- a/src/main/java/magpiehub/discovery/RegistryStatistics.java
+++ b/src/main/java/magpiehub/discovery/RegistryStatistics.java
@@ -1,15 +1,16 @@
 package magpiehub.discovery;
 
 /**
- * The state of a {@link RegistryClient} after a turn of its actor, for {@code /counters}.
+ * A snapshot of a {@link RegistryClient}'s state, for {@code /counters}. The actor takes one after each message or
+ * timer.
  *
- * @param lastAnswerMicros when a registry last answered; 0 before the first answer
+ * @param lastResponseMicros when a registry last responded; 0 before the first response
  */
 record RegistryStatistics(
         ListPosition position,
         long version,
         int size,
-        long lastAnswerMicros,
+        long lastResponseMicros,
         long duplicateChanges,
         int held,
         int suppressed,
@@ -17,10 +18,11 @@
     private static final long MICROS_PER_MILLI = 1000;
 
     /**
-     * One counter a line; {@code registry_silence_ms} is how long no registry has answered, -1 before one has.
+     * Formats one counter per line. {@code registry_silence_ms} is the time since a registry last responded, or -1
+     * before the first response.
      */
     String counterLines(long nowMicros, long bytesRead) {
-        long silenceMillis = lastAnswerMicros == 0 ? -1 : (nowMicros - lastAnswerMicros) / MICROS_PER_MILLI;
+        long silenceMillis = lastResponseMicros == 0 ? -1 : (nowMicros - lastResponseMicros) / MICROS_PER_MILLI;
         return "registry_version " + version
                 + "\nregistry_position " + position.revision()
                 + "\nregistry_term " + position.term()
--- a/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
+++ b/src/test/java/magpiehub/discovery/RecordingRegistryClient.java
@@ -13,61 +13,62 @@
 import magpiehub.routing.EndpointListKind;
 import magpiehub.routing.EndpointState;
 
-/** A running registry client with what it has published, counted and logged. */
+/** Runs a registry client and records what it publishes, counts and logs. */
 final class RecordingRegistryClient implements RegistryClientObserver, AutoCloseable {
     private static final int TAIL_LENGTH = 3000;
-    private static final int BRIEF_LENGTH = 500;
+    private static final int MAX_DESCRIPTION_LENGTH = 500;
 
     final RegistryClient client;
     final RecordingEventLog log = new RecordingEventLog();
-    /** What the dispatcher would have: endpoints published and not removed. */
-    final Map<String, EndpointEntry> fleet = new ConcurrentHashMap<>();
-    /** The first or latest contradiction among the list's changes; empty for none. */
-    volatile String fault = "";
+    /** The endpoints that have been published and not removed. */
+    final Map<String, EndpointEntry> endpoints = new ConcurrentHashMap<>();
+    /** The latest inconsistency among the list's changes; empty if there is none. */
+    volatile String inconsistency = "";
 
-    /** The endpoints that the changes add up to. */
-    private final Map<String, EndpointEntry> shadow = new HashMap<>();
+    /** The result of applying all changes. */
+    private final Map<String, EndpointEntry> accumulated = new HashMap<>();
 
     /** Starts a client. */
     RecordingRegistryClient(DiscoverySettings settings) throws IOException {
         client = new RegistryClient(settings, RegistryFixtures.site(), this::publish, MonotonicClock.SYSTEM, log, 7);
-        client.observe(this);
+        client.setObserver(this);
         client.start(null, null);
     }
 
     private void publish(EndpointListKind kind, List<EndpointEntry> entries) {
         if (kind == EndpointListKind.COMPLETE || kind == EndpointListKind.SAVED) {
-            fleet.keySet()
+            endpoints
+                    .keySet()
                     .retainAll(
                             entries.stream().map(entry -> entry.endpoint().id()).toList());
         }
         for (EndpointEntry entry : entries) {
             if (entry.endpoint().state() == EndpointState.DEAD) {
-                fleet.remove(entry.endpoint().id());
+                endpoints.remove(entry.endpoint().id());
             } else {
-                fleet.put(entry.endpoint().id(), entry);
+                endpoints.put(entry.endpoint().id(), entry);
             }
         }
     }
 
-    /** Checks that the changes alone add up to the list, and name nothing that has not changed. */
+    /** Checks that applying the changes gives the list, and that they contain only entries that have changed. */
     @Override
-    public void updated(EndpointListState list, ListUpdateResult result, boolean byWatch) {
+    public void onListUpdate(EndpointListState list, ListUpdateResult result, boolean byWatch) {
         if (result.delta() == null) {
             return;
         }
         for (EndpointEntry entry : result.delta().put()) {
-            if (entry.equals(shadow.put(entry.endpoint().id(), entry))) {
-                fault = "repeated " + entry;
+            if (entry.equals(accumulated.put(entry.endpoint().id(), entry))) {
+                inconsistency = "repeated " + entry;
             }
         }
         for (String id : result.delta().removed()) {
-            if (shadow.remove(id) == null) {
-                fault = "gone twice " + id;
+            if (accumulated.remove(id) == null) {
+                inconsistency = "removed twice " + id;
             }
         }
-        if (shadow.size() != list.size()) {
-            fault = "deltas add up to " + shadow.size() + ", the view has " + list.size();
+        if (accumulated.size() != list.size()) {
+            inconsistency = "changes add up to " + accumulated.size() + " endpoints, the list has " + list.size();
         }
     }
 
@@ -75,27 +76,28 @@
         return log.counted(counter);
     }
 
-    /** Waits until this client has what the registry has, and nothing contradictory was published. */
+    /** Waits until this client has published the registry's endpoints, and checks that its changes are consistent. */
     void awaitEqualTo(FakeRegistry registry) {
         RegistryFixtures.await(
                 () -> isEqualTo(registry),
-                () -> "fleet " + brief(fleet) + "\ntruth " + brief(RegistryFixtures.describe(registry)) + "\n"
-                        + log.counts() + "\n" + log.tail(TAIL_LENGTH));
-        assertTrue(fault.isEmpty(), fault);
+                () -> "published " + abbreviate(endpoints) + "\nregistry "
+                        + abbreviate(RegistryFixtures.describe(registry)) + "\n" + log.counts() + "\n"
+                        + log.tail(TAIL_LENGTH));
+        assertTrue(inconsistency.isEmpty(), inconsistency);
     }
 
     boolean isEqualTo(FakeRegistry registry) {
         Map<String, String> published = new TreeMap<>();
-        fleet.forEach((id, entry) -> published.put(
+        endpoints.forEach((id, entry) -> published.put(
                 id,
                 entry.address() + " " + entry.endpoint().state() + " "
                         + entry.endpoint().cell()));
         return published.equals(RegistryFixtures.describe(registry));
     }
 
-    private static String brief(Map<?, ?> entries) {
+    private static String abbreviate(Map<?, ?> entries) {
         String text = entries.size() + " " + entries;
-        return text.substring(0, Math.min(BRIEF_LENGTH, text.length()));
+        return text.substring(0, Math.min(MAX_DESCRIPTION_LENGTH, text.length()));
     }
 
     @Override
